--- a/include/moortack/relay/crash_probe.h
+++ b/include/moortack/relay/crash_probe.h
@@ -11,9 +11,9 @@
 #include "moortack/relay/endpoint_set.h"
 
 typedef enum probe_result {
-	PROBE_LISTENS,
+	PROBE_ACCEPTED,
 	PROBE_REFUSED, /**< nothing listens there */
-	PROBE_SILENT,  /**< no answer */
+	PROBE_FAILED,  /**< no answer */
 } probe_result_t;
 
 typedef struct crash_probe crash_probe_t;
@@ -24,7 +24,7 @@
 	struct event_base *base;
 	struct event *timer;
 	http_outbound_t *conn;
-	uint32_t tries;
+	uint32_t attempts;
 	/** @return whether to try again */
 	bool (*done)(void *arg, endpoint_t *, probe_result_t);
 	void *arg;
@@ -34,9 +34,9 @@
 
 /** Look after this time, unless a probe of that endpoint is under way.
  * @param list of the owner's probes */
-void crash_probe_begin(crash_probe_t **list, struct event_base *, endpoint_t *,
-    int64_t after_ms, bool (*done)(void *arg, endpoint_t *, probe_result_t),
-    void *arg);
+void crash_probe_schedule(crash_probe_t **list, struct event_base *,
+    endpoint_t *, int64_t after_ms,
+    bool (*done)(void *arg, endpoint_t *, probe_result_t), void *arg);
 /** End all probes of a list. */
 void crash_probes_finish(crash_probe_t **list);
 
--- a/include/moortack/relay/relay_quarantine.h
+++ b/include/moortack/relay/relay_quarantine.h
@@ -9,16 +9,16 @@
 
 #include <event2/buffer.h>
 
-#include "moortack/quarantine/crash_evidence.h"
 #include "moortack/quarantine/quarantine.h"
 #include "moortack/quarantine/request_digest.h"
+#include "moortack/quarantine/unresolved_attempts.h"
 #include "moortack/relay/crash_probe.h"
 #include "moortack/relay/gossip.h"
 #include "moortack/replication/row_store.h"
 
 /** Prefix of the rows of verdicts in the system's table. */
 #define QUARANTINE_PREFIX "quarantine/"
-#define QUARANTINE_MESSAGES_MAX 32
+#define QUARANTINE_RESEND_MAX 32
 
 typedef struct relay relay_t;
 
@@ -26,21 +26,22 @@
 	relay_t *relay;
 	row_store_t *store;
 	request_digest_key_t key;
-	bool keyed; /**< the fleet's secret is known */
+	bool key_known; /**< the fleet's secret is known */
 	quarantine_t table;
-	crash_evidence_t evidence;
-	crash_evidence_t left; /**< attempts that were given up */
+	unresolved_attempts_t interrupted;
+	unresolved_attempts_t abandoned; /**< attempts that were given up */
 	crash_probe_t *probes;
-	struct event *stop; /**< requests under way that are refused now */
+	struct event
+	    *stop_event; /**< requests under way that are refused now */
 	/** Told again once, since datagrams get lost. */
-	gossip_message_t again[QUARANTINE_MESSAGES_MAX];
-	size_t again_len;
+	gossip_message_t resend[QUARANTINE_RESEND_MAX];
+	size_t resend_len;
 	const char *source; /**< of what is taken now, for the log */
-	bool writing;
+	bool write_pending;
 	struct timespec write_after;
-	struct timespec looked_at; /**< at the versions in use */
-	uint64_t crashes;	   /**< of endpoints, seen by this daemon */
-	uint64_t cleared;	   /**< requests that ran after a crash */
+	struct timespec versions_checked_at; /**< at the versions in use */
+	uint64_t crash_count;	/**< of endpoints, seen by this daemon */
+	uint64_t cleared_count; /**< requests that ran after a crash */
 } relay_quarantine_t;
 
 bool relay_quarantine_init(relay_quarantine_t *, relay_t *, row_store_t *);
@@ -52,17 +53,19 @@
 
 /** The endpoint's incarnation has ended without leaving.
  * @param how this is known, for the log */
-void relay_quarantine_ended(
+void relay_quarantine_endpoint_crashed(
     relay_quarantine_t *, const endpoint_t *, const char *how);
 /** Its entry has gone. */
-void relay_quarantine_gone(relay_quarantine_t *, const endpoint_t *);
+void
+relay_quarantine_endpoint_removed(relay_quarantine_t *, const endpoint_t *);
 /** Another daemon tells; the argument is a relay. */
-void relay_quarantine_told(void *relay, const gossip_message_t *);
+void relay_quarantine_receive(void *relay, const gossip_message_t *);
 
 /** A row whose key begins with QUARANTINE_PREFIX; false fills the error. */
-bool relay_quarantine_row(relay_quarantine_t *, const row_t *, err_t *);
+bool relay_quarantine_apply_row(relay_quarantine_t *, const row_t *, err_t *);
 
 /** Gauges and counters in the Prometheus text format. */
-void relay_quarantine_write(const relay_quarantine_t *, struct evbuffer *out);
+void relay_quarantine_write_metrics(
+    const relay_quarantine_t *, struct evbuffer *out);
 
 #endif
--- a/include/moortack/relay/warmup_share.h
+++ b/include/moortack/relay/warmup_share.h
@@ -47,8 +47,8 @@
 void warmup_daemons_init(warmup_daemons_t *, const char *own_name);
 void warmup_daemons_finish(warmup_daemons_t *);
 /** Add a daemon, or note that it still exists. */
-void
-warmup_daemons_note(warmup_daemons_t *, const char *name, struct timespec now);
+void warmup_daemons_mark_seen(
+    warmup_daemons_t *, const char *name, struct timespec now);
 /** Update whether this daemon's row is in the store.
  * @param at_start the row was there when this daemon started, so the others
  * know of it already */
--- a/moortack/quarantine/quarantine.c
+++ b/moortack/quarantine/quarantine.c
@@ -38,8 +38,8 @@
 static void
 suspect_free(quarantine_t *self, suspect_t *suspect)
 {
-	if (is_set(suspect->held_at))
-		self->held--;
+	if (is_set(suspect->quarantined_at))
+		self->quarantined_count--;
 	HASH_DEL(self->suspects, suspect);
 	free(suspect);
 }
@@ -63,13 +63,13 @@
 }
 
 bool
-quarantine_is_held(const suspect_t *suspect)
+suspect_is_quarantined(const suspect_t *suspect)
 {
-	return suspect != NULL && is_set(suspect->held_at);
+	return suspect != NULL && is_set(suspect->quarantined_at);
 }
 
 size_t
-quarantine_crashes(const quarantine_t *self, uint64_t digest)
+quarantine_crash_count(const quarantine_t *self, uint64_t digest)
 {
 	const suspect_t *suspect = quarantine_find(self, digest);
 
@@ -77,25 +77,26 @@
 }
 
 static void
-suspect_release(quarantine_t *self, suspect_t *suspect, quarantine_end_t why)
+suspect_release(
+    quarantine_t *self, suspect_t *suspect, quarantine_end_reason_t why)
 {
-	if (!is_set(suspect->held_at))
+	if (!is_set(suspect->quarantined_at))
 		return;
 	self->ops->released(self->arg, suspect, why);
-	suspect->held_at = (struct timespec){0};
-	suspect->on_trial = false;
-	self->held--;
+	suspect->quarantined_at = (struct timespec){0};
+	suspect->trial_allowed = false;
+	self->quarantined_count--;
 }
 
 /* Whether a is the better one to forget: the fewer crashes, the older. */
 static bool
 forgotten_before(const suspect_t *a, const suspect_t *b)
 {
-	if (is_set(a->held_at) != is_set(b->held_at))
-		return !is_set(a->held_at);
+	if (is_set(a->quarantined_at) != is_set(b->quarantined_at))
+		return !is_set(a->quarantined_at);
 	if (a->crashes_len != b->crashes_len)
 		return a->crashes_len < b->crashes_len;
-	return timespec_ms_between(a->crashed_at, b->crashed_at) > 0;
+	return timespec_ms_between(a->last_crash_at, b->last_crash_at) > 0;
 }
 
 static void
@@ -110,7 +111,7 @@
 			victim = one;
 	}
 	suspect_release(self, victim, QUARANTINE_EVICTED);
-	self->ops->forgotten(self->arg, victim);
+	self->ops->removed(self->arg, victim);
 	suspect_free(self, victim);
 }
 
@@ -152,7 +153,7 @@
 static void
 crash_add(suspect_t *suspect, uint32_t incarnation)
 {
-	if (suspect->crashes_len == QUARANTINE_CRASHES)
+	if (suspect->crashes_len == QUARANTINE_CRASH_THRESHOLD)
 		crash_drop(suspect);
 	suspect->crashes[suspect->crashes_len++] = incarnation;
 }
@@ -160,15 +161,15 @@
 static void
 suspect_hold(quarantine_t *self, suspect_t *suspect, struct timespec since)
 {
-	if (!is_set(suspect->held_at))
-		self->held++;
-	suspect->held_at = since;
-	suspect->on_trial = false;
-	suspect->tried_at = (struct timespec){0};
-	suspect->stopped = false;
-	suspect->told = 0;
-	suspect->stored = 0;
-	self->ops->held(self->arg, suspect);
+	if (!is_set(suspect->quarantined_at))
+		self->quarantined_count++;
+	suspect->quarantined_at = since;
+	suspect->trial_allowed = false;
+	suspect->trial_started_at = (struct timespec){0};
+	suspect->requests_stopped = false;
+	suspect->announcements = 0;
+	suspect->stored_crashes = 0;
+	self->ops->quarantined(self->arg, suspect);
 }
 
 static bool
@@ -181,12 +182,13 @@
 static bool
 trial_open(const quarantine_t *self, const suspect_t *suspect)
 {
-	return suspect->on_trial || age_ms(self, suspect->held_at) >= HELD_MS;
+	return suspect->trial_allowed ||
+	    age_ms(self, suspect->quarantined_at) >= HELD_MS;
 }
 
 bool
-quarantine_crash(quarantine_t *self, uint64_t digest, uint32_t incarnation,
-    uint32_t version, bool witnessed)
+quarantine_record_crash(quarantine_t *self, uint64_t digest,
+    uint32_t incarnation, uint32_t version, bool witnessed)
 {
 	suspect_t *suspect = suspect_of(self, digest);
 
@@ -195,12 +197,12 @@
 		return false;
 	crash_add(suspect, incarnation);
 	suspect->version = version;
-	suspect->crashed_at = clock_elapsed(self->clock);
-	suspect->witnessed |= witnessed;
+	suspect->last_crash_at = clock_elapsed(self->clock);
+	suspect->observed_locally |= witnessed;
 	/* Runs that were under way as it was refused renew nothing. */
-	if (suspect->crashes_len == QUARANTINE_CRASHES &&
-	    (!quarantine_is_held(suspect) || trial_open(self, suspect)))
-		suspect_hold(self, suspect, suspect->crashed_at);
+	if (suspect->crashes_len == QUARANTINE_CRASH_THRESHOLD &&
+	    (!suspect_is_quarantined(suspect) || trial_open(self, suspect)))
+		suspect_hold(self, suspect, suspect->last_crash_at);
 	return true;
 }
 
@@ -208,8 +210,8 @@
 static bool
 held_since(const suspect_t *suspect, struct timespec since)
 {
-	return quarantine_is_held(suspect) &&
-	    timespec_ms_between(suspect->held_at, since) < RENEWED_MS;
+	return suspect_is_quarantined(suspect) &&
+	    timespec_ms_between(suspect->quarantined_at, since) < RENEWED_MS;
 }
 
 bool
@@ -217,7 +219,7 @@
     size_t crashes_len, uint32_t version, int64_t age_ms)
 {
 	bool verdict =
-	    crashes_len >= QUARANTINE_CRASHES && age_ms < HELD_MOST_MS;
+	    crashes_len >= QUARANTINE_CRASH_THRESHOLD && age_ms < HELD_MOST_MS;
 	struct timespec since =
 	    timespec_after_ms(clock_elapsed(self->clock), -age_ms);
 	suspect_t *suspect;
@@ -225,8 +227,8 @@
 	if (age_ms >= SUSPECT_MS)
 		return false;
 	/* A verdict that has expired is a suspicion. */
-	if (crashes_len >= QUARANTINE_CRASHES && !verdict)
-		crashes_len = QUARANTINE_CRASHES - 1;
+	if (crashes_len >= QUARANTINE_CRASH_THRESHOLD && !verdict)
+		crashes_len = QUARANTINE_CRASH_THRESHOLD - 1;
 	suspect = suspect_of(self, digest);
 	if (suspect == NULL || cleared_lately(self, suspect) ||
 	    held_since(suspect, since))
@@ -236,10 +238,10 @@
 			crash_add(suspect, crashes[i]);
 	}
 	suspect->version = version;
-	if (timespec_ms_between(suspect->crashed_at, since) > 0)
-		suspect->crashed_at = since;
-	if (suspect->crashes_len == QUARANTINE_CRASHES &&
-	    (verdict || !quarantine_is_held(suspect)))
+	if (timespec_ms_between(suspect->last_crash_at, since) > 0)
+		suspect->last_crash_at = since;
+	if (suspect->crashes_len == QUARANTINE_CRASH_THRESHOLD &&
+	    (verdict || !suspect_is_quarantined(suspect)))
 		suspect_hold(self, suspect, since);
 	return true;
 }
@@ -253,23 +255,23 @@
 		return false;
 	suspect_release(self, suspect, QUARANTINE_CLEARED);
 	suspect->crashes_len = 0;
-	suspect->witnessed = false;
+	suspect->observed_locally = false;
 	suspect->cleared_at = clock_elapsed(self->clock);
 	return true;
 }
 
 bool
-quarantine_admits(quarantine_t *self, uint64_t digest, bool tries)
+quarantine_admit(quarantine_t *self, uint64_t digest, bool tries)
 {
 	suspect_t *suspect = quarantine_find(self, digest);
 
-	if (!quarantine_is_held(suspect))
+	if (!suspect_is_quarantined(suspect))
 		return true;
 	if (!tries || !trial_open(self, suspect) ||
-	    (is_set(suspect->tried_at) &&
-		age_ms(self, suspect->tried_at) < TRIAL_MS))
+	    (is_set(suspect->trial_started_at) &&
+		age_ms(self, suspect->trial_started_at) < TRIAL_MS))
 		return false;
-	suspect->tried_at = clock_elapsed(self->clock);
+	suspect->trial_started_at = clock_elapsed(self->clock);
 	return true;
 }
 
@@ -279,18 +281,18 @@
 	const suspect_t *suspect = quarantine_find(self, digest);
 	int64_t left;
 
-	if (!quarantine_is_held(suspect) || trial_open(self, suspect))
+	if (!suspect_is_quarantined(suspect) || trial_open(self, suspect))
 		return 0;
-	left = HELD_MS - age_ms(self, suspect->held_at);
+	left = HELD_MS - age_ms(self, suspect->quarantined_at);
 	return left > 0 ? left : 0;
 }
 
 void
-quarantine_version_gone(quarantine_t *self, uint32_t version)
+quarantine_allow_trials(quarantine_t *self, uint32_t version)
 {
 	for (suspect_t *one = self->suspects; one != NULL; one = one->hh.next) {
-		if (one->version == version && is_set(one->held_at))
-			one->on_trial = true;
+		if (one->version == version && is_set(one->quarantined_at))
+			one->trial_allowed = true;
 	}
 }
 
@@ -299,15 +301,15 @@
 {
 	if (suspect->crashes_len == 0)
 		return !cleared_lately(self, suspect);
-	return age_ms(self, suspect->crashed_at) >= SUSPECT_MS;
+	return age_ms(self, suspect->last_crash_at) >= SUSPECT_MS;
 }
 
 /* The verdict ends, and one more crash renews it. */
 static void
 verdict_expire(quarantine_t *self, suspect_t *suspect)
 {
-	if (!quarantine_is_held(suspect) ||
-	    age_ms(self, suspect->crashed_at) < HELD_MOST_MS)
+	if (!suspect_is_quarantined(suspect) ||
+	    age_ms(self, suspect->last_crash_at) < HELD_MOST_MS)
 		return;
 	suspect_release(self, suspect, QUARANTINE_EXPIRED);
 	crash_drop(suspect);
@@ -323,7 +325,7 @@
 		verdict_expire(self, one);
 		if (!forgettable(self, one))
 			continue;
-		self->ops->forgotten(self->arg, one);
+		self->ops->removed(self->arg, one);
 		suspect_free(self, one);
 	}
 }
--- /dev/null
+++ b/moortack/quarantine/unresolved_attempts.c
@@ -0,0 +1,89 @@
+#include "moortack/quarantine/unresolved_attempts.h"
+
+#include <string.h>
+
+#include "common/clock_source.h"
+
+static void
+broken_remove(unresolved_attempts_t *self, size_t at)
+{
+	self->len--;
+	memmove(&self->attempts[at], &self->attempts[at + 1],
+	    (self->len - at) * sizeof(self->attempts[0]));
+}
+
+void
+unresolved_attempts_add(
+    unresolved_attempts_t *self, const unresolved_attempt_t *attempt)
+{
+	if (self->len == UNRESOLVED_ATTEMPTS_MAX)
+		broken_remove(self, 0);
+	self->attempts[self->len++] = *attempt;
+}
+
+bool
+unresolved_attempts_has(const unresolved_attempts_t *self, uint32_t incarnation)
+{
+	for (size_t i = 0; i < self->len; i++) {
+		if (self->attempts[i].incarnation == incarnation)
+			return true;
+	}
+	return false;
+}
+
+/* Whether an earlier attempt of the same request broke at the same place. */
+static bool
+broken_before(const unresolved_attempts_t *self, size_t at)
+{
+	const unresolved_attempt_t *one = &self->attempts[at];
+
+	for (size_t i = 0; i < at; i++) {
+		if (self->attempts[i].digest == one->digest &&
+		    self->attempts[i].incarnation == one->incarnation)
+			return true;
+	}
+	return false;
+}
+
+size_t
+unresolved_attempts_count(const unresolved_attempts_t *self, uint64_t digest)
+{
+	size_t count = 0;
+
+	for (size_t i = 0; i < self->len; i++)
+		count += self->attempts[i].digest == digest &&
+		    !broken_before(self, i);
+	return count;
+}
+
+bool
+unresolved_attempts_take(unresolved_attempts_t *self, uint32_t incarnation,
+    unresolved_attempt_t *out)
+{
+	for (size_t i = 0; i < self->len; i++) {
+		if (self->attempts[i].incarnation != incarnation)
+			continue;
+		*out = self->attempts[i];
+		broken_remove(self, i);
+		return true;
+	}
+	return false;
+}
+
+void
+unresolved_attempts_drop(unresolved_attempts_t *self, uint32_t incarnation)
+{
+	unresolved_attempt_t dropped;
+
+	while (unresolved_attempts_take(self, incarnation, &dropped))
+		continue;
+}
+
+void
+unresolved_attempts_expire(
+    unresolved_attempts_t *self, struct timespec now, int64_t max_age_ms)
+{
+	while (self->len > 0 &&
+	    timespec_ms_between(self->attempts[0].ended_at, now) >= max_age_ms)
+		broken_remove(self, 0);
+}
--- a/moortack/relay/attempt_silence.c
+++ b/moortack/relay/attempt_silence.c
@@ -90,7 +90,8 @@
 void
 relay_endpoint_ended(relay_t *relay, const endpoint_t *endpoint)
 {
-	relay_quarantine_ended(&relay->quarantine, endpoint, "restarted");
+	relay_quarantine_endpoint_crashed(
+	    &relay->quarantine, endpoint, "restarted");
 	for (relay_request_t *req = relay->first; req != NULL;
 	     req = req->next) {
 		if (req->attempt.endpoint != endpoint || !req->attempt.sent)
--- a/moortack/relay/crash_probe.c
+++ b/moortack/relay/crash_probe.c
@@ -39,7 +39,7 @@
 	http_outbound_free(probe->conn);
 	probe->conn = NULL;
 	if (probe->done(probe->arg, probe->endpoint, result) &&
-	    probe->tries < TRIES_MAX)
+	    probe->attempts < TRIES_MAX)
 		probe_wait(probe, AGAIN_MS);
 	else
 		probe_end(probe);
@@ -49,7 +49,7 @@
 static bool
 on_ready(void *arg)
 {
-	probe_told(arg, PROBE_LISTENS);
+	probe_told(arg, PROBE_ACCEPTED);
 	return false;
 }
 
@@ -57,7 +57,7 @@
 on_failed(void *arg, http_outbound_failure_t failure)
 {
 	probe_told(arg,
-	    failure == HTTP_OUTBOUND_REFUSED ? PROBE_REFUSED : PROBE_SILENT);
+	    failure == HTTP_OUTBOUND_REFUSED ? PROBE_REFUSED : PROBE_FAILED);
 }
 
 static const http_outbound_ops_t probe_ops = {
@@ -71,7 +71,7 @@
 
 	(void)fd;
 	(void)what;
-	probe->tries++;
+	probe->attempts++;
 	probe->conn = http_outbound_new(probe->base,
 	    &probe->endpoint->facts.address, CONNECT_MS, SILENT_MS);
 	if (probe->conn == NULL || nothing == NULL)
@@ -84,7 +84,7 @@
 }
 
 void
-crash_probe_begin(crash_probe_t **list, struct event_base *base,
+crash_probe_schedule(crash_probe_t **list, struct event_base *base,
     endpoint_t *endpoint, int64_t after_ms,
     bool (*done)(void *, endpoint_t *, probe_result_t), void *arg)
 {
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -45,7 +45,8 @@
 		return;
 	}
 	if (!endpoint->facts.leaving)
-		relay_quarantine_gone(&node->relay.quarantine, endpoint);
+		relay_quarantine_endpoint_removed(
+		    &node->relay.quarantine, endpoint);
 	end = (row_t){
 	    .key = endpoint->facts.id, .version = version, .deleted = true};
 	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &end);
@@ -148,7 +149,7 @@
 	}
 	if (!node->ports.sources->endpoint(
 		row->key, row->value, row->value_len, &facts, &err)) {
-		row_refusals_note(
+		row_refusals_record(
 		    &node->refusals, ROW_KIND_ENDPOINT, row, &err);
 		no_endpoint(node, endpoint, row);
 		return;
--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -23,7 +23,7 @@
 static char *
 value_text(const relay_quarantine_t *self, const suspect_t *suspect)
 {
-	int64_t at_ms = timespec_ms(suspect->crashed_at) +
+	int64_t at_ms = timespec_ms(suspect->last_crash_at) +
 	    self->relay->members->store_offset_ms;
 	json_t *crashes = json_array();
 	json_t *body;
@@ -46,18 +46,18 @@
 	relay_quarantine_t *self = arg;
 	bool done = reply->result == ROW_OK;
 
-	self->writing = false;
+	self->write_pending = false;
 	self->relay->members->written |= done;
 	if (!done)
 		self->write_after = timespec_after_ms(
 		    clock_elapsed(self->relay->clock), WRITE_RETRY_MS);
 	for (suspect_t *one = self->table.suspects; one != NULL;
 	     one = one->hh.next) {
-		if (done && one->written > 0) {
-			one->stored = one->written;
+		if (done && one->pending_crashes > 0) {
+			one->stored_crashes = one->pending_crashes;
 			one->stored_version = reply->version;
 		}
-		one->written = 0;
+		one->pending_crashes = 0;
 	}
 	event_line(self->relay->log, "quarantine_write", "result=%d",
 	    (int)reply->result);
@@ -67,14 +67,15 @@
 rows_send(relay_quarantine_t *self, row_change_t *expected,
     row_change_t *changes, size_t len)
 {
-	self->writing = row_store_write(self->store, ROW_FOR_QUARANTINE,
+	self->write_pending = row_store_write(self->store, ROW_FOR_QUARANTINE,
 	    expected, len, changes, len, WRITE_TIMEOUT_MS, on_written, self);
 }
 
 static bool
 write_due(const relay_quarantine_t *self)
 {
-	return !self->writing && self->relay->members->store_clock_known &&
+	return !self->write_pending &&
+	    self->relay->members->store_clock_known &&
 	    timespec_ms_between(
 		self->write_after, clock_elapsed(self->relay->clock)) >= 0;
 }
@@ -91,7 +92,7 @@
 		return;
 	for (suspect_t *one = self->table.suspects;
 	     one != NULL && len < ROWS_MAX; one = one->hh.next) {
-		if (!quarantine_writes(self, one))
+		if (!quarantine_should_write(self, one))
 			continue;
 		values[len] = value_text(self, one);
 		if (values[len] == NULL)
@@ -102,7 +103,7 @@
 		    .expected = one->stored_version};
 		changes[len] = expected[len];
 		changes[len].value = values[len];
-		one->written = one->crashes_len;
+		one->pending_crashes = one->crashes_len;
 		len++;
 	}
 	if (len > 0)
@@ -147,7 +148,7 @@
 
 	json_array_foreach(json_object_get(body, "crashes"), i, one)
 	{
-		if (json_is_integer(one) && len < QUARANTINE_CRASHES)
+		if (json_is_integer(one) && len < QUARANTINE_CRASH_THRESHOLD)
 			crashes[len++] = (uint32_t)json_integer_value(one);
 	}
 	return len;
@@ -159,7 +160,7 @@
 {
 	const membership_t *members = self->relay->members;
 	int64_t age_ms = 0;
-	uint32_t crashes[QUARANTINE_CRASHES];
+	uint32_t crashes[QUARANTINE_CRASH_THRESHOLD];
 	size_t len = crashes_read(body, crashes);
 
 	if (members->store_clock_known)
@@ -178,7 +179,7 @@
 static bool
 value_check(const json_t *body, err_t *err)
 {
-	uint32_t crashes[QUARANTINE_CRASHES];
+	uint32_t crashes[QUARANTINE_CRASH_THRESHOLD];
 
 	if (body == NULL)
 		return err_set(err, ERR_UNREADABLE, "the row is no JSON");
@@ -201,7 +202,8 @@
 }
 
 bool
-relay_quarantine_row(relay_quarantine_t *self, const row_t *row, err_t *err)
+relay_quarantine_apply_row(
+    relay_quarantine_t *self, const row_t *row, err_t *err)
 {
 	size_t crashes = 0;
 	suspect_t *suspect;
@@ -226,8 +228,8 @@
 	}
 	/* A row that was taken out or spoilt is written again. */
 	suspect->stored_version = row->deleted ? 0 : row->version;
-	suspect->stored = crashes;
-	if (quarantine_is_held(suspect))
-		suspect->told = UINT32_MAX;
+	suspect->stored_crashes = crashes;
+	if (suspect_is_quarantined(suspect))
+		suspect->announcements = UINT32_MAX;
 	return good;
 }
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -56,7 +56,7 @@
 {
 	const relay_quarantine_t *quarantine = &req->relay->quarantine;
 
-	if (req->digest == 0 && quarantine->keyed)
+	if (req->digest == 0 && quarantine->key_known)
 		req->digest = request_digest(&quarantine->key,
 		    req->organisation != NULL ? req->organisation->name : "",
 		    http_inbound_request(req->caller)->target, req->body);
--- a/moortack/relay/relay_ask.c
+++ b/moortack/relay/relay_ask.c
@@ -196,4 +196,4 @@
 }
 
 const gossip_ops_t relay_gossip_ops = {
-    on_sent, on_asked, on_answered, relay_quarantine_told};
+    on_sent, on_asked, on_answered, relay_quarantine_receive};
--- a/moortack/relay/relay_crashes.c
+++ b/moortack/relay/relay_crash_detection.c
@@ -20,54 +20,57 @@
 {
 	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " crashes=%zu endpoint=%s how=%s", digest,
-	    quarantine_crashes(&self->table, digest), endpoint->facts.id, how);
+	    quarantine_crash_count(&self->table, digest), endpoint->facts.id,
+	    how);
 }
 
 /* Take the attempts that were under way there, and tell of them. */
 static void
-crashes_take(relay_quarantine_t *self, crash_evidence_t *evidence,
+crashes_take(relay_quarantine_t *self, unresolved_attempts_t *evidence,
     const endpoint_t *endpoint, const char *how)
 {
 	gossip_message_t message = {.kind = GOSSIP_CRASH,
 	    .endpoint = endpoint->short_hash,
-	    .version = quarantine_version_of(endpoint)};
-	broken_attempt_t broken;
+	    .version = endpoint_version_hash(endpoint)};
+	unresolved_attempt_t broken;
 
-	while (crash_evidence_take(evidence, endpoint->short_hash, &broken)) {
-		if (!quarantine_crash(&self->table, broken.digest,
+	while (
+	    unresolved_attempts_take(evidence, endpoint->short_hash, &broken)) {
+		if (!quarantine_record_crash(&self->table, broken.digest,
 			broken.incarnation, broken.version, true))
 			continue;
 		suspicion_log(self, broken.digest, endpoint, how);
 		message.digests[message.digests_len++] = broken.digest;
 		if (message.digests_len < GOSSIP_MESSAGE_DIGESTS_MAX)
 			continue;
-		quarantine_tell(self, &message);
+		quarantine_announce(self, &message);
 		message.digests_len = 0;
 	}
 	if (message.digests_len > 0)
-		quarantine_tell(self, &message);
+		quarantine_announce(self, &message);
 }
 
 void
-relay_quarantine_ended(
+relay_quarantine_endpoint_crashed(
     relay_quarantine_t *self, const endpoint_t *endpoint, const char *how)
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
 
-	self->crashes +=
-	    crash_evidence_open(&self->evidence, endpoint->short_hash);
+	self->crash_count +=
+	    unresolved_attempts_has(&self->interrupted, endpoint->short_hash);
 	self->source = how;
-	crash_evidence_expire(&self->left, now, LEFT_MS);
-	crashes_take(self, &self->evidence, endpoint, how);
-	crashes_take(self, &self->left, endpoint, how);
+	unresolved_attempts_expire(&self->abandoned, now, LEFT_MS);
+	crashes_take(self, &self->interrupted, endpoint, how);
+	crashes_take(self, &self->abandoned, endpoint, how);
 }
 
 void
-relay_quarantine_gone(relay_quarantine_t *self, const endpoint_t *endpoint)
+relay_quarantine_endpoint_removed(
+    relay_quarantine_t *self, const endpoint_t *endpoint)
 {
 	/* It may have left in good order, without a word. */
-	crash_evidence_drop(&self->left, endpoint->short_hash);
-	relay_quarantine_ended(self, endpoint, "gone");
+	unresolved_attempts_drop(&self->abandoned, endpoint->short_hash);
+	relay_quarantine_endpoint_crashed(self, endpoint, "gone");
 }
 
 /* Requests that wait for what a probe tells go on, or end. */
@@ -92,29 +95,33 @@
 	relay_quarantine_t *self = arg;
 
 	stats_add(&self->relay->stats, STAT_CRASH_PROBES, 1);
-	if (result == PROBE_LISTENS) {
-		crash_evidence_drop(&self->evidence, endpoint->short_hash);
-		crash_evidence_drop(&self->left, endpoint->short_hash);
+	if (result == PROBE_ACCEPTED) {
+		unresolved_attempts_drop(
+		    &self->interrupted, endpoint->short_hash);
+		unresolved_attempts_drop(
+		    &self->abandoned, endpoint->short_hash);
 	} else if (result == PROBE_REFUSED && endpoint->in_flight == 0) {
-		relay_quarantine_ended(self, endpoint, "port_closed");
+		relay_quarantine_endpoint_crashed(
+		    self, endpoint, "port_closed");
 	}
 	waiting_wake(self->relay);
-	return crash_evidence_open(&self->evidence, endpoint->short_hash);
+	return unresolved_attempts_has(
+	    &self->interrupted, endpoint->short_hash);
 }
 
 static bool
-attempt_note(relay_request_t *req, crash_evidence_t *evidence)
+attempt_note(relay_request_t *req, unresolved_attempts_t *evidence)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
-	broken_attempt_t attempt = {.digest = relay_digest(req),
+	unresolved_attempt_t attempt = {.digest = relay_digest(req),
 	    .incarnation = endpoint->short_hash,
-	    .version = quarantine_version_of(endpoint),
-	    .at = clock_elapsed(req->relay->clock)};
+	    .version = endpoint_version_hash(endpoint),
+	    .ended_at = clock_elapsed(req->relay->clock)};
 
 	/* One that leaves ends when it is done. */
 	if (attempt.digest == 0 || endpoint->facts.leaving)
 		return false;
-	crash_evidence_note(evidence, &attempt);
+	unresolved_attempts_add(evidence, &attempt);
 	return true;
 }
 
@@ -123,8 +130,8 @@
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 
-	if (attempt_note(req, &self->evidence))
-		crash_probe_begin(&self->probes, req->relay->base,
+	if (attempt_note(req, &self->interrupted))
+		crash_probe_schedule(&self->probes, req->relay->base,
 		    req->attempt.endpoint, PROBE_MS, on_probed, self);
 }
 
@@ -133,9 +140,9 @@
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 
-	if (attempt_note(req, &self->left) &&
-	    quarantine_crashes(&self->table, relay_digest(req)) > 0)
-		crash_probe_begin(&self->probes, req->relay->base,
+	if (attempt_note(req, &self->abandoned) &&
+	    quarantine_crash_count(&self->table, relay_digest(req)) > 0)
+		crash_probe_schedule(&self->probes, req->relay->base,
 		    req->attempt.endpoint, PROBE_LEFT_MS, on_probed, self);
 }
 
@@ -145,7 +152,7 @@
 	const endpoint_t *endpoint = req->attempt.endpoint;
 
 	if (endpoint->in_flight == 0)
-		relay_quarantine_ended(
+		relay_quarantine_endpoint_crashed(
 		    &req->relay->quarantine, endpoint, "port_closed");
 }
 
@@ -154,20 +161,21 @@
 static void
 left_look(relay_quarantine_t *self)
 {
-	for (size_t i = 0; i < self->left.len; i++) {
-		const broken_attempt_t *one = &self->left.broken[i];
+	for (size_t i = 0; i < self->abandoned.len; i++) {
+		const unresolved_attempt_t *one = &self->abandoned.attempts[i];
 		endpoint_t *endpoint = endpoint_set_find_short(
 		    self->relay->endpoints, one->incarnation);
 
 		if (endpoint != NULL &&
-		    timespec_ms_between(one->at, endpoint->link_ended_at) >= 0)
-			crash_probe_begin(&self->probes, self->relay->base,
+		    timespec_ms_between(
+			one->ended_at, endpoint->link_ended_at) >= 0)
+			crash_probe_schedule(&self->probes, self->relay->base,
 			    endpoint, PROBE_MS, on_probed, self);
 	}
 }
 
 void
-quarantine_evidence_step(relay_quarantine_t *self)
+quarantine_check_unresolved(relay_quarantine_t *self)
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
 
@@ -176,6 +184,6 @@
 	if (self->probes == NULL)
 		waiting_wake(self->relay);
 
-	crash_evidence_expire(&self->evidence, now, EVIDENCE_MS);
-	crash_evidence_expire(&self->left, now, LEFT_MS);
+	unresolved_attempts_expire(&self->interrupted, now, EVIDENCE_MS);
+	unresolved_attempts_expire(&self->abandoned, now, LEFT_MS);
 }
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -22,7 +22,7 @@
 /* The upper half names the service, so that its other versions are told apart
  * from other services'. */
 uint32_t
-quarantine_version_of(const endpoint_t *endpoint)
+endpoint_version_hash(const endpoint_t *endpoint)
 {
 	const endpoint_facts_t *facts = &endpoint->facts;
 	uint64_t service = XXH3_64bits(facts->service, strlen(facts->service));
@@ -44,13 +44,13 @@
 	    suspect->digest, self->source, suspect->crashes_len,
 	    suspect->crashes[0], suspect->crashes[1], suspect->crashes[2],
 	    timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock)),
-	    suspect->witnessed);
-	event_active(self->stop, 0, 0);
+		suspect->quarantined_at, clock_elapsed(self->relay->clock)),
+	    suspect->observed_locally);
+	event_active(self->stop_event, 0, 0);
 }
 
 static void
-on_released(void *arg, const suspect_t *suspect, quarantine_end_t why)
+on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t why)
 {
 	static const char *const names[] = {[QUARANTINE_CLEARED] = "cleared",
 	    [QUARANTINE_EXPIRED] = "expired",
@@ -61,7 +61,7 @@
 	    "digest=%016" PRIx64 " why=%s held_ms=%" PRId64, suspect->digest,
 	    names[why],
 	    timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock)));
+		suspect->quarantined_at, clock_elapsed(self->relay->clock)));
 }
 
 static void
@@ -78,11 +78,11 @@
 
 /* Told now, and once more with the next tick. */
 void
-quarantine_tell(relay_quarantine_t *self, const gossip_message_t *message)
+quarantine_announce(relay_quarantine_t *self, const gossip_message_t *message)
 {
 	gossip_tell_owners(self->relay->gossip, message);
-	if (self->again_len < QUARANTINE_MESSAGES_MAX)
-		self->again[self->again_len++] = *message;
+	if (self->resend_len < QUARANTINE_RESEND_MAX)
+		self->resend[self->resend_len++] = *message;
 }
 
 static void
@@ -93,7 +93,7 @@
 	self->source = source;
 	if (!quarantine_clear(&self->table, digest))
 		return;
-	self->cleared++;
+	self->cleared_count++;
 	if (gossip_owns(self->relay->gossip, digest))
 		quarantine_row_remove(self, suspect);
 }
@@ -105,7 +105,7 @@
 	gossip_message_t message = {.kind = GOSSIP_CLEARED, .digests_len = 1};
 
 	if (HASH_COUNT(self->table.suspects) == 0 ||
-	    quarantine_crashes(&self->table, relay_digest(req)) == 0)
+	    quarantine_crash_count(&self->table, relay_digest(req)) == 0)
 		return;
 	message.digests[0] = relay_digest(req);
 	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
@@ -113,12 +113,12 @@
 	    relay_digest(req), req->endpoint_id);
 	if (req->on_trial)
 		gossip_tell_each(req->relay->gossip, &message);
-	quarantine_tell(self, &message);
+	quarantine_announce(self, &message);
 	cleared_take(self, relay_digest(req), "run");
 }
 
 void
-relay_quarantine_told(void *arg, const gossip_message_t *message)
+relay_quarantine_receive(void *arg, const gossip_message_t *message)
 {
 	relay_quarantine_t *self = &((relay_t *)arg)->quarantine;
 	suspect_t *suspect;
@@ -128,7 +128,7 @@
 		uint64_t digest = message->digests[i];
 
 		if (message->kind == GOSSIP_CRASH) {
-			quarantine_crash(&self->table, digest,
+			quarantine_record_crash(&self->table, digest,
 			    message->endpoint, message->version, false);
 		} else if (message->kind == GOSSIP_CLEARED) {
 			cleared_take(self, digest, "told");
@@ -138,7 +138,7 @@
 			    message->held_ms);
 			suspect = quarantine_find(&self->table, digest);
 			if (suspect != NULL)
-				suspect->told = TELLS;
+				suspect->announcements = TELLS;
 		}
 	}
 }
@@ -151,15 +151,16 @@
 	struct timespec now = clock_elapsed(self->relay->clock);
 
 	return gossip_owns(self->relay->gossip, suspect->digest) ||
-	    (suspect->witnessed &&
-		timespec_ms_between(suspect->crashed_at, now) >= ms);
+	    (suspect->observed_locally &&
+		timespec_ms_between(suspect->last_crash_at, now) >= ms);
 }
 
 bool
-quarantine_writes(const relay_quarantine_t *self, const suspect_t *suspect)
+quarantine_should_write(
+    const relay_quarantine_t *self, const suspect_t *suspect)
 {
 	return suspect->crashes_len >= CRASHES_STORED &&
-	    suspect->crashes_len > suspect->stored &&
+	    suspect->crashes_len > suspect->stored_crashes &&
 	    acts_after(self, suspect, OTHERS_WRITE_MS);
 }
 
@@ -172,11 +173,11 @@
 	    .version = suspect->version,
 	    .crashes_len = suspect->crashes_len,
 	    .held_ms = (uint32_t)timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock))};
+		suspect->quarantined_at, clock_elapsed(self->relay->clock))};
 
 	memcpy(message.crashes, suspect->crashes, sizeof(message.crashes));
 	gossip_tell_each(self->relay->gossip, &message);
-	suspect->told++;
+	suspect->announcements++;
 }
 
 /* Whether the service has endpoints, and none of the version that crashed. */
@@ -187,7 +188,7 @@
 
 	for (const endpoint_t *one = set->endpoints; one != NULL;
 	     one = one->hh.next) {
-		uint32_t known = quarantine_version_of(one);
+		uint32_t known = endpoint_version_hash(one);
 
 		if (known == version)
 			return false;
@@ -200,28 +201,30 @@
 static void
 held_step(relay_quarantine_t *self, suspect_t *suspect, bool look)
 {
-	if (!quarantine_is_held(suspect))
+	if (!suspect_is_quarantined(suspect))
 		return;
-	if (suspect->told < TELLS && acts_after(self, suspect, OTHERS_TELL_MS))
+	if (suspect->announcements < TELLS &&
+	    acts_after(self, suspect, OTHERS_TELL_MS))
 		verdict_tell(self, suspect);
-	if (look && !suspect->on_trial &&
+	if (look && !suspect->trial_allowed &&
 	    version_gone(self->relay->endpoints, suspect->version))
-		quarantine_version_gone(&self->table, suspect->version);
+		quarantine_allow_trials(&self->table, suspect->version);
 }
 
 void
 relay_quarantine_tick(relay_quarantine_t *self)
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
-	bool look = timespec_ms_between(self->looked_at, now) >= LOOK_MS;
+	bool look =
+	    timespec_ms_between(self->versions_checked_at, now) >= LOOK_MS;
 	suspect_t *one, *next;
 
-	for (size_t i = 0; i < self->again_len; i++)
-		gossip_tell_owners(self->relay->gossip, &self->again[i]);
-	self->again_len = 0;
-	quarantine_evidence_step(self);
+	for (size_t i = 0; i < self->resend_len; i++)
+		gossip_tell_owners(self->relay->gossip, &self->resend[i]);
+	self->resend_len = 0;
+	quarantine_check_unresolved(self);
 	if (look)
-		self->looked_at = now;
+		self->versions_checked_at = now;
 	if (HASH_COUNT(self->table.suspects) == 0)
 		return;
 	quarantine_expire(&self->table);
@@ -252,13 +255,13 @@
 	for (req = self->relay->first; req != NULL; req = next) {
 		next = req->next;
 		suspect = quarantine_find(&self->table, relay_digest(req));
-		if (quarantine_is_held(suspect) && !suspect->stopped &&
-		    !req->on_trial)
+		if (suspect_is_quarantined(suspect) &&
+		    !suspect->requests_stopped && !req->on_trial)
 			request_stop(req);
 	}
 	for (suspect = self->table.suspects; suspect != NULL;
 	     suspect = suspect->hh.next) {
-		suspect->stopped |= quarantine_is_held(suspect);
+		suspect->requests_stopped |= suspect_is_quarantined(suspect);
 		held_step(self, suspect, false);
 	}
 	quarantine_rows_write(self);
@@ -268,7 +271,7 @@
 relay_quarantine_set_secret(relay_quarantine_t *self, const char *secret)
 {
 	request_digest_key_derive(&self->key, secret);
-	self->keyed = true;
+	self->key_known = true;
 }
 
 bool
@@ -278,8 +281,8 @@
 	*self =
 	    (relay_quarantine_t){.relay = relay, .store = store, .source = "-"};
 	quarantine_init(&self->table, relay->clock, &table_ops, self);
-	self->stop = event_new(relay->base, -1, 0, on_stop, self);
-	return self->stop != NULL;
+	self->stop_event = event_new(relay->base, -1, 0, on_stop, self);
+	return self->stop_event != NULL;
 }
 
 void
@@ -287,12 +290,13 @@
 {
 	crash_probes_finish(&self->probes);
 	quarantine_finish(&self->table);
-	if (self->stop != NULL)
-		event_free(self->stop);
+	if (self->stop_event != NULL)
+		event_free(self->stop_event);
 }
 
 void
-relay_quarantine_write(const relay_quarantine_t *self, struct evbuffer *out)
+relay_quarantine_write_metrics(
+    const relay_quarantine_t *self, struct evbuffer *out)
 {
 	evbuffer_add_printf(out,
 	    "# TYPE moortack_relay_suspects gauge\n"
@@ -307,6 +311,6 @@
 	    "without a crash.\n"
 	    "# TYPE moortack_relay_cleared_total counter\n"
 	    "moortack_relay_cleared_total %" PRIu64 "\n",
-	    HASH_COUNT(self->table.suspects), self->table.held, self->crashes,
-	    self->cleared);
+	    HASH_COUNT(self->table.suspects), self->table.quarantined_count,
+	    self->crash_count, self->cleared_count);
 }
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -77,7 +77,8 @@
 		relay_configure(&node->relay, config);
 	else if (!row->deleted)
 		/* The last good one stays in force. */
-		row_refusals_note(&node->refusals, ROW_KIND_CONFIG, row, &err);
+		row_refusals_record(
+		    &node->refusals, ROW_KIND_CONFIG, row, &err);
 }
 
 static void
@@ -92,7 +93,8 @@
 		row->value, row->value_len, row->version, &order, &err))
 		rollouts_order(&node->rollouts, &order);
 	else
-		row_refusals_note(&node->refusals, ROW_KIND_ORDER, row, &err);
+		row_refusals_record(
+		    &node->refusals, ROW_KIND_ROLLOUT_ORDER, row, &err);
 }
 
 static void
@@ -132,7 +134,8 @@
 	err_t err;
 
 	if (!row->deleted && !names_member(row, &err)) {
-		row_refusals_note(&node->refusals, ROW_KIND_MEMBER, row, &err);
+		row_refusals_record(
+		    &node->refusals, ROW_KIND_MEMBER, row, &err);
 		taken = (row_t){
 		    .key = row->key, .version = row->version, .deleted = true};
 	}
@@ -147,7 +150,8 @@
 
 	row_source_put(&node->source, ROW_TABLE_OWN, row);
 	if (!rollouts_row(&node->rollouts, row, &err))
-		row_refusals_note(&node->refusals, ROW_KIND_STATE, row, &err);
+		row_refusals_record(
+		    &node->refusals, ROW_KIND_ROLLOUT_STATE, row, &err);
 }
 
 static void
@@ -157,7 +161,8 @@
 
 	row_source_put(&node->source, ROW_TABLE_OWN, row);
 	if (!row->deleted && !fleet_key_check(row->value, &err))
-		row_refusals_note(&node->refusals, ROW_KIND_KEY, row, &err);
+		row_refusals_record(
+		    &node->refusals, ROW_KIND_FLEET_KEY, row, &err);
 }
 
 static void
@@ -166,8 +171,9 @@
 	err_t err;
 
 	row_source_put(&node->source, ROW_TABLE_OWN, row);
-	if (!relay_quarantine_row(&node->relay.quarantine, row, &err))
-		row_refusals_note(&node->refusals, ROW_KIND_VERDICT, row, &err);
+	if (!relay_quarantine_apply_row(&node->relay.quarantine, row, &err))
+		row_refusals_record(
+		    &node->refusals, ROW_KIND_QUARANTINE, row, &err);
 }
 
 static void
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -15,7 +15,7 @@
 	event_line_throttled(req->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " id=%s crashes=%zu left_ms=%" PRId64
 	    " how=%s",
-	    digest, req->arrival.id, quarantine_crashes(table, digest),
+	    digest, req->arrival.id, quarantine_crash_count(table, digest),
 	    quarantine_left_ms(table, digest),
 	    req->on_trial ? "tried" : "refused");
 }
@@ -26,12 +26,12 @@
 	relay_quarantine_t *self = &req->relay->quarantine;
 	uint64_t digest;
 
-	if (self->table.held == 0 || req->on_trial)
+	if (self->table.quarantined_count == 0 || req->on_trial)
 		return false;
 	digest = relay_digest(req);
-	if (!quarantine_is_held(quarantine_find(&self->table, digest)))
+	if (!suspect_is_quarantined(quarantine_find(&self->table, digest)))
 		return false;
-	req->on_trial = quarantine_admits(
+	req->on_trial = quarantine_admit(
 	    &self->table, digest, gossip_owns(req->relay->gossip, digest));
 	decision_log(req, digest);
 	return !req->on_trial;
@@ -43,10 +43,10 @@
 {
 	const relay_quarantine_t *self = &req->relay->quarantine;
 
-	if (HASH_COUNT(self->table.suspects) == 0 && self->evidence.len == 0)
+	if (HASH_COUNT(self->table.suspects) == 0 && self->interrupted.len == 0)
 		return 0;
-	return quarantine_crashes(&self->table, relay_digest(req)) +
-	    crash_evidence_of(&self->evidence, relay_digest(req));
+	return quarantine_crash_count(&self->table, relay_digest(req)) +
+	    unresolved_attempts_count(&self->interrupted, relay_digest(req));
 }
 
 bool
@@ -72,7 +72,8 @@
 	for (size_t i = 0; group != NULL && i < group->len; i++)
 		count += !group->ring[i]->facts.leaving &&
 		    !endpoint_ejected(group->ring[i]) &&
-		    !crash_evidence_open(&req->relay->quarantine.evidence,
+		    !unresolved_attempts_has(
+			&req->relay->quarantine.interrupted,
 			group->ring[i]->short_hash);
 	return count;
 }
@@ -94,6 +95,7 @@
 	const relay_quarantine_t *self = &req->relay->quarantine;
 
 	req->awaits_probe = self->probes != NULL &&
-	    crash_evidence_of(&self->evidence, relay_digest(req)) > 0;
+	    unresolved_attempts_count(&self->interrupted, relay_digest(req)) >
+		0;
 	return req->awaits_probe;
 }
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -174,7 +174,8 @@
 
 	for (const member_t *one = relay->members->members; one != NULL;
 	     one = one->hh.next)
-		warmup_daemons_note(&relay->warmup_daemons, one->name, now);
+		warmup_daemons_mark_seen(
+		    &relay->warmup_daemons, one->name, now);
 	warmup_daemons_expire(&relay->warmup_daemons, now);
 	warmup_daemons_update_own(&relay->warmup_daemons,
 	    relay->members->stored.body != NULL, first_read, now);
--- a/moortack/relay/row_refusals.c
+++ b/moortack/relay/row_refusals.c
@@ -7,9 +7,10 @@
  * how many there were. */
 #define TOLD_EVERY_MS 10000
 
-static const char *const kinds[ROW_KINDS] = {"config", "order", "endpoint",
+static const char *const kinds[ROW_KIND_COUNT] = {"config", "order", "endpoint",
     "evacuation", "member", "state", "key", "verdict"};
-static const char *const faults[ROW_FAULTS] = {"name", "unreadable", "field"};
+static const char *const faults[ROW_FAULT_COUNT] = {
+    "name", "unreadable", "field"};
 
 static row_fault_t
 fault_of(const err_t *why)
@@ -25,7 +26,7 @@
 }
 
 void
-row_refusals_note(
+row_refusals_record(
     row_refusals_t *self, row_kind_t kind, const row_t *row, const err_t *why)
 {
 	row_fault_t fault = fault_of(why);
@@ -34,27 +35,27 @@
 
 	refusal->count++;
 	if (self->log == NULL ||
-	    (refusal->told > 0 &&
-		timespec_ms_between(refusal->at, now) < TOLD_EVERY_MS))
+	    (refusal->logged_count > 0 &&
+		timespec_ms_between(refusal->logged_at, now) < TOLD_EVERY_MS))
 		return;
 	event_line(self->log, "row_refused",
 	    "kind=%s fault=%s count=%" PRIu64 " key=%.40s version=%" PRIu64
 	    " why=\"%s\"",
-	    kinds[kind], faults[fault], refusal->count - refusal->told,
+	    kinds[kind], faults[fault], refusal->count - refusal->logged_count,
 	    row->key, row->version, why->detail);
-	refusal->told = refusal->count;
-	refusal->at = now;
+	refusal->logged_count = refusal->count;
+	refusal->logged_at = now;
 }
 
 void
-row_refusals_write(const row_refusals_t *self, struct evbuffer *out)
+row_refusals_write_metrics(const row_refusals_t *self, struct evbuffer *out)
 {
 	evbuffer_add_printf(out,
 	    "# HELP moortack_relay_rows_refused_total Rows that could not be "
 	    "taken.\n"
 	    "# TYPE moortack_relay_rows_refused_total counter\n");
-	for (int i = 0; i < ROW_KINDS; i++) {
-		for (int j = 0; j < ROW_FAULTS; j++)
+	for (int i = 0; i < ROW_KIND_COUNT; i++) {
+		for (int j = 0; j < ROW_FAULT_COUNT; j++)
 			evbuffer_add_printf(out,
 			    "moortack_relay_rows_refused_total{kind=\"%s\","
 			    "fault=\"%s\"} %" PRIu64 "\n",
--- a/moortack/relay/warmup_share.c
+++ b/moortack/relay/warmup_share.c
@@ -60,7 +60,7 @@
 }
 
 void
-warmup_daemons_note(
+warmup_daemons_mark_seen(
     warmup_daemons_t *daemons, const char *name, struct timespec now)
 {
 	uint64_t hash = name_hash(name);
--- a/moortack/relay/zone_rows.c
+++ b/moortack/relay/zone_rows.c
@@ -74,7 +74,7 @@
 	err_t err;
 
 	if (!node->ports.sources->evacuation_check(name, &err)) {
-		row_refusals_note(
+		row_refusals_record(
 		    &node->refusals, ROW_KIND_EVACUATION, row, &err);
 		row_source_put(&node->source, ROW_TABLE_ORDERS, row);
 		return;
--- a/test/fuzz/quarantine_fuzz.c
+++ b/test/fuzz/quarantine_fuzz.c
@@ -114,7 +114,7 @@
 }
 
 static void
-on_released(void *arg, const suspect_t *suspect, quarantine_end_t why)
+on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t why)
 {
 	(void)arg;
 	(void)suspect;
@@ -155,8 +155,8 @@
 	static const uint32_t crashes[] = {1, 2, 3};
 
 	if (message->kind == TOLD_CRASH)
-		quarantine_crash(table, message->digest, message->incarnation,
-		    VERSION, false);
+		quarantine_record_crash(table, message->digest,
+		    message->incarnation, VERSION, false);
 	else if (message->kind == TOLD_CLEARED)
 		quarantine_clear(table, message->digest);
 	else
@@ -183,8 +183,8 @@
 acts(size_t daemon, size_t request, const suspect_t *suspect)
 {
 	return request % DAEMONS == daemon ||
-	    (suspect->witnessed &&
-		timespec_ms_between(suspect->crashed_at, world.hand.now) >=
+	    (suspect->observed_locally &&
+		timespec_ms_between(suspect->last_crash_at, world.hand.now) >=
 		    OTHERS_MS);
 }
 
@@ -199,14 +199,15 @@
 
 	if (suspect == NULL || !acts(daemon, request, suspect))
 		return;
-	if (quarantine_is_held(suspect) && self->tells[request])
+	if (suspect_is_quarantined(suspect) && self->tells[request])
 		tell(input, daemon,
 		    (message_t){
 			.kind = TOLD_HELD, .digest = digest_of(request)});
 	self->tells[request] = false;
 	if (suspect->crashes_len >= 2 &&
 	    (suspect->crashes_len > row->crashes_len ||
-		timespec_ms_between(row->crashed_at, suspect->crashed_at) > 0))
+		timespec_ms_between(
+		    row->last_crash_at, suspect->last_crash_at) > 0))
 		*row = *suspect;
 }
 
@@ -242,8 +243,8 @@
 
 	if (truth->len < CRASHES_MAX)
 		truth->crashes[truth->len++] = (crash_t){incarnation, now_ms()};
-	if (quarantine_crash(&world.daemons[daemon].table, digest_of(request),
-		incarnation, VERSION, true))
+	if (quarantine_record_crash(&world.daemons[daemon].table,
+		digest_of(request), incarnation, VERSION, true))
 		tell(input, daemon,
 		    (message_t){.kind = TOLD_CRASH,
 			.digest = digest_of(request),
@@ -317,7 +318,8 @@
 
 	world.runs[world.runs_len++] = (run_t){daemon, request, endpoint};
 	endpoint_crash(input, endpoint);
-	if (truth->third_ms == 0 && implicated(request) >= QUARANTINE_CRASHES)
+	if (truth->third_ms == 0 &&
+	    implicated(request) >= QUARANTINE_CRASH_THRESHOLD)
 		truth->third_ms = now_ms();
 }
 
@@ -329,14 +331,14 @@
 	size_t endpoint = input_below(input, ENDPOINTS);
 	quarantine_t *table = &world.daemons[daemon].table;
 	bool held =
-	    quarantine_is_held(quarantine_find(table, digest_of(request)));
+	    suspect_is_quarantined(quarantine_find(table, digest_of(request)));
 
 	if (world.runs_len >= RUNS_MAX - 1)
 		return;
-	if (!quarantine_admits(
+	if (!quarantine_admit(
 		table, digest_of(request), request % DAEMONS == daemon)) {
 		FUZZ_CHECK(request < POISONS ||
-		    implicated(request) >= QUARANTINE_CRASHES);
+		    implicated(request) >= QUARANTINE_CRASH_THRESHOLD);
 		return;
 	}
 	send_count(request, held);
@@ -347,7 +349,7 @@
 	}
 	poison_run(input, daemon, request, endpoint);
 	/* Sent once more, as long as two crashes do not speak against it. */
-	if (quarantine_crashes(table, digest_of(request)) < 2) {
+	if (quarantine_crash_count(table, digest_of(request)) < 2) {
 		send_count(request, false);
 		poison_run(input, daemon, request, (endpoint + 1) % ENDPOINTS);
 	}
@@ -395,7 +397,7 @@
 			quarantine_merge(table, digest_of(r), row->crashes,
 			    row->crashes_len, VERSION,
 			    timespec_ms_between(
-				row->crashed_at, world.hand.now));
+				row->last_crash_at, world.hand.now));
 	}
 }
 
@@ -408,8 +410,8 @@
 
 		for (const suspect_t *one = table->suspects; one != NULL;
 		     one = one->hh.next)
-			held += quarantine_is_held(one);
-		FUZZ_CHECK(held == table->held);
+			held += suspect_is_quarantined(one);
+		FUZZ_CHECK(held == table->quarantined_count);
 	}
 }
 
--- a/test/fuzz/warmup_fuzz.c
+++ b/test/fuzz/warmup_fuzz.c
@@ -149,7 +149,7 @@
 		if (daemon->known[i] &&
 		    (other->running || other->start_ms != NEVER) &&
 		    world.now_ms >= daemon->partitioned_until_ms)
-			warmup_daemons_note(&daemon->relay.warmup_daemons,
+			warmup_daemons_mark_seen(&daemon->relay.warmup_daemons,
 			    other->name, daemon->clock.now);
 	}
 }
--- a/test/unit/quarantine_test.c
+++ b/test/unit/quarantine_test.c
@@ -11,8 +11,8 @@
 #include <cmocka.h>
 
 #include "../support/manual_clock.h"
-#include "moortack/quarantine/crash_evidence.h"
 #include "moortack/quarantine/quarantine.h"
+#include "moortack/quarantine/unresolved_attempts.h"
 
 #define POISON 0xbadULL
 #define SOUND 0x900dULL
@@ -36,7 +36,7 @@
 }
 
 static void
-on_released(void *arg, const suspect_t *suspect, quarantine_end_t why)
+on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t why)
 {
 	(void)arg;
 	(void)suspect;
@@ -75,7 +75,8 @@
 crashes(uint64_t digest, uint32_t first, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
-		quarantine_crash(&table, digest, first + i, VERSION, true);
+		quarantine_record_crash(
+		    &table, digest, first + i, VERSION, true);
 }
 
 static void
@@ -83,13 +84,13 @@
 {
 	(void)state;
 	crashes(POISON, 1, 2);
-	assert_true(quarantine_admits(&table, POISON, true));
+	assert_true(quarantine_admit(&table, POISON, true));
 	/* Several daemons saw the same one. */
 	crashes(POISON, 2, 1);
-	assert_true(quarantine_admits(&table, POISON, true));
+	assert_true(quarantine_admit(&table, POISON, true));
 	crashes(POISON, 3, 1);
-	assert_false(quarantine_admits(&table, POISON, true));
-	assert_true(quarantine_admits(&table, SOUND, true));
+	assert_false(quarantine_admit(&table, POISON, true));
+	assert_true(quarantine_admit(&table, SOUND, true));
 	assert_int_equal(held, 1);
 	/* Those that were under way renew nothing. */
 	crashes(POISON, 4, 3);
@@ -106,10 +107,10 @@
 	assert_false(quarantine_clear(&table, SOUND));
 	/* Told late of a crash before. */
 	crashes(SOUND, 3, 1);
-	assert_int_equal(quarantine_crashes(&table, SOUND), 0);
+	assert_int_equal(quarantine_crash_count(&table, SOUND), 0);
 	hand.now = timespec_after_ms(hand.now, MINUTE_MS);
 	crashes(SOUND, 4, 2);
-	assert_true(quarantine_admits(&table, SOUND, false));
+	assert_true(quarantine_admit(&table, SOUND, false));
 	assert_int_equal(held, 0);
 }
 
@@ -121,7 +122,7 @@
 	hand.now = timespec_after_ms(hand.now, 61 * MINUTE_MS);
 	quarantine_expire(&table);
 	crashes(SOUND, 3, 1);
-	assert_int_equal(quarantine_crashes(&table, SOUND), 1);
+	assert_int_equal(quarantine_crash_count(&table, SOUND), 1);
 }
 
 static void
@@ -131,19 +132,19 @@
 	crashes(POISON, 1, 3);
 	hand.now = timespec_after_ms(hand.now, REFUSED_MS + 1);
 	quarantine_expire(&table);
-	assert_false(quarantine_admits(&table, POISON, false));
-	assert_true(quarantine_admits(&table, POISON, true));
-	assert_false(quarantine_admits(&table, POISON, true));
+	assert_false(quarantine_admit(&table, POISON, false));
+	assert_true(quarantine_admit(&table, POISON, true));
+	assert_false(quarantine_admit(&table, POISON, true));
 	/* It crashes again: one endpoint, and it is refused as long again. */
 	crashes(POISON, 9, 1);
 	assert_int_equal(held, 2);
 	hand.now = timespec_after_ms(hand.now, REFUSED_MS - 1);
-	assert_false(quarantine_admits(&table, POISON, true));
+	assert_false(quarantine_admit(&table, POISON, true));
 	/* The next trial ends well. */
 	hand.now = timespec_after_ms(hand.now, 2);
-	assert_true(quarantine_admits(&table, POISON, true));
+	assert_true(quarantine_admit(&table, POISON, true));
 	assert_true(quarantine_clear(&table, POISON));
-	assert_true(quarantine_admits(&table, POISON, false));
+	assert_true(quarantine_admit(&table, POISON, false));
 	assert_int_equal(released, 1);
 }
 
@@ -155,10 +156,10 @@
 	hand.now = timespec_after_ms(hand.now, GONE_MS);
 	quarantine_expire(&table);
 	assert_int_equal(released, 1);
-	assert_true(quarantine_admits(&table, POISON, false));
+	assert_true(quarantine_admit(&table, POISON, false));
 	/* One more crash renews it. */
 	crashes(POISON, 9, 1);
-	assert_false(quarantine_admits(&table, POISON, false));
+	assert_false(quarantine_admit(&table, POISON, false));
 	hand.now = timespec_after_ms(hand.now, 4 * GONE_MS);
 	quarantine_expire(&table);
 	assert_null(quarantine_find(&table, POISON));
@@ -169,14 +170,14 @@
 {
 	(void)state;
 	crashes(POISON, 1, 3);
-	quarantine_version_gone(&table, VERSION + 1);
-	assert_false(quarantine_admits(&table, POISON, true));
-	quarantine_version_gone(&table, VERSION);
-	assert_false(quarantine_admits(&table, POISON, false));
-	assert_true(quarantine_admits(&table, POISON, true));
-	quarantine_crash(&table, POISON, 9, VERSION + 1, true);
-	quarantine_version_gone(&table, VERSION);
-	assert_false(quarantine_admits(&table, POISON, true));
+	quarantine_allow_trials(&table, VERSION + 1);
+	assert_false(quarantine_admit(&table, POISON, true));
+	quarantine_allow_trials(&table, VERSION);
+	assert_false(quarantine_admit(&table, POISON, false));
+	assert_true(quarantine_admit(&table, POISON, true));
+	quarantine_record_crash(&table, POISON, 9, VERSION + 1, true);
+	quarantine_allow_trials(&table, VERSION);
+	assert_false(quarantine_admit(&table, POISON, true));
 }
 
 static void
@@ -187,7 +188,7 @@
 	(void)state;
 	quarantine_merge(
 	    &table, POISON, crashed, 3, VERSION, REFUSED_MS - MINUTE_MS);
-	assert_false(quarantine_admits(&table, POISON, true));
+	assert_false(quarantine_admit(&table, POISON, true));
 	assert_int_equal(quarantine_left_ms(&table, POISON), MINUTE_MS);
 	/* The same verdict on another way. */
 	quarantine_merge(
@@ -195,8 +196,8 @@
 	assert_int_equal(held, 1);
 	/* One that has expired is a suspicion. */
 	quarantine_merge(&table, SOUND, crashed, 3, VERSION, GONE_MS);
-	assert_true(quarantine_admits(&table, SOUND, false));
-	assert_int_equal(quarantine_crashes(&table, SOUND), 2);
+	assert_true(quarantine_admit(&table, SOUND, false));
+	assert_int_equal(quarantine_crash_count(&table, SOUND), 2);
 }
 
 static void
@@ -206,13 +207,13 @@
 
 	(void)state;
 	assert_true(quarantine_merge(&table, POISON, two, 2, VERSION, 0));
-	assert_int_equal(quarantine_crashes(&table, POISON), 2);
-	assert_true(quarantine_admits(&table, POISON, false));
+	assert_int_equal(quarantine_crash_count(&table, POISON), 2);
+	assert_true(quarantine_admit(&table, POISON, false));
 	assert_true(quarantine_merge(&table, POISON, same, 2, VERSION, 0));
-	assert_false(quarantine_admits(&table, POISON, false));
+	assert_false(quarantine_admit(&table, POISON, false));
 	assert_false(
 	    quarantine_merge(&table, SOUND, two, 2, VERSION, 60 * MINUTE_MS));
-	assert_int_equal(quarantine_crashes(&table, SOUND), 0);
+	assert_int_equal(quarantine_crash_count(&table, SOUND), 0);
 }
 
 static void
@@ -224,57 +225,58 @@
 	for (uint64_t i = 1; i <= 2 * QUARANTINE_MAX; i++)
 		crashes(i << 32, 1, 1);
 	assert_int_equal(HASH_COUNT(table.suspects), QUARANTINE_MAX);
-	assert_false(quarantine_admits(&table, POISON, false));
-	assert_int_equal(quarantine_crashes(&table, SOUND), 2);
+	assert_false(quarantine_admit(&table, POISON, false));
+	assert_int_equal(quarantine_crash_count(&table, SOUND), 2);
 	assert_int_equal(held, 1);
 }
 
-static broken_attempt_t
+static unresolved_attempt_t
 attempt(uint64_t digest, uint32_t incarnation)
 {
-	return (broken_attempt_t){.digest = digest,
+	return (unresolved_attempt_t){.digest = digest,
 	    .incarnation = incarnation,
-	    .at = clock_elapsed(&hand.source)};
+	    .ended_at = clock_elapsed(&hand.source)};
 }
 
 static void
 a_broken_connection_alone_counts_for_nothing(void **state)
 {
-	static crash_evidence_t evidence;
-	broken_attempt_t one = attempt(SOUND, 1), other = attempt(SOUND, 2);
+	static unresolved_attempts_t evidence;
+	unresolved_attempt_t one = attempt(SOUND, 1), other = attempt(SOUND, 2);
 
 	(void)state;
-	crash_evidence_note(&evidence, &one);
+	unresolved_attempts_add(&evidence, &one);
 	/* The same request, under way twice at one endpoint. */
-	crash_evidence_note(&evidence, &one);
-	crash_evidence_note(&evidence, &other);
-	assert_int_equal(crash_evidence_of(&evidence, SOUND), 2);
+	unresolved_attempts_add(&evidence, &one);
+	unresolved_attempts_add(&evidence, &other);
+	assert_int_equal(unresolved_attempts_count(&evidence, SOUND), 2);
 	/* The first one still listens; the second one has ended. */
-	crash_evidence_drop(&evidence, 1);
-	assert_false(crash_evidence_take(&evidence, 1, &one));
-	assert_true(crash_evidence_take(&evidence, 2, &one));
+	unresolved_attempts_drop(&evidence, 1);
+	assert_false(unresolved_attempts_take(&evidence, 1, &one));
+	assert_true(unresolved_attempts_take(&evidence, 2, &one));
 	assert_int_equal(one.digest, SOUND);
-	assert_false(crash_evidence_open(&evidence, 2));
-	assert_int_equal(quarantine_crashes(&table, SOUND), 0);
+	assert_false(unresolved_attempts_has(&evidence, 2));
+	assert_int_equal(quarantine_crash_count(&table, SOUND), 0);
 }
 
 static void
 evidence_is_bounded_and_ages(void **state)
 {
-	static crash_evidence_t evidence;
-	broken_attempt_t one;
+	static unresolved_attempts_t evidence;
+	unresolved_attempt_t one;
 
 	(void)state;
-	for (uint32_t i = 0; i < CRASH_EVIDENCE_MAX + 1; i++) {
+	for (uint32_t i = 0; i < UNRESOLVED_ATTEMPTS_MAX + 1; i++) {
 		one = attempt(i + 1, i);
-		crash_evidence_note(&evidence, &one);
+		unresolved_attempts_add(&evidence, &one);
 	}
-	assert_int_equal(evidence.len, CRASH_EVIDENCE_MAX);
-	assert_false(crash_evidence_open(&evidence, 0));
+	assert_int_equal(evidence.len, UNRESOLVED_ATTEMPTS_MAX);
+	assert_false(unresolved_attempts_has(&evidence, 0));
 	hand.now = timespec_after_ms(hand.now, 5000);
 	one = attempt(SOUND, 9999);
-	crash_evidence_note(&evidence, &one);
-	crash_evidence_expire(&evidence, clock_elapsed(&hand.source), 4000);
+	unresolved_attempts_add(&evidence, &one);
+	unresolved_attempts_expire(
+	    &evidence, clock_elapsed(&hand.source), 4000);
 	assert_int_equal(evidence.len, 1);
 }
 
--- a/test/unit/warmup_share_test.c
+++ b/test/unit/warmup_share_test.c
@@ -43,7 +43,7 @@
 	warmup_daemons_init(self, name);
 	for (int i = from; i < to; i++) {
 		daemon_name(name, i);
-		warmup_daemons_note(self, name, start);
+		warmup_daemons_mark_seen(self, name, start);
 	}
 	warmup_daemons_update_own(self, true, true, start);
 }
@@ -135,7 +135,7 @@
 
 	(void)state;
 	daemon_init(&self, 0, 0, 3);
-	warmup_daemons_note(&self, "10.0.0.1:80", after_ms(EXPIRY_MS));
+	warmup_daemons_mark_seen(&self, "10.0.0.1:80", after_ms(EXPIRY_MS));
 	warmup_daemons_expire(&self, after_ms(EXPIRY_MS));
 	assert_int_equal(HASH_COUNT(self.others), 2);
 	warmup_daemons_expire(&self, after_ms(EXPIRY_MS + 1));
