--- a/include/moortack/quarantine/quarantine.h
+++ b/include/moortack/quarantine/quarantine.h
@@ -90,7 +90,7 @@
  * @param witnessed by this daemon, or told by another one
  * @return whether it was not known */
 bool quarantine_record_crash(quarantine_t *, uint64_t digest,
-    uint32_t incarnation, uint32_t version, bool witnessed);
+    uint32_t incarnation, uint32_t version, bool observed_locally);
 /** Crashes that another daemon, or the store, knows of; a verdict if there are
  * enough of them.
  * @param age_ms since the last one, or since the verdict
@@ -103,7 +103,7 @@
 
 /** Whether the request may be sent to an endpoint now.
  * @param tries this daemon is the one that may try it again */
-bool quarantine_admit(quarantine_t *, uint64_t digest, bool tries);
+bool quarantine_admit(quarantine_t *, uint64_t digest, bool may_try);
 /** How long it is refused at least, ms; 0: not known, or not refused. */
 int64_t quarantine_left_ms(const quarantine_t *, uint64_t digest);
 /** The version that crashed under it is no longer in use: it may be tried
--- a/moortack/quarantine/quarantine.c
+++ b/moortack/quarantine/quarantine.c
@@ -4,17 +4,17 @@
 #include <string.h>
 
 /* How long a crash counts against a request that is not refused yet. */
-#define SUSPECT_MS 3600000
+#define SUSPECT_EXPIRY_MS 3600000
 /* How long a request is refused before it is tried again, and after its last
  * crash at most. */
-#define HELD_MS 600000
-#define HELD_MOST_MS 900000
+#define TRIAL_AFTER_MS 600000
+#define QUARANTINE_EXPIRY_MS 900000
 /* A run on trial that has not ended by then ends without a verdict. */
-#define TRIAL_MS 60000
+#define TRIAL_TIMEOUT_MS 60000
 /* Two daemons date one verdict this far apart at most. */
-#define RENEWED_MS 5000
+#define START_TOLERANCE_MS 5000
 /* How long a run without a crash outweighs crashes that are told later. */
-#define CLEARED_MS 30000
+#define CLEARED_PRECEDENCE_MS 30000
 
 static bool
 is_set(struct timespec at)
@@ -47,10 +47,10 @@
 void
 quarantine_finish(quarantine_t *self)
 {
-	suspect_t *one, *next;
+	suspect_t *suspect, *next;
 
-	HASH_ITER(hh, self->suspects, one, next)
-	suspect_free(self, one);
+	HASH_ITER(hh, self->suspects, suspect, next)
+	suspect_free(self, suspect);
 }
 
 suspect_t *
@@ -78,11 +78,11 @@
 
 static void
 suspect_release(
-    quarantine_t *self, suspect_t *suspect, quarantine_end_reason_t why)
+    quarantine_t *self, suspect_t *suspect, quarantine_end_reason_t reason)
 {
 	if (!is_set(suspect->quarantined_at))
 		return;
-	self->ops->released(self->arg, suspect, why);
+	self->ops->released(self->arg, suspect, reason);
 	suspect->quarantined_at = (struct timespec){0};
 	suspect->trial_allowed = false;
 	self->quarantined_count--;
@@ -90,7 +90,7 @@
 
 /* Whether a is the better one to forget: the fewer crashes, the older. */
 static bool
-forgotten_before(const suspect_t *a, const suspect_t *b)
+evict_before(const suspect_t *a, const suspect_t *b)
 {
 	if (is_set(a->quarantined_at) != is_set(b->quarantined_at))
 		return !is_set(a->quarantined_at);
@@ -100,15 +100,16 @@
 }
 
 static void
-room_make(quarantine_t *self)
+evict_if_full(quarantine_t *self)
 {
 	suspect_t *victim = self->suspects;
 
 	if (HASH_COUNT(self->suspects) < QUARANTINE_MAX)
 		return;
-	for (suspect_t *one = self->suspects; one != NULL; one = one->hh.next) {
-		if (forgotten_before(one, victim))
-			victim = one;
+	for (suspect_t *suspect = self->suspects; suspect != NULL;
+	     suspect = suspect->hh.next) {
+		if (evict_before(suspect, victim))
+			victim = suspect;
 	}
 	suspect_release(self, victim, QUARANTINE_EVICTED);
 	self->ops->removed(self->arg, victim);
@@ -116,13 +117,13 @@
 }
 
 static suspect_t *
-suspect_of(quarantine_t *self, uint64_t digest)
+suspect_find_or_add(quarantine_t *self, uint64_t digest)
 {
 	suspect_t *suspect = quarantine_find(self, digest);
 
 	if (suspect != NULL)
 		return suspect;
-	room_make(self);
+	evict_if_full(self);
 	suspect = calloc(1, sizeof(*suspect));
 	if (suspect == NULL)
 		return NULL;
@@ -132,7 +133,7 @@
 }
 
 static bool
-crash_known(const suspect_t *suspect, uint32_t incarnation)
+suspect_has_crash(const suspect_t *suspect, uint32_t incarnation)
 {
 	for (size_t i = 0; i < suspect->crashes_len; i++) {
 		if (suspect->crashes[i] == incarnation)
@@ -143,7 +144,7 @@
 
 /* Forget the oldest crash. */
 static void
-crash_drop(suspect_t *suspect)
+suspect_drop_oldest_crash(suspect_t *suspect)
 {
 	suspect->crashes_len--;
 	memmove(suspect->crashes, suspect->crashes + 1,
@@ -151,15 +152,16 @@
 }
 
 static void
-crash_add(suspect_t *suspect, uint32_t incarnation)
+suspect_add_crash(suspect_t *suspect, uint32_t incarnation)
 {
 	if (suspect->crashes_len == QUARANTINE_CRASH_THRESHOLD)
-		crash_drop(suspect);
+		suspect_drop_oldest_crash(suspect);
 	suspect->crashes[suspect->crashes_len++] = incarnation;
 }
 
 static void
-suspect_hold(quarantine_t *self, suspect_t *suspect, struct timespec since)
+suspect_quarantine(
+    quarantine_t *self, suspect_t *suspect, struct timespec since)
 {
 	if (!is_set(suspect->quarantined_at))
 		self->quarantined_count++;
@@ -173,76 +175,78 @@
 }
 
 static bool
-cleared_lately(const quarantine_t *self, const suspect_t *suspect)
+recently_cleared(const quarantine_t *self, const suspect_t *suspect)
 {
 	return is_set(suspect->cleared_at) &&
-	    age_ms(self, suspect->cleared_at) < CLEARED_MS;
+	    age_ms(self, suspect->cleared_at) < CLEARED_PRECEDENCE_MS;
 }
 
 static bool
-trial_open(const quarantine_t *self, const suspect_t *suspect)
+trial_permitted(const quarantine_t *self, const suspect_t *suspect)
 {
 	return suspect->trial_allowed ||
-	    age_ms(self, suspect->quarantined_at) >= HELD_MS;
+	    age_ms(self, suspect->quarantined_at) >= TRIAL_AFTER_MS;
 }
 
 bool
 quarantine_record_crash(quarantine_t *self, uint64_t digest,
-    uint32_t incarnation, uint32_t version, bool witnessed)
+    uint32_t incarnation, uint32_t version, bool observed_locally)
 {
-	suspect_t *suspect = suspect_of(self, digest);
+	suspect_t *suspect = suspect_find_or_add(self, digest);
 
-	if (suspect == NULL || cleared_lately(self, suspect) ||
-	    crash_known(suspect, incarnation))
+	if (suspect == NULL || recently_cleared(self, suspect) ||
+	    suspect_has_crash(suspect, incarnation))
 		return false;
-	crash_add(suspect, incarnation);
+	suspect_add_crash(suspect, incarnation);
 	suspect->version = version;
 	suspect->last_crash_at = clock_elapsed(self->clock);
-	suspect->observed_locally |= witnessed;
+	suspect->observed_locally |= observed_locally;
 	/* Runs that were under way as it was refused renew nothing. */
 	if (suspect->crashes_len == QUARANTINE_CRASH_THRESHOLD &&
-	    (!suspect_is_quarantined(suspect) || trial_open(self, suspect)))
-		suspect_hold(self, suspect, suspect->last_crash_at);
+	    (!suspect_is_quarantined(suspect) ||
+		trial_permitted(self, suspect)))
+		suspect_quarantine(self, suspect, suspect->last_crash_at);
 	return true;
 }
 
 /* Whether it is the verdict that is known, told on another way. */
 static bool
-held_since(const suspect_t *suspect, struct timespec since)
+is_same_quarantine(const suspect_t *suspect, struct timespec since)
 {
 	return suspect_is_quarantined(suspect) &&
-	    timespec_ms_between(suspect->quarantined_at, since) < RENEWED_MS;
+	    timespec_ms_between(suspect->quarantined_at, since) <
+	    START_TOLERANCE_MS;
 }
 
 bool
 quarantine_merge(quarantine_t *self, uint64_t digest, const uint32_t *crashes,
     size_t crashes_len, uint32_t version, int64_t age_ms)
 {
-	bool verdict =
-	    crashes_len >= QUARANTINE_CRASH_THRESHOLD && age_ms < HELD_MOST_MS;
+	bool quarantined = crashes_len >= QUARANTINE_CRASH_THRESHOLD &&
+	    age_ms < QUARANTINE_EXPIRY_MS;
 	struct timespec since =
 	    timespec_after_ms(clock_elapsed(self->clock), -age_ms);
 	suspect_t *suspect;
 
-	if (age_ms >= SUSPECT_MS)
+	if (age_ms >= SUSPECT_EXPIRY_MS)
 		return false;
 	/* A verdict that has expired is a suspicion. */
-	if (crashes_len >= QUARANTINE_CRASH_THRESHOLD && !verdict)
+	if (crashes_len >= QUARANTINE_CRASH_THRESHOLD && !quarantined)
 		crashes_len = QUARANTINE_CRASH_THRESHOLD - 1;
-	suspect = suspect_of(self, digest);
-	if (suspect == NULL || cleared_lately(self, suspect) ||
-	    held_since(suspect, since))
+	suspect = suspect_find_or_add(self, digest);
+	if (suspect == NULL || recently_cleared(self, suspect) ||
+	    is_same_quarantine(suspect, since))
 		return true;
 	for (size_t i = 0; i < crashes_len; i++) {
-		if (!crash_known(suspect, crashes[i]))
-			crash_add(suspect, crashes[i]);
+		if (!suspect_has_crash(suspect, crashes[i]))
+			suspect_add_crash(suspect, crashes[i]);
 	}
 	suspect->version = version;
 	if (timespec_ms_between(suspect->last_crash_at, since) > 0)
 		suspect->last_crash_at = since;
 	if (suspect->crashes_len == QUARANTINE_CRASH_THRESHOLD &&
-	    (verdict || !suspect_is_quarantined(suspect)))
-		suspect_hold(self, suspect, since);
+	    (quarantined || !suspect_is_quarantined(suspect)))
+		suspect_quarantine(self, suspect, since);
 	return true;
 }
 
@@ -261,15 +265,15 @@
 }
 
 bool
-quarantine_admit(quarantine_t *self, uint64_t digest, bool tries)
+quarantine_admit(quarantine_t *self, uint64_t digest, bool may_try)
 {
 	suspect_t *suspect = quarantine_find(self, digest);
 
 	if (!suspect_is_quarantined(suspect))
 		return true;
-	if (!tries || !trial_open(self, suspect) ||
+	if (!may_try || !trial_permitted(self, suspect) ||
 	    (is_set(suspect->trial_started_at) &&
-		age_ms(self, suspect->trial_started_at) < TRIAL_MS))
+		age_ms(self, suspect->trial_started_at) < TRIAL_TIMEOUT_MS))
 		return false;
 	suspect->trial_started_at = clock_elapsed(self->clock);
 	return true;
@@ -279,53 +283,55 @@
 quarantine_left_ms(const quarantine_t *self, uint64_t digest)
 {
 	const suspect_t *suspect = quarantine_find(self, digest);
-	int64_t left;
+	int64_t remaining_ms;
 
-	if (!suspect_is_quarantined(suspect) || trial_open(self, suspect))
+	if (!suspect_is_quarantined(suspect) || trial_permitted(self, suspect))
 		return 0;
-	left = HELD_MS - age_ms(self, suspect->quarantined_at);
-	return left > 0 ? left : 0;
+	remaining_ms = TRIAL_AFTER_MS - age_ms(self, suspect->quarantined_at);
+	return remaining_ms > 0 ? remaining_ms : 0;
 }
 
 void
 quarantine_allow_trials(quarantine_t *self, uint32_t version)
 {
-	for (suspect_t *one = self->suspects; one != NULL; one = one->hh.next) {
-		if (one->version == version && is_set(one->quarantined_at))
-			one->trial_allowed = true;
+	for (suspect_t *suspect = self->suspects; suspect != NULL;
+	     suspect = suspect->hh.next) {
+		if (suspect->version == version &&
+		    is_set(suspect->quarantined_at))
+			suspect->trial_allowed = true;
 	}
 }
 
 static bool
-forgettable(const quarantine_t *self, const suspect_t *suspect)
+suspect_expired(const quarantine_t *self, const suspect_t *suspect)
 {
 	if (suspect->crashes_len == 0)
-		return !cleared_lately(self, suspect);
-	return age_ms(self, suspect->last_crash_at) >= SUSPECT_MS;
+		return !recently_cleared(self, suspect);
+	return age_ms(self, suspect->last_crash_at) >= SUSPECT_EXPIRY_MS;
 }
 
 /* The verdict ends, and one more crash renews it. */
 static void
-verdict_expire(quarantine_t *self, suspect_t *suspect)
+suspect_expire_quarantine(quarantine_t *self, suspect_t *suspect)
 {
 	if (!suspect_is_quarantined(suspect) ||
-	    age_ms(self, suspect->last_crash_at) < HELD_MOST_MS)
+	    age_ms(self, suspect->last_crash_at) < QUARANTINE_EXPIRY_MS)
 		return;
 	suspect_release(self, suspect, QUARANTINE_EXPIRED);
-	crash_drop(suspect);
+	suspect_drop_oldest_crash(suspect);
 }
 
 void
 quarantine_expire(quarantine_t *self)
 {
-	suspect_t *one, *next;
+	suspect_t *suspect, *next;
 
-	HASH_ITER(hh, self->suspects, one, next)
+	HASH_ITER(hh, self->suspects, suspect, next)
 	{
-		verdict_expire(self, one);
-		if (!forgettable(self, one))
+		suspect_expire_quarantine(self, suspect);
+		if (!suspect_expired(self, suspect))
 			continue;
-		self->ops->removed(self->arg, one);
-		suspect_free(self, one);
+		self->ops->removed(self->arg, suspect);
+		suspect_free(self, suspect);
 	}
 }
--- a/moortack/quarantine/request_digest.c
+++ b/moortack/quarantine/request_digest.c
@@ -15,23 +15,23 @@
 
 /* The zero at its end separates it from what follows. */
 static void
-text_add(crypto_generichash_state *state, const char *text)
+hash_add_string(crypto_generichash_state *state, const char *string)
 {
 	crypto_generichash_update(
-	    state, (const uint8_t *)text, strlen(text) + 1);
+	    state, (const uint8_t *)string, strlen(string) + 1);
 }
 
 static void
-body_add(crypto_generichash_state *state, struct evbuffer *body)
+hash_add_body(crypto_generichash_state *state, struct evbuffer *body)
 {
-	struct evbuffer_ptr at;
+	struct evbuffer_ptr position;
 	struct evbuffer_iovec part;
 
-	evbuffer_ptr_set(body, &at, 0, EVBUFFER_PTR_SET);
-	while (evbuffer_peek(body, -1, &at, &part, 1) > 0) {
+	evbuffer_ptr_set(body, &position, 0, EVBUFFER_PTR_SET);
+	while (evbuffer_peek(body, -1, &position, &part, 1) > 0) {
 		crypto_generichash_update(state, part.iov_base, part.iov_len);
 		if (evbuffer_ptr_set(
-			body, &at, part.iov_len, EVBUFFER_PTR_ADD) != 0)
+			body, &position, part.iov_len, EVBUFFER_PTR_ADD) != 0)
 			return;
 	}
 }
@@ -46,9 +46,9 @@
 
 	crypto_generichash_init(
 	    &state, key->bytes, sizeof(key->bytes), sizeof(out));
-	text_add(&state, caller);
-	text_add(&state, target);
-	body_add(&state, body);
+	hash_add_string(&state, caller);
+	hash_add_string(&state, target);
+	hash_add_body(&state, body);
 	crypto_generichash_final(&state, out, sizeof(out));
 	memcpy(&digest, out, sizeof(digest));
 	return digest != 0 ? digest : 1;
--- a/moortack/quarantine/unresolved_attempts.c
+++ b/moortack/quarantine/unresolved_attempts.c
@@ -5,11 +5,11 @@
 #include "common/clock_source.h"
 
 static void
-broken_remove(unresolved_attempts_t *self, size_t at)
+attempt_remove(unresolved_attempts_t *self, size_t index)
 {
 	self->len--;
-	memmove(&self->attempts[at], &self->attempts[at + 1],
-	    (self->len - at) * sizeof(self->attempts[0]));
+	memmove(&self->attempts[index], &self->attempts[index + 1],
+	    (self->len - index) * sizeof(self->attempts[0]));
 }
 
 void
@@ -17,7 +17,7 @@
     unresolved_attempts_t *self, const unresolved_attempt_t *attempt)
 {
 	if (self->len == UNRESOLVED_ATTEMPTS_MAX)
-		broken_remove(self, 0);
+		attempt_remove(self, 0);
 	self->attempts[self->len++] = *attempt;
 }
 
@@ -33,13 +33,13 @@
 
 /* Whether an earlier attempt of the same request broke at the same place. */
 static bool
-broken_before(const unresolved_attempts_t *self, size_t at)
+has_earlier_duplicate(const unresolved_attempts_t *self, size_t index)
 {
-	const unresolved_attempt_t *one = &self->attempts[at];
+	const unresolved_attempt_t *attempt = &self->attempts[index];
 
-	for (size_t i = 0; i < at; i++) {
-		if (self->attempts[i].digest == one->digest &&
-		    self->attempts[i].incarnation == one->incarnation)
+	for (size_t i = 0; i < index; i++) {
+		if (self->attempts[i].digest == attempt->digest &&
+		    self->attempts[i].incarnation == attempt->incarnation)
 			return true;
 	}
 	return false;
@@ -52,7 +52,7 @@
 
 	for (size_t i = 0; i < self->len; i++)
 		count += self->attempts[i].digest == digest &&
-		    !broken_before(self, i);
+		    !has_earlier_duplicate(self, i);
 	return count;
 }
 
@@ -64,7 +64,7 @@
 		if (self->attempts[i].incarnation != incarnation)
 			continue;
 		*out = self->attempts[i];
-		broken_remove(self, i);
+		attempt_remove(self, i);
 		return true;
 	}
 	return false;
@@ -85,5 +85,5 @@
 {
 	while (self->len > 0 &&
 	    timespec_ms_between(self->attempts[0].ended_at, now) >= max_age_ms)
-		broken_remove(self, 0);
+		attempt_remove(self, 0);
 }
--- a/moortack/relay/crash_probe.c
+++ b/moortack/relay/crash_probe.c
@@ -2,21 +2,21 @@
 
 #include <stdlib.h>
 
-#define AGAIN_MS 100
-#define TRIES_MAX 4
-#define CONNECT_MS 300
-#define SILENT_MS 1000
+#define RETRY_DELAY_MS 100
+#define ATTEMPTS_MAX 4
+#define CONNECT_TIMEOUT_MS 300
+#define SILENCE_TIMEOUT_MS 1000
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 
 static void
 probe_end(crash_probe_t *probe)
 {
-	crash_probe_t **at = probe->list;
+	crash_probe_t **link = probe->list;
 
-	while (*at != probe)
-		at = &(*at)->next;
-	*at = probe->next;
+	while (*link != probe)
+		link = &(*link)->next;
+	*link = probe->next;
 	if (probe->conn != NULL)
 		http_outbound_free(probe->conn);
 	event_free(probe->timer);
@@ -25,7 +25,7 @@
 }
 
 static void
-probe_wait(crash_probe_t *probe, int64_t ms)
+probe_set_timer(crash_probe_t *probe, int64_t ms)
 {
 	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
@@ -34,13 +34,13 @@
 }
 
 static void
-probe_told(crash_probe_t *probe, probe_result_t result)
+probe_complete(crash_probe_t *probe, probe_result_t result)
 {
 	http_outbound_free(probe->conn);
 	probe->conn = NULL;
 	if (probe->done(probe->arg, probe->endpoint, result) &&
-	    probe->attempts < TRIES_MAX)
-		probe_wait(probe, AGAIN_MS);
+	    probe->attempts < ATTEMPTS_MAX)
+		probe_set_timer(probe, RETRY_DELAY_MS);
 	else
 		probe_end(probe);
 }
@@ -49,14 +49,14 @@
 static bool
 on_ready(void *arg)
 {
-	probe_told(arg, PROBE_ACCEPTED);
+	probe_complete(arg, PROBE_ACCEPTED);
 	return false;
 }
 
 static void
 on_failed(void *arg, http_outbound_failure_t failure)
 {
-	probe_told(arg,
+	probe_complete(arg,
 	    failure == HTTP_OUTBOUND_REFUSED ? PROBE_REFUSED : PROBE_FAILED);
 }
 
@@ -67,20 +67,21 @@
 on_timer(evutil_socket_t fd, short what, void *arg)
 {
 	crash_probe_t *probe = arg;
-	struct evbuffer *nothing = evbuffer_new();
+	struct evbuffer *empty = evbuffer_new();
 
 	(void)fd;
 	(void)what;
 	probe->attempts++;
-	probe->conn = http_outbound_new(probe->base,
-	    &probe->endpoint->facts.address, CONNECT_MS, SILENT_MS);
-	if (probe->conn == NULL || nothing == NULL)
+	probe->conn =
+	    http_outbound_new(probe->base, &probe->endpoint->facts.address,
+		CONNECT_TIMEOUT_MS, SILENCE_TIMEOUT_MS);
+	if (probe->conn == NULL || empty == NULL)
 		probe_end(probe);
 	else
 		http_outbound_send(
-		    probe->conn, &probe_ops, probe, nothing, NULL, false);
-	if (nothing != NULL)
-		evbuffer_free(nothing);
+		    probe->conn, &probe_ops, probe, empty, NULL, false);
+	if (empty != NULL)
+		evbuffer_free(empty);
 }
 
 void
@@ -111,7 +112,7 @@
 		free(probe);
 		return;
 	}
-	probe_wait(probe, after_ms);
+	probe_set_timer(probe, after_ms);
 }
 
 void
--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -8,20 +8,20 @@
 #include "relay_quarantine_priv.h"
 
 /* Rows that one call writes. */
-#define ROWS_MAX 16
+#define ROWS_PER_WRITE_MAX 16
 #define KEY_SIZE (sizeof(QUARANTINE_PREFIX) + 16)
 #define WRITE_TIMEOUT_MS 1500
 #define WRITE_RETRY_MS 2000
 #define HEX_DIGITS 16
 
 static void
-key_write(char *key, uint64_t digest)
+key_format(char *key, uint64_t digest)
 {
 	snprintf(key, KEY_SIZE, "%s%016" PRIx64, QUARANTINE_PREFIX, digest);
 }
 
 static char *
-value_text(const relay_quarantine_t *self, const suspect_t *suspect)
+value_encode(const relay_quarantine_t *self, const suspect_t *suspect)
 {
 	int64_t at_ms = timespec_ms(suspect->last_crash_at) +
 	    self->relay->members->store_offset_ms;
@@ -51,20 +51,20 @@
 	if (!done)
 		self->write_after = timespec_after_ms(
 		    clock_elapsed(self->relay->clock), WRITE_RETRY_MS);
-	for (suspect_t *one = self->table.suspects; one != NULL;
-	     one = one->hh.next) {
-		if (done && one->pending_crashes > 0) {
-			one->stored_crashes = one->pending_crashes;
-			one->stored_version = reply->version;
+	for (suspect_t *suspect = self->table.suspects; suspect != NULL;
+	     suspect = suspect->hh.next) {
+		if (done && suspect->pending_crashes > 0) {
+			suspect->stored_crashes = suspect->pending_crashes;
+			suspect->stored_version = reply->version;
 		}
-		one->pending_crashes = 0;
+		suspect->pending_crashes = 0;
 	}
 	event_line(self->relay->log, "quarantine_write", "result=%d",
 	    (int)reply->result);
 }
 
 static void
-rows_send(relay_quarantine_t *self, row_change_t *expected,
+rows_submit(relay_quarantine_t *self, row_change_t *expected,
     row_change_t *changes, size_t len)
 {
 	self->write_pending = row_store_write(self->store, ROW_FOR_QUARANTINE,
@@ -72,7 +72,7 @@
 }
 
 static bool
-write_due(const relay_quarantine_t *self)
+write_possible(const relay_quarantine_t *self)
 {
 	return !self->write_pending &&
 	    self->relay->members->store_clock_known &&
@@ -83,31 +83,32 @@
 void
 quarantine_rows_write(relay_quarantine_t *self)
 {
-	row_change_t expected[ROWS_MAX], changes[ROWS_MAX];
-	char keys[ROWS_MAX][KEY_SIZE];
-	char *values[ROWS_MAX];
+	row_change_t expected[ROWS_PER_WRITE_MAX], changes[ROWS_PER_WRITE_MAX];
+	char keys[ROWS_PER_WRITE_MAX][KEY_SIZE];
+	char *values[ROWS_PER_WRITE_MAX];
 	size_t len = 0;
 
-	if (!write_due(self))
+	if (!write_possible(self))
 		return;
-	for (suspect_t *one = self->table.suspects;
-	     one != NULL && len < ROWS_MAX; one = one->hh.next) {
-		if (!quarantine_should_write(self, one))
+	for (suspect_t *suspect = self->table.suspects;
+	     suspect != NULL && len < ROWS_PER_WRITE_MAX;
+	     suspect = suspect->hh.next) {
+		if (!quarantine_should_write(self, suspect))
 			continue;
-		values[len] = value_text(self, one);
+		values[len] = value_encode(self, suspect);
 		if (values[len] == NULL)
 			break;
-		key_write(keys[len], one->digest);
+		key_format(keys[len], suspect->digest);
 		expected[len] = (row_change_t){.table = MEMBER_TABLE,
 		    .key = keys[len],
-		    .expected = one->stored_version};
+		    .expected = suspect->stored_version};
 		changes[len] = expected[len];
 		changes[len].value = values[len];
-		one->pending_crashes = one->crashes_len;
+		suspect->pending_crashes = suspect->crashes_len;
 		len++;
 	}
 	if (len > 0)
-		rows_send(self, expected, changes, len);
+		rows_submit(self, expected, changes, len);
 	for (size_t i = 0; i < len; i++)
 		free(values[i]);
 }
@@ -122,14 +123,14 @@
 	    .expected = suspect->stored_version};
 	row_change_t change = {.table = MEMBER_TABLE, .key = key};
 
-	if (suspect->stored_version == 0 || !write_due(self))
+	if (suspect->stored_version == 0 || !write_possible(self))
 		return;
-	key_write(key, suspect->digest);
-	rows_send(self, &expected, &change, 1);
+	key_format(key, suspect->digest);
+	rows_submit(self, &expected, &change, 1);
 }
 
 static bool
-key_read(const char *key, uint64_t *digest)
+key_decode(const char *key, uint64_t *digest)
 {
 	const char *text = key + strlen(QUARANTINE_PREFIX);
 	char *end;
@@ -141,27 +142,29 @@
 }
 
 static size_t
-crashes_read(const json_t *body, uint32_t *crashes)
+crashes_decode(const json_t *body, uint32_t *crashes)
 {
 	size_t len = 0, i;
-	const json_t *one;
+	const json_t *incarnation;
 
-	json_array_foreach(json_object_get(body, "crashes"), i, one)
+	json_array_foreach(json_object_get(body, "crashes"), i, incarnation)
 	{
-		if (json_is_integer(one) && len < QUARANTINE_CRASH_THRESHOLD)
-			crashes[len++] = (uint32_t)json_integer_value(one);
+		if (json_is_integer(incarnation) &&
+		    len < QUARANTINE_CRASH_THRESHOLD)
+			crashes[len++] =
+			    (uint32_t)json_integer_value(incarnation);
 	}
 	return len;
 }
 
 /* @return how many crashes the row names; 0: it is none, or too old */
 static size_t
-value_take(relay_quarantine_t *self, uint64_t digest, const json_t *body)
+value_apply(relay_quarantine_t *self, uint64_t digest, const json_t *body)
 {
 	const membership_t *members = self->relay->members;
 	int64_t age_ms = 0;
 	uint32_t crashes[QUARANTINE_CRASH_THRESHOLD];
-	size_t len = crashes_read(body, crashes);
+	size_t len = crashes_decode(body, crashes);
 
 	if (members->store_clock_known)
 		age_ms = timespec_ms(clock_elapsed(self->relay->clock)) +
@@ -184,7 +187,7 @@
 	if (body == NULL)
 		return err_set(err, ERR_UNREADABLE, "the row is no JSON");
 	if (!json_is_integer(json_object_get(body, "crashed_ms")) ||
-	    crashes_read(body, crashes) == 0)
+	    crashes_decode(body, crashes) == 0)
 		return err_set(
 		    err, ERR_BAD_REQUEST, "crashed_ms or crashes is missing");
 	return true;
@@ -192,7 +195,7 @@
 
 /* What has expired, and nobody took out, the first daemon does. */
 static void
-stale_remove(relay_quarantine_t *self, uint64_t digest, const row_t *row)
+expired_row_remove(relay_quarantine_t *self, uint64_t digest, const row_t *row)
 {
 	const suspect_t stale = {
 	    .digest = digest, .stored_version = row->version};
@@ -211,19 +214,19 @@
 	json_t *body;
 	bool good = true;
 
-	if (!key_read(row->key, &digest))
+	if (!key_decode(row->key, &digest))
 		return err_set(err, ERR_NAME, "the key names no request");
 	if (!row->deleted) {
 		body = json_loadb(row->value, row->value_len, 0, NULL);
 		good = value_check(body, err);
 		if (good)
-			crashes = value_take(self, digest, body);
+			crashes = value_apply(self, digest, body);
 		json_decref(body);
 	}
 	suspect = quarantine_find(&self->table, digest);
 	if (suspect == NULL) {
 		if (good && !row->deleted)
-			stale_remove(self, digest, row);
+			expired_row_remove(self, digest, row);
 		return good;
 	}
 	/* A row that was taken out or spoilt is written again. */
--- a/moortack/relay/relay_crash_detection.c
+++ b/moortack/relay/relay_crash_detection.c
@@ -5,17 +5,17 @@
 
 /* An endpoint that crashed and can't be reached is gone from the store within
  * three of its heartbeats. */
-#define EVIDENCE_MS 8000
+#define INTERRUPTED_EXPIRY_MS 8000
 /* An endpoint goes on for a moment with a run that was given up, and may crash
  * under it still. */
-#define LEFT_MS 1000
+#define ABANDONED_EXPIRY_MS 1000
 /* All connections of a process that ended are reset within a few ms of each
  * other; a run that was given up is looked after later. */
-#define PROBE_MS 20
-#define PROBE_LEFT_MS 300
+#define PROBE_DELAY_MS 20
+#define ABANDONED_PROBE_DELAY_MS 300
 
 static void
-suspicion_log(const relay_quarantine_t *self, uint64_t digest,
+crash_log(const relay_quarantine_t *self, uint64_t digest,
     const endpoint_t *endpoint, const char *how)
 {
 	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
@@ -26,21 +26,21 @@
 
 /* Take the attempts that were under way there, and tell of them. */
 static void
-crashes_take(relay_quarantine_t *self, unresolved_attempts_t *evidence,
+crashes_record(relay_quarantine_t *self, unresolved_attempts_t *attempts,
     const endpoint_t *endpoint, const char *how)
 {
 	gossip_message_t message = {.kind = GOSSIP_CRASH,
 	    .endpoint = endpoint->short_hash,
 	    .version = endpoint_version_hash(endpoint)};
-	unresolved_attempt_t broken;
+	unresolved_attempt_t attempt;
 
-	while (
-	    unresolved_attempts_take(evidence, endpoint->short_hash, &broken)) {
-		if (!quarantine_record_crash(&self->table, broken.digest,
-			broken.incarnation, broken.version, true))
+	while (unresolved_attempts_take(
+	    attempts, endpoint->short_hash, &attempt)) {
+		if (!quarantine_record_crash(&self->table, attempt.digest,
+			attempt.incarnation, attempt.version, true))
 			continue;
-		suspicion_log(self, broken.digest, endpoint, how);
-		message.digests[message.digests_len++] = broken.digest;
+		crash_log(self, attempt.digest, endpoint, how);
+		message.digests[message.digests_len++] = attempt.digest;
 		if (message.digests_len < GOSSIP_MESSAGE_DIGESTS_MAX)
 			continue;
 		quarantine_announce(self, &message);
@@ -59,9 +59,9 @@
 	self->crash_count +=
 	    unresolved_attempts_has(&self->interrupted, endpoint->short_hash);
 	self->source = how;
-	unresolved_attempts_expire(&self->abandoned, now, LEFT_MS);
-	crashes_take(self, &self->interrupted, endpoint, how);
-	crashes_take(self, &self->abandoned, endpoint, how);
+	unresolved_attempts_expire(&self->abandoned, now, ABANDONED_EXPIRY_MS);
+	crashes_record(self, &self->interrupted, endpoint, how);
+	crashes_record(self, &self->abandoned, endpoint, how);
 }
 
 void
@@ -75,7 +75,7 @@
 
 /* Requests that wait for what a probe tells go on, or end. */
 static void
-waiting_wake(relay_t *relay)
+waiting_requests_resume(relay_t *relay)
 {
 	relay_request_t *req, *next;
 
@@ -90,7 +90,7 @@
 
 /* While a request of this daemon goes on there, the endpoint has not ended. */
 static bool
-on_probed(void *arg, endpoint_t *endpoint, probe_result_t result)
+on_probe_done(void *arg, endpoint_t *endpoint, probe_result_t result)
 {
 	relay_quarantine_t *self = arg;
 
@@ -104,13 +104,13 @@
 		relay_quarantine_endpoint_crashed(
 		    self, endpoint, "port_closed");
 	}
-	waiting_wake(self->relay);
+	waiting_requests_resume(self->relay);
 	return unresolved_attempts_has(
 	    &self->interrupted, endpoint->short_hash);
 }
 
 static bool
-attempt_note(relay_request_t *req, unresolved_attempts_t *evidence)
+attempt_record(relay_request_t *req, unresolved_attempts_t *attempts)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
 	unresolved_attempt_t attempt = {.digest = relay_digest(req),
@@ -121,7 +121,7 @@
 	/* One that leaves ends when it is done. */
 	if (attempt.digest == 0 || endpoint->facts.leaving)
 		return false;
-	unresolved_attempts_add(evidence, &attempt);
+	unresolved_attempts_add(attempts, &attempt);
 	return true;
 }
 
@@ -130,9 +130,9 @@
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 
-	if (attempt_note(req, &self->interrupted))
+	if (attempt_record(req, &self->interrupted))
 		crash_probe_schedule(&self->probes, req->relay->base,
-		    req->attempt.endpoint, PROBE_MS, on_probed, self);
+		    req->attempt.endpoint, PROBE_DELAY_MS, on_probe_done, self);
 }
 
 void
@@ -140,10 +140,11 @@
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 
-	if (attempt_note(req, &self->abandoned) &&
+	if (attempt_record(req, &self->abandoned) &&
 	    quarantine_crash_count(&self->table, relay_digest(req)) > 0)
 		crash_probe_schedule(&self->probes, req->relay->base,
-		    req->attempt.endpoint, PROBE_LEFT_MS, on_probed, self);
+		    req->attempt.endpoint, ABANDONED_PROBE_DELAY_MS,
+		    on_probe_done, self);
 }
 
 void
@@ -159,18 +160,19 @@
 /* An endpoint that crashes under a run that was given up breaks nothing of this
  * daemon's but connections that idle. */
 static void
-left_look(relay_quarantine_t *self)
+abandoned_probe(relay_quarantine_t *self)
 {
 	for (size_t i = 0; i < self->abandoned.len; i++) {
-		const unresolved_attempt_t *one = &self->abandoned.attempts[i];
+		const unresolved_attempt_t *attempt =
+		    &self->abandoned.attempts[i];
 		endpoint_t *endpoint = endpoint_set_find_short(
-		    self->relay->endpoints, one->incarnation);
+		    self->relay->endpoints, attempt->incarnation);
 
 		if (endpoint != NULL &&
 		    timespec_ms_between(
-			one->ended_at, endpoint->link_ended_at) >= 0)
+			attempt->ended_at, endpoint->link_ended_at) >= 0)
 			crash_probe_schedule(&self->probes, self->relay->base,
-			    endpoint, PROBE_MS, on_probed, self);
+			    endpoint, PROBE_DELAY_MS, on_probe_done, self);
 	}
 }
 
@@ -179,11 +181,12 @@
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
 
-	left_look(self);
+	abandoned_probe(self);
 	/* The last probe told nothing. */
 	if (self->probes == NULL)
-		waiting_wake(self->relay);
+		waiting_requests_resume(self->relay);
 
-	unresolved_attempts_expire(&self->interrupted, now, EVIDENCE_MS);
-	unresolved_attempts_expire(&self->abandoned, now, LEFT_MS);
+	unresolved_attempts_expire(
+	    &self->interrupted, now, INTERRUPTED_EXPIRY_MS);
+	unresolved_attempts_expire(&self->abandoned, now, ABANDONED_EXPIRY_MS);
 }
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -8,15 +8,15 @@
 #include "relay_request.h"
 
 /* Crashes from which on a suspicion outlasts the daemons that know of it. */
-#define CRASHES_STORED 2
+#define STORED_CRASHES_MIN 2
 /* How often others are told of a verdict. */
-#define TELLS 2
+#define ANNOUNCEMENTS_MAX 2
 /* When a daemon that saw one of the crashes tells in the place of one that did
  * not, and writes: the way to it, and back through the store. */
-#define OTHERS_TELL_MS 300
-#define OTHERS_WRITE_MS 4000
+#define NON_OWNER_ANNOUNCE_MS 300
+#define NON_OWNER_WRITE_MS 4000
 /* How often it is looked whether a version that crashed is still in use. */
-#define LOOK_MS 2000
+#define VERSIONS_CHECK_MS 2000
 #define SERVICE_MASK 0xffff0000U
 
 /* The upper half names the service, so that its other versions are told apart
@@ -34,7 +34,7 @@
 }
 
 static void
-on_held(void *arg, const suspect_t *suspect)
+on_quarantined(void *arg, const suspect_t *suspect)
 {
 	relay_quarantine_t *self = arg;
 
@@ -50,7 +50,7 @@
 }
 
 static void
-on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t why)
+on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t reason)
 {
 	static const char *const names[] = {[QUARANTINE_CLEARED] = "cleared",
 	    [QUARANTINE_EXPIRED] = "expired",
@@ -59,13 +59,13 @@
 
 	event_line(self->relay->log, "quarantine_end",
 	    "digest=%016" PRIx64 " why=%s held_ms=%" PRId64, suspect->digest,
-	    names[why],
+	    names[reason],
 	    timespec_ms_between(
 		suspect->quarantined_at, clock_elapsed(self->relay->clock)));
 }
 
 static void
-on_forgotten(void *arg, const suspect_t *suspect)
+on_removed(void *arg, const suspect_t *suspect)
 {
 	relay_quarantine_t *self = arg;
 
@@ -74,7 +74,8 @@
 		quarantine_row_remove(self, suspect);
 }
 
-static const quarantine_ops_t table_ops = {on_held, on_released, on_forgotten};
+static const quarantine_ops_t table_ops = {
+    on_quarantined, on_released, on_removed};
 
 /* Told now, and once more with the next tick. */
 void
@@ -86,7 +87,7 @@
 }
 
 static void
-cleared_take(relay_quarantine_t *self, uint64_t digest, const char *source)
+suspect_clear(relay_quarantine_t *self, uint64_t digest, const char *source)
 {
 	suspect_t *suspect = quarantine_find(&self->table, digest);
 
@@ -114,7 +115,7 @@
 	if (req->on_trial)
 		gossip_tell_each(req->relay->gossip, &message);
 	quarantine_announce(self, &message);
-	cleared_take(self, relay_digest(req), "run");
+	suspect_clear(self, relay_digest(req), "run");
 }
 
 void
@@ -131,14 +132,14 @@
 			quarantine_record_crash(&self->table, digest,
 			    message->endpoint, message->version, false);
 		} else if (message->kind == GOSSIP_CLEARED) {
-			cleared_take(self, digest, "told");
+			suspect_clear(self, digest, "told");
 		} else {
 			quarantine_merge(&self->table, digest, message->crashes,
 			    message->crashes_len, message->version,
 			    message->held_ms);
 			suspect = quarantine_find(&self->table, digest);
 			if (suspect != NULL)
-				suspect->announcements = TELLS;
+				suspect->announcements = ANNOUNCEMENTS_MAX;
 		}
 	}
 }
@@ -146,26 +147,27 @@
 /* Whether this daemon is to act on a verdict: as the owner of the request's
  * digest, or as one that saw a crash while the owner does not act. */
 static bool
-acts_after(const relay_quarantine_t *self, const suspect_t *suspect, int64_t ms)
+should_act(
+    const relay_quarantine_t *self, const suspect_t *suspect, int64_t delay_ms)
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
 
 	return gossip_owns(self->relay->gossip, suspect->digest) ||
 	    (suspect->observed_locally &&
-		timespec_ms_between(suspect->last_crash_at, now) >= ms);
+		timespec_ms_between(suspect->last_crash_at, now) >= delay_ms);
 }
 
 bool
 quarantine_should_write(
     const relay_quarantine_t *self, const suspect_t *suspect)
 {
-	return suspect->crashes_len >= CRASHES_STORED &&
+	return suspect->crashes_len >= STORED_CRASHES_MIN &&
 	    suspect->crashes_len > suspect->stored_crashes &&
-	    acts_after(self, suspect, OTHERS_WRITE_MS);
+	    should_act(self, suspect, NON_OWNER_WRITE_MS);
 }
 
 static void
-verdict_tell(relay_quarantine_t *self, suspect_t *suspect)
+suspect_announce(relay_quarantine_t *self, suspect_t *suspect)
 {
 	gossip_message_t message = {.kind = GOSSIP_HELD,
 	    .digests = {suspect->digest},
@@ -182,32 +184,33 @@
 
 /* Whether the service has endpoints, and none of the version that crashed. */
 static bool
-version_gone(const endpoint_set_t *set, uint32_t version)
+version_unused(const endpoint_set_t *set, uint32_t version)
 {
 	bool others = false;
 
-	for (const endpoint_t *one = set->endpoints; one != NULL;
-	     one = one->hh.next) {
-		uint32_t known = endpoint_version_hash(one);
+	for (const endpoint_t *endpoint = set->endpoints; endpoint != NULL;
+	     endpoint = endpoint->hh.next) {
+		uint32_t hash = endpoint_version_hash(endpoint);
 
-		if (known == version)
+		if (hash == version)
 			return false;
-		others |= (known & SERVICE_MASK) == (version & SERVICE_MASK);
+		others |= (hash & SERVICE_MASK) == (version & SERVICE_MASK);
 	}
 	return others;
 }
 
 /* @param look at the versions in use */
 static void
-held_step(relay_quarantine_t *self, suspect_t *suspect, bool look)
+quarantined_step(
+    relay_quarantine_t *self, suspect_t *suspect, bool check_versions)
 {
 	if (!suspect_is_quarantined(suspect))
 		return;
-	if (suspect->announcements < TELLS &&
-	    acts_after(self, suspect, OTHERS_TELL_MS))
-		verdict_tell(self, suspect);
-	if (look && !suspect->trial_allowed &&
-	    version_gone(self->relay->endpoints, suspect->version))
+	if (suspect->announcements < ANNOUNCEMENTS_MAX &&
+	    should_act(self, suspect, NON_OWNER_ANNOUNCE_MS))
+		suspect_announce(self, suspect);
+	if (check_versions && !suspect->trial_allowed &&
+	    version_unused(self->relay->endpoints, suspect->version))
 		quarantine_allow_trials(&self->table, suspect->version);
 }
 
@@ -215,21 +218,21 @@
 relay_quarantine_tick(relay_quarantine_t *self)
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
-	bool look =
-	    timespec_ms_between(self->versions_checked_at, now) >= LOOK_MS;
-	suspect_t *one, *next;
+	bool check_versions = timespec_ms_between(self->versions_checked_at,
+				  now) >= VERSIONS_CHECK_MS;
+	suspect_t *suspect, *next;
 
 	for (size_t i = 0; i < self->resend_len; i++)
 		gossip_tell_owners(self->relay->gossip, &self->resend[i]);
 	self->resend_len = 0;
 	quarantine_check_unresolved(self);
-	if (look)
+	if (check_versions)
 		self->versions_checked_at = now;
 	if (HASH_COUNT(self->table.suspects) == 0)
 		return;
 	quarantine_expire(&self->table);
-	HASH_ITER(hh, self->table.suspects, one, next)
-	held_step(self, one, look);
+	HASH_ITER(hh, self->table.suspects, suspect, next)
+	quarantined_step(self, suspect, check_versions);
 	quarantine_rows_write(self);
 }
 
@@ -262,7 +265,7 @@
 	for (suspect = self->table.suspects; suspect != NULL;
 	     suspect = suspect->hh.next) {
 		suspect->requests_stopped |= suspect_is_quarantined(suspect);
-		held_step(self, suspect, false);
+		quarantined_step(self, suspect, false);
 	}
 	quarantine_rows_write(self);
 }
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -3,9 +3,9 @@
 #include "relay_request.h"
 
 /* Crashes under a request from which on it is not sent again by itself. */
-#define SUSPICION_STOPS 2
+#define RETRY_SUSPICION_LIMIT 2
 /* Where fewer endpoints are left, a suspect could crash the last one. */
-#define LIVE_MIN 2
+#define AVAILABLE_ENDPOINTS_MIN 2
 
 static void
 decision_log(const relay_request_t *req, uint64_t digest)
@@ -39,7 +39,7 @@
 
 /* Crashes that count against the request, and those that may turn out so. */
 static size_t
-suspicion_of(relay_request_t *req)
+suspicion_count(relay_request_t *req)
 {
 	const relay_quarantine_t *self = &req->relay->quarantine;
 
@@ -52,18 +52,18 @@
 bool
 relay_suspected(relay_request_t *req)
 {
-	return suspicion_of(req) > 0;
+	return suspicion_count(req) > 0;
 }
 
 bool
 relay_suspect_stops(relay_request_t *req)
 {
-	return suspicion_of(req) >= SUSPICION_STOPS;
+	return suspicion_count(req) >= RETRY_SUSPICION_LIMIT;
 }
 
 /* Endpoints of the request's service that answered lately. */
 static size_t
-live_count(const relay_request_t *req)
+available_endpoints_count(const relay_request_t *req)
 {
 	const endpoint_group_t *group =
 	    endpoint_set_group(req->relay->endpoints, req->service);
@@ -83,10 +83,10 @@
 bool
 relay_suspect_fits(relay_request_t *req)
 {
-	size_t suspicion = suspicion_of(req);
+	size_t suspicion = suspicion_count(req);
 
 	return suspicion == 0 || (suspicion == 1 && req->sends == 0) ||
-	    live_count(req) >= LIVE_MIN;
+	    available_endpoints_count(req) >= AVAILABLE_ENDPOINTS_MIN;
 }
 
 bool
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -172,10 +172,10 @@
 {
 	struct timespec now = clock_elapsed(relay->clock);
 
-	for (const member_t *one = relay->members->members; one != NULL;
-	     one = one->hh.next)
+	for (const member_t *member = relay->members->members; member != NULL;
+	     member = member->hh.next)
 		warmup_daemons_mark_seen(
-		    &relay->warmup_daemons, one->name, now);
+		    &relay->warmup_daemons, member->name, now);
 	warmup_daemons_expire(&relay->warmup_daemons, now);
 	warmup_daemons_update_own(&relay->warmup_daemons,
 	    relay->members->stored.body != NULL, first_read, now);
--- a/moortack/relay/row_refusals.c
+++ b/moortack/relay/row_refusals.c
@@ -5,11 +5,11 @@
 /* Rows that can't be taken may be thousands, each written again every second or
  * so: one line for each kind and fault in this time tells what is wrong, and
  * how many there were. */
-#define TOLD_EVERY_MS 10000
+#define LOG_INTERVAL_MS 10000
 
-static const char *const kinds[ROW_KIND_COUNT] = {"config", "order", "endpoint",
-    "evacuation", "member", "state", "key", "verdict"};
-static const char *const faults[ROW_FAULT_COUNT] = {
+static const char *const kind_names[ROW_KIND_COUNT] = {"config", "order",
+    "endpoint", "evacuation", "member", "state", "key", "verdict"};
+static const char *const fault_names[ROW_FAULT_COUNT] = {
     "name", "unreadable", "field"};
 
 static row_fault_t
@@ -36,13 +36,14 @@
 	refusal->count++;
 	if (self->log == NULL ||
 	    (refusal->logged_count > 0 &&
-		timespec_ms_between(refusal->logged_at, now) < TOLD_EVERY_MS))
+		timespec_ms_between(refusal->logged_at, now) < LOG_INTERVAL_MS))
 		return;
 	event_line(self->log, "row_refused",
 	    "kind=%s fault=%s count=%" PRIu64 " key=%.40s version=%" PRIu64
 	    " why=\"%s\"",
-	    kinds[kind], faults[fault], refusal->count - refusal->logged_count,
-	    row->key, row->version, why->detail);
+	    kind_names[kind], fault_names[fault],
+	    refusal->count - refusal->logged_count, row->key, row->version,
+	    why->detail);
 	refusal->logged_count = refusal->count;
 	refusal->logged_at = now;
 }
@@ -59,6 +60,7 @@
 			evbuffer_add_printf(out,
 			    "moortack_relay_rows_refused_total{kind=\"%s\","
 			    "fault=\"%s\"} %" PRIu64 "\n",
-			    kinds[i], faults[j], self->counts[i][j].count);
+			    kind_names[i], fault_names[j],
+			    self->counts[i][j].count);
 	}
 }
--- a/moortack/relay/warmup_share.c
+++ b/moortack/relay/warmup_share.c
@@ -126,8 +126,8 @@
 
 	if (!daemons->own_counted)
 		return 0;
-	for (const warmup_daemon_t *one = daemons->others; one != NULL;
-	     one = one->hh.next)
-		rank += rendezvous_weight(one->hash, seed) < own;
+	for (const warmup_daemon_t *daemon = daemons->others; daemon != NULL;
+	     daemon = daemon->hh.next)
+		rank += rendezvous_weight(daemon->hash, seed) < own;
 	return quota / count + (rank < quota % count);
 }
