--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -7,7 +7,7 @@
 #include "moortack/relay/relay.h"
 #include "relay_quarantine_priv.h"
 
-/* Rows that one call writes. */
+/* Maximum number of rows in one write. */
 #define ROWS_PER_WRITE_MAX 16
 #define KEY_SIZE (sizeof(QUARANTINE_PREFIX) + 16)
 #define WRITE_TIMEOUT_MS 1500
@@ -39,7 +39,8 @@
 	return text;
 }
 
-/* The row is read back in any case; its version serves a write before that. */
+/* The rows are read back in any case; until then, the version from the response
+ * is the one that the next write expects. */
 static void
 on_written(void *arg, const row_reply_t *reply)
 {
@@ -113,7 +114,7 @@
 		free(values[i]);
 }
 
-/* A row that stays for a failed write has expired for whoever reads it. */
+/* If the write fails, the row stays; readers ignore it once it has expired. */
 void
 quarantine_row_remove(relay_quarantine_t *self, const suspect_t *suspect)
 {
@@ -157,7 +158,7 @@
 	return len;
 }
 
-/* @return how many crashes the row names; 0: it is none, or too old */
+/* @return number of crashes in the row; 0: none, or it has expired */
 static size_t
 value_apply(relay_quarantine_t *self, uint64_t digest, const json_t *body)
 {
@@ -185,15 +186,16 @@
 	uint32_t crashes[QUARANTINE_CRASH_THRESHOLD];
 
 	if (body == NULL)
-		return err_set(err, ERR_UNREADABLE, "the row is no JSON");
+		return err_set(err, ERR_UNREADABLE, "the row is not JSON");
 	if (!json_is_integer(json_object_get(body, "crashed_ms")) ||
 	    crashes_decode(body, crashes) == 0)
-		return err_set(
-		    err, ERR_BAD_REQUEST, "crashed_ms or crashes is missing");
+		return err_set(err, ERR_BAD_REQUEST,
+		    "crashed_ms or crashes is missing or invalid");
 	return true;
 }
 
-/* What has expired, and nobody took out, the first daemon does. */
+/* An expired row that is still in the store is removed by the first of the
+ * daemons. */
 static void
 expired_row_remove(relay_quarantine_t *self, uint64_t digest, const row_t *row)
 {
@@ -215,7 +217,8 @@
 	bool good = true;
 
 	if (!key_decode(row->key, &digest))
-		return err_set(err, ERR_NAME, "the key names no request");
+		return err_set(
+		    err, ERR_NAME, "the key is not a request digest");
 	if (!row->deleted) {
 		body = json_loadb(row->value, row->value_len, 0, NULL);
 		good = value_check(body, err);
@@ -229,9 +232,10 @@
 			expired_row_remove(self, digest, row);
 		return good;
 	}
-	/* A row that was taken out or spoilt is written again. */
+	/* A row that was removed or is invalid is written again. */
 	suspect->stored_version = row->deleted ? 0 : row->version;
 	suspect->stored_crashes = crashes;
+	/* All daemons read the row, so the quarantine need not be announced. */
 	if (suspect_is_quarantined(suspect))
 		suspect->announcements = UINT32_MAX;
 	return good;
--- a/moortack/relay/relay_crash_detection.c
+++ b/moortack/relay/relay_crash_detection.c
@@ -3,15 +3,17 @@
 #include "relay_quarantine_priv.h"
 #include "relay_request.h"
 
-/* An endpoint that crashed and can't be reached is gone from the store within
- * three of its heartbeats. */
+/* How long interrupted attempts are kept. A crashed endpoint that can't be
+ * reached is removed from the store within three of its heartbeats. */
 #define INTERRUPTED_EXPIRY_MS 8000
-/* An endpoint goes on for a moment with a run that was given up, and may crash
- * under it still. */
+/* How long abandoned attempts are kept. An endpoint goes on running an
+ * abandoned request for a moment, and may still crash on it. */
 #define ABANDONED_EXPIRY_MS 1000
-/* All connections of a process that ended are reset within a few ms of each
- * other; a run that was given up is looked after later. */
+/* Delay of a probe. All connections of a process that ended are reset within a
+ * few ms of each other. */
 #define PROBE_DELAY_MS 20
+/* The same after an abandoned attempt, whose request still runs for a moment.
+ */
 #define ABANDONED_PROBE_DELAY_MS 300
 
 static void
@@ -24,7 +26,8 @@
 	    how);
 }
 
-/* Take the attempts that were under way there, and tell of them. */
+/* Record the endpoint's crash for the requests of these attempts, and announce
+ * it to other daemons. */
 static void
 crashes_record(relay_quarantine_t *self, unresolved_attempts_t *attempts,
     const endpoint_t *endpoint, const char *how)
@@ -68,12 +71,14 @@
 relay_quarantine_endpoint_removed(
     relay_quarantine_t *self, const endpoint_t *endpoint)
 {
-	/* It may have left in good order, without a word. */
+	/* It may have shut down in order without announcing that it leaves, so
+	 * an abandoned attempt does not show a crash. */
 	unresolved_attempts_drop(&self->abandoned, endpoint->short_hash);
 	relay_quarantine_endpoint_crashed(self, endpoint, "gone");
 }
 
-/* Requests that wait for what a probe tells go on, or end. */
+/* Resume the requests that wait for the result of a probe; they are sent, or
+ * fail. */
 static void
 waiting_requests_resume(relay_t *relay)
 {
@@ -88,7 +93,9 @@
 	}
 }
 
-/* While a request of this daemon goes on there, the endpoint has not ended. */
+/* An endpoint at which a request of this daemon is in flight has not ended,
+ * even if it refuses connections.
+ * @return whether to probe again: attempts there are still unresolved */
 static bool
 on_probe_done(void *arg, endpoint_t *endpoint, probe_result_t result)
 {
@@ -118,7 +125,7 @@
 	    .version = endpoint_version_hash(endpoint),
 	    .ended_at = clock_elapsed(req->relay->clock)};
 
-	/* One that leaves ends when it is done. */
+	/* An endpoint that is leaving ends once its requests are completed. */
 	if (attempt.digest == 0 || endpoint->facts.leaving)
 		return false;
 	unresolved_attempts_add(attempts, &attempt);
@@ -157,8 +164,9 @@
 		    &req->relay->quarantine, endpoint, "port_closed");
 }
 
-/* An endpoint that crashes under a run that was given up breaks nothing of this
- * daemon's but connections that idle. */
+/* An endpoint that crashes on an abandoned request may have no connections of
+ * this daemon but idle ones. If one of these was closed after the attempt,
+ * probe the endpoint. */
 static void
 abandoned_probe(relay_quarantine_t *self)
 {
@@ -182,7 +190,7 @@
 	struct timespec now = clock_elapsed(self->relay->clock);
 
 	abandoned_probe(self);
-	/* The last probe told nothing. */
+	/* The last probe may have ended without a result. */
 	if (self->probes == NULL)
 		waiting_requests_resume(self->relay);
 
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -7,20 +7,23 @@
 #include "relay_quarantine_priv.h"
 #include "relay_request.h"
 
-/* Crashes from which on a suspicion outlasts the daemons that know of it. */
+/* Number of crashes from which on a suspect is stored, and so outlasts the
+ * daemons that know of it. */
 #define STORED_CRASHES_MIN 2
-/* How often others are told of a verdict. */
+/* How often a quarantine is announced to other daemons. */
 #define ANNOUNCEMENTS_MAX 2
-/* When a daemon that saw one of the crashes tells in the place of one that did
- * not, and writes: the way to it, and back through the store. */
+/* How long after a crash a daemon that detected it announces the quarantine,
+ * and writes the row, if the owner of the digest has not: the time that the
+ * crash takes to reach the owner, and that the row takes to come back through
+ * the store. */
 #define NON_OWNER_ANNOUNCE_MS 300
 #define NON_OWNER_WRITE_MS 4000
-/* How often it is looked whether a version that crashed is still in use. */
+/* How often to check whether the versions that crashed are still in use. */
 #define VERSIONS_CHECK_MS 2000
 #define SERVICE_MASK 0xffff0000U
 
-/* The upper half names the service, so that its other versions are told apart
- * from other services'. */
+/* The upper half is a hash of the service, so that other versions of the
+ * service can be distinguished from those of other services. */
 uint32_t
 endpoint_version_hash(const endpoint_t *endpoint)
 {
@@ -77,7 +80,7 @@
 static const quarantine_ops_t table_ops = {
     on_quarantined, on_released, on_removed};
 
-/* Told now, and once more with the next tick. */
+/* Sent now, and once more at the next tick. */
 void
 quarantine_announce(relay_quarantine_t *self, const gossip_message_t *message)
 {
@@ -144,8 +147,10 @@
 	}
 }
 
-/* Whether this daemon is to act on a verdict: as the owner of the request's
- * digest, or as one that saw a crash while the owner does not act. */
+/* Whether this daemon announces or stores the suspect: as the owner of the
+ * digest, or, if the owner has not done so by the end of the delay, as a daemon
+ * that detected one of the crashes.
+ * @param delay_ms after the last crash */
 static bool
 should_act(
     const relay_quarantine_t *self, const suspect_t *suspect, int64_t delay_ms)
@@ -182,7 +187,7 @@
 	suspect->announcements++;
 }
 
-/* Whether the service has endpoints, and none of the version that crashed. */
+/* Whether the service has endpoints, but none of this version. */
 static bool
 version_unused(const endpoint_set_t *set, uint32_t version)
 {
@@ -199,7 +204,7 @@
 	return others;
 }
 
-/* @param look at the versions in use */
+/* @param check_versions check whether the version is still in use */
 static void
 quarantined_step(
     relay_quarantine_t *self, suspect_t *suspect, bool check_versions)
@@ -236,7 +241,7 @@
 	quarantine_rows_write(self);
 }
 
-/* Its run may still be kept from crashing one more. */
+/* Ending the request may keep it from crashing one more endpoint. */
 static void
 request_stop(relay_request_t *req)
 {
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -2,9 +2,9 @@
 
 #include "relay_request.h"
 
-/* Crashes under a request from which on it is not sent again by itself. */
+/* Number of crashes from which on the daemon does not retry a request. */
 #define RETRY_SUSPICION_LIMIT 2
-/* Where fewer endpoints are left, a suspect could crash the last one. */
+/* With fewer available endpoints, a suspect could crash the last one. */
 #define AVAILABLE_ENDPOINTS_MIN 2
 
 static void
@@ -37,7 +37,8 @@
 	return !req->on_trial;
 }
 
-/* Crashes that count against the request, and those that may turn out so. */
+/* Number of crashes recorded for the request, and of interrupted attempts that
+ * may turn out to be crashes. */
 static size_t
 suspicion_count(relay_request_t *req)
 {
@@ -61,7 +62,8 @@
 	return suspicion_count(req) >= RETRY_SUSPICION_LIMIT;
 }
 
-/* Endpoints of the request's service that answered lately. */
+/* Number of endpoints of the request's service that are healthy, not leaving,
+ * and not suspected of having crashed. */
 static size_t
 available_endpoints_count(const relay_request_t *req)
 {
@@ -78,8 +80,9 @@
 	return count;
 }
 
-/* A caller's new try is one of up to a hundred requests that were under way at
- * an endpoint that crashed: not the one that crashed it, most likely. */
+/* After a single crash, a caller's new try is sent in any case: up to a hundred
+ * requests were in flight at the endpoint that crashed, so this one most likely
+ * was not the cause. */
 bool
 relay_suspect_fits(relay_request_t *req)
 {
