--- a/include/moortack/quarantine/quarantine.h
+++ b/include/moortack/quarantine/quarantine.h
@@ -108,7 +108,7 @@
 bool quarantine_admit(quarantine_t *, uint64_t digest, bool may_try);
 /** Minimum time for which the request remains refused, ms; 0: unknown, or not
  * quarantined. */
-int64_t quarantine_left_ms(const quarantine_t *, uint64_t digest);
+int64_t quarantine_remaining_ms(const quarantine_t *, uint64_t digest);
 /** Permit trials of the requests that are quarantined for this version, which
  * is no longer in use. */
 void quarantine_allow_trials(quarantine_t *, uint32_t version);
--- a/moortack/quarantine/quarantine.c
+++ b/moortack/quarantine/quarantine.c
@@ -284,7 +284,7 @@
 }
 
 int64_t
-quarantine_left_ms(const quarantine_t *self, uint64_t digest)
+quarantine_remaining_ms(const quarantine_t *self, uint64_t digest)
 {
 	const suspect_t *suspect = quarantine_find(self, digest);
 	int64_t remaining_ms;
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -178,7 +178,7 @@
 	int64_t ms = retry_after_ms(relay, code);
 
 	if (code == ERR_QUARANTINED)
-		ms += quarantine_left_ms(
+		ms += quarantine_remaining_ms(
 		    &relay->quarantine.table, relay_digest(req));
 	attempt_cancel(req);
 	if (req->begun) {
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -16,7 +16,7 @@
 	    "digest=%016" PRIx64 " id=%s crashes=%zu left_ms=%" PRId64
 	    " how=%s",
 	    digest, req->arrival.id, quarantine_crash_count(table, digest),
-	    quarantine_left_ms(table, digest),
+	    quarantine_remaining_ms(table, digest),
 	    req->on_trial ? "tried" : "refused");
 }
 
--- a/test/unit/quarantine_test.c
+++ b/test/unit/quarantine_test.c
@@ -95,7 +95,7 @@
 	/* Those that were under way renew nothing. */
 	crashes(POISON, 4, 3);
 	assert_int_equal(held, 1);
-	assert_int_equal(quarantine_left_ms(&table, POISON), REFUSED_MS);
+	assert_int_equal(quarantine_remaining_ms(&table, POISON), REFUSED_MS);
 }
 
 static void
@@ -189,7 +189,7 @@
 	quarantine_merge(
 	    &table, POISON, crashed, 3, VERSION, REFUSED_MS - MINUTE_MS);
 	assert_false(quarantine_admit(&table, POISON, true));
-	assert_int_equal(quarantine_left_ms(&table, POISON), MINUTE_MS);
+	assert_int_equal(quarantine_remaining_ms(&table, POISON), MINUTE_MS);
 	/* The same verdict on another way. */
 	quarantine_merge(
 	    &table, POISON, crashed, 3, VERSION, REFUSED_MS - MINUTE_MS);
