--- a/include/moortack/relay/warmup_share.h
+++ b/include/moortack/relay/warmup_share.h
@@ -46,7 +46,7 @@
 
 void warmup_daemons_init(warmup_daemons_t *, const char *own_name);
 void warmup_daemons_finish(warmup_daemons_t *);
-/** Add a daemon, or note that it still exists. */
+/** Add a daemon, or update when it was last seen. */
 void warmup_daemons_mark_seen(
     warmup_daemons_t *, const char *name, struct timespec now);
 /** Update whether this daemon's row is in the store.
@@ -54,7 +54,7 @@
  * know of it already */
 void warmup_daemons_update_own(
     warmup_daemons_t *, bool in_store, bool at_start, struct timespec now);
-/** Remove daemons that were last noted long ago. A daemon that is partitioned
+/** Remove daemons that were last seen long ago. A daemon that is partitioned
  * may go on sending, so its share is not reassigned at once. */
 void warmup_daemons_expire(warmup_daemons_t *, struct timespec now);
 
--- a/moortack/relay/crash_probe.c
+++ b/moortack/relay/crash_probe.c
@@ -45,7 +45,7 @@
 		probe_end(probe);
 }
 
-/* Nothing is sent: that it listens is all. */
+/* An accepted connection is the result; nothing is sent. */
 static bool
 on_ready(void *arg)
 {
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -1,7 +1,7 @@
 #include "relay_warmup.h"
 
-/* A daemon that has not read the rows of the daemons for this long may be taken
- * for gone by the others, which then divide its share. */
+/* A daemon that has not read the rows of the daemons for this long may be
+ * considered down by the others, which then divide its share. */
 #define MEMBERS_STALE_MS 20000
 
 static bool
--- a/moortack/relay/row_refusals.c
+++ b/moortack/relay/row_refusals.c
@@ -2,9 +2,9 @@
 
 #include <inttypes.h>
 
-/* Rows that can't be taken may be thousands, each written again every second or
- * so: one line for each kind and fault in this time tells what is wrong, and
- * how many there were. */
+/* There may be thousands of invalid rows, each written again every second or
+ * so: for each kind and fault, one line is logged in this time, with the number
+ * of rows since the last line. */
 #define LOG_INTERVAL_MS 10000
 
 static const char *const kind_names[ROW_KIND_COUNT] = {"config", "order",
--- a/moortack/relay/warmup_share.c
+++ b/moortack/relay/warmup_share.c
@@ -11,8 +11,8 @@
 /* Requests a second that are held back for clock skew, and for daemons whose
  * views of the membership differ. */
 #define SAFETY_MARGIN 2.0
-/* How long a daemon that is no longer noted keeps its share: longer than the
- * partition after which the others take it for gone. */
+/* How long a daemon that is no longer seen keeps its share: longer than the
+ * partition after which the others consider it down. */
 #define EXPIRY_MS 30000
 /* A row that was written reaches all daemons within this time. */
 #define ROW_PROPAGATION_MS 3000
