--- a/test/fuzz/quarantine_fuzz.c
+++ b/test/fuzz/quarantine_fuzz.c
@@ -1,13 +1,13 @@
 /**
  * @file
- * Requests that crash each endpoint they run on, among sound ones, at several
- * daemons that tell each other: crashes, cuts, sound answers, daemons that
- * start again, datagrams that are late and lost.
+ * Several daemons run requests, some of which crash each endpoint that they run
+ * on, and exchange messages about crashes. Endpoints crash, connections are
+ * lost, requests complete, daemons restart, and datagrams are delayed and lost.
  *
- * The oracle knows all crashes. A request that crashed three endpoints reaches
- * none more than three times once all had the time to hear of it; a trial is
- * one run at a time; a sound request is refused only if three endpoints crashed
- * while it ran.
+ * The oracle knows all crashes. It checks that a request that crashed three
+ * endpoints is sent no more than three times once all daemons had the time to
+ * learn of it, that only one trial runs at a time, and that a request that
+ * crashes nothing is refused only if three endpoints crashed while it ran.
  */
 #include <string.h>
 
@@ -18,27 +18,31 @@
 #define DAEMONS 4
 #define ENDPOINTS 8
 #define REQUESTS 6
-/* The first ones crash what runs them. */
-#define POISONS 2
+/* The first ones crash each endpoint that they run on. */
+#define CRASHING_REQUESTS 2
 #define RUNS_MAX 24
 #define MESSAGES_MAX 512
 #define CRASHES_MAX 256
-/* How late a datagram comes, what a daemon that saw a crash waits for the
- * owner, and how old the rows of the store are. */
-#define LATE_MS 150
-#define AGAIN_MS 200
-#define OTHERS_MS 300
-#define ROW_MS 2500
-#define KNOWN_MS 3000
-#define SENDS_MORE 3
-#define TRIAL_MS 60000
-#define HELD_MOST_MS 900000
+/* Delay of a datagram. */
+#define DELAY_MAX_MS 150
+/* Time until a message is sent once more. */
+#define RESEND_MS 200
+/* How long a daemon that detected a crash waits for the owner of the digest. */
+#define NON_OWNER_MS 300
+/* Maximum age of rows read from the store. */
+#define ROW_PROPAGATION_MS 2500
+/* Time within which all daemons learn of a quarantine. */
+#define PROPAGATION_MS 3000
+/* Sends of a request that crashed three endpoints, after this time. */
+#define SENDS_AFTER_MAX 3
+#define TRIAL_TIMEOUT_MS 60000
+#define QUARANTINE_EXPIRY_MS 900000
 #define VERSION 1
 
 typedef enum message_kind {
-	TOLD_CRASH,
-	TOLD_HELD,
-	TOLD_CLEARED
+	MESSAGE_CRASH,
+	MESSAGE_QUARANTINED,
+	MESSAGE_CLEARED
 } message_kind_t;
 
 typedef struct message {
@@ -56,14 +60,14 @@
 } crash_t;
 
 /** What the oracle knows of a request. */
-typedef struct truth {
+typedef struct oracle {
 	crash_t crashes[CRASHES_MAX];
 	size_t len;
-	int64_t third_ms; /**< when it crashed the third one; 0: it has not */
-	int64_t sends_more;
-	int64_t tried_ms;
-	suspect_t row; /**< in the store */
-} truth_t;
+	int64_t third_crash_ms; /**< 0: fewer crashes, or a trial ran since */
+	int64_t sends_after;	/**< once all daemons knew of the quarantine */
+	int64_t trial_ms;	/**< time of the last trial; 0: none */
+	suspect_t row;		/**< in the store */
+} oracle_t;
 
 typedef struct run {
 	size_t daemon, request, endpoint;
@@ -71,11 +75,11 @@
 
 typedef struct daemon {
 	quarantine_t table;
-	bool tells[REQUESTS]; /**< a verdict, to all */
+	bool announcement_due[REQUESTS]; /**< of a quarantine, to all daemons */
 } daemon_t;
 
 static struct world {
-	manual_clock_t hand;
+	manual_clock_t clock;
 	daemon_t daemons[DAEMONS];
 	uint32_t incarnations[ENDPOINTS];
 	uint32_t last_incarnation;
@@ -83,13 +87,13 @@
 	size_t runs_len;
 	message_t messages[MESSAGES_MAX];
 	size_t messages_len;
-	truth_t truths[REQUESTS];
+	oracle_t oracles[REQUESTS];
 } world;
 
 static int64_t
 now_ms(void)
 {
-	return timespec_ms(world.hand.now);
+	return timespec_ms(world.clock.now);
 }
 
 static uint64_t
@@ -105,42 +109,42 @@
 }
 
 static void
-on_held(void *arg, const suspect_t *suspect)
+on_quarantined(void *arg, const suspect_t *suspect)
 {
 	daemon_t *daemon = arg;
 	size_t request = request_of(suspect->digest);
 
-	daemon->tells[request] = true;
+	daemon->announcement_due[request] = true;
 }
 
 static void
-on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t why)
+on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t reason)
 {
 	(void)arg;
 	(void)suspect;
-	(void)why;
+	(void)reason;
 }
 
 static void
-on_forgotten(void *arg, const suspect_t *suspect)
+on_removed(void *arg, const suspect_t *suspect)
 {
 	(void)arg;
 	(void)suspect;
 }
 
-static const quarantine_ops_t ops = {on_held, on_released, on_forgotten};
+static const quarantine_ops_t ops = {on_quarantined, on_released, on_removed};
 
-/* Two copies, one of which may get lost. */
+/* Send two copies to each daemon; one of them may get lost. */
 static void
-tell(input_t *input, size_t from, message_t message)
+broadcast(input_t *input, size_t from, message_t message)
 {
 	for (size_t to = 0; to < DAEMONS; to++) {
 		uint32_t lost = input_below(input, 3);
 
 		for (uint32_t copy = 0; copy < 2; copy++) {
 			message.to = to;
-			message.at_ms = now_ms() + copy * AGAIN_MS +
-			    input_below(input, LATE_MS);
+			message.at_ms = now_ms() + copy * RESEND_MS +
+			    input_below(input, DELAY_MAX_MS);
 			if (to != from && lost != copy + 1 &&
 			    world.messages_len < MESSAGES_MAX)
 				world.messages[world.messages_len++] = message;
@@ -149,15 +153,15 @@
 }
 
 static void
-message_take(const message_t *message)
+message_apply(const message_t *message)
 {
 	quarantine_t *table = &world.daemons[message->to].table;
 	static const uint32_t crashes[] = {1, 2, 3};
 
-	if (message->kind == TOLD_CRASH)
+	if (message->kind == MESSAGE_CRASH)
 		quarantine_record_crash(table, message->digest,
 		    message->incarnation, VERSION, false);
-	else if (message->kind == TOLD_CLEARED)
+	else if (message->kind == MESSAGE_CLEARED)
 		quarantine_clear(table, message->digest);
 	else
 		quarantine_merge(
@@ -175,35 +179,35 @@
 			continue;
 		}
 		world.messages[i] = world.messages[--world.messages_len];
-		message_take(&message);
+		message_apply(&message);
 	}
 }
 
 static bool
-acts(size_t daemon, size_t request, const suspect_t *suspect)
+should_act(size_t daemon, size_t request, const suspect_t *suspect)
 {
 	return request % DAEMONS == daemon ||
 	    (suspect->observed_locally &&
-		timespec_ms_between(suspect->last_crash_at, world.hand.now) >=
-		    OTHERS_MS);
+		timespec_ms_between(suspect->last_crash_at, world.clock.now) >=
+		    NON_OWNER_MS);
 }
 
-/* The owner tells and writes at once, a daemon that saw a crash a little later.
- */
+/* The owner announces and writes at once, a daemon that detected a crash a
+ * little later. */
 static void
 suspect_step(input_t *input, size_t daemon, size_t request)
 {
 	daemon_t *self = &world.daemons[daemon];
 	suspect_t *suspect = quarantine_find(&self->table, digest_of(request));
-	suspect_t *row = &world.truths[request].row;
+	suspect_t *row = &world.oracles[request].row;
 
-	if (suspect == NULL || !acts(daemon, request, suspect))
+	if (suspect == NULL || !should_act(daemon, request, suspect))
 		return;
-	if (suspect_is_quarantined(suspect) && self->tells[request])
-		tell(input, daemon,
-		    (message_t){
-			.kind = TOLD_HELD, .digest = digest_of(request)});
-	self->tells[request] = false;
+	if (suspect_is_quarantined(suspect) && self->announcement_due[request])
+		broadcast(input, daemon,
+		    (message_t){.kind = MESSAGE_QUARANTINED,
+			.digest = digest_of(request)});
+	self->announcement_due[request] = false;
 	if (suspect->crashes_len >= 2 &&
 	    (suspect->crashes_len > row->crashes_len ||
 		timespec_ms_between(
@@ -228,7 +232,7 @@
 
 		if (ms > 60000)
 			step = end - now_ms() < 10000 ? end - now_ms() : 10000;
-		world.hand.now = timespec_after_ms(world.hand.now, step);
+		world.clock.now = timespec_after_ms(world.clock.now, step);
 		messages_deliver();
 		suspects_step(input);
 	}
@@ -239,19 +243,21 @@
 static void
 crash_note(input_t *input, size_t daemon, size_t request, uint32_t incarnation)
 {
-	truth_t *truth = &world.truths[request];
+	oracle_t *oracle = &world.oracles[request];
 
-	if (truth->len < CRASHES_MAX)
-		truth->crashes[truth->len++] = (crash_t){incarnation, now_ms()};
+	if (oracle->len < CRASHES_MAX)
+		oracle->crashes[oracle->len++] =
+		    (crash_t){incarnation, now_ms()};
 	if (quarantine_record_crash(&world.daemons[daemon].table,
 		digest_of(request), incarnation, VERSION, true))
-		tell(input, daemon,
-		    (message_t){.kind = TOLD_CRASH,
+		broadcast(input, daemon,
+		    (message_t){.kind = MESSAGE_CRASH,
 			.digest = digest_of(request),
 			.incarnation = incarnation});
 }
 
-/* It ends with all that runs there, and another one takes its place. */
+/* The endpoint crashes with all requests that run there, and a new incarnation
+ * starts. */
 static void
 endpoint_crash(input_t *input, size_t endpoint)
 {
@@ -270,93 +276,97 @@
 	world.incarnations[endpoint] = ++world.last_incarnation;
 }
 
-/* Endpoints that crashed while it ran, in the time for which one counts. */
+/* Number of incarnations that crashed while the request ran, in the time in
+ * which crashes count. */
 static size_t
-implicated(size_t request)
+recent_crash_count(size_t request)
 {
-	const truth_t *truth = &world.truths[request];
+	const oracle_t *oracle = &world.oracles[request];
 	size_t count = 0;
 
-	for (size_t i = 0; i < truth->len; i++) {
-		bool again = false;
+	for (size_t i = 0; i < oracle->len; i++) {
+		bool duplicate = false;
 
 		for (size_t j = 0; j < i; j++)
-			again |= truth->crashes[j].incarnation ==
-			    truth->crashes[i].incarnation;
-		count += !again &&
-		    now_ms() - truth->crashes[i].at_ms <= 2 * HELD_MOST_MS;
+			duplicate |= oracle->crashes[j].incarnation ==
+			    oracle->crashes[i].incarnation;
+		count += !duplicate &&
+		    now_ms() - oracle->crashes[i].at_ms <=
+			2 * QUARANTINE_EXPIRY_MS;
 	}
 	return count;
 }
 
 static void
-send_count(size_t request, bool trial)
+send_check(size_t request, bool trial)
 {
-	truth_t *truth = &world.truths[request];
+	oracle_t *oracle = &world.oracles[request];
 
-	if (request >= POISONS || truth->len == 0)
+	if (request >= CRASHING_REQUESTS || oracle->len == 0)
 		return;
-	/* A verdict that has expired is renewed by the next crash. */
-	if (now_ms() - truth->crashes[truth->len - 1].at_ms >= HELD_MOST_MS)
-		truth->sends_more = 0;
+	/* An expired quarantine is renewed by the next crash. */
+	if (now_ms() - oracle->crashes[oracle->len - 1].at_ms >=
+	    QUARANTINE_EXPIRY_MS)
+		oracle->sends_after = 0;
 	if (trial) {
-		FUZZ_CHECK(truth->tried_ms == 0 ||
-		    now_ms() - truth->tried_ms >= TRIAL_MS);
-		truth->tried_ms = now_ms();
-		truth->third_ms = 0;
-		truth->sends_more = 0;
-	} else if (truth->third_ms != 0 &&
-	    now_ms() > truth->third_ms + KNOWN_MS) {
-		FUZZ_CHECK(++truth->sends_more <= SENDS_MORE);
+		FUZZ_CHECK(oracle->trial_ms == 0 ||
+		    now_ms() - oracle->trial_ms >= TRIAL_TIMEOUT_MS);
+		oracle->trial_ms = now_ms();
+		oracle->third_crash_ms = 0;
+		oracle->sends_after = 0;
+	} else if (oracle->third_crash_ms != 0 &&
+	    now_ms() > oracle->third_crash_ms + PROPAGATION_MS) {
+		FUZZ_CHECK(++oracle->sends_after <= SENDS_AFTER_MAX);
 	}
 }
 
 static void
-poison_run(input_t *input, size_t daemon, size_t request, size_t endpoint)
+crashing_run(input_t *input, size_t daemon, size_t request, size_t endpoint)
 {
-	truth_t *truth = &world.truths[request];
+	oracle_t *oracle = &world.oracles[request];
 
 	world.runs[world.runs_len++] = (run_t){daemon, request, endpoint};
 	endpoint_crash(input, endpoint);
-	if (truth->third_ms == 0 &&
-	    implicated(request) >= QUARANTINE_CRASH_THRESHOLD)
-		truth->third_ms = now_ms();
+	if (oracle->third_crash_ms == 0 &&
+	    recent_crash_count(request) >= QUARANTINE_CRASH_THRESHOLD)
+		oracle->third_crash_ms = now_ms();
 }
 
 static void
-arrive(input_t *input)
+request_arrive(input_t *input)
 {
 	size_t daemon = input_below(input, DAEMONS);
 	size_t request = input_below(input, REQUESTS);
 	size_t endpoint = input_below(input, ENDPOINTS);
 	quarantine_t *table = &world.daemons[daemon].table;
-	bool held =
+	bool quarantined =
 	    suspect_is_quarantined(quarantine_find(table, digest_of(request)));
 
 	if (world.runs_len >= RUNS_MAX - 1)
 		return;
 	if (!quarantine_admit(
 		table, digest_of(request), request % DAEMONS == daemon)) {
-		FUZZ_CHECK(request < POISONS ||
-		    implicated(request) >= QUARANTINE_CRASH_THRESHOLD);
+		FUZZ_CHECK(request < CRASHING_REQUESTS ||
+		    recent_crash_count(request) >= QUARANTINE_CRASH_THRESHOLD);
 		return;
 	}
-	send_count(request, held);
-	if (request >= POISONS) {
+	send_check(request, quarantined);
+	if (request >= CRASHING_REQUESTS) {
 		world.runs[world.runs_len++] =
 		    (run_t){daemon, request, endpoint};
 		return;
 	}
-	poison_run(input, daemon, request, endpoint);
-	/* Sent once more, as long as two crashes do not speak against it. */
+	crashing_run(input, daemon, request, endpoint);
+	/* The daemon retries it unless two crashes are recorded for it. */
 	if (quarantine_crash_count(table, digest_of(request)) < 2) {
-		send_count(request, false);
-		poison_run(input, daemon, request, (endpoint + 1) % ENDPOINTS);
+		send_check(request, false);
+		crashing_run(
+		    input, daemon, request, (endpoint + 1) % ENDPOINTS);
 	}
 }
 
 static void
-run_end(input_t *input, bool whole)
+run_end(input_t *input, bool completed)
 {
 	size_t at;
 	run_t run;
@@ -366,15 +376,15 @@
 	at = input_below(input, (uint32_t)world.runs_len);
 	run = world.runs[at];
 	world.runs[at] = world.runs[--world.runs_len];
-	if (whole &&
+	if (completed &&
 	    quarantine_clear(
 		&world.daemons[run.daemon].table, digest_of(run.request)))
-		tell(input, run.daemon,
-		    (message_t){.kind = TOLD_CLEARED,
+		broadcast(input, run.daemon,
+		    (message_t){.kind = MESSAGE_CLEARED,
 			.digest = digest_of(run.request)});
 }
 
-/* It knows nothing but what the store has. */
+/* A daemon that starts knows only the rows of the store. */
 static void
 daemon_restart(size_t daemon)
 {
@@ -383,7 +393,7 @@
 	quarantine_finish(table);
 	world.daemons[daemon] = (daemon_t){0};
 	quarantine_init(
-	    table, &world.hand.source, &ops, &world.daemons[daemon]);
+	    table, &world.clock.source, &ops, &world.daemons[daemon]);
 	for (size_t i = 0; i < world.runs_len;) {
 		if (world.runs[i].daemon == daemon)
 			world.runs[i] = world.runs[--world.runs_len];
@@ -391,13 +401,13 @@
 			i++;
 	}
 	for (size_t r = 0; r < REQUESTS; r++) {
-		const suspect_t *row = &world.truths[r].row;
+		const suspect_t *row = &world.oracles[r].row;
 
 		if (row->crashes_len > 0)
 			quarantine_merge(table, digest_of(r), row->crashes,
 			    row->crashes_len, VERSION,
 			    timespec_ms_between(
-				row->last_crash_at, world.hand.now));
+				row->last_crash_at, world.clock.now));
 	}
 }
 
@@ -406,12 +416,12 @@
 {
 	for (size_t i = 0; i < DAEMONS; i++) {
 		const quarantine_t *table = &world.daemons[i].table;
-		size_t held = 0;
+		size_t quarantined = 0;
 
-		for (const suspect_t *one = table->suspects; one != NULL;
-		     one = one->hh.next)
-			held += suspect_is_quarantined(one);
-		FUZZ_CHECK(held == table->quarantined_count);
+		for (const suspect_t *suspect = table->suspects;
+		     suspect != NULL; suspect = suspect->hh.next)
+			quarantined += suspect_is_quarantined(suspect);
+		FUZZ_CHECK(quarantined == table->quarantined_count);
 	}
 }
 
@@ -432,8 +442,11 @@
 		endpoint_crash(input, input_below(input, ENDPOINTS));
 		break;
 	case 4:
-		/* After others had the time to hear what it saw. */
-		time_pass(input, AGAIN_MS + LATE_MS + OTHERS_MS + ROW_MS);
+		/* After others had the time to learn of the crashes that it
+		 * detected. */
+		time_pass(input,
+		    RESEND_MS + DELAY_MAX_MS + NON_OWNER_MS +
+			ROW_PROPAGATION_MS);
 		daemon_restart(input_below(input, DAEMONS));
 		break;
 	case 5:
@@ -441,7 +454,7 @@
 			time_pass(input, 620000);
 		break;
 	default:
-		arrive(input);
+		request_arrive(input);
 	}
 	check();
 }
@@ -452,12 +465,12 @@
 	input_t input = {bytes, len, 0};
 
 	memset(&world, 0, sizeof(world));
-	world.hand = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
 	for (size_t i = 0; i < ENDPOINTS; i++)
 		world.incarnations[i] = ++world.last_incarnation + 10;
 	world.last_incarnation += 10;
 	for (size_t i = 0; i < DAEMONS; i++)
-		quarantine_init(&world.daemons[i].table, &world.hand.source,
+		quarantine_init(&world.daemons[i].table, &world.clock.source,
 		    &ops, &world.daemons[i]);
 	while (!input_over(&input))
 		step(&input);
--- a/test/fuzz/warmup_fuzz.c
+++ b/test/fuzz/warmup_fuzz.c
@@ -32,7 +32,7 @@
 #define TOLERANCE 5
 #define LIMIT (PER_S * OVERSHOOT + TOLERANCE)
 #define DELAY_MAX_MS 2000
-#define ANSWER_DELAY_MAX_MS 40
+#define RESPONSE_DELAY_MAX_MS 40
 #define PARTITION_MAX_MS 12000
 #define SERVICE "s"
 #define NEVER INT64_MAX
@@ -112,9 +112,9 @@
 {
 	/* Rows of earlier incarnations are ignored. */
 	for (size_t i = 0; i < ENDPOINTS; i++) {
-		endpoint_facts_t now = facts_of(i);
+		endpoint_facts_t current = facts_of(i);
 
-		if (strcmp(now.id, facts->id) == 0)
+		if (strcmp(current.id, facts->id) == 0)
 			endpoint_set_take(&daemon->endpoints, facts);
 	}
 }
@@ -155,7 +155,7 @@
 }
 
 static void
-daemon_start(size_t number, uint32_t answer_delay_ms, bool at_start)
+daemon_start(size_t number, uint32_t response_delay_ms, bool at_start)
 {
 	daemon_t *daemon = &world.daemons[number];
 
@@ -167,9 +167,9 @@
 	memset(&daemon->members, 0, sizeof(daemon->members));
 	daemon->members.rows_read = true;
 	daemon->members.store_clock_known = true;
-	/* A delayed answer makes the store's clock appear to be behind. */
+	/* A delayed response makes the store's clock appear to be behind. */
 	daemon->members.store_offset_ms =
-	    500000 - daemon->clock_offset_ms - answer_delay_ms;
+	    500000 - daemon->clock_offset_ms - response_delay_ms;
 	daemon->relay = (relay_t){.clock = &daemon->clock.source,
 	    .endpoints = &daemon->endpoints,
 	    .members = &daemon->members,
@@ -295,14 +295,14 @@
 send_check(size_t endpoint, const daemon_t *daemon)
 {
 	sends_t *sends = &world.sends[endpoint];
-	size_t most = sizeof(sends->at_ms) / sizeof(sends->at_ms[0]);
+	size_t capacity = sizeof(sends->at_ms) / sizeof(sends->at_ms[0]);
 	size_t in_last_second = 0;
 
 	FUZZ_CHECK(!daemon->evacuated[endpoint % ZONES]);
 	if (world.now_ms >= world.cold_until_ms[endpoint])
 		return;
-	sends->at_ms[sends->next++ % most] = world.now_ms;
-	for (size_t i = 0; i < most; i++)
+	sends->at_ms[sends->next++ % capacity] = world.now_ms;
+	for (size_t i = 0; i < capacity; i++)
 		in_last_second += sends->at_ms[i] > world.now_ms - 1000 &&
 		    sends->at_ms[i] > 0;
 	FUZZ_CHECK(in_last_second <= LIMIT);
@@ -365,7 +365,8 @@
 		daemon_t *daemon = &world.daemons[i];
 
 		if (!daemon->running && world.now_ms >= daemon->start_ms)
-			daemon_start(i, input_below(input, ANSWER_DELAY_MAX_MS),
+			daemon_start(i,
+			    input_below(input, RESPONSE_DELAY_MAX_MS),
 			    i < DAEMONS - DAEMONS_LATE);
 		if (!daemon->running)
 			continue;
@@ -404,7 +405,8 @@
 		world.daemons[i].start_ms =
 		    world.now_ms + 8 * (int64_t)input_below(input, 256);
 	for (size_t i = 0; i < DAEMONS - DAEMONS_LATE; i++)
-		daemon_start(i, input_below(input, ANSWER_DELAY_MAX_MS), true);
+		daemon_start(
+		    i, input_below(input, RESPONSE_DELAY_MAX_MS), true);
 }
 
 int
--- a/test/unit/evacuation_test.c
+++ b/test/unit/evacuation_test.c
@@ -22,7 +22,7 @@
 #define UNCONFIRMED_MS 60000
 
 static void
-endpoint_tell(told_node_t *told, const char *id, uint64_t version)
+endpoint_row_apply(told_node_t *told, const char *id, uint64_t version)
 {
 	row_tell(told, ROW_TABLE_ENDPOINTS, id, "v1", version);
 }
@@ -41,11 +41,11 @@
 
 	(void)state;
 	told_node_init(&told);
-	endpoint_tell(&told, "e1", 10);
+	endpoint_row_apply(&told, "e1", 10);
 	row_tell(&told, ROW_TABLE_ORDERS, "evacuate/other", "{}", 11);
 	assert_true(accepts_requests(&told, "e1"));
 	row_tell(&told, ROW_TABLE_ORDERS, KEY, "{}", 12);
-	endpoint_tell(&told, "e2", 13);
+	endpoint_row_apply(&told, "e2", 13);
 	assert_false(accepts_requests(&told, "e1"));
 	assert_false(accepts_requests(&told, "e2"));
 	/* The row is written again, with a value that is not JSON. */
@@ -66,7 +66,7 @@
 
 	(void)state;
 	told_node_init(&told);
-	endpoint_tell(&told, "e1", 10);
+	endpoint_row_apply(&told, "e1", 10);
 	row_tell(&told, ROW_TABLE_ORDERS, KEY, "{}", 20);
 	row_tell(&told, ROW_TABLE_ORDERS, KEY, NULL, 19);
 	assert_false(accepts_requests(&told, "e1"));
@@ -81,7 +81,7 @@
 store_restore_without_row(told_node_t *told)
 {
 	told_node_init(told);
-	endpoint_tell(told, "e1", 10);
+	endpoint_row_apply(told, "e1", 10);
 	row_tell(told, ROW_TABLE_ORDERS, KEY, "{}", 20);
 	row_tell(told, ROW_TABLE_ORDERS, KEY, NULL, era_version_of(1, 5));
 }
@@ -113,7 +113,8 @@
 	told_node_finish(&told);
 }
 
-/* A follower that missed the rows of the restored store hears of the end. */
+/* A follower that missed the rows of the restored store still learns of the
+ * removal. */
 static void
 a_removal_that_another_daemon_reports_is_final(void **state)
 {
@@ -121,7 +122,7 @@
 
 	(void)state;
 	told_node_init(&told);
-	endpoint_tell(&told, "e1", 10);
+	endpoint_row_apply(&told, "e1", 10);
 	row_tell(&told, ROW_TABLE_ORDERS, KEY, "{}", 20);
 	told.node.source.taking = true;
 	row_tell(&told, ROW_TABLE_ORDERS, KEY, NULL, era_version_of(1, 5));
--- a/test/unit/quarantine_test.c
+++ b/test/unit/quarantine_test.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * A request that crashes endpoints is refused from the third one on, by all who
- * are told; one that ran without a crash is not, and a flood of others does not
- * make a verdict forgotten.
+ * Quarantine of requests that crash endpoints: a request is refused from the
+ * third crash on, also by daemons that learn of it from others, unless it ran
+ * without a crash. Many other suspects do not displace a quarantined one.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,51 +15,51 @@
 #include "moortack/quarantine/unresolved_attempts.h"
 
 #define POISON 0xbadULL
-#define SOUND 0x900dULL
+#define HARMLESS 0x900dULL
 #define VERSION 7
 #define MINUTE_MS 60000
-/* A request is refused for ten minutes, and its verdict is gone after fifteen.
- */
-#define REFUSED_MS (10 * MINUTE_MS)
-#define GONE_MS (15 * MINUTE_MS)
+/* A trial is permitted after ten minutes, and the quarantine expires after
+ * fifteen. */
+#define TRIAL_AFTER_MS (10 * MINUTE_MS)
+#define QUARANTINE_EXPIRY_MS (15 * MINUTE_MS)
 
-static manual_clock_t hand;
+static manual_clock_t test_clock;
 static quarantine_t table;
-static int held, released;
+static int quarantined_calls, released_calls;
 
 static void
-on_held(void *arg, const suspect_t *suspect)
+on_quarantined(void *arg, const suspect_t *suspect)
 {
 	(void)arg;
 	(void)suspect;
-	held++;
+	quarantined_calls++;
 }
 
 static void
-on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t why)
+on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t reason)
 {
 	(void)arg;
 	(void)suspect;
-	(void)why;
-	released++;
+	(void)reason;
+	released_calls++;
 }
 
 static void
-on_forgotten(void *arg, const suspect_t *suspect)
+on_removed(void *arg, const suspect_t *suspect)
 {
 	(void)arg;
 	(void)suspect;
 }
 
-static const quarantine_ops_t ops = {on_held, on_released, on_forgotten};
+static const quarantine_ops_t ops = {on_quarantined, on_released, on_removed};
 
 static int
 setup(void **state)
 {
 	(void)state;
-	hand = (manual_clock_t){{&manual_ops}, {1000, 0}};
-	held = released = 0;
-	quarantine_init(&table, &hand.source, &ops, NULL);
+	test_clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	quarantined_calls = released_calls = 0;
+	quarantine_init(&table, &test_clock.source, &ops, NULL);
 	return 0;
 }
 
@@ -72,7 +72,7 @@
 }
 
 static void
-crashes(uint64_t digest, uint32_t first, uint32_t count)
+record_crashes(uint64_t digest, uint32_t first, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
 		quarantine_record_crash(
@@ -80,96 +80,100 @@
 }
 
 static void
-it_is_refused_from_the_third_endpoint_on(void **state)
+a_request_is_quarantined_at_the_third_crash(void **state)
 {
 	(void)state;
-	crashes(POISON, 1, 2);
+	record_crashes(POISON, 1, 2);
 	assert_true(quarantine_admit(&table, POISON, true));
-	/* Several daemons saw the same one. */
-	crashes(POISON, 2, 1);
+	/* Several daemons detected the same crash. */
+	record_crashes(POISON, 2, 1);
 	assert_true(quarantine_admit(&table, POISON, true));
-	crashes(POISON, 3, 1);
+	record_crashes(POISON, 3, 1);
 	assert_false(quarantine_admit(&table, POISON, true));
-	assert_true(quarantine_admit(&table, SOUND, true));
-	assert_int_equal(held, 1);
-	/* Those that were under way renew nothing. */
-	crashes(POISON, 4, 3);
-	assert_int_equal(held, 1);
-	assert_int_equal(quarantine_remaining_ms(&table, POISON), REFUSED_MS);
+	assert_true(quarantine_admit(&table, HARMLESS, true));
+	assert_int_equal(quarantined_calls, 1);
+	/* Runs that were in flight do not renew the quarantine. */
+	record_crashes(POISON, 4, 3);
+	assert_int_equal(quarantined_calls, 1);
+	assert_int_equal(
+	    quarantine_remaining_ms(&table, POISON), TRIAL_AFTER_MS);
 }
 
 static void
-a_run_without_a_crash_clears(void **state)
+a_run_without_a_crash_clears_the_request(void **state)
 {
 	(void)state;
-	crashes(SOUND, 1, 2);
-	assert_true(quarantine_clear(&table, SOUND));
-	assert_false(quarantine_clear(&table, SOUND));
-	/* Told late of a crash before. */
-	crashes(SOUND, 3, 1);
-	assert_int_equal(quarantine_crash_count(&table, SOUND), 0);
-	hand.now = timespec_after_ms(hand.now, MINUTE_MS);
-	crashes(SOUND, 4, 2);
-	assert_true(quarantine_admit(&table, SOUND, false));
-	assert_int_equal(held, 0);
+	record_crashes(HARMLESS, 1, 2);
+	assert_true(quarantine_clear(&table, HARMLESS));
+	assert_false(quarantine_clear(&table, HARMLESS));
+	/* A report of an earlier crash arrives late. */
+	record_crashes(HARMLESS, 3, 1);
+	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 0);
+	test_clock.now = timespec_after_ms(test_clock.now, MINUTE_MS);
+	record_crashes(HARMLESS, 4, 2);
+	assert_true(quarantine_admit(&table, HARMLESS, false));
+	assert_int_equal(quarantined_calls, 0);
 }
 
 static void
-a_crash_counts_for_an_hour_only(void **state)
+crashes_expire_after_an_hour(void **state)
 {
 	(void)state;
-	crashes(SOUND, 1, 2);
-	hand.now = timespec_after_ms(hand.now, 61 * MINUTE_MS);
+	record_crashes(HARMLESS, 1, 2);
+	test_clock.now = timespec_after_ms(test_clock.now, 61 * MINUTE_MS);
 	quarantine_expire(&table);
-	crashes(SOUND, 3, 1);
-	assert_int_equal(quarantine_crash_count(&table, SOUND), 1);
+	record_crashes(HARMLESS, 3, 1);
+	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 1);
 }
 
 static void
-one_daemon_tries_again_one_at_a_time(void **state)
+one_daemon_runs_one_trial_at_a_time(void **state)
 {
 	(void)state;
-	crashes(POISON, 1, 3);
-	hand.now = timespec_after_ms(hand.now, REFUSED_MS + 1);
+	record_crashes(POISON, 1, 3);
+	test_clock.now = timespec_after_ms(test_clock.now, TRIAL_AFTER_MS + 1);
 	quarantine_expire(&table);
 	assert_false(quarantine_admit(&table, POISON, false));
 	assert_true(quarantine_admit(&table, POISON, true));
 	assert_false(quarantine_admit(&table, POISON, true));
-	/* It crashes again: one endpoint, and it is refused as long again. */
-	crashes(POISON, 9, 1);
-	assert_int_equal(held, 2);
-	hand.now = timespec_after_ms(hand.now, REFUSED_MS - 1);
+	/* The trial crashes one endpoint: the request is refused for the same
+	 * time again. */
+	record_crashes(POISON, 9, 1);
+	assert_int_equal(quarantined_calls, 2);
+	test_clock.now = timespec_after_ms(test_clock.now, TRIAL_AFTER_MS - 1);
 	assert_false(quarantine_admit(&table, POISON, true));
-	/* The next trial ends well. */
-	hand.now = timespec_after_ms(hand.now, 2);
+	/* The next trial ends without a crash. */
+	test_clock.now = timespec_after_ms(test_clock.now, 2);
 	assert_true(quarantine_admit(&table, POISON, true));
 	assert_true(quarantine_clear(&table, POISON));
 	assert_true(quarantine_admit(&table, POISON, false));
-	assert_int_equal(released, 1);
+	assert_int_equal(released_calls, 1);
 }
 
 static void
-a_verdict_ends_though_nobody_tries(void **state)
+a_quarantine_expires_without_a_trial(void **state)
 {
 	(void)state;
-	crashes(POISON, 1, 3);
-	hand.now = timespec_after_ms(hand.now, GONE_MS);
+	record_crashes(POISON, 1, 3);
+	test_clock.now =
+	    timespec_after_ms(test_clock.now, QUARANTINE_EXPIRY_MS);
 	quarantine_expire(&table);
-	assert_int_equal(released, 1);
+	assert_int_equal(released_calls, 1);
 	assert_true(quarantine_admit(&table, POISON, false));
-	/* One more crash renews it. */
-	crashes(POISON, 9, 1);
+	/* One more crash renews the quarantine. */
+	record_crashes(POISON, 9, 1);
 	assert_false(quarantine_admit(&table, POISON, false));
-	hand.now = timespec_after_ms(hand.now, 4 * GONE_MS);
+	test_clock.now =
+	    timespec_after_ms(test_clock.now, 4 * QUARANTINE_EXPIRY_MS);
 	quarantine_expire(&table);
 	assert_null(quarantine_find(&table, POISON));
 }
 
 static void
-a_new_version_is_tried_at_once(void **state)
+trials_are_permitted_once_the_version_is_replaced(void **state)
 {
 	(void)state;
-	crashes(POISON, 1, 3);
+	record_crashes(POISON, 1, 3);
 	quarantine_allow_trials(&table, VERSION + 1);
 	assert_false(quarantine_admit(&table, POISON, true));
 	quarantine_allow_trials(&table, VERSION);
@@ -181,53 +185,55 @@
 }
 
 static void
-what_another_daemon_refuses_is_refused(void **state)
+a_quarantine_of_another_daemon_is_adopted(void **state)
 {
 	const uint32_t crashed[] = {1, 2, 3};
 
 	(void)state;
 	quarantine_merge(
-	    &table, POISON, crashed, 3, VERSION, REFUSED_MS - MINUTE_MS);
+	    &table, POISON, crashed, 3, VERSION, TRIAL_AFTER_MS - MINUTE_MS);
 	assert_false(quarantine_admit(&table, POISON, true));
 	assert_int_equal(quarantine_remaining_ms(&table, POISON), MINUTE_MS);
-	/* The same verdict on another way. */
+	/* The same quarantine, received by another route. */
+	quarantine_merge(
+	    &table, POISON, crashed, 3, VERSION, TRIAL_AFTER_MS - MINUTE_MS);
+	assert_int_equal(quarantined_calls, 1);
+	/* After an expired quarantine, the request is only a suspect. */
 	quarantine_merge(
-	    &table, POISON, crashed, 3, VERSION, REFUSED_MS - MINUTE_MS);
-	assert_int_equal(held, 1);
-	/* One that has expired is a suspicion. */
-	quarantine_merge(&table, SOUND, crashed, 3, VERSION, GONE_MS);
-	assert_true(quarantine_admit(&table, SOUND, false));
-	assert_int_equal(quarantine_crash_count(&table, SOUND), 2);
+	    &table, HARMLESS, crashed, 3, VERSION, QUARANTINE_EXPIRY_MS);
+	assert_true(quarantine_admit(&table, HARMLESS, false));
+	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 2);
 }
 
 static void
-suspicions_of_several_daemons_add_up(void **state)
+crashes_from_several_daemons_add_up(void **state)
 {
-	const uint32_t two[] = {1, 2}, same[] = {2, 3};
+	const uint32_t two[] = {1, 2}, overlapping[] = {2, 3};
 
 	(void)state;
 	assert_true(quarantine_merge(&table, POISON, two, 2, VERSION, 0));
 	assert_int_equal(quarantine_crash_count(&table, POISON), 2);
 	assert_true(quarantine_admit(&table, POISON, false));
-	assert_true(quarantine_merge(&table, POISON, same, 2, VERSION, 0));
+	assert_true(
+	    quarantine_merge(&table, POISON, overlapping, 2, VERSION, 0));
 	assert_false(quarantine_admit(&table, POISON, false));
-	assert_false(
-	    quarantine_merge(&table, SOUND, two, 2, VERSION, 60 * MINUTE_MS));
-	assert_int_equal(quarantine_crash_count(&table, SOUND), 0);
+	assert_false(quarantine_merge(
+	    &table, HARMLESS, two, 2, VERSION, 60 * MINUTE_MS));
+	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 0);
 }
 
 static void
-a_flood_does_not_make_it_forgotten(void **state)
+many_suspects_do_not_evict_a_quarantined_one(void **state)
 {
 	(void)state;
-	crashes(POISON, 1, 3);
-	crashes(SOUND, 1, 2);
+	record_crashes(POISON, 1, 3);
+	record_crashes(HARMLESS, 1, 2);
 	for (uint64_t i = 1; i <= 2 * QUARANTINE_MAX; i++)
-		crashes(i << 32, 1, 1);
+		record_crashes(i << 32, 1, 1);
 	assert_int_equal(HASH_COUNT(table.suspects), QUARANTINE_MAX);
 	assert_false(quarantine_admit(&table, POISON, false));
-	assert_int_equal(quarantine_crash_count(&table, SOUND), 2);
-	assert_int_equal(held, 1);
+	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 2);
+	assert_int_equal(quarantined_calls, 1);
 }
 
 static unresolved_attempt_t
@@ -235,49 +241,50 @@
 {
 	return (unresolved_attempt_t){.digest = digest,
 	    .incarnation = incarnation,
-	    .ended_at = clock_elapsed(&hand.source)};
+	    .ended_at = clock_elapsed(&test_clock.source)};
 }
 
 static void
-a_broken_connection_alone_counts_for_nothing(void **state)
+a_lost_connection_alone_is_no_crash(void **state)
 {
-	static unresolved_attempts_t evidence;
-	unresolved_attempt_t one = attempt(SOUND, 1), other = attempt(SOUND, 2);
+	static unresolved_attempts_t attempts;
+	unresolved_attempt_t one = attempt(HARMLESS, 1),
+			     other = attempt(HARMLESS, 2);
 
 	(void)state;
-	unresolved_attempts_add(&evidence, &one);
-	/* The same request, under way twice at one endpoint. */
-	unresolved_attempts_add(&evidence, &one);
-	unresolved_attempts_add(&evidence, &other);
-	assert_int_equal(unresolved_attempts_count(&evidence, SOUND), 2);
-	/* The first one still listens; the second one has ended. */
-	unresolved_attempts_drop(&evidence, 1);
-	assert_false(unresolved_attempts_take(&evidence, 1, &one));
-	assert_true(unresolved_attempts_take(&evidence, 2, &one));
-	assert_int_equal(one.digest, SOUND);
-	assert_false(unresolved_attempts_has(&evidence, 2));
-	assert_int_equal(quarantine_crash_count(&table, SOUND), 0);
+	unresolved_attempts_add(&attempts, &one);
+	/* The same request, in flight twice at one endpoint. */
+	unresolved_attempts_add(&attempts, &one);
+	unresolved_attempts_add(&attempts, &other);
+	assert_int_equal(unresolved_attempts_count(&attempts, HARMLESS), 2);
+	/* The first endpoint still listens; the second one has crashed. */
+	unresolved_attempts_drop(&attempts, 1);
+	assert_false(unresolved_attempts_take(&attempts, 1, &one));
+	assert_true(unresolved_attempts_take(&attempts, 2, &one));
+	assert_int_equal(one.digest, HARMLESS);
+	assert_false(unresolved_attempts_has(&attempts, 2));
+	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 0);
 }
 
 static void
-evidence_is_bounded_and_ages(void **state)
+unresolved_attempts_are_bounded_and_expire(void **state)
 {
-	static unresolved_attempts_t evidence;
+	static unresolved_attempts_t attempts;
 	unresolved_attempt_t one;
 
 	(void)state;
 	for (uint32_t i = 0; i < UNRESOLVED_ATTEMPTS_MAX + 1; i++) {
 		one = attempt(i + 1, i);
-		unresolved_attempts_add(&evidence, &one);
+		unresolved_attempts_add(&attempts, &one);
 	}
-	assert_int_equal(evidence.len, UNRESOLVED_ATTEMPTS_MAX);
-	assert_false(unresolved_attempts_has(&evidence, 0));
-	hand.now = timespec_after_ms(hand.now, 5000);
-	one = attempt(SOUND, 9999);
-	unresolved_attempts_add(&evidence, &one);
+	assert_int_equal(attempts.len, UNRESOLVED_ATTEMPTS_MAX);
+	assert_false(unresolved_attempts_has(&attempts, 0));
+	test_clock.now = timespec_after_ms(test_clock.now, 5000);
+	one = attempt(HARMLESS, 9999);
+	unresolved_attempts_add(&attempts, &one);
 	unresolved_attempts_expire(
-	    &evidence, clock_elapsed(&hand.source), 4000);
-	assert_int_equal(evidence.len, 1);
+	    &attempts, clock_elapsed(&test_clock.source), 4000);
+	assert_int_equal(attempts.len, 1);
 }
 
 int
@@ -285,27 +292,28 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test_setup_teardown(
-		it_is_refused_from_the_third_endpoint_on, setup, teardown),
+		a_request_is_quarantined_at_the_third_crash, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_run_without_a_crash_clears, setup, teardown),
+		a_run_without_a_crash_clears_the_request, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_crash_counts_for_an_hour_only, setup, teardown),
+		crashes_expire_after_an_hour, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		one_daemon_tries_again_one_at_a_time, setup, teardown),
+		one_daemon_runs_one_trial_at_a_time, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_verdict_ends_though_nobody_tries, setup, teardown),
+		a_quarantine_expires_without_a_trial, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_new_version_is_tried_at_once, setup, teardown),
+		trials_are_permitted_once_the_version_is_replaced, setup,
+		teardown),
 	    cmocka_unit_test_setup_teardown(
-		what_another_daemon_refuses_is_refused, setup, teardown),
+		a_quarantine_of_another_daemon_is_adopted, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		suspicions_of_several_daemons_add_up, setup, teardown),
+		crashes_from_several_daemons_add_up, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_flood_does_not_make_it_forgotten, setup, teardown),
+		many_suspects_do_not_evict_a_quarantined_one, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_broken_connection_alone_counts_for_nothing, setup, teardown),
+		a_lost_connection_alone_is_no_crash, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		evidence_is_bounded_and_ages, setup, teardown),
+		unresolved_attempts_are_bounded_and_expire, setup, teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/request_digest_test.c
+++ b/test/unit/request_digest_test.c
@@ -1,8 +1,7 @@
 /**
  * @file
- * One request has one digest, whatever pieces its body comes in; another
- * caller's, path's or body's is another one, and nobody without the fleet's
- * secret can make it.
+ * Digests of requests: independent of the chunks of the body, and different for
+ * another caller, path, body or secret of the fleet.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -32,26 +31,26 @@
 }
 
 static void
-the_pieces_of_a_body_make_no_difference(void **state)
+the_digest_is_independent_of_the_body_chunks(void **state)
 {
-	struct evbuffer *bytes = evbuffer_new(), *piece = evbuffer_new();
+	struct evbuffer *bytes = evbuffer_new(), *chunk = evbuffer_new();
 	request_digest_key_t key;
 
 	(void)state;
 	request_digest_key_derive(&key, SECRET);
 	for (const char *at = "body"; *at != '\0'; at++) {
-		evbuffer_add(piece, at, 1);
-		evbuffer_add_buffer(bytes, piece);
+		evbuffer_add(chunk, at, 1);
+		evbuffer_add_buffer(bytes, chunk);
 	}
 	assert_int_equal(request_digest(&key, "org", "/a", bytes),
 	    digest_of(SECRET, "org", "/a", "body"));
 	assert_int_equal(evbuffer_get_length(bytes), 4);
 	evbuffer_free(bytes);
-	evbuffer_free(piece);
+	evbuffer_free(chunk);
 }
 
 static void
-another_request_has_another_one(void **state)
+different_requests_have_different_digests(void **state)
 {
 	uint64_t digest = digest_of(SECRET, "org", "/a", "body");
 
@@ -69,8 +68,8 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(the_pieces_of_a_body_make_no_difference),
-	    cmocka_unit_test(another_request_has_another_one),
+	    cmocka_unit_test(the_digest_is_independent_of_the_body_chunks),
+	    cmocka_unit_test(different_requests_have_different_digests),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
