--- a/test/platform/cold_endpoints.lua
+++ b/test/platform/cold_endpoints.lua
@@ -23,7 +23,7 @@
 end
 
 -- Send requests with a shared prompt prefix to all daemons for a time, and count
--- the answers.
+-- the responses.
 local function send_load(ms)
   local calls, counts = {}, {served = 0, refused = 0, other = 0}
   local finish, n = run.now() + ms, 0
--- a/test/platform/crash_after_leaving.lua
+++ b/test/platform/crash_after_leaving.lua
@@ -1,5 +1,5 @@
--- A caller that leaves before its request crashes the endpoint, and comes again and
--- again: the run that was given up counts against it as well.
+-- A caller disconnects before its request crashes the endpoint, and sends the
+-- request again and again. Guards against ignoring crashes of abandoned attempts.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -18,7 +18,7 @@
   run.sleep(30)
   poison:leave()
   run.sleep(60)
-  -- Other requests find out that nothing listens at one endpoint.
+  -- Other requests find that no process listens at the endpoint.
   for i = 1, 12 do
     asked = asked + 1
     if words.call(daemon, "/scan/" .. i, {method = "GET"}).status == 200 then
@@ -29,7 +29,7 @@
   run.sleep(700)
 end
 lib.say("ended=%d served=%d/%d", crashes.ended, served, asked)
-lib.check(crashes.ended <= CRASHES + SENDS_MORE, "%d endpoints ended",
+lib.check(crashes.ended <= CRASHES + SENDS_MORE, "%d endpoints crashed",
   crashes.ended)
 lib.check(served >= 0.95 * asked, "%d of %d served", served, asked)
 lib.say("ok")
--- a/test/platform/crashes_without_cause.lua
+++ b/test/platform/crashes_without_cause.lua
@@ -1,5 +1,5 @@
--- Endpoints crash in a row for reasons of their own, while the same sound requests
--- are asked for again and again: none of these is taken for the cause.
+-- Endpoints crash one after the other for unrelated reasons, while the same
+-- requests are sent again and again. Guards against quarantining one of these.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -25,7 +25,8 @@
     if words.whole(answer.body, 20) then served = served + 1 end
   end
   w:revive(crashed, FAULTS)
-  -- Until then its address is taken for that of the one that ended.
+  -- Until the new entry is read, the address is considered that of the process
+  -- that ended.
   run.sleep(700)
 end
 local crashes, refused = 0, 0
@@ -34,7 +35,7 @@
   refused = refused + words.metric(daemon, "quarantined")
 end
 lib.say("asked=%d served=%d crashes=%d", asked, served, crashes)
-lib.check(crashes >= ROUNDS / 2, "only %d crashes were seen", crashes)
+lib.check(crashes >= ROUNDS / 2, "only %d crashes were detected", crashes)
 lib.equal(refused, 0, "requests refused")
 lib.equal(status[503], nil, "refusals")
 lib.check(served >= 0.97 * asked, "%d of %d served", served, asked)
--- a/test/platform/quarantine_mended.lua
+++ b/test/platform/quarantine_mended.lua
@@ -1,5 +1,6 @@
--- A request that is refused since it crashes a version's endpoints is tried again
--- once that version is replaced, by one daemon, and is served by all from then on.
+-- A request is quarantined because it crashes a version's endpoints. Once that
+-- version is replaced, one daemon has to run a trial of it, and all daemons have to
+-- serve it from then on.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -11,7 +12,7 @@
 local function send(daemon)
   return words.call(daemon, "/scan/1", {body = "poison"}).status
 end
-lib.wait_until("it is refused", function()
+lib.wait_until("the request is refused", function()
   run.sleep(100)
   return send(w.daemons[1]) == 503 and send(w.daemons[2]) == 503
 end)
@@ -23,17 +24,18 @@
   end
   return words.status(w, "completed")
 end)
-lib.equal(send(w.daemons[1]), 503, "while the old version is there")
+lib.equal(send(w.daemons[1]), 503, "status while the old version is in use")
 for i = 1, 5 do w:put("servers", w.replicas[i].id, nil) end
-lib.wait_until("it is served by all", function()
+lib.wait_until("the request is served by all daemons", function()
   run.sleep(100)
   local first, second = send(w.daemons[1]), send(w.daemons[2])
   return first == 200 and second == 200
 end)
 for i = 6, 8 do
-  lib.equal(run.reap(w.replicas[i].pid), nil, "an endpoint that ended")
+  lib.equal(run.reap(w.replicas[i].pid), nil,
+    "exit of an endpoint of the new version")
 end
 for _, daemon in ipairs(w.daemons) do
-  lib.equal(words.metric(daemon, "quarantined"), 0, "requests refused")
+  lib.equal(words.metric(daemon, "quarantined"), 0, "quarantined requests")
 end
 lib.say("ok")
--- a/test/platform/regions.lua
+++ b/test/platform/regions.lua
@@ -1,5 +1,5 @@
 -- Two regions. Guards against running a request outside the regions of its
--- route or its organisation, whichever daemon takes it; it is refused at once if
+-- route or its organisation, whichever daemon receives it; it is refused at once if
 -- the two have no region in common. The directory names daemons in the caller's
 -- region.
 package.path = script_dir .. "/?.lua;" .. package.path
