--- a/include/moortack/quarantine/quarantine.h
+++ b/include/moortack/quarantine/quarantine.h
@@ -104,7 +104,7 @@
 
 /** Whether the request may be sent to an endpoint now. For a quarantined one,
  * that starts a trial.
- * @param may_try whether this daemon is the one that may run trials */
+ * @param may_try this daemon is the one that may run trials */
 bool quarantine_admit(quarantine_t *, uint64_t digest, bool may_try);
 /** Minimum time for which the request remains refused, ms; 0: unknown, or not
  * quarantined. */
--- a/include/moortack/relay/relay_quarantine.h
+++ b/include/moortack/relay/relay_quarantine.h
@@ -31,8 +31,7 @@
 	unresolved_attempts_t interrupted; /**< connection lost */
 	unresolved_attempts_t abandoned;   /**< may still be running */
 	crash_probe_t *probes;
-	struct event
-	    *stop_event; /**< ends quarantined requests that are in flight */
+	struct event *stop_event; /**< ends quarantined requests in flight */
 	/** Messages to send once more, since datagrams get lost. */
 	gossip_message_t resend[QUARANTINE_RESEND_MAX];
 	size_t resend_len;
--- a/moortack/relay/relay_crash_detection.c
+++ b/moortack/relay/relay_crash_detection.c
@@ -125,7 +125,8 @@
 	    .version = endpoint_version_hash(endpoint),
 	    .ended_at = clock_elapsed(req->relay->clock)};
 
-	/* An endpoint that is leaving ends once its requests are completed. */
+	/* An endpoint that is leaving ends once its requests are completed;
+	 * that is no crash. */
 	if (attempt.digest == 0 || endpoint->facts.leaving)
 		return false;
 	unresolved_attempts_add(attempts, &attempt);
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -2,7 +2,8 @@
 
 #include "relay_request.h"
 
-/* Number of crashes from which on the daemon does not retry a request. */
+/* Number of recorded and possible crashes from which on the daemon does not
+ * retry a request. */
 #define RETRY_SUSPICION_LIMIT 2
 /* With fewer available endpoints, a suspect could crash the last one. */
 #define AVAILABLE_ENDPOINTS_MIN 2
