--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -7,23 +7,23 @@
 #include "moortack/relay/relay.h"
 #include "relay_quarantine_priv.h"
 
-/* Rows that one call writes. */
-#define ROWS_MAX 16
+/* Maximum number of rows in one write. */
+#define ROWS_PER_WRITE_MAX 16
 #define KEY_SIZE (sizeof(QUARANTINE_PREFIX) + 16)
 #define WRITE_TIMEOUT_MS 1500
 #define WRITE_RETRY_MS 2000
 #define HEX_DIGITS 16
 
 static void
-key_write(char *key, uint64_t digest)
+key_format(char *key, uint64_t digest)
 {
 	snprintf(key, KEY_SIZE, "%s%016" PRIx64, QUARANTINE_PREFIX, digest);
 }
 
 static char *
-value_text(const relay_quarantine_t *self, const suspect_t *suspect)
+value_encode(const relay_quarantine_t *self, const suspect_t *suspect)
 {
-	int64_t at_ms = timespec_ms(suspect->crashed_at) +
+	int64_t at_ms = timespec_ms(suspect->last_crash_at) +
 	    self->relay->members->store_offset_ms;
 	json_t *crashes = json_array();
 	json_t *body;
@@ -39,42 +39,44 @@
 	return text;
 }
 
-/* The row is read back in any case; its version serves a write before that. */
+/* The rows are read back in any case; until then, the version from the response
+ * is the one that the next write expects. */
 static void
 on_written(void *arg, const row_reply_t *reply)
 {
 	relay_quarantine_t *self = arg;
 	bool done = reply->result == ROW_OK;
 
-	self->writing = false;
+	self->write_pending = false;
 	self->relay->members->written |= done;
 	if (!done)
 		self->write_after = timespec_after_ms(
 		    clock_elapsed(self->relay->clock), WRITE_RETRY_MS);
-	for (suspect_t *one = self->table.suspects; one != NULL;
-	     one = one->hh.next) {
-		if (done && one->written > 0) {
-			one->stored = one->written;
-			one->stored_version = reply->version;
+	for (suspect_t *suspect = self->table.suspects; suspect != NULL;
+	     suspect = suspect->hh.next) {
+		if (done && suspect->pending_crashes > 0) {
+			suspect->stored_crashes = suspect->pending_crashes;
+			suspect->stored_version = reply->version;
 		}
-		one->written = 0;
+		suspect->pending_crashes = 0;
 	}
 	event_line(self->relay->log, "quarantine_write", "result=%d",
 	    (int)reply->result);
 }
 
 static void
-rows_send(relay_quarantine_t *self, row_change_t *expected,
+rows_submit(relay_quarantine_t *self, row_change_t *expected,
     row_change_t *changes, size_t len)
 {
-	self->writing = row_store_write(self->store, ROW_FOR_QUARANTINE,
+	self->write_pending = row_store_write(self->store, ROW_FOR_QUARANTINE,
 	    expected, len, changes, len, WRITE_TIMEOUT_MS, on_written, self);
 }
 
 static bool
-write_due(const relay_quarantine_t *self)
+write_possible(const relay_quarantine_t *self)
 {
-	return !self->writing && self->relay->members->store_clock_known &&
+	return !self->write_pending &&
+	    self->relay->members->store_clock_known &&
 	    timespec_ms_between(
 		self->write_after, clock_elapsed(self->relay->clock)) >= 0;
 }
@@ -82,36 +84,37 @@
 void
 quarantine_rows_write(relay_quarantine_t *self)
 {
-	row_change_t expected[ROWS_MAX], changes[ROWS_MAX];
-	char keys[ROWS_MAX][KEY_SIZE];
-	char *values[ROWS_MAX];
+	row_change_t expected[ROWS_PER_WRITE_MAX], changes[ROWS_PER_WRITE_MAX];
+	char keys[ROWS_PER_WRITE_MAX][KEY_SIZE];
+	char *values[ROWS_PER_WRITE_MAX];
 	size_t len = 0;
 
-	if (!write_due(self))
+	if (!write_possible(self))
 		return;
-	for (suspect_t *one = self->table.suspects;
-	     one != NULL && len < ROWS_MAX; one = one->hh.next) {
-		if (!quarantine_writes(self, one))
+	for (suspect_t *suspect = self->table.suspects;
+	     suspect != NULL && len < ROWS_PER_WRITE_MAX;
+	     suspect = suspect->hh.next) {
+		if (!quarantine_should_write(self, suspect))
 			continue;
-		values[len] = value_text(self, one);
+		values[len] = value_encode(self, suspect);
 		if (values[len] == NULL)
 			break;
-		key_write(keys[len], one->digest);
+		key_format(keys[len], suspect->digest);
 		expected[len] = (row_change_t){.table = MEMBER_TABLE,
 		    .key = keys[len],
-		    .expected = one->stored_version};
+		    .expected = suspect->stored_version};
 		changes[len] = expected[len];
 		changes[len].value = values[len];
-		one->written = one->crashes_len;
+		suspect->pending_crashes = suspect->crashes_len;
 		len++;
 	}
 	if (len > 0)
-		rows_send(self, expected, changes, len);
+		rows_submit(self, expected, changes, len);
 	for (size_t i = 0; i < len; i++)
 		free(values[i]);
 }
 
-/* A row that stays for a failed write has expired for whoever reads it. */
+/* If the write fails, the row stays; readers ignore it once it has expired. */
 void
 quarantine_row_remove(relay_quarantine_t *self, const suspect_t *suspect)
 {
@@ -121,14 +124,14 @@
 	    .expected = suspect->stored_version};
 	row_change_t change = {.table = MEMBER_TABLE, .key = key};
 
-	if (suspect->stored_version == 0 || !write_due(self))
+	if (suspect->stored_version == 0 || !write_possible(self))
 		return;
-	key_write(key, suspect->digest);
-	rows_send(self, &expected, &change, 1);
+	key_format(key, suspect->digest);
+	rows_submit(self, &expected, &change, 1);
 }
 
 static bool
-key_read(const char *key, uint64_t *digest)
+key_decode(const char *key, uint64_t *digest)
 {
 	const char *text = key + strlen(QUARANTINE_PREFIX);
 	char *end;
@@ -140,27 +143,29 @@
 }
 
 static size_t
-crashes_read(const json_t *body, uint32_t *crashes)
+crashes_decode(const json_t *body, uint32_t *crashes)
 {
 	size_t len = 0, i;
-	const json_t *one;
+	const json_t *incarnation;
 
-	json_array_foreach(json_object_get(body, "crashes"), i, one)
+	json_array_foreach(json_object_get(body, "crashes"), i, incarnation)
 	{
-		if (json_is_integer(one) && len < QUARANTINE_CRASHES)
-			crashes[len++] = (uint32_t)json_integer_value(one);
+		if (json_is_integer(incarnation) &&
+		    len < QUARANTINE_CRASH_THRESHOLD)
+			crashes[len++] =
+			    (uint32_t)json_integer_value(incarnation);
 	}
 	return len;
 }
 
-/* @return how many crashes the row names; 0: it is none, or too old */
+/* @return number of crashes in the row; 0: none, or it has expired */
 static size_t
-value_take(relay_quarantine_t *self, uint64_t digest, const json_t *body)
+value_apply(relay_quarantine_t *self, uint64_t digest, const json_t *body)
 {
 	const membership_t *members = self->relay->members;
 	int64_t age_ms = 0;
-	uint32_t crashes[QUARANTINE_CRASHES];
-	size_t len = crashes_read(body, crashes);
+	uint32_t crashes[QUARANTINE_CRASH_THRESHOLD];
+	size_t len = crashes_decode(body, crashes);
 
 	if (members->store_clock_known)
 		age_ms = timespec_ms(clock_elapsed(self->relay->clock)) +
@@ -178,20 +183,21 @@
 static bool
 value_check(const json_t *body, err_t *err)
 {
-	uint32_t crashes[QUARANTINE_CRASHES];
+	uint32_t crashes[QUARANTINE_CRASH_THRESHOLD];
 
 	if (body == NULL)
-		return err_set(err, ERR_UNREADABLE, "the row is no JSON");
+		return err_set(err, ERR_UNREADABLE, "the row is not JSON");
 	if (!json_is_integer(json_object_get(body, "crashed_ms")) ||
-	    crashes_read(body, crashes) == 0)
-		return err_set(
-		    err, ERR_BAD_REQUEST, "crashed_ms or crashes is missing");
+	    crashes_decode(body, crashes) == 0)
+		return err_set(err, ERR_BAD_REQUEST,
+		    "crashed_ms or crashes is missing or invalid");
 	return true;
 }
 
-/* What has expired, and nobody took out, the first daemon does. */
+/* An expired row that is still in the store is removed by the first of the
+ * daemons. */
 static void
-stale_remove(relay_quarantine_t *self, uint64_t digest, const row_t *row)
+expired_row_remove(relay_quarantine_t *self, uint64_t digest, const row_t *row)
 {
 	const suspect_t stale = {
 	    .digest = digest, .stored_version = row->version};
@@ -201,7 +207,8 @@
 }
 
 bool
-relay_quarantine_row(relay_quarantine_t *self, const row_t *row, err_t *err)
+relay_quarantine_apply_row(
+    relay_quarantine_t *self, const row_t *row, err_t *err)
 {
 	size_t crashes = 0;
 	suspect_t *suspect;
@@ -209,25 +216,27 @@
 	json_t *body;
 	bool good = true;
 
-	if (!key_read(row->key, &digest))
-		return err_set(err, ERR_NAME, "the key names no request");
+	if (!key_decode(row->key, &digest))
+		return err_set(
+		    err, ERR_NAME, "the key is not a request digest");
 	if (!row->deleted) {
 		body = json_loadb(row->value, row->value_len, 0, NULL);
 		good = value_check(body, err);
 		if (good)
-			crashes = value_take(self, digest, body);
+			crashes = value_apply(self, digest, body);
 		json_decref(body);
 	}
 	suspect = quarantine_find(&self->table, digest);
 	if (suspect == NULL) {
 		if (good && !row->deleted)
-			stale_remove(self, digest, row);
+			expired_row_remove(self, digest, row);
 		return good;
 	}
-	/* A row that was taken out or spoilt is written again. */
+	/* A row that was removed or is invalid is written again. */
 	suspect->stored_version = row->deleted ? 0 : row->version;
-	suspect->stored = crashes;
-	if (quarantine_is_held(suspect))
-		suspect->told = UINT32_MAX;
+	suspect->stored_crashes = crashes;
+	/* All daemons read the row, so the quarantine need not be announced. */
+	if (suspect_is_quarantined(suspect))
+		suspect->announcements = UINT32_MAX;
 	return good;
 }
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -56,7 +56,7 @@
 {
 	const relay_quarantine_t *quarantine = &req->relay->quarantine;
 
-	if (req->digest == 0 && quarantine->keyed)
+	if (req->digest == 0 && quarantine->key_known)
 		req->digest = request_digest(&quarantine->key,
 		    req->organisation != NULL ? req->organisation->name : "",
 		    http_inbound_request(req->caller)->target, req->body);
@@ -178,7 +178,7 @@
 	int64_t ms = retry_after_ms(relay, code);
 
 	if (code == ERR_QUARANTINED)
-		ms += quarantine_left_ms(
+		ms += quarantine_remaining_ms(
 		    &relay->quarantine.table, relay_digest(req));
 	attempt_cancel(req);
 	if (req->begun) {
--- /dev/null
+++ b/moortack/relay/relay_crash_detection.c
@@ -0,0 +1,201 @@
+#include <inttypes.h>
+
+#include "relay_quarantine_priv.h"
+#include "relay_request.h"
+
+/* How long interrupted attempts are kept. A crashed endpoint that can't be
+ * reached is removed from the store within three of its heartbeats. */
+#define INTERRUPTED_EXPIRY_MS 8000
+/* How long abandoned attempts are kept. An endpoint goes on running an
+ * abandoned request for a moment, and may still crash on it. */
+#define ABANDONED_EXPIRY_MS 1000
+/* Delay of a probe. All connections of a process that ended are reset within a
+ * few ms of each other. */
+#define PROBE_DELAY_MS 20
+/* The same after an abandoned attempt, whose request still runs for a moment.
+ */
+#define ABANDONED_PROBE_DELAY_MS 300
+
+static void
+crash_log(const relay_quarantine_t *self, uint64_t digest,
+    const endpoint_t *endpoint, const char *how)
+{
+	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
+	    "digest=%016" PRIx64 " crashes=%zu endpoint=%s how=%s", digest,
+	    quarantine_crash_count(&self->table, digest), endpoint->facts.id,
+	    how);
+}
+
+/* Record the endpoint's crash for the requests of these attempts, and announce
+ * it to other daemons. */
+static void
+crashes_record(relay_quarantine_t *self, unresolved_attempts_t *attempts,
+    const endpoint_t *endpoint, const char *how)
+{
+	gossip_message_t message = {.kind = GOSSIP_CRASH,
+	    .endpoint = endpoint->short_hash,
+	    .version = endpoint_version_hash(endpoint)};
+	unresolved_attempt_t attempt;
+
+	while (unresolved_attempts_take(
+	    attempts, endpoint->short_hash, &attempt)) {
+		if (!quarantine_record_crash(&self->table, attempt.digest,
+			attempt.incarnation, attempt.version, true))
+			continue;
+		crash_log(self, attempt.digest, endpoint, how);
+		message.digests[message.digests_len++] = attempt.digest;
+		if (message.digests_len < GOSSIP_MESSAGE_DIGESTS_MAX)
+			continue;
+		quarantine_announce(self, &message);
+		message.digests_len = 0;
+	}
+	if (message.digests_len > 0)
+		quarantine_announce(self, &message);
+}
+
+void
+relay_quarantine_endpoint_crashed(
+    relay_quarantine_t *self, const endpoint_t *endpoint, const char *how)
+{
+	struct timespec now = clock_elapsed(self->relay->clock);
+
+	self->crash_count +=
+	    unresolved_attempts_has(&self->interrupted, endpoint->short_hash);
+	self->source = how;
+	unresolved_attempts_expire(&self->abandoned, now, ABANDONED_EXPIRY_MS);
+	crashes_record(self, &self->interrupted, endpoint, how);
+	crashes_record(self, &self->abandoned, endpoint, how);
+}
+
+void
+relay_quarantine_endpoint_removed(
+    relay_quarantine_t *self, const endpoint_t *endpoint)
+{
+	/* It may have shut down in order without announcing that it leaves, so
+	 * an abandoned attempt does not show a crash. */
+	unresolved_attempts_drop(&self->abandoned, endpoint->short_hash);
+	relay_quarantine_endpoint_crashed(self, endpoint, "gone");
+}
+
+/* Resume the requests that wait for the result of a probe; they are sent, or
+ * fail. */
+static void
+waiting_requests_resume(relay_t *relay)
+{
+	relay_request_t *req, *next;
+
+	for (req = relay->first; req != NULL; req = next) {
+		next = req->next;
+		if (!req->awaits_probe)
+			continue;
+		req->awaits_probe = false;
+		attempt_begin(req);
+	}
+}
+
+/* An endpoint at which a request of this daemon is in flight has not ended,
+ * even if it refuses connections.
+ * @return whether to probe again: attempts there are still unresolved */
+static bool
+on_probe_done(void *arg, endpoint_t *endpoint, probe_result_t result)
+{
+	relay_quarantine_t *self = arg;
+
+	stats_add(&self->relay->stats, STAT_CRASH_PROBES, 1);
+	if (result == PROBE_ACCEPTED) {
+		unresolved_attempts_drop(
+		    &self->interrupted, endpoint->short_hash);
+		unresolved_attempts_drop(
+		    &self->abandoned, endpoint->short_hash);
+	} else if (result == PROBE_REFUSED && endpoint->in_flight == 0) {
+		relay_quarantine_endpoint_crashed(
+		    self, endpoint, "port_closed");
+	}
+	waiting_requests_resume(self->relay);
+	return unresolved_attempts_has(
+	    &self->interrupted, endpoint->short_hash);
+}
+
+static bool
+attempt_record(relay_request_t *req, unresolved_attempts_t *attempts)
+{
+	endpoint_t *endpoint = req->attempt.endpoint;
+	unresolved_attempt_t attempt = {.digest = relay_digest(req),
+	    .incarnation = endpoint->short_hash,
+	    .version = endpoint_version_hash(endpoint),
+	    .ended_at = clock_elapsed(req->relay->clock)};
+
+	/* An endpoint that is leaving ends once its requests are completed;
+	 * that is no crash. */
+	if (attempt.digest == 0 || endpoint->facts.leaving)
+		return false;
+	unresolved_attempts_add(attempts, &attempt);
+	return true;
+}
+
+void
+relay_attempt_broke(relay_request_t *req)
+{
+	relay_quarantine_t *self = &req->relay->quarantine;
+
+	if (attempt_record(req, &self->interrupted))
+		crash_probe_schedule(&self->probes, req->relay->base,
+		    req->attempt.endpoint, PROBE_DELAY_MS, on_probe_done, self);
+}
+
+void
+relay_attempt_left(relay_request_t *req)
+{
+	relay_quarantine_t *self = &req->relay->quarantine;
+
+	if (attempt_record(req, &self->abandoned) &&
+	    quarantine_crash_count(&self->table, relay_digest(req)) > 0)
+		crash_probe_schedule(&self->probes, req->relay->base,
+		    req->attempt.endpoint, ABANDONED_PROBE_DELAY_MS,
+		    on_probe_done, self);
+}
+
+void
+relay_attempt_refused(const relay_request_t *req)
+{
+	const endpoint_t *endpoint = req->attempt.endpoint;
+
+	if (endpoint->in_flight == 0)
+		relay_quarantine_endpoint_crashed(
+		    &req->relay->quarantine, endpoint, "port_closed");
+}
+
+/* An endpoint that crashes on an abandoned request may have no connections of
+ * this daemon but idle ones. If one of these was closed after the attempt,
+ * probe the endpoint. */
+static void
+abandoned_probe(relay_quarantine_t *self)
+{
+	for (size_t i = 0; i < self->abandoned.len; i++) {
+		const unresolved_attempt_t *attempt =
+		    &self->abandoned.attempts[i];
+		endpoint_t *endpoint = endpoint_set_find_short(
+		    self->relay->endpoints, attempt->incarnation);
+
+		if (endpoint != NULL &&
+		    timespec_ms_between(
+			attempt->ended_at, endpoint->link_ended_at) >= 0)
+			crash_probe_schedule(&self->probes, self->relay->base,
+			    endpoint, PROBE_DELAY_MS, on_probe_done, self);
+	}
+}
+
+void
+quarantine_check_unresolved(relay_quarantine_t *self)
+{
+	struct timespec now = clock_elapsed(self->relay->clock);
+
+	abandoned_probe(self);
+	/* The last probe may have ended without a result. */
+	if (self->probes == NULL)
+		waiting_requests_resume(self->relay);
+
+	unresolved_attempts_expire(
+	    &self->interrupted, now, INTERRUPTED_EXPIRY_MS);
+	unresolved_attempts_expire(&self->abandoned, now, ABANDONED_EXPIRY_MS);
+}
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -7,22 +7,25 @@
 #include "relay_quarantine_priv.h"
 #include "relay_request.h"
 
-/* Crashes from which on a suspicion outlasts the daemons that know of it. */
-#define CRASHES_STORED 2
-/* How often others are told of a verdict. */
-#define TELLS 2
-/* When a daemon that saw one of the crashes tells in the place of one that did
- * not, and writes: the way to it, and back through the store. */
-#define OTHERS_TELL_MS 300
-#define OTHERS_WRITE_MS 4000
-/* How often it is looked whether a version that crashed is still in use. */
-#define LOOK_MS 2000
+/* Number of crashes from which on a suspect is stored, and so outlasts the
+ * daemons that know of it. */
+#define STORED_CRASHES_MIN 2
+/* How often a quarantine is announced to other daemons. */
+#define ANNOUNCEMENTS_MAX 2
+/* How long after a crash a daemon that detected it announces the quarantine,
+ * and writes the row, if the owner of the digest has not: the time that the
+ * crash takes to reach the owner, and that the row takes to come back through
+ * the store. */
+#define NON_OWNER_ANNOUNCE_MS 300
+#define NON_OWNER_WRITE_MS 4000
+/* How often to check whether the versions that crashed are still in use. */
+#define VERSIONS_CHECK_MS 2000
 #define SERVICE_MASK 0xffff0000U
 
-/* The upper half names the service, so that its other versions are told apart
- * from other services'. */
+/* The upper half is a hash of the service, so that other versions of the
+ * service can be distinguished from those of other services. */
 uint32_t
-quarantine_version_of(const endpoint_t *endpoint)
+endpoint_version_hash(const endpoint_t *endpoint)
 {
 	const endpoint_facts_t *facts = &endpoint->facts;
 	uint64_t service = XXH3_64bits(facts->service, strlen(facts->service));
@@ -34,7 +37,7 @@
 }
 
 static void
-on_held(void *arg, const suspect_t *suspect)
+on_quarantined(void *arg, const suspect_t *suspect)
 {
 	relay_quarantine_t *self = arg;
 
@@ -44,13 +47,13 @@
 	    suspect->digest, self->source, suspect->crashes_len,
 	    suspect->crashes[0], suspect->crashes[1], suspect->crashes[2],
 	    timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock)),
-	    suspect->witnessed);
-	event_active(self->stop, 0, 0);
+		suspect->quarantined_at, clock_elapsed(self->relay->clock)),
+	    suspect->observed_locally);
+	event_active(self->stop_event, 0, 0);
 }
 
 static void
-on_released(void *arg, const suspect_t *suspect, quarantine_end_t why)
+on_released(void *arg, const suspect_t *suspect, quarantine_end_reason_t reason)
 {
 	static const char *const names[] = {[QUARANTINE_CLEARED] = "cleared",
 	    [QUARANTINE_EXPIRED] = "expired",
@@ -59,13 +62,13 @@
 
 	event_line(self->relay->log, "quarantine_end",
 	    "digest=%016" PRIx64 " why=%s held_ms=%" PRId64, suspect->digest,
-	    names[why],
+	    names[reason],
 	    timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock)));
+		suspect->quarantined_at, clock_elapsed(self->relay->clock)));
 }
 
 static void
-on_forgotten(void *arg, const suspect_t *suspect)
+on_removed(void *arg, const suspect_t *suspect)
 {
 	relay_quarantine_t *self = arg;
 
@@ -74,26 +77,27 @@
 		quarantine_row_remove(self, suspect);
 }
 
-static const quarantine_ops_t table_ops = {on_held, on_released, on_forgotten};
+static const quarantine_ops_t table_ops = {
+    on_quarantined, on_released, on_removed};
 
-/* Told now, and once more with the next tick. */
+/* Sent now, and once more at the next tick. */
 void
-quarantine_tell(relay_quarantine_t *self, const gossip_message_t *message)
+quarantine_announce(relay_quarantine_t *self, const gossip_message_t *message)
 {
 	gossip_tell_owners(self->relay->gossip, message);
-	if (self->again_len < QUARANTINE_MESSAGES_MAX)
-		self->again[self->again_len++] = *message;
+	if (self->resend_len < QUARANTINE_RESEND_MAX)
+		self->resend[self->resend_len++] = *message;
 }
 
 static void
-cleared_take(relay_quarantine_t *self, uint64_t digest, const char *source)
+suspect_clear(relay_quarantine_t *self, uint64_t digest, const char *source)
 {
 	suspect_t *suspect = quarantine_find(&self->table, digest);
 
 	self->source = source;
 	if (!quarantine_clear(&self->table, digest))
 		return;
-	self->cleared++;
+	self->cleared_count++;
 	if (gossip_owns(self->relay->gossip, digest))
 		quarantine_row_remove(self, suspect);
 }
@@ -105,7 +109,7 @@
 	gossip_message_t message = {.kind = GOSSIP_CLEARED, .digests_len = 1};
 
 	if (HASH_COUNT(self->table.suspects) == 0 ||
-	    quarantine_crashes(&self->table, relay_digest(req)) == 0)
+	    quarantine_crash_count(&self->table, relay_digest(req)) == 0)
 		return;
 	message.digests[0] = relay_digest(req);
 	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
@@ -113,12 +117,12 @@
 	    relay_digest(req), req->endpoint_id);
 	if (req->on_trial)
 		gossip_tell_each(req->relay->gossip, &message);
-	quarantine_tell(self, &message);
-	cleared_take(self, relay_digest(req), "run");
+	quarantine_announce(self, &message);
+	suspect_clear(self, relay_digest(req), "run");
 }
 
 void
-relay_quarantine_told(void *arg, const gossip_message_t *message)
+relay_quarantine_receive(void *arg, const gossip_message_t *message)
 {
 	relay_quarantine_t *self = &((relay_t *)arg)->quarantine;
 	suspect_t *suspect;
@@ -128,43 +132,47 @@
 		uint64_t digest = message->digests[i];
 
 		if (message->kind == GOSSIP_CRASH) {
-			quarantine_crash(&self->table, digest,
+			quarantine_record_crash(&self->table, digest,
 			    message->endpoint, message->version, false);
 		} else if (message->kind == GOSSIP_CLEARED) {
-			cleared_take(self, digest, "told");
+			suspect_clear(self, digest, "told");
 		} else {
 			quarantine_merge(&self->table, digest, message->crashes,
 			    message->crashes_len, message->version,
 			    message->held_ms);
 			suspect = quarantine_find(&self->table, digest);
 			if (suspect != NULL)
-				suspect->told = TELLS;
+				suspect->announcements = ANNOUNCEMENTS_MAX;
 		}
 	}
 }
 
-/* Whether this daemon is to act on a verdict: as the owner of the request's
- * digest, or as one that saw a crash while the owner does not act. */
+/* Whether this daemon announces or stores the suspect: as the owner of the
+ * digest, or, if the owner has not done so by the end of the delay, as a daemon
+ * that detected one of the crashes.
+ * @param delay_ms after the last crash */
 static bool
-acts_after(const relay_quarantine_t *self, const suspect_t *suspect, int64_t ms)
+should_act(
+    const relay_quarantine_t *self, const suspect_t *suspect, int64_t delay_ms)
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
 
 	return gossip_owns(self->relay->gossip, suspect->digest) ||
-	    (suspect->witnessed &&
-		timespec_ms_between(suspect->crashed_at, now) >= ms);
+	    (suspect->observed_locally &&
+		timespec_ms_between(suspect->last_crash_at, now) >= delay_ms);
 }
 
 bool
-quarantine_writes(const relay_quarantine_t *self, const suspect_t *suspect)
+quarantine_should_write(
+    const relay_quarantine_t *self, const suspect_t *suspect)
 {
-	return suspect->crashes_len >= CRASHES_STORED &&
-	    suspect->crashes_len > suspect->stored &&
-	    acts_after(self, suspect, OTHERS_WRITE_MS);
+	return suspect->crashes_len >= STORED_CRASHES_MIN &&
+	    suspect->crashes_len > suspect->stored_crashes &&
+	    should_act(self, suspect, NON_OWNER_WRITE_MS);
 }
 
 static void
-verdict_tell(relay_quarantine_t *self, suspect_t *suspect)
+suspect_announce(relay_quarantine_t *self, suspect_t *suspect)
 {
 	gossip_message_t message = {.kind = GOSSIP_HELD,
 	    .digests = {suspect->digest},
@@ -172,65 +180,68 @@
 	    .version = suspect->version,
 	    .crashes_len = suspect->crashes_len,
 	    .held_ms = (uint32_t)timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock))};
+		suspect->quarantined_at, clock_elapsed(self->relay->clock))};
 
 	memcpy(message.crashes, suspect->crashes, sizeof(message.crashes));
 	gossip_tell_each(self->relay->gossip, &message);
-	suspect->told++;
+	suspect->announcements++;
 }
 
-/* Whether the service has endpoints, and none of the version that crashed. */
+/* Whether the service has endpoints, but none of this version. */
 static bool
-version_gone(const endpoint_set_t *set, uint32_t version)
+version_unused(const endpoint_set_t *set, uint32_t version)
 {
 	bool others = false;
 
-	for (const endpoint_t *one = set->endpoints; one != NULL;
-	     one = one->hh.next) {
-		uint32_t known = quarantine_version_of(one);
+	for (const endpoint_t *endpoint = set->endpoints; endpoint != NULL;
+	     endpoint = endpoint->hh.next) {
+		uint32_t hash = endpoint_version_hash(endpoint);
 
-		if (known == version)
+		if (hash == version)
 			return false;
-		others |= (known & SERVICE_MASK) == (version & SERVICE_MASK);
+		others |= (hash & SERVICE_MASK) == (version & SERVICE_MASK);
 	}
 	return others;
 }
 
-/* @param look at the versions in use */
+/* @param check_versions check whether the version is still in use */
 static void
-held_step(relay_quarantine_t *self, suspect_t *suspect, bool look)
+quarantined_step(
+    relay_quarantine_t *self, suspect_t *suspect, bool check_versions)
 {
-	if (!quarantine_is_held(suspect))
+	if (!suspect_is_quarantined(suspect))
 		return;
-	if (suspect->told < TELLS && acts_after(self, suspect, OTHERS_TELL_MS))
-		verdict_tell(self, suspect);
-	if (look && !suspect->on_trial &&
-	    version_gone(self->relay->endpoints, suspect->version))
-		quarantine_version_gone(&self->table, suspect->version);
+	if (suspect->announcements < ANNOUNCEMENTS_MAX &&
+	    should_act(self, suspect, NON_OWNER_ANNOUNCE_MS))
+		suspect_announce(self, suspect);
+	if (check_versions && !suspect->trial_allowed &&
+	    version_unused(self->relay->endpoints, suspect->version))
+		quarantine_allow_trials(&self->table, suspect->version);
 }
 
 void
 relay_quarantine_tick(relay_quarantine_t *self)
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
-	bool look = timespec_ms_between(self->looked_at, now) >= LOOK_MS;
-	suspect_t *one, *next;
-
-	for (size_t i = 0; i < self->again_len; i++)
-		gossip_tell_owners(self->relay->gossip, &self->again[i]);
-	self->again_len = 0;
-	quarantine_evidence_step(self);
-	if (look)
-		self->looked_at = now;
+	bool check_versions = timespec_ms_between(self->versions_checked_at,
+				  now) >= VERSIONS_CHECK_MS;
+	suspect_t *suspect, *next;
+
+	for (size_t i = 0; i < self->resend_len; i++)
+		gossip_tell_owners(self->relay->gossip, &self->resend[i]);
+	self->resend_len = 0;
+	quarantine_check_unresolved(self);
+	if (check_versions)
+		self->versions_checked_at = now;
 	if (HASH_COUNT(self->table.suspects) == 0)
 		return;
 	quarantine_expire(&self->table);
-	HASH_ITER(hh, self->table.suspects, one, next)
-	held_step(self, one, look);
+	HASH_ITER(hh, self->table.suspects, suspect, next)
+	quarantined_step(self, suspect, check_versions);
 	quarantine_rows_write(self);
 }
 
-/* Its run may still be kept from crashing one more. */
+/* Ending the request may keep it from crashing one more endpoint. */
 static void
 request_stop(relay_request_t *req)
 {
@@ -252,14 +263,14 @@
 	for (req = self->relay->first; req != NULL; req = next) {
 		next = req->next;
 		suspect = quarantine_find(&self->table, relay_digest(req));
-		if (quarantine_is_held(suspect) && !suspect->stopped &&
-		    !req->on_trial)
+		if (suspect_is_quarantined(suspect) &&
+		    !suspect->requests_stopped && !req->on_trial)
 			request_stop(req);
 	}
 	for (suspect = self->table.suspects; suspect != NULL;
 	     suspect = suspect->hh.next) {
-		suspect->stopped |= quarantine_is_held(suspect);
-		held_step(self, suspect, false);
+		suspect->requests_stopped |= suspect_is_quarantined(suspect);
+		quarantined_step(self, suspect, false);
 	}
 	quarantine_rows_write(self);
 }
@@ -268,7 +279,7 @@
 relay_quarantine_set_secret(relay_quarantine_t *self, const char *secret)
 {
 	request_digest_key_derive(&self->key, secret);
-	self->keyed = true;
+	self->key_known = true;
 }
 
 bool
@@ -278,8 +289,8 @@
 	*self =
 	    (relay_quarantine_t){.relay = relay, .store = store, .source = "-"};
 	quarantine_init(&self->table, relay->clock, &table_ops, self);
-	self->stop = event_new(relay->base, -1, 0, on_stop, self);
-	return self->stop != NULL;
+	self->stop_event = event_new(relay->base, -1, 0, on_stop, self);
+	return self->stop_event != NULL;
 }
 
 void
@@ -287,12 +298,13 @@
 {
 	crash_probes_finish(&self->probes);
 	quarantine_finish(&self->table);
-	if (self->stop != NULL)
-		event_free(self->stop);
+	if (self->stop_event != NULL)
+		event_free(self->stop_event);
 }
 
 void
-relay_quarantine_write(const relay_quarantine_t *self, struct evbuffer *out)
+relay_quarantine_write_metrics(
+    const relay_quarantine_t *self, struct evbuffer *out)
 {
 	evbuffer_add_printf(out,
 	    "# TYPE moortack_relay_suspects gauge\n"
@@ -307,6 +319,6 @@
 	    "without a crash.\n"
 	    "# TYPE moortack_relay_cleared_total counter\n"
 	    "moortack_relay_cleared_total %" PRIu64 "\n",
-	    HASH_COUNT(self->table.suspects), self->table.held, self->crashes,
-	    self->cleared);
+	    HASH_COUNT(self->table.suspects), self->table.quarantined_count,
+	    self->crash_count, self->cleared_count);
 }
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -1,7 +1,7 @@
 #include "relay_warmup.h"
 
-/* A daemon that has not read the rows of the daemons for this long may be taken
- * for gone by the others, which then divide its share. */
+/* A daemon that has not read the rows of the daemons for this long may be
+ * considered down by the others, which then divide its share. */
 #define MEMBERS_STALE_MS 20000
 
 static bool
@@ -172,9 +172,10 @@
 {
 	struct timespec now = clock_elapsed(relay->clock);
 
-	for (const member_t *one = relay->members->members; one != NULL;
-	     one = one->hh.next)
-		warmup_daemons_note(&relay->warmup_daemons, one->name, now);
+	for (const member_t *member = relay->members->members; member != NULL;
+	     member = member->hh.next)
+		warmup_daemons_mark_seen(
+		    &relay->warmup_daemons, member->name, now);
 	warmup_daemons_expire(&relay->warmup_daemons, now);
 	warmup_daemons_update_own(&relay->warmup_daemons,
 	    relay->members->stored.body != NULL, first_read, now);
--- a/moortack/relay/warmup_share.c
+++ b/moortack/relay/warmup_share.c
@@ -11,8 +11,8 @@
 /* Requests a second that are held back for clock skew, and for daemons whose
  * views of the membership differ. */
 #define SAFETY_MARGIN 2.0
-/* How long a daemon that is no longer noted keeps its share: longer than the
- * partition after which the others take it for gone. */
+/* How long a daemon that is no longer seen keeps its share: longer than the
+ * partition after which the others consider it down. */
 #define EXPIRY_MS 30000
 /* A row that was written reaches all daemons within this time. */
 #define ROW_PROPAGATION_MS 3000
@@ -60,7 +60,7 @@
 }
 
 void
-warmup_daemons_note(
+warmup_daemons_mark_seen(
     warmup_daemons_t *daemons, const char *name, struct timespec now)
 {
 	uint64_t hash = name_hash(name);
@@ -126,8 +126,8 @@
 
 	if (!daemons->own_counted)
 		return 0;
-	for (const warmup_daemon_t *one = daemons->others; one != NULL;
-	     one = one->hh.next)
-		rank += rendezvous_weight(one->hash, seed) < own;
+	for (const warmup_daemon_t *daemon = daemons->others; daemon != NULL;
+	     daemon = daemon->hh.next)
+		rank += rendezvous_weight(daemon->hash, seed) < own;
 	return quota / count + (rank < quota % count);
 }
