--- a/include/moortack/quarantine/unresolved_attempts.h
+++ b/include/moortack/quarantine/crash_evidence.h
@@ -3,8 +3,8 @@
  * Attempts whose connection was lost, or that were abandoned, kept until it is
  * known whether their endpoint crashed. Bounded, without I/O and clock.
  */
-#ifndef MOORTACK_QUARANTINE_UNRESOLVED_ATTEMPTS_H
-#define MOORTACK_QUARANTINE_UNRESOLVED_ATTEMPTS_H
+#ifndef MOORTACK_QUARANTINE_CRASH_EVIDENCE_H
+#define MOORTACK_QUARANTINE_CRASH_EVIDENCE_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/include/moortack/relay/relay_quarantine.h
+++ b/include/moortack/relay/relay_quarantine.h
@@ -9,9 +9,9 @@
 
 #include <event2/buffer.h>
 
+#include "moortack/quarantine/crash_evidence.h"
 #include "moortack/quarantine/quarantine.h"
 #include "moortack/quarantine/request_digest.h"
-#include "moortack/quarantine/unresolved_attempts.h"
 #include "moortack/relay/crash_probe.h"
 #include "moortack/relay/gossip.h"
 #include "moortack/replication/row_store.h"
--- a/moortack/quarantine/unresolved_attempts.c
+++ b/moortack/quarantine/crash_evidence.c
@@ -1,4 +1,4 @@
-#include "moortack/quarantine/unresolved_attempts.h"
+#include "moortack/quarantine/crash_evidence.h"
 
 #include <string.h>
 
--- a/moortack/relay/relay_quarantine_priv.h
+++ b/moortack/relay/relay_quarantine_priv.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * Functions shared by the files of the relay's quarantine:
- * relay_crash_detection.c detects crashes, relay_quarantine.c announces them
+ * relay_crashes.c detects crashes, relay_quarantine.c announces them
  * and quarantines requests, and quarantine_rows.c stores suspects.
  */
 #ifndef MOORTACK_RELAY_RELAY_QUARANTINE_PRIV_H
--- a/test/unit/quarantine_test.c
+++ b/test/unit/quarantine_test.c
@@ -11,8 +11,8 @@
 #include <cmocka.h>
 
 #include "../support/manual_clock.h"
+#include "moortack/quarantine/crash_evidence.h"
 #include "moortack/quarantine/quarantine.h"
-#include "moortack/quarantine/unresolved_attempts.h"
 
 #define POISON 0xbadULL
 #define HARMLESS 0x900dULL
