--- a/bench/placing.c
+++ b/bench/placing.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "moortack/relay/choose.h"
+#include "moortack/relay/endpoint_choice.h"
 #include "moortack/relay/prefill_queue.h"
-#include "moortack/relay/prefix_memory.h"
+#include "moortack/relay/prefix_index.h"
 
 /* Sizes of two of the users' sheets: long prompts share 13,000 tokens of one of
  * the subjects. */
@@ -54,12 +54,12 @@
 	request_t request;
 	int model;
 	int endpoint;
-	read_ticket_t ticket;
+	prefill_entry_t ticket;
 } attempt_t;
 
 /** An endpoint as it is. */
 typedef struct reader {
-	prefix_memory_t kept;
+	prefix_index_t kept;
 	prefill_queue_t told; /**< what its owner was told that it reads */
 	double free_ms;
 	int waiting;
@@ -68,7 +68,7 @@
 
 /** What a daemon knows. */
 typedef struct daemon {
-	prefix_memory_t kept;
+	prefix_index_t kept;
 	prefill_queue_t queues[ENDPOINTS_MAX];
 } daemon_t;
 
@@ -118,7 +118,7 @@
 	uint32_t kept; /**< tokens of the prompt */
 } knowledge_t;
 
-static choose_candidate_t
+static endpoint_candidate_t
 candidate_of(const attempt_t *attempt, const prefix_list_t *prefixes,
     int endpoint, const knowledge_t *known)
 {
@@ -129,19 +129,19 @@
 	uint32_t unread = prefixes->tokens[1] - known->kept;
 	bool same = endpoint % PLACES == attempt->request.daemon % PLACES;
 
-	return (choose_candidate_t){.hash = endpoint_hash(endpoint),
+	return (endpoint_candidate_t){.hash = endpoint_hash(endpoint),
 	    .slots = 64,
 	    .same_zone = same,
-	    .unread = unread,
-	    .wait_ms = known->wait_ms,
-	    .own_ms = slope * (unread - shared_unread),
-	    .shared_ms = (slope + SLOPE_LARGE) * shared_unread,
-	    .far_ms = same ? 0 : FAR_MS_PER_TOKEN * prefixes->tokens[1]};
+	    .uncached_tokens = unread,
+	    .queue_wait_ms = known->wait_ms,
+	    .own_prefill_ms = slope * (unread - shared_unread),
+	    .shared_prefill_ms = (slope + SLOPE_LARGE) * shared_unread,
+	    .cross_zone_ms = same ? 0 : FAR_MS_PER_TOKEN * prefixes->tokens[1]};
 }
 
 static void
 candidates_see(const sim_t *sim, const attempt_t *attempt,
-    const prefix_list_t *prefixes, choose_candidate_t out[ENDPOINTS_MAX])
+    const prefix_list_t *prefixes, endpoint_candidate_t out[ENDPOINTS_MAX])
 {
 	const daemon_t *daemon = &sim->daemons[attempt->request.daemon];
 	int64_t now_ms = (int64_t)sim->des.now_ms;
@@ -149,7 +149,7 @@
 	for (int i = 0; i < sim->fleet->endpoints; i++) {
 		knowledge_t known = {
 		    prefill_queue_wait_ms(&daemon->queues[i], sim->des.now_ms),
-		    prefix_memory_kept(
+		    prefix_index_cached_tokens(
 			&daemon->kept, prefixes, endpoint_hash(i), now_ms)};
 
 		out[i] = candidate_of(attempt, prefixes, i, &known);
@@ -159,25 +159,25 @@
 /* Of those that stand first, by what their owners know. */
 static int
 endpoint_asked(const sim_t *sim, const attempt_t *attempt,
-    const prefix_list_t *prefixes, const choose_candidate_t *seen,
-    const choose_wish_t *wish)
+    const prefix_list_t *prefixes, const endpoint_candidate_t *seen,
+    const choice_criteria_t *wish)
 {
-	choose_candidate_t asked[ASKED_MAX];
+	endpoint_candidate_t asked[ASKED_MAX];
 	size_t first[ASKED_MAX];
-	size_t len = choose_first(
+	size_t len = endpoint_rank_by_affinity(
 	    seen, (size_t)sim->fleet->endpoints, wish, first, ASKED_MAX);
 
 	for (size_t i = 0; i < len; i++) {
 		const reader_t *reader = &sim->readers[first[i]];
 		knowledge_t known = {
 		    prefill_queue_wait_ms(&reader->told, sim->des.now_ms),
-		    prefix_memory_kept(
+		    prefix_index_cached_tokens(
 			&reader->kept, prefixes, 1, (int64_t)sim->des.now_ms)};
 
 		asked[i] =
 		    candidate_of(attempt, prefixes, (int)first[i], &known);
 	}
-	return (int)first[choose_endpoint(asked, len, wish)];
+	return (int)first[endpoint_choose(asked, len, wish)];
 }
 
 static int
@@ -199,13 +199,13 @@
 {
 	const placing_fleet_t *fleet = sim->fleet;
 	size_t len = (size_t)fleet->endpoints;
-	choose_candidate_t seen[ENDPOINTS_MAX];
+	endpoint_candidate_t seen[ENDPOINTS_MAX];
 	bool alone =
 	    sim->policy != PLACING_TOLD && sim->policy != PLACING_ASKED;
-	choose_wish_t wish = {.prompt = true,
+	choice_criteria_t wish = {.has_prompt = true,
 	    .affinity = prefixes->hashes[0],
-	    .first_keeps = alone ? 1 - 1.0 / fleet->daemons : 0,
-	    .dice = sim->rng.rng.next(&sim->rng.rng)};
+	    .first_cached = alone ? 1 - 1.0 / fleet->daemons : 0,
+	    .tie_breaker = sim->rng.rng.next(&sim->rng.rng)};
 
 	if (sim->policy == PLACING_RANDOM)
 		return (int)rng_below(&sim->rng.rng, (uint32_t)len);
@@ -215,12 +215,12 @@
 	if (sim->policy == PLACING_ASKED)
 		return endpoint_asked(sim, attempt, prefixes, seen, &wish);
 	for (size_t i = 0; i < len && sim->policy == PLACING_HASH; i++) {
-		seen[i].wait_ms = 0;
-		seen[i].far_ms = 0;
-		seen[i].shared_ms = 1e6;
-		wish.first_keeps = 1;
+		seen[i].queue_wait_ms = 0;
+		seen[i].cross_zone_ms = 0;
+		seen[i].shared_prefill_ms = 1e6;
+		wish.first_cached = 1;
 	}
-	return (int)choose_endpoint(seen, len, &wish);
+	return (int)endpoint_choose(seen, len, &wish);
 }
 
 /* What the daemons know of a prompt that was sent. */
@@ -230,7 +230,7 @@
 {
 	int64_t now_ms = (int64_t)sim->des.now_ms;
 
-	prefill_queue_extend(
+	prefill_queue_add_remote(
 	    &sim->readers[attempt->endpoint].told, read_ms, sim->des.now_ms);
 	for (int i = 0; i < sim->fleet->daemons; i++) {
 		daemon_t *daemon = &sim->daemons[i];
@@ -240,10 +240,11 @@
 			prefill_queue_add(
 			    queue, &attempt->ticket, read_ms, sim->des.now_ms);
 		else if (sim->policy == PLACING_TOLD)
-			prefill_queue_extend(queue, read_ms, sim->des.now_ms);
+			prefill_queue_add_remote(
+			    queue, read_ms, sim->des.now_ms);
 		else
 			continue;
-		prefix_memory_note(&daemon->kept, prefixes,
+		prefix_index_add(&daemon->kept, prefixes,
 		    endpoint_hash(attempt->endpoint), now_ms);
 	}
 }
@@ -278,8 +279,8 @@
 	attempt->endpoint = endpoint_chosen(sim, attempt, &prefixes);
 	reader = &sim->readers[attempt->endpoint];
 	unread = arrival.tokens_in -
-	    prefix_memory_kept(&reader->kept, &prefixes, 1, now_ms);
-	prefix_memory_note(&reader->kept, &prefixes, 1, now_ms);
+	    prefix_index_cached_tokens(&reader->kept, &prefixes, 1, now_ms);
+	prefix_index_add(&reader->kept, &prefixes, 1, now_ms);
 	read_ms = slope_of(model) * unread;
 	sim->out->tokens_read += unread;
 	if (reader->free_ms < sim->des.now_ms)
@@ -308,7 +309,7 @@
 	request_t request = attempt->request;
 	daemon_t *daemon = &sim->daemons[request.daemon];
 
-	prefill_queue_begun(&daemon->queues[attempt->endpoint],
+	prefill_queue_complete(&daemon->queues[attempt->endpoint],
 	    &attempt->ticket, sim->des.now_ms);
 	sim->readers[attempt->endpoint].waiting--;
 	attempt->used = false;
@@ -359,12 +360,12 @@
 	des_init(&sim->des);
 	bench_rng_init(&sim->rng, seed);
 	for (int i = 0; i < fleet->endpoints; i++) {
-		if (!prefix_memory_init(&sim->readers[i].kept))
+		if (!prefix_index_init(&sim->readers[i].kept))
 			abort();
 		prefill_queue_init(&sim->readers[i].told);
 	}
 	for (int i = 0; i < fleet->daemons; i++) {
-		if (!prefix_memory_init(&sim->daemons[i].kept))
+		if (!prefix_index_init(&sim->daemons[i].kept))
 			abort();
 		for (int j = 0; j < fleet->endpoints; j++)
 			prefill_queue_init(&sim->daemons[i].queues[j]);
@@ -378,9 +379,9 @@
 sim_finish(sim_t *sim)
 {
 	for (int i = 0; i < sim->fleet->endpoints; i++)
-		prefix_memory_finish(&sim->readers[i].kept);
+		prefix_index_finish(&sim->readers[i].kept);
 	for (int i = 0; i < sim->fleet->daemons; i++)
-		prefix_memory_finish(&sim->daemons[i].kept);
+		prefix_index_finish(&sim->daemons[i].kept);
 	bench_rng_finish(&sim->rng);
 	des_finish(&sim->des);
 }
--- a/include/moortack/relay/dialect.h
+++ b/include/moortack/relay/dialect.h
@@ -48,7 +48,7 @@
 typedef struct attempt_head {
 	const http_msg_t *request;
 	const arrival_t *arrival;
-	const endpoint_facts_t *endpoint;
+	const endpoint_info_t *endpoint;
 	const char *organisation; /**< NULL: none */
 	const char *model; /**< chosen by the router; NULL: the caller's */
 	int64_t left_ms;   /**< time that is left for the answer */
--- a/include/moortack/relay/owners.h
+++ b/include/moortack/relay/endpoint_owner.h
@@ -4,8 +4,8 @@
  * are too large for each daemon to be told of each prompt. A pure decision that
  * all daemons make alike.
  */
-#ifndef MOORTACK_RELAY_OWNERS_H
-#define MOORTACK_RELAY_OWNERS_H
+#ifndef MOORTACK_RELAY_ENDPOINT_OWNER_H
+#define MOORTACK_RELAY_ENDPOINT_OWNER_H
 
 #include "moortack/relay/gossip_peers.h"
 
@@ -15,6 +15,6 @@
  * @param endpoint hash of its id
  * @return NULL: this daemon */
 const member_t *
-owner_of(const membership_t *, const char *zone, uint32_t endpoint);
+endpoint_owner_find(const membership_t *, const char *zone, uint32_t endpoint);
 
 #endif
--- a/include/moortack/relay/endpoint_set.h
+++ b/include/moortack/relay/endpoint_set.h
@@ -17,10 +17,10 @@
 #include "moortack/relay/zone_table.h"
 
 #define ENDPOINT_NAME_SIZE 96
-#define ENDPOINT_SUSPECTED_MAX 8
+#define ENDPOINT_SUSPECTED_FAILURES_MAX 8
 
 /** What an endpoint says of itself; filled by an endpoint source. */
-typedef struct endpoint_facts {
+typedef struct endpoint_info {
 	char id[ENDPOINT_NAME_SIZE]; /**< of this incarnation */
 	char service[ENDPOINT_NAME_SIZE];
 	char zone[ENDPOINT_NAME_SIZE];
@@ -28,19 +28,20 @@
 	http_address_t address;
 	uint32_t slots; /**< requests that it works on together */
 	bool leaving;
-	int64_t warm_in_ms; /**< how long it is still slow after its start */
-	int64_t born_ms;    /**< Unix time of this incarnation's start; 0: not
-			       said. An endpoint may start again under its id */
-} endpoint_facts_t;
+	int64_t warmup_remaining_ms; /**< how long it is still slow after its
+					start */
+	int64_t started_ms; /**< Unix time of this incarnation's start; 0: not
+			    said. An endpoint may start again under its id */
+} endpoint_info_t;
 
 /** How an entry relates to the incarnation that is known under its id. */
-typedef enum entry_order {
-	ENTRY_FIRST,   /**< none is known */
-	ENTRY_SAME,    /**< it is of the known one */
-	ENTRY_LATER,   /**< of one that started after it */
-	ENTRY_EARLIER, /**< of one that started before it, or says nothing of
-			  its start while the known one did */
-} entry_order_t;
+typedef enum incarnation_order {
+	INCARNATION_FIRST,   /**< none is known */
+	INCARNATION_SAME,    /**< it is of the known one */
+	INCARNATION_LATER,   /**< of one that started after it */
+	INCARNATION_EARLIER, /**< of one that started before it, or says nothing
+			  of its start while the known one did */
+} incarnation_order_t;
 
 /** A load report that came with an answer. */
 typedef struct endpoint_load {
@@ -58,42 +59,43 @@
 
 typedef struct endpoint endpoint_t;
 typedef struct endpoint_group endpoint_group_t;
-typedef struct endpoint_link endpoint_link_t;
+typedef struct endpoint_connection endpoint_connection_t;
 typedef struct endpoint_set endpoint_set_t;
 
 /** A kept connection. */
-struct endpoint_link {
+struct endpoint_connection {
 	endpoint_t *endpoint;
 	http_outbound_t *conn;
 	struct timespec idle_since;
 	int64_t idle_max_ms; /**< the endpoint closes it about then */
-	endpoint_link_t *next;
+	endpoint_connection_t *next;
 };
 
 struct endpoint {
-	endpoint_facts_t facts;
+	endpoint_info_t info;
 	endpoint_set_t *set;
-	endpoint_group_t *group;    /**< NULL: not in the set */
-	zone_t *zone;		    /**< where it runs; owned by the set */
-	uint32_t shared;	    /**< the set and each request hold one */
-	bool present;		    /**< in the set */
-	bool lapsed;		    /**< its entry is gone since an outage */
-	endpoint_facts_t *earlier;  /**< an entry of an earlier start, which is
-				       not believed yet; NULL: none */
-	struct timespec earlier_at; /**< since when */
-	uint32_t in_flight;	    /**< requests of this daemon */
-	uint32_t connections;	    /**< of this daemon, busy and idle */
-	endpoint_link_t *idle;
-	struct timespec link_ended_at; /**< when it last closed an idle one */
+	endpoint_group_t *group; /**< NULL: not in the set */
+	zone_t *zone;		 /**< where it runs; owned by the set */
+	uint32_t refs;		 /**< the set and each request hold one */
+	bool in_set;		 /**< in the set */
+	bool lapsed;		 /**< its entry is gone since an outage */
+	endpoint_info_t *earlier_entry; /**< an entry of an earlier start, which
+				      is not believed yet; NULL: none */
+	struct timespec earlier_entry_at; /**< since when */
+	uint32_t in_flight;		  /**< requests of this daemon */
+	uint32_t connections;		  /**< of this daemon, busy and idle */
+	endpoint_connection_t *idle_connections;
+	struct timespec idle_closed_at; /**< when it last closed an idle one */
 	endpoint_load_t load;
-	struct timespec load_at;
-	uint32_t load_own; /**< in_flight when the load was told */
-	bool load_known;
-	prefill_queue_t unread; /**< prompts that it has not read yet */
-	uint32_t failures;	/**< in a row */
+	struct timespec load_reported_at;
+	uint32_t
+	    load_reported_in_flight; /**< in_flight when the load was told */
+	bool load_reported;
+	prefill_queue_t prefill_queue; /**< prompts that it has not read yet */
+	uint32_t failures;	       /**< in a row */
 	struct timespec ejected_until;
-	suspected_failure_t suspected[ENDPOINT_SUSPECTED_MAX];
-	size_t suspected_len;
+	suspected_failure_t suspected_failures[ENDPOINT_SUSPECTED_FAILURES_MAX];
+	size_t suspected_failures_len;
 	struct timespec cold_until; /**< from the warm-up that it reports, and
 				       from failed connections to it */
 	int64_t warmup_slot;	    /**< slot of warmup_share_left */
@@ -120,27 +122,28 @@
 struct endpoint_set {
 	const clock_source_t *clock;
 	endpoint_t *endpoints;
-	endpoint_t *by_short;
+	endpoint_t *by_short_hash;
 	endpoint_group_t *groups;
 	zone_table_t zones;
-	size_t earlier_len; /**< endpoints with an entry of an earlier start */
+	size_t
+	    earlier_entries; /**< endpoints with an entry of an earlier start */
 };
 
 void endpoint_set_init(endpoint_set_t *, const clock_source_t *);
 void endpoint_set_finish(endpoint_set_t *);
 
 /** How an entry relates to @p known, which may be NULL. */
-entry_order_t
-endpoint_entry_order(const endpoint_t *known, const endpoint_facts_t *);
+incarnation_order_t
+endpoint_compare_incarnation(const endpoint_t *known, const endpoint_info_t *);
 /** Take over what an endpoint says. A later incarnation replaces the one that
  * is known, with all that was believed of it. An entry of an earlier one is
  * kept beside, and stops new requests if it says that the endpoint leaves.
  * @return the endpoint under that id, or NULL: out of memory */
-endpoint_t *endpoint_set_take(endpoint_set_t *, const endpoint_facts_t *);
+endpoint_t *endpoint_set_update(endpoint_set_t *, const endpoint_info_t *);
 /** An entry of an earlier incarnation that nothing has contradicted for long
  * enough: the endpoint's clock was set back before it started again.
  * @return false: there is none */
-bool endpoint_set_earlier(const endpoint_set_t *, endpoint_facts_t *out);
+bool endpoint_set_find_earlier(const endpoint_set_t *, endpoint_info_t *out);
 /** Whether it may get new requests: it is not leaving, and its zone is not
  * evacuated. */
 bool endpoint_accepts_requests(const endpoint_t *);
@@ -151,60 +154,62 @@
 /** Treat the endpoint as cold for at least this long from now. */
 void endpoint_mark_cold(endpoint_t *, int64_t ms);
 /** Its entry went in an outage: it is kept for a while, as it was. */
-void endpoint_lapse(endpoint_t *);
+void endpoint_mark_lapsed(endpoint_t *);
 /** Take an endpoint out; its requests go on. */
 void endpoint_set_remove(endpoint_set_t *, endpoint_t *);
 endpoint_t *endpoint_set_find(const endpoint_set_t *, const char *id);
-endpoint_t *endpoint_set_find_short(const endpoint_set_t *, uint32_t hash);
+endpoint_t *
+endpoint_set_find_by_short_hash(const endpoint_set_t *, uint32_t hash);
 endpoint_group_t *
-endpoint_set_group(const endpoint_set_t *, const char *service);
+endpoint_set_find_group(const endpoint_set_t *, const char *service);
 
 /** How many said that they leave. */
-uint32_t endpoint_set_leaving(const endpoint_set_t *);
+uint32_t endpoint_set_count_leaving(const endpoint_set_t *);
 
 /** @return false: out of memory */
 bool endpoint_group_add(endpoint_group_t *, endpoint_t *);
 void endpoint_group_remove(endpoint_group_t *, const endpoint_t *);
 /** The place in the ring of the first endpoint from this hash on; the ring's
  * length: there is none. */
-size_t endpoint_group_from(const endpoint_group_t *, uint64_t hash);
+size_t endpoint_group_lower_bound(const endpoint_group_t *, uint64_t hash);
 /** Learn, once, which version most endpoints of a service have while none is
  * ordered: others are not used until an order names them. */
-void endpoint_group_learn(endpoint_group_t *);
-void endpoint_set_learn(endpoint_set_t *);
+void endpoint_group_learn_base_version(endpoint_group_t *);
+void endpoint_set_learn_base_versions(endpoint_set_t *);
 
 /** Take the mean of what is under way; called a few times a second. */
-void endpoint_set_observe(endpoint_set_t *);
+void endpoint_set_sample_in_flight(endpoint_set_t *);
 
 endpoint_t *endpoint_hold(endpoint_t *);
 void endpoint_release(endpoint_t *);
 
 /** A kept connection that is idle for less than its bound and @p max_ms, or
  * NULL; it is the caller's. */
-http_outbound_t *endpoint_take_link(endpoint_t *, int64_t max_ms);
+http_outbound_t *endpoint_take_connection(endpoint_t *, int64_t max_ms);
 /** Keep a connection. @param idle_max_ms how long */
-void endpoint_keep_link(endpoint_t *, http_outbound_t *, int64_t idle_max_ms);
+void
+endpoint_keep_connection(endpoint_t *, http_outbound_t *, int64_t idle_max_ms);
 
 /** A kept connection was dead: those that idle likely are, too. */
-void endpoint_drop_links(endpoint_t *);
+void endpoint_close_idle(endpoint_t *);
 
 /** A request of this daemon was sent there. */
-void endpoint_take_up(endpoint_t *);
+void endpoint_request_started(endpoint_t *);
 /** That request has ended there. */
-void endpoint_let_go(endpoint_t *);
-void endpoint_told_load(endpoint_t *, const endpoint_load_t *);
+void endpoint_request_ended(endpoint_t *);
+void endpoint_record_load(endpoint_t *, const endpoint_load_t *);
 /** An answer came from it, or none did. */
-void endpoint_worked(endpoint_t *);
-void endpoint_failed(endpoint_t *);
+void endpoint_record_success(endpoint_t *);
+void endpoint_record_failure(endpoint_t *);
 /** It refused a connection: ejects it without waiting for further failures. */
-void endpoint_refused_connection(endpoint_t *);
+void endpoint_record_refused(endpoint_t *);
 /** Another incarnation answers at its address: ejects it for longer than its
  * outdated entry remains. */
-void endpoint_superseded(endpoint_t *);
-bool endpoint_ejected(const endpoint_t *);
+void endpoint_record_superseded(endpoint_t *);
+bool endpoint_is_ejected(const endpoint_t *);
 
 /** Requests that it likely holds, of all callers.
  * @param callers daemons that send to it */
-double endpoint_load_now(const endpoint_t *, uint32_t callers);
+double endpoint_estimate_load(const endpoint_t *, uint32_t callers);
 
 #endif
--- a/include/moortack/relay/gossip.h
+++ b/include/moortack/relay/gossip.h
@@ -3,8 +3,9 @@
  * Tells other daemons of the prompts that this one sends, and takes what they
  * tell: so that it is known what an endpoint still has to read, and what it
  * keeps. A small fleet tells all; in a larger one the endpoint's owner is told
- * (owners.h), and asked before a prompt is placed. By datagrams, since what
- * comes late is false: nothing is sent again, nothing waits, nothing is kept.
+ * (endpoint_owner.h), and asked before a prompt is placed. By datagrams, since
+ * what comes late is false: nothing is sent again, nothing waits, nothing is
+ * kept.
  */
 #ifndef MOORTACK_RELAY_GOSSIP_H
 #define MOORTACK_RELAY_GOSSIP_H
@@ -14,21 +15,21 @@
 #include <netinet/in.h>
 
 #include "common/err.h"
+#include "moortack/relay/endpoint_owner.h"
 #include "moortack/relay/gossip_message.h"
 #include "moortack/relay/gossip_peers.h"
-#include "moortack/relay/owners.h"
 
 typedef struct gossip_ops {
 	/** Another daemon has sent a prompt. */
-	void (*sent)(void *arg, const gossip_message_t *);
+	void (*on_prompt_sent)(void *arg, const gossip_message_t *);
 	/** Another daemon asks this one: fill in the answer.
 	 * @return false: nothing is known, don't answer */
-	bool (*asked)(void *arg, const gossip_message_t *question,
+	bool (*on_query)(void *arg, const gossip_message_t *question,
 	    gossip_message_t *answer);
 	/** The answer to a question of this daemon. */
-	void (*answered)(void *arg, const gossip_message_t *);
+	void (*on_response)(void *arg, const gossip_message_t *);
 	/** What another daemon knows of requests that crash endpoints. */
-	void (*crash)(void *arg, const gossip_message_t *);
+	void (*on_crash_message)(void *arg, const gossip_message_t *);
 } gossip_ops_t;
 
 typedef struct gossip {
@@ -39,21 +40,21 @@
 	evutil_socket_t fd; /**< negative: none */
 	struct event *readable;
 	gossip_key_t key;
-	bool keyed;
+	bool has_key;
 	struct sockaddr_in peers[GOSSIP_PEERS_MAX];
 	size_t peers_len;
-	bool owners;	  /**< the fleet is too large to tell all */
-	double unheard;	  /**< part of all daemons' sends that this one does not
-			     hear of, 0 to 1 */
-	double allowance; /**< bytes that may be sent now */
-	struct timespec allowed_at;
-	uint64_t sent; /**< datagrams */
-	uint64_t sent_bytes;
-	uint64_t received;
-	uint64_t refused;  /**< datagrams that could not be opened */
-	uint64_t skipped;  /**< messages beyond the allowance */
-	uint64_t asked;	   /**< questions sent */
-	uint64_t answered; /**< answers that came */
+	bool uses_owners;     /**< the fleet is too large to tell all */
+	double unheard_share; /**< part of all daemons' sends that this one does
+			 not hear of, 0 to 1 */
+	double send_budget;   /**< bytes that may be sent now */
+	struct timespec send_budget_at;
+	uint64_t datagrams_sent; /**< datagrams */
+	uint64_t bytes_sent;
+	uint64_t datagrams_received;
+	uint64_t datagrams_refused;  /**< datagrams that could not be opened */
+	uint64_t messages_skipped;   /**< messages beyond the allowance */
+	uint64_t queries_sent;	     /**< questions sent */
+	uint64_t responses_received; /**< answers that came */
 } gossip_t;
 
 /** @param address IP:PORT that other daemons know; "": tell and take nothing */
@@ -70,26 +71,26 @@
 
 /** Whether a prompt that takes this long to be read is worth telling: the less
  * may be sent, the longer ones only. */
-bool gossip_worth(gossip_t *, double read_ms);
+bool gossip_should_send(gossip_t *, double read_ms);
 /** Tell all, or the endpoint's owner.
  * @param zone the endpoint's */
-void gossip_tell(gossip_t *, const char *zone, const gossip_message_t *);
+void gossip_send(gossip_t *, const char *zone, const gossip_message_t *);
 
 /** Tell all gossip peers, or, in a larger fleet, the owners of the digests that
  * it names. */
-void gossip_tell_owners(gossip_t *, const gossip_message_t *);
+void gossip_send_to_owners(gossip_t *, const gossip_message_t *);
 /** Tell each daemon that serves, whatever the size of the fleet. */
-void gossip_tell_each(gossip_t *, const gossip_message_t *);
+void gossip_broadcast(gossip_t *, const gossip_message_t *);
 /** Whether this daemon is the digest's owner: one of all that serve, by
  * rendezvous hashing. */
-bool gossip_owns(const gossip_t *, uint64_t digest);
+bool gossip_owns_digest(const gossip_t *, uint64_t digest);
 
 /** Whether questions may be asked now: the fleet has owners, and enough may be
  * sent.
  * @param read_ms as above */
-bool gossip_may_ask(gossip_t *, double read_ms);
+bool gossip_may_query(gossip_t *, double read_ms);
 /** Ask the endpoint's owner.
  * @return false: this daemon keeps that account itself */
-bool gossip_ask(gossip_t *, const char *zone, const gossip_message_t *);
+bool gossip_query(gossip_t *, const char *zone, const gossip_message_t *);
 
 #endif
--- a/include/moortack/relay/gossip_peers.h
+++ b/include/moortack/relay/gossip_peers.h
@@ -15,11 +15,11 @@
 #define GOSSIP_PEERS_MAX 8
 
 /** Whether the member serves, as far as is known, and can be told and asked. */
-bool gossip_peer_serves(const membership_t *, const member_t *);
+bool gossip_peer_available(const membership_t *, const member_t *);
 
 /** Those that serve; no more than GOSSIP_PEERS_MAX are filled in.
  * @return how many there are */
-size_t
-gossip_peers_of(const membership_t *, const member_t *peers[GOSSIP_PEERS_MAX]);
+size_t gossip_peers_collect(
+    const membership_t *, const member_t *peers[GOSSIP_PEERS_MAX]);
 
 #endif
--- a/include/moortack/relay/prefill_queue.h
+++ b/include/moortack/relay/prefill_queue.h
@@ -18,18 +18,18 @@
 #define PREFILL_QUEUE_PROMPT_MAX_MS 10000.0
 
 /** One prompt that was sent and whose answer has not begun. */
-typedef struct read_ticket {
-	double read_ms;	    /**< that reading it ought to take */
-	double expected_ms; /**< when its answer ought to begin */
+typedef struct prefill_entry {
+	double prefill_ms;	/**< that reading it ought to take */
+	double expected_end_ms; /**< when its answer ought to begin */
 	bool queued;
-	struct read_ticket *next;
-	struct read_ticket *prev;
-} read_ticket_t;
+	struct prefill_entry *next;
+	struct prefill_entry *prev;
+} prefill_entry_t;
 
 /** Times are milliseconds of the daemon's steady clock. */
 typedef struct prefill_queue {
-	read_ticket_t *tickets; /**< the oldest first */
-	double free_ms;		/**< when all that is known of is read */
+	prefill_entry_t *entries; /**< the oldest first */
+	double idle_at_ms;	  /**< when all that is known of is read */
 } prefill_queue_t;
 
 void prefill_queue_init(prefill_queue_t *);
@@ -39,12 +39,13 @@
 
 /** A prompt is sent; the ticket is the caller's, and is held until it ends. */
 void prefill_queue_add(
-    prefill_queue_t *, read_ticket_t *, double read_ms, double now_ms);
+    prefill_queue_t *, prefill_entry_t *, double read_ms, double now_ms);
 /** More is to be read: another daemon sent a prompt. */
-void prefill_queue_extend(prefill_queue_t *, double read_ms, double now_ms);
+void prefill_queue_add_remote(prefill_queue_t *, double read_ms, double now_ms);
 /** Its answer begins. */
-void prefill_queue_begun(prefill_queue_t *, read_ticket_t *, double now_ms);
+void
+prefill_queue_complete(prefill_queue_t *, prefill_entry_t *, double now_ms);
 /** It is taken back, or its attempt has failed. */
-void prefill_queue_drop(prefill_queue_t *, read_ticket_t *, double now_ms);
+void prefill_queue_cancel(prefill_queue_t *, prefill_entry_t *, double now_ms);
 
 #endif
--- a/include/moortack/relay/prefill_rate.h
+++ b/include/moortack/relay/prefill_rate.h
@@ -10,23 +10,23 @@
 
 /** Fading sums of tokens x and milliseconds y. */
 typedef struct prefill_rate {
-	double count;
-	double x;
-	double y;
-	double xx;
-	double xy;
-	uint32_t taken;
+	double weight;
+	double sum_tokens;
+	double sum_ms;
+	double sum_tokens_squared;
+	double sum_tokens_ms;
+	uint32_t samples;
 } prefill_rate_t;
 
 /** An answer began after @p ms. @param tokens of its prompt */
-void prefill_rate_take(prefill_rate_t *, double tokens, double ms);
+void prefill_rate_observe(prefill_rate_t *, double tokens, double ms);
 
 /** Milliseconds that a token more takes to be read; negative: too few were
  * measured, or of one size. */
-double prefill_rate_slope(const prefill_rate_t *);
+double prefill_rate_ms_per_token(const prefill_rate_t *);
 
 /** Milliseconds until the answer to a prompt of @p tokens begins; negative:
  * too few were measured. */
-double prefill_rate_ms(const prefill_rate_t *, double tokens);
+double prefill_rate_first_byte_ms(const prefill_rate_t *, double tokens);
 
 #endif
--- a/include/moortack/relay/relay.h
+++ b/include/moortack/relay/relay.h
@@ -12,14 +12,14 @@
 #include "common/http_inbound.h"
 #include "common/rng.h"
 #include "moortack/relay/dialect.h"
-#include "moortack/relay/first_try.h"
 #include "moortack/relay/gossip.h"
 #include "moortack/relay/model_record.h"
 #include "moortack/relay/prefill_rate.h"
-#include "moortack/relay/prefix_memory.h"
+#include "moortack/relay/prefix_index.h"
 #include "moortack/relay/relay_config.h"
 #include "moortack/relay/relay_quarantine.h"
 #include "moortack/relay/relay_stats.h"
+#include "moortack/relay/retry_age.h"
 #include "moortack/relay/retry_share.h"
 #include "moortack/relay/rollouts.h"
 #include "moortack/relay/warmup_share.h"
@@ -64,7 +64,7 @@
 /** What is known of the callers of a route. */
 typedef struct relay_callers {
 	char *route; /**< its name */
-	first_try_t tries;
+	retry_age_t tries;
 	UT_hash_handle hh;
 } relay_callers_t;
 
@@ -87,7 +87,7 @@
 	relay_stats_t stats;
 	relay_budget_t *budgets;
 	relay_callers_t *callers_known;
-	prefix_memory_t prefixes; /**< what endpoints were sent */
+	prefix_index_t prefixes; /**< what endpoints were sent */
 	http_inbound_server_t *server;
 	relay_request_t *first;
 	uint32_t under_way;
--- a/include/moortack/relay/relay_node.h
+++ b/include/moortack/relay/relay_node.h
@@ -22,7 +22,7 @@
 	relay_config_t *(*config)(const char *text, size_t len,
 	    const relay_config_t *before, err_t *);
 	bool (*endpoint)(const char *id, const char *text, size_t len,
-	    endpoint_facts_t *, err_t *);
+	    endpoint_info_t *, err_t *);
 	bool (*order)(const char *text, size_t len, uint64_t number,
 	    rollout_order_t *, err_t *);
 	/** Whether the rest of the key of an evacuation is a zone's name. */
--- a/include/platform/rows.h
+++ b/include/platform/rows.h
@@ -29,7 +29,7 @@
     const char *text, size_t len, const relay_config_t *before, err_t *);
 
 bool endpoint_row_decode(
-    const char *id, const char *text, size_t len, endpoint_facts_t *, err_t *);
+    const char *id, const char *text, size_t len, endpoint_info_t *, err_t *);
 
 /** Whether an entry differs from the previous one only in what changes with
  * each heartbeat. */
--- a/moortack/relay/attempt_silence.c
+++ b/moortack/relay/attempt_silence.c
@@ -52,7 +52,7 @@
 	/* Without a repeat, an answer that is merely late is all there is. */
 	if (!relay_repeat_plenty(req->relay, req->service))
 		return;
-	endpoint_drop_links(req->attempt.endpoint);
+	endpoint_close_idle(req->attempt.endpoint);
 	req->kept_dead = true;
 	attempt_over(req, ATTEMPT_UNKNOWN, "silent");
 }
--- a/moortack/relay/crash_probe.c
+++ b/moortack/relay/crash_probe.c
@@ -72,8 +72,8 @@
 	(void)fd;
 	(void)what;
 	probe->tries++;
-	probe->conn = http_outbound_new(probe->base,
-	    &probe->endpoint->facts.address, CONNECT_MS, SILENT_MS);
+	probe->conn = http_outbound_new(
+	    probe->base, &probe->endpoint->info.address, CONNECT_MS, SILENT_MS);
 	if (probe->conn == NULL || nothing == NULL)
 		probe_end(probe);
 	else
--- a/moortack/relay/choose.c
+++ b/moortack/relay/endpoint_choice.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/choose.h"
+#include "moortack/relay/endpoint_choice.h"
 
 #include <string.h>
 #include <xxhash.h>
@@ -15,7 +15,7 @@
 #define LOAD_MS 15.0
 
 static bool
-any_sound(const choose_candidate_t *candidates, size_t len)
+any_sound(const endpoint_candidate_t *candidates, size_t len)
 {
 	for (size_t i = 0; i < len; i++) {
 		if (!candidates[i].ejected)
@@ -32,15 +32,16 @@
 }
 
 static double
-dice_of(const choose_candidate_t *candidate, const choose_wish_t *wish)
+dice_of(const endpoint_candidate_t *candidate, const choice_criteria_t *wish)
 {
-	return (double)(uint32_t)rendezvous(candidate->hash, wish->dice) /
+	return (double)(uint32_t)rendezvous(
+		   candidate->hash, wish->tie_breaker) /
 	    DICE_RANGE;
 }
 
 size_t
-choose_first(const choose_candidate_t *candidates, size_t len,
-    const choose_wish_t *wish, size_t *out, size_t most)
+endpoint_rank_by_affinity(const endpoint_candidate_t *candidates, size_t len,
+    const choice_criteria_t *wish, size_t *out, size_t most)
 {
 	bool sound = any_sound(candidates, len);
 	size_t count = 0;
@@ -69,25 +70,25 @@
 
 /* Where the answer likely begins first, for what it costs others. */
 static size_t
-choose_soonest(const choose_candidate_t *candidates, size_t len,
-    const choose_wish_t *wish, bool sound)
+choose_soonest(const endpoint_candidate_t *candidates, size_t len,
+    const choice_criteria_t *wish, bool sound)
 {
 	size_t first = SIZE_MAX;
 	size_t best = SIZE_MAX;
 	double best_ms = 0;
 
-	if (wish->first_keeps > 0)
-		choose_first(candidates, len, wish, &first, 1);
+	if (wish->first_cached > 0)
+		endpoint_rank_by_affinity(candidates, len, wish, &first, 1);
 	for (size_t i = 0; i < len; i++) {
-		const choose_candidate_t *one = &candidates[i];
-		double ms = one->wait_ms + one->own_ms + one->shared_ms +
-		    one->far_ms + LOAD_MS * one->load +
-		    TIE_MS * dice_of(one, wish);
+		const endpoint_candidate_t *one = &candidates[i];
+		double ms = one->queue_wait_ms + one->own_prefill_ms +
+		    one->shared_prefill_ms + one->cross_zone_ms +
+		    LOAD_MS * one->load + TIE_MS * dice_of(one, wish);
 
 		if (sound && one->ejected)
 			continue;
 		if (i == first)
-			ms -= wish->first_keeps * one->shared_ms;
+			ms -= wish->first_cached * one->shared_prefill_ms;
 		if (best == SIZE_MAX || ms < best_ms) {
 			best = i;
 			best_ms = ms;
@@ -97,14 +98,14 @@
 }
 
 static size_t
-choose_idlest(const choose_candidate_t *candidates, size_t len,
-    const choose_wish_t *wish, bool sound)
+choose_idlest(const endpoint_candidate_t *candidates, size_t len,
+    const choice_criteria_t *wish, bool sound)
 {
 	double best_score = 0;
 	size_t best = SIZE_MAX;
 
 	for (size_t i = 0; i < len; i++) {
-		const choose_candidate_t *one = &candidates[i];
+		const endpoint_candidate_t *one = &candidates[i];
 		double score;
 
 		if (sound && one->ejected)
@@ -112,7 +113,7 @@
 		score = (one->load + 1) / (one->slots > 0 ? one->slots : 1);
 		score += TIE_SHARE * dice_of(one, wish);
 		if (!one->same_zone)
-			score += wish->zone_bonus;
+			score += wish->cross_zone_penalty;
 		if (best == SIZE_MAX || score < best_score) {
 			best = i;
 			best_score = score;
@@ -122,13 +123,13 @@
 }
 
 size_t
-choose_endpoint(
-    const choose_candidate_t *candidates, size_t len, const choose_wish_t *wish)
+endpoint_choose(const endpoint_candidate_t *candidates, size_t len,
+    const choice_criteria_t *wish)
 {
 	bool sound = any_sound(candidates, len);
 
 	if (len == 0)
 		return SIZE_MAX;
-	return wish->prompt ? choose_soonest(candidates, len, wish, sound)
-			    : choose_idlest(candidates, len, wish, sound);
+	return wish->has_prompt ? choose_soonest(candidates, len, wish, sound)
+				: choose_idlest(candidates, len, wish, sound);
 }
--- a/moortack/relay/endpoint_links.c
+++ b/moortack/relay/endpoint_connections.c
@@ -3,25 +3,25 @@
 #include "moortack/relay/endpoint_set.h"
 
 void
-endpoint_drop_links(endpoint_t *endpoint)
+endpoint_close_idle(endpoint_t *endpoint)
 {
-	endpoint_link_t *next;
+	endpoint_connection_t *next;
 
-	for (endpoint_link_t *link = endpoint->idle; link != NULL;
-	     link = next) {
+	for (endpoint_connection_t *link = endpoint->idle_connections;
+	     link != NULL; link = next) {
 		next = link->next;
 		http_outbound_free(link->conn);
 		free(link);
 		endpoint->connections--;
 	}
-	endpoint->idle = NULL;
+	endpoint->idle_connections = NULL;
 }
 
 static void
-link_forget(endpoint_t *endpoint, endpoint_link_t *link)
+link_forget(endpoint_t *endpoint, endpoint_connection_t *link)
 {
-	for (endpoint_link_t **at = &endpoint->idle; *at != NULL;
-	     at = &(*at)->next) {
+	for (endpoint_connection_t **at = &endpoint->idle_connections;
+	     *at != NULL; at = &(*at)->next) {
 		if (*at == link) {
 			*at = link->next;
 			break;
@@ -31,7 +31,7 @@
 }
 
 static void
-link_close(endpoint_link_t *link, http_outbound_t *conn)
+link_close(endpoint_connection_t *link, http_outbound_t *conn)
 {
 	endpoint_t *endpoint = link->endpoint;
 
@@ -43,24 +43,24 @@
 static void
 on_link_ended(void *arg, http_outbound_t *conn)
 {
-	endpoint_link_t *link = arg;
+	endpoint_connection_t *link = arg;
 
-	link->endpoint->link_ended_at =
+	link->endpoint->idle_closed_at =
 	    clock_elapsed(link->endpoint->set->clock);
 	link_close(link, conn);
 }
 
 http_outbound_t *
-endpoint_take_link(endpoint_t *endpoint, int64_t max_ms)
+endpoint_take_connection(endpoint_t *endpoint, int64_t max_ms)
 {
 	struct timespec now = clock_elapsed(endpoint->set->clock);
-	endpoint_link_t *link = endpoint->idle;
+	endpoint_connection_t *link = endpoint->idle_connections;
 	http_outbound_t *conn;
 	int64_t idle_ms;
 
 	/* The newest stands first. */
 	while (link != NULL) {
-		endpoint_link_t *next = link->next;
+		endpoint_connection_t *next = link->next;
 
 		idle_ms = timespec_ms_between(link->idle_since, now);
 		conn = link->conn;
@@ -76,11 +76,11 @@
 }
 
 void
-endpoint_keep_link(
+endpoint_keep_connection(
     endpoint_t *endpoint, http_outbound_t *conn, int64_t idle_max_ms)
 {
-	endpoint_link_t *link =
-	    endpoint->present ? calloc(1, sizeof(*link)) : NULL;
+	endpoint_connection_t *link =
+	    endpoint->in_set ? calloc(1, sizeof(*link)) : NULL;
 
 	if (link == NULL) {
 		http_outbound_free(conn);
@@ -91,7 +91,7 @@
 	link->conn = conn;
 	link->idle_since = clock_elapsed(endpoint->set->clock);
 	link->idle_max_ms = idle_max_ms;
-	link->next = endpoint->idle;
-	endpoint->idle = link;
+	link->next = endpoint->idle_connections;
+	endpoint->idle_connections = link;
 	http_outbound_rest(conn, on_link_ended, link);
 }
--- a/moortack/relay/endpoint_group.c
+++ b/moortack/relay/endpoint_group.c
@@ -13,7 +13,7 @@
 } version_count_t;
 
 size_t
-endpoint_group_from(const endpoint_group_t *group, uint64_t hash)
+endpoint_group_lower_bound(const endpoint_group_t *group, uint64_t hash)
 {
 	size_t low = 0, high = group->len;
 
@@ -47,7 +47,7 @@
 bool
 endpoint_group_add(endpoint_group_t *group, endpoint_t *endpoint)
 {
-	size_t at = endpoint_group_from(group, endpoint->hash);
+	size_t at = endpoint_group_lower_bound(group, endpoint->hash);
 
 	if (!ring_reserve(group))
 		return false;
@@ -61,7 +61,7 @@
 void
 endpoint_group_remove(endpoint_group_t *group, const endpoint_t *endpoint)
 {
-	size_t at = endpoint_group_from(group, endpoint->hash);
+	size_t at = endpoint_group_lower_bound(group, endpoint->hash);
 
 	while (at < group->len && group->ring[at] != endpoint)
 		at++;
@@ -89,7 +89,7 @@
 }
 
 void
-endpoint_group_learn(endpoint_group_t *group)
+endpoint_group_learn_base_version(endpoint_group_t *group)
 {
 	version_count_t *counts = NULL, *count, *next;
 	uint32_t best = 0;
@@ -97,7 +97,7 @@
 	if (group->base_version[0] != '\0')
 		return;
 	for (size_t i = 0; i < group->len; i++) {
-		count = count_of(&counts, group->ring[i]->facts.version);
+		count = count_of(&counts, group->ring[i]->info.version);
 		if (count != NULL)
 			count->count++;
 	}
--- a/moortack/relay/endpoint_health.c
+++ b/moortack/relay/endpoint_health.c
@@ -9,7 +9,7 @@
 #define EJECT_SHIFT_MAX 3
 
 void
-endpoint_worked(endpoint_t *endpoint)
+endpoint_record_success(endpoint_t *endpoint)
 {
 	endpoint->failures = 0;
 	endpoint->ejected_until = (struct timespec){0};
@@ -24,7 +24,7 @@
 }
 
 void
-endpoint_failed(endpoint_t *endpoint)
+endpoint_record_failure(endpoint_t *endpoint)
 {
 	uint32_t over;
 
@@ -38,22 +38,22 @@
 }
 
 void
-endpoint_refused_connection(endpoint_t *endpoint)
+endpoint_record_refused(endpoint_t *endpoint)
 {
 	if (endpoint->failures < EJECT_FAILURES - 1)
 		endpoint->failures = EJECT_FAILURES - 1;
-	endpoint_failed(endpoint);
+	endpoint_record_failure(endpoint);
 }
 
 void
-endpoint_superseded(endpoint_t *endpoint)
+endpoint_record_superseded(endpoint_t *endpoint)
 {
 	endpoint->failures = EJECT_FAILURES + EJECT_SHIFT_MAX;
 	eject(endpoint, EJECT_MAX_MS);
 }
 
 bool
-endpoint_ejected(const endpoint_t *endpoint)
+endpoint_is_ejected(const endpoint_t *endpoint)
 {
 	return timespec_ms_between(clock_elapsed(endpoint->set->clock),
 		   endpoint->ejected_until) > 0;
--- a/moortack/relay/owners.c
+++ b/moortack/relay/endpoint_owner.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/owners.h"
+#include "moortack/relay/endpoint_owner.h"
 
 #include <string.h>
 #include <xxhash.h>
@@ -27,7 +27,8 @@
 }
 
 const member_t *
-owner_of(const membership_t *members, const char *zone, uint32_t endpoint)
+endpoint_owner_find(
+    const membership_t *members, const char *zone, uint32_t endpoint)
 {
 	const membership_settings_t *self = &members->settings;
 	const member_t *owner = NULL;
@@ -40,7 +41,8 @@
 		owner_rank_t rank =
 		    rank_of(one->name, one->zone, zone, endpoint);
 
-		if (!before(&rank, &best) || !gossip_peer_serves(members, one))
+		if (!before(&rank, &best) ||
+		    !gossip_peer_available(members, one))
 			continue;
 		owner = one;
 		best = rank;
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -13,7 +13,7 @@
 	     one = one->hh.next) {
 		const cached_row_t *row = one->lapsed
 		    ? row_cache_find(&node->source.cache, ROW_TABLE_ENDPOINTS,
-			  one->facts.id)
+			  one->info.id)
 		    : NULL;
 
 		if (row != NULL && (least == 0 || row->version < least))
@@ -30,24 +30,24 @@
 endpoint_gone(relay_node_t *node, endpoint_t *endpoint, uint64_t version)
 {
 	bool keep =
-	    node->lapses && !node->source.taking && !endpoint->facts.leaving;
+	    node->lapses && !node->source.taking && !endpoint->info.leaving;
 	bool was_lapsed = endpoint->lapsed;
 	row_t end;
 
 	if (keep && was_lapsed)
 		return;
 	event_line_throttled(&node->log, EVENT_THROTTLED_ENDPOINT_GONE,
-	    "id=%s service=%s lapsed=%d in_flight=%u", endpoint->facts.id,
-	    endpoint->facts.service, keep, endpoint->in_flight);
+	    "id=%s service=%s lapsed=%d in_flight=%u", endpoint->info.id,
+	    endpoint->info.service, keep, endpoint->in_flight);
 	if (keep) {
-		endpoint_lapse(endpoint);
+		endpoint_mark_lapsed(endpoint);
 		lapsed_keep_back(node);
 		return;
 	}
-	if (!endpoint->facts.leaving)
+	if (!endpoint->info.leaving)
 		relay_quarantine_gone(&node->relay.quarantine, endpoint);
 	end = (row_t){
-	    .key = endpoint->facts.id, .version = version, .deleted = true};
+	    .key = endpoint->info.id, .version = version, .deleted = true};
 	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &end);
 	endpoint_set_remove(&node->endpoints, endpoint);
 	if (was_lapsed)
@@ -56,41 +56,41 @@
 
 static void
 entry_log(
-    relay_node_t *node, const endpoint_facts_t *facts, entry_order_t order)
+    relay_node_t *node, const endpoint_info_t *facts, incarnation_order_t order)
 {
 	static const char *const orders[] = {
-	    [ENTRY_FIRST] = "first",
-	    [ENTRY_SAME] = "same",
-	    [ENTRY_LATER] = "later",
-	    [ENTRY_EARLIER] = "earlier",
+	    [INCARNATION_FIRST] = "first",
+	    [INCARNATION_SAME] = "same",
+	    [INCARNATION_LATER] = "later",
+	    [INCARNATION_EARLIER] = "earlier",
 	};
 
 	event_line_throttled(&node->log, EVENT_THROTTLED_ENDPOINT,
 	    "id=%s service=%s address=%s:%u zone=%s version=%s leaving=%d "
 	    "born_ms=%" PRId64 " incarnation=%s",
 	    facts->id, facts->service, facts->address.host, facts->address.port,
-	    facts->zone, facts->version, facts->leaving, facts->born_ms,
+	    facts->zone, facts->version, facts->leaving, facts->started_ms,
 	    orders[order]);
 }
 
 /* @param news its row is newer than the one that was known */
 static void
-endpoint_taken(relay_node_t *node, const endpoint_facts_t *facts, bool news)
+endpoint_taken(relay_node_t *node, const endpoint_info_t *facts, bool news)
 {
 	endpoint_t *before = endpoint_set_find(&node->endpoints, facts->id);
-	entry_order_t order = endpoint_entry_order(before, facts);
+	incarnation_order_t order = endpoint_compare_incarnation(before, facts);
 	bool was_lapsed = before != NULL && before->lapsed;
 	endpoint_t *endpoint;
 
-	if (order != ENTRY_SAME || before->facts.leaving != facts->leaving)
+	if (order != INCARNATION_SAME || before->info.leaving != facts->leaving)
 		entry_log(node, facts, order);
-	if (order == ENTRY_LATER)
+	if (order == INCARNATION_LATER)
 		relay_endpoint_ended(&node->relay, before);
-	endpoint = endpoint_set_take(&node->endpoints, facts);
+	endpoint = endpoint_set_update(&node->endpoints, facts);
 	if (!was_lapsed || endpoint == NULL)
 		return;
 	/* A daemon that knows less still has the row that lapsed here. */
-	endpoint->lapsed = order != ENTRY_LATER && !news &&
+	endpoint->lapsed = order != INCARNATION_LATER && !news &&
 	    node->source.taking && node->source.taking_less;
 	lapsed_keep_back(node);
 }
@@ -121,11 +121,11 @@
 /* Nor is one in use again that leaves. */
 static bool
 leaving_holds(const cached_row_t *known, const row_t *row,
-    const endpoint_t *endpoint, const endpoint_facts_t *facts)
+    const endpoint_t *endpoint, const endpoint_info_t *facts)
 {
 	return relay_rows_of_later_era(known, row) && known->value != NULL &&
-	    endpoint != NULL && endpoint->facts.leaving && !facts->leaving &&
-	    endpoint_entry_order(endpoint, facts) == ENTRY_SAME;
+	    endpoint != NULL && endpoint->info.leaving && !facts->leaving &&
+	    endpoint_compare_incarnation(endpoint, facts) == INCARNATION_SAME;
 }
 
 void
@@ -135,7 +135,7 @@
 	const cached_row_t *known =
 	    row_cache_find(&node->source.cache, ROW_TABLE_ENDPOINTS, row->key);
 	bool news = known == NULL || row->version > known->version;
-	endpoint_facts_t facts;
+	endpoint_info_t facts;
 	err_t err;
 
 	if (row->deleted) {
@@ -189,9 +189,9 @@
 void
 relay_rows_earlier_take(relay_node_t *node)
 {
-	endpoint_facts_t facts;
+	endpoint_info_t facts;
 
-	while (endpoint_set_earlier(&node->endpoints, &facts)) {
+	while (endpoint_set_find_earlier(&node->endpoints, &facts)) {
 		endpoint_t *before =
 		    endpoint_set_find(&node->endpoints, facts.id);
 
--- a/moortack/relay/endpoint_set.c
+++ b/moortack/relay/endpoint_set.c
@@ -25,7 +25,7 @@
 static endpoint_group_t *
 group_of(endpoint_set_t *set, const char *service)
 {
-	endpoint_group_t *group = endpoint_set_group(set, service);
+	endpoint_group_t *group = endpoint_set_find_group(set, service);
 
 	if (group != NULL)
 		return group;
@@ -38,7 +38,7 @@
 }
 
 void
-endpoint_set_observe(endpoint_set_t *set)
+endpoint_set_sample_in_flight(endpoint_set_t *set)
 {
 	for (endpoint_group_t *group = set->groups; group != NULL;
 	     group = group->hh.next)
@@ -49,31 +49,31 @@
 endpoint_t *
 endpoint_hold(endpoint_t *endpoint)
 {
-	endpoint->shared++;
+	endpoint->refs++;
 	return endpoint;
 }
 
 void
 endpoint_release(endpoint_t *endpoint)
 {
-	if (--endpoint->shared > 0)
+	if (--endpoint->refs > 0)
 		return;
-	endpoint_drop_links(endpoint);
+	endpoint_close_idle(endpoint);
 	free(endpoint);
 }
 
 static void
 earlier_drop(endpoint_t *endpoint)
 {
-	if (endpoint->earlier == NULL)
+	if (endpoint->earlier_entry == NULL)
 		return;
-	free(endpoint->earlier);
-	endpoint->earlier = NULL;
-	endpoint->set->earlier_len--;
+	free(endpoint->earlier_entry);
+	endpoint->earlier_entry = NULL;
+	endpoint->set->earlier_entries--;
 }
 
 void
-endpoint_lapse(endpoint_t *endpoint)
+endpoint_mark_lapsed(endpoint_t *endpoint)
 {
 	earlier_drop(endpoint);
 	endpoint->lapsed = true;
@@ -84,12 +84,12 @@
 {
 	earlier_drop(endpoint);
 	HASH_DEL(set->endpoints, endpoint);
-	HASH_DELETE(hh_short, set->by_short, endpoint);
+	HASH_DELETE(hh_short, set->by_short_hash, endpoint);
 	endpoint_group_remove(endpoint->group, endpoint);
 	endpoint->group->in_flight -= endpoint->in_flight;
 	endpoint->group = NULL;
-	endpoint->present = false;
-	endpoint_drop_links(endpoint);
+	endpoint->in_set = false;
+	endpoint_close_idle(endpoint);
 	endpoint_release(endpoint);
 }
 
@@ -120,29 +120,29 @@
 }
 
 endpoint_t *
-endpoint_set_find_short(const endpoint_set_t *set, uint32_t hash)
+endpoint_set_find_by_short_hash(const endpoint_set_t *set, uint32_t hash)
 {
 	endpoint_t *endpoint;
 
-	HASH_FIND(hh_short, set->by_short, &hash, sizeof(hash), endpoint);
+	HASH_FIND(hh_short, set->by_short_hash, &hash, sizeof(hash), endpoint);
 	return endpoint;
 }
 
 uint32_t
-endpoint_set_leaving(const endpoint_set_t *set)
+endpoint_set_count_leaving(const endpoint_set_t *set)
 {
 	uint32_t count = 0;
 
 	for (const endpoint_t *one = set->endpoints; one != NULL;
 	     one = one->hh.next)
-		count += one->facts.leaving;
+		count += one->info.leaving;
 	return count;
 }
 
 bool
 endpoint_accepts_requests(const endpoint_t *endpoint)
 {
-	return !endpoint->facts.leaving && !endpoint->zone->evacuated;
+	return !endpoint->info.leaving && !endpoint->zone->evacuated;
 }
 
 void
@@ -178,7 +178,7 @@
 }
 
 endpoint_group_t *
-endpoint_set_group(const endpoint_set_t *set, const char *service)
+endpoint_set_find_group(const endpoint_set_t *set, const char *service)
 {
 	endpoint_group_t *group;
 
@@ -187,29 +187,30 @@
 }
 
 void
-endpoint_set_learn(endpoint_set_t *set)
+endpoint_set_learn_base_versions(endpoint_set_t *set)
 {
 	for (endpoint_group_t *group = set->groups; group != NULL;
 	     group = group->hh.next)
-		endpoint_group_learn(group);
+		endpoint_group_learn_base_version(group);
 }
 
-entry_order_t
-endpoint_entry_order(const endpoint_t *known, const endpoint_facts_t *facts)
+incarnation_order_t
+endpoint_compare_incarnation(
+    const endpoint_t *known, const endpoint_info_t *facts)
 {
 	if (known == NULL)
-		return ENTRY_FIRST;
-	if (facts->born_ms > known->facts.born_ms)
-		return ENTRY_LATER;
-	return facts->born_ms < known->facts.born_ms ? ENTRY_EARLIER
-						     : ENTRY_SAME;
+		return INCARNATION_FIRST;
+	if (facts->started_ms > known->info.started_ms)
+		return INCARNATION_LATER;
+	return facts->started_ms < known->info.started_ms ? INCARNATION_EARLIER
+							  : INCARNATION_SAME;
 }
 
 /* A process does not move: another address, or zone, is another endpoint. */
 static bool
-moved(const endpoint_t *endpoint, const endpoint_facts_t *facts)
+moved(const endpoint_t *endpoint, const endpoint_info_t *facts)
 {
-	const endpoint_facts_t *known = &endpoint->facts;
+	const endpoint_info_t *known = &endpoint->info;
 
 	return strcmp(known->service, facts->service) != 0 ||
 	    strcmp(known->zone, facts->zone) != 0 ||
@@ -218,31 +219,33 @@
 }
 
 static void
-earlier_keep(endpoint_t *endpoint, const endpoint_facts_t *facts)
+earlier_keep(endpoint_t *endpoint, const endpoint_info_t *facts)
 {
-	endpoint->facts.leaving |= facts->leaving;
+	endpoint->info.leaving |= facts->leaving;
 	endpoint->lapsed = false;
-	if (endpoint->earlier == NULL) {
-		endpoint->earlier = malloc(sizeof(*endpoint->earlier));
-		if (endpoint->earlier == NULL)
+	if (endpoint->earlier_entry == NULL) {
+		endpoint->earlier_entry =
+		    malloc(sizeof(*endpoint->earlier_entry));
+		if (endpoint->earlier_entry == NULL)
 			return;
-		endpoint->earlier_at = clock_elapsed(endpoint->set->clock);
-		endpoint->set->earlier_len++;
+		endpoint->earlier_entry_at =
+		    clock_elapsed(endpoint->set->clock);
+		endpoint->set->earlier_entries++;
 	}
-	*endpoint->earlier = *facts;
+	*endpoint->earlier_entry = *facts;
 }
 
 /* Hashes tell incarnations apart: what other daemons tell of one, and what is
  * remembered of it, is not taken for another one's. */
 static uint64_t
-incarnation_hash(const endpoint_facts_t *facts)
+incarnation_hash(const endpoint_info_t *facts)
 {
 	return XXH3_64bits_withSeed(
-	    facts->id, strlen(facts->id), (uint64_t)facts->born_ms);
+	    facts->id, strlen(facts->id), (uint64_t)facts->started_ms);
 }
 
 static endpoint_t *
-endpoint_add(endpoint_set_t *set, const endpoint_facts_t *facts)
+endpoint_add(endpoint_set_t *set, const endpoint_info_t *facts)
 {
 	endpoint_group_t *group = group_of(set, facts->service);
 	zone_t *zone = zone_table_get(&set->zones, facts->zone);
@@ -257,67 +260,68 @@
 		free(endpoint);
 		return NULL;
 	}
-	endpoint->facts = *facts;
+	endpoint->info = *facts;
 	endpoint->set = set;
 	endpoint->group = group;
 	endpoint->zone = zone;
-	endpoint->shared = 1;
-	endpoint->present = true;
-	prefill_queue_init(&endpoint->unread);
-	endpoint_mark_cold(endpoint, facts->warm_in_ms);
-	HASH_ADD_KEYPTR(hh, set->endpoints, endpoint->facts.id,
-	    strlen(endpoint->facts.id), endpoint);
+	endpoint->refs = 1;
+	endpoint->in_set = true;
+	prefill_queue_init(&endpoint->prefill_queue);
+	endpoint_mark_cold(endpoint, facts->warmup_remaining_ms);
+	HASH_ADD_KEYPTR(hh, set->endpoints, endpoint->info.id,
+	    strlen(endpoint->info.id), endpoint);
 	endpoint->short_hash = (uint32_t)endpoint->hash;
-	HASH_ADD(hh_short, set->by_short, short_hash,
+	HASH_ADD(hh_short, set->by_short_hash, short_hash,
 	    sizeof(endpoint->short_hash), endpoint);
 	return endpoint;
 }
 
 endpoint_t *
-endpoint_set_take(endpoint_set_t *set, const endpoint_facts_t *facts)
+endpoint_set_update(endpoint_set_t *set, const endpoint_info_t *facts)
 {
 	endpoint_t *endpoint = endpoint_set_find(set, facts->id);
-	entry_order_t order = endpoint_entry_order(endpoint, facts);
+	incarnation_order_t order =
+	    endpoint_compare_incarnation(endpoint, facts);
 
-	if (order == ENTRY_EARLIER) {
+	if (order == INCARNATION_EARLIER) {
 		earlier_keep(endpoint, facts);
 		return endpoint;
 	}
-	if (order == ENTRY_LATER ||
-	    (order == ENTRY_SAME && moved(endpoint, facts))) {
+	if (order == INCARNATION_LATER ||
+	    (order == INCARNATION_SAME && moved(endpoint, facts))) {
 		endpoint_set_remove(set, endpoint);
 		endpoint = NULL;
 	}
 	if (endpoint == NULL)
 		return endpoint_add(set, facts);
 	earlier_drop(endpoint);
-	endpoint->facts = *facts;
-	endpoint_mark_cold(endpoint, facts->warm_in_ms);
+	endpoint->info = *facts;
+	endpoint_mark_cold(endpoint, facts->warmup_remaining_ms);
 	endpoint->lapsed = false;
 	return endpoint;
 }
 
 bool
-endpoint_set_earlier(const endpoint_set_t *set, endpoint_facts_t *out)
+endpoint_set_find_earlier(const endpoint_set_t *set, endpoint_info_t *out)
 {
 	struct timespec now = clock_elapsed(set->clock);
 
-	if (set->earlier_len == 0)
+	if (set->earlier_entries == 0)
 		return false;
 	for (const endpoint_t *one = set->endpoints; one != NULL;
 	     one = one->hh.next) {
-		if (one->earlier == NULL ||
-		    timespec_ms_between(one->earlier_at, now) <
+		if (one->earlier_entry == NULL ||
+		    timespec_ms_between(one->earlier_entry_at, now) <
 			EARLIER_BELIEVED_MS)
 			continue;
-		*out = *one->earlier;
+		*out = *one->earlier_entry;
 		return true;
 	}
 	return false;
 }
 
 void
-endpoint_take_up(endpoint_t *endpoint)
+endpoint_request_started(endpoint_t *endpoint)
 {
 	endpoint->in_flight++;
 	if (endpoint->group != NULL)
@@ -325,7 +329,7 @@
 }
 
 void
-endpoint_let_go(endpoint_t *endpoint)
+endpoint_request_ended(endpoint_t *endpoint)
 {
 	endpoint->in_flight--;
 	if (endpoint->group != NULL)
@@ -333,12 +337,12 @@
 }
 
 void
-endpoint_told_load(endpoint_t *endpoint, const endpoint_load_t *load)
+endpoint_record_load(endpoint_t *endpoint, const endpoint_load_t *load)
 {
 	endpoint->load = *load;
-	endpoint->load_at = clock_elapsed(endpoint->set->clock);
-	endpoint->load_own = endpoint->in_flight;
-	endpoint->load_known = true;
+	endpoint->load_reported_at = clock_elapsed(endpoint->set->clock);
+	endpoint->load_reported_in_flight = endpoint->in_flight;
+	endpoint->load_reported = true;
 }
 
 /* What all other callers together likely have there: each of them about as much
@@ -354,16 +358,16 @@
 }
 
 double
-endpoint_load_now(const endpoint_t *endpoint, uint32_t callers)
+endpoint_estimate_load(const endpoint_t *endpoint, uint32_t callers)
 {
 	double own = endpoint->in_flight;
 	double told;
 
-	if (!endpoint->load_known ||
-	    timespec_ms_between(endpoint->load_at,
+	if (!endpoint->load_reported ||
+	    timespec_ms_between(endpoint->load_reported_at,
 		clock_elapsed(endpoint->set->clock)) > LOAD_FRESH_MS)
 		return own + load_of_others(endpoint, callers);
 	told = (double)endpoint->load.running + endpoint->load.waiting;
-	told += own - endpoint->load_own;
+	told += own - endpoint->load_reported_in_flight;
 	return told > own ? told : own;
 }
--- a/moortack/relay/gossip.c
+++ b/moortack/relay/gossip.c
@@ -46,19 +46,19 @@
 bytes_send(gossip_t *self, const struct sockaddr_in *to, const uint8_t *bytes,
     size_t len)
 {
-	self->allowance -= (double)(len + DATAGRAM_OVERHEAD);
+	self->send_budget -= (double)(len + DATAGRAM_OVERHEAD);
 	if (sendto(self->fd, bytes, len, MSG_DONTWAIT,
 		(const struct sockaddr *)to, sizeof(*to)) < 0)
 		return;
-	self->sent++;
-	self->sent_bytes += len;
+	self->datagrams_sent++;
+	self->bytes_sent += len;
 }
 
 static void
 message_send(gossip_t *self, const struct sockaddr_in *to,
     const gossip_message_t *message)
 {
-	uint8_t bytes[GOSSIP_MESSAGE_SIZE];
+	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 
 	bytes_send(
 	    self, to, bytes, gossip_message_seal(message, &self->key, bytes));
@@ -68,28 +68,28 @@
 message_take(gossip_t *self, const struct sockaddr_in *from,
     const gossip_message_t *message)
 {
-	gossip_message_t answer = {.kind = GOSSIP_ANSWER,
-	    .endpoint = message->endpoint,
-	    .number = message->number};
+	gossip_message_t answer = {.kind = GOSSIP_RESPONSE,
+	    .endpoint_hash = message->endpoint_hash,
+	    .query_id = message->query_id};
 
 	switch (message->kind) {
-	case GOSSIP_SENT:
-		self->ops->sent(self->arg, message);
+	case GOSSIP_PROMPT_SENT:
+		self->ops->on_prompt_sent(self->arg, message);
 		break;
-	case GOSSIP_QUESTION:
-		if (self->ops->asked(self->arg, message, &answer))
+	case GOSSIP_QUERY:
+		if (self->ops->on_query(self->arg, message, &answer))
 			message_send(self, from, &answer);
 		break;
-	case GOSSIP_ANSWER:
-		self->answered++;
-		self->ops->answered(self->arg, message);
+	case GOSSIP_RESPONSE:
+		self->responses_received++;
+		self->ops->on_response(self->arg, message);
 		break;
 	case GOSSIP_CRASH:
-	case GOSSIP_HELD:
+	case GOSSIP_QUARANTINED:
 	case GOSSIP_CLEARED:
-		self->ops->crash(self->arg, message);
+		self->ops->on_crash_message(self->arg, message);
 		break;
-	case GOSSIP_KINDS:
+	case GOSSIP_KIND_COUNT:
 		break;
 	}
 }
@@ -98,7 +98,7 @@
 on_readable(evutil_socket_t fd, short what, void *arg)
 {
 	gossip_t *self = arg;
-	uint8_t bytes[GOSSIP_MESSAGE_SIZE + 1];
+	uint8_t bytes[GOSSIP_DATAGRAM_MAX + 1];
 	struct sockaddr_in from;
 	gossip_message_t message;
 
@@ -110,13 +110,13 @@
 
 		if (len < 0)
 			return;
-		if (!self->keyed ||
+		if (!self->has_key ||
 		    !gossip_message_open(
 			&message, &self->key, bytes, (size_t)len)) {
-			self->refused++;
+			self->datagrams_refused++;
 			continue;
 		}
-		self->received++;
+		self->datagrams_received++;
 		message_take(self, &from, &message);
 	}
 }
@@ -133,8 +133,8 @@
 	    .ops = ops,
 	    .arg = arg,
 	    .fd = -1,
-	    .allowance = BYTES_AT_ONCE,
-	    .allowed_at = clock_elapsed(clock)};
+	    .send_budget = BYTES_AT_ONCE,
+	    .send_budget_at = clock_elapsed(clock)};
 	if (address[0] == '\0')
 		return true;
 	if (!address_read(address, &own))
@@ -167,7 +167,7 @@
 gossip_set_secret(gossip_t *self, const char *fleet_secret)
 {
 	gossip_key_derive(&self->key, fleet_secret);
-	self->keyed = true;
+	self->has_key = true;
 }
 
 static void
@@ -175,21 +175,21 @@
 {
 	struct timespec now = clock_elapsed(self->clock);
 
-	self->allowance += BYTES_PER_S / MS_PER_SEC *
-	    (double)timespec_ms_between(self->allowed_at, now);
-	self->allowed_at = now;
-	if (self->allowance > BYTES_AT_ONCE)
-		self->allowance = BYTES_AT_ONCE;
+	self->send_budget += BYTES_PER_S / MS_PER_SEC *
+	    (double)timespec_ms_between(self->send_budget_at, now);
+	self->send_budget_at = now;
+	if (self->send_budget > BYTES_AT_ONCE)
+		self->send_budget = BYTES_AT_ONCE;
 }
 
 bool
-gossip_worth(gossip_t *self, double read_ms)
+gossip_should_send(gossip_t *self, double read_ms)
 {
 	allowance_grow(self);
-	if (read_ms * self->allowance >= READ_MIN_MS * BYTES_AT_ONCE)
+	if (read_ms * self->send_budget >= READ_MIN_MS * BYTES_AT_ONCE)
 		return true;
 	if (read_ms >= READ_MIN_MS)
-		self->skipped++;
+		self->messages_skipped++;
 	return false;
 }
 
@@ -198,19 +198,19 @@
 {
 	const member_t *peers[GOSSIP_PEERS_MAX];
 	uint32_t daemons = membership_count(self->members);
-	bool open = self->fd >= 0 && self->keyed;
+	bool open = self->fd >= 0 && self->has_key;
 	size_t count;
 
-	count = open ? gossip_peers_of(self->members, peers) : 0;
-	self->owners = count > GOSSIP_PEERS_MAX;
-	if (self->owners)
+	count = open ? gossip_peers_collect(self->members, peers) : 0;
+	self->uses_owners = count > GOSSIP_PEERS_MAX;
+	if (self->uses_owners)
 		count = 0;
 	self->peers_len = 0;
 	for (size_t i = 0; i < count; i++) {
 		if (address_read(peers[i]->peer, &self->peers[self->peers_len]))
 			self->peers_len++;
 	}
-	self->unheard =
+	self->unheard_share =
 	    daemons > count + 1 ? 1 - ((double)count + 1) / daemons : 0;
 }
 
@@ -219,7 +219,8 @@
 owner_address(const gossip_t *self, const char *zone, uint32_t endpoint,
     struct sockaddr_in *out)
 {
-	const member_t *owner = owner_of(self->members, zone, endpoint);
+	const member_t *owner =
+	    endpoint_owner_find(self->members, zone, endpoint);
 
 	return owner != NULL && address_read(owner->peer, out);
 }
@@ -227,7 +228,7 @@
 static void
 peers_tell(gossip_t *self, const gossip_message_t *message)
 {
-	uint8_t bytes[GOSSIP_MESSAGE_SIZE];
+	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 	size_t len;
 
 	if (self->peers_len == 0)
@@ -238,29 +239,30 @@
 }
 
 void
-gossip_tell(gossip_t *self, const char *zone, const gossip_message_t *message)
+gossip_send(gossip_t *self, const char *zone, const gossip_message_t *message)
 {
 	struct sockaddr_in owner;
 
-	if (!self->owners)
+	if (!self->uses_owners)
 		peers_tell(self, message);
-	else if (owner_address(self, zone, message->endpoint, &owner))
+	else if (owner_address(self, zone, message->endpoint_hash, &owner))
 		message_send(self, &owner, message);
 }
 
 bool
-gossip_owns(const gossip_t *self, uint64_t digest)
+gossip_owns_digest(const gossip_t *self, uint64_t digest)
 {
-	return owner_of(self->members, NO_ZONE, (uint32_t)digest) == NULL;
+	return endpoint_owner_find(self->members, NO_ZONE, (uint32_t)digest) ==
+	    NULL;
 }
 
 void
-gossip_tell_owners(gossip_t *self, const gossip_message_t *message)
+gossip_send_to_owners(gossip_t *self, const gossip_message_t *message)
 {
 	gossip_message_t one = *message;
 	struct sockaddr_in owner;
 
-	if (!self->owners) {
+	if (!self->uses_owners) {
 		peers_tell(self, message);
 		return;
 	}
@@ -274,41 +276,41 @@
 }
 
 void
-gossip_tell_each(gossip_t *self, const gossip_message_t *message)
+gossip_broadcast(gossip_t *self, const gossip_message_t *message)
 {
-	uint8_t bytes[GOSSIP_MESSAGE_SIZE];
+	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 	struct sockaddr_in to;
 	size_t len;
 
-	if (self->fd < 0 || !self->keyed)
+	if (self->fd < 0 || !self->has_key)
 		return;
 	len = gossip_message_seal(message, &self->key, bytes);
 	for (const member_t *one = self->members->members; one != NULL;
 	     one = one->hh.next) {
-		if (gossip_peer_serves(self->members, one) &&
+		if (gossip_peer_available(self->members, one) &&
 		    address_read(one->peer, &to))
 			bytes_send(self, &to, bytes, len);
 	}
 }
 
 bool
-gossip_may_ask(gossip_t *self, double read_ms)
+gossip_may_query(gossip_t *self, double read_ms)
 {
-	if (!self->owners)
+	if (!self->uses_owners)
 		return false;
 	allowance_grow(self);
-	return self->allowance >= ASK_PART * BYTES_AT_ONCE ||
-	    gossip_worth(self, read_ms);
+	return self->send_budget >= ASK_PART * BYTES_AT_ONCE ||
+	    gossip_should_send(self, read_ms);
 }
 
 bool
-gossip_ask(gossip_t *self, const char *zone, const gossip_message_t *question)
+gossip_query(gossip_t *self, const char *zone, const gossip_message_t *question)
 {
 	struct sockaddr_in owner;
 
-	if (!owner_address(self, zone, question->endpoint, &owner))
+	if (!owner_address(self, zone, question->endpoint_hash, &owner))
 		return false;
 	message_send(self, &owner, question);
-	self->asked++;
+	self->queries_sent++;
 	return true;
 }
--- a/moortack/relay/gossip_message.c
+++ b/moortack/relay/gossip_message.c
@@ -10,7 +10,7 @@
  * else be its envelope. */
 #define NONCE crypto_aead_chacha20poly1305_ietf_NPUBBYTES
 #define TAG crypto_aead_chacha20poly1305_ietf_ABYTES
-#define PLAIN_MAX (GOSSIP_MESSAGE_SIZE - NONCE - TAG)
+#define PLAIN_MAX (GOSSIP_DATAGRAM_MAX - NONCE - TAG)
 
 void
 gossip_key_derive(gossip_key_t *key, const char *fleet_secret)
@@ -30,19 +30,19 @@
 	size_t len;
 
 	wire.kind = message->kind;
-	wire.endpoint = message->endpoint;
-	wire.number = message->number;
-	wire.read_ms = message->read_ms;
-	wire.wait_ms = message->wait_ms;
-	wire.kept = message->kept;
+	wire.endpoint = message->endpoint_hash;
+	wire.number = message->query_id;
+	wire.read_ms = message->prefill_ms;
+	wire.wait_ms = message->queue_wait_ms;
+	wire.kept = message->cached_prefixes;
 	wire.n_prefixes = message->prefixes_len;
 	wire.prefixes = (uint32_t *)(uintptr_t)message->prefixes;
 	wire.n_digests = message->digests_len;
 	wire.digests = (uint64_t *)(uintptr_t)message->digests;
-	wire.version = message->version;
+	wire.version = message->version_hash;
 	wire.n_crashes = message->crashes_len;
 	wire.crashes = (uint32_t *)(uintptr_t)message->crashes;
-	wire.held_ms = message->held_ms;
+	wire.held_ms = message->quarantined_ms;
 	len = wire__gossip_message__pack(&wire, plain);
 	randombytes_buf(out, NONCE);
 	crypto_aead_chacha20poly1305_ietf_encrypt(
@@ -56,19 +56,19 @@
 	if (wire->n_prefixes > GOSSIP_MESSAGE_PREFIXES_MAX ||
 	    wire->n_digests > GOSSIP_MESSAGE_DIGESTS_MAX ||
 	    wire->n_crashes > GOSSIP_MESSAGE_CRASHES_MAX ||
-	    wire->kind >= GOSSIP_KINDS)
+	    wire->kind >= GOSSIP_KIND_COUNT)
 		return false;
 	*message = (gossip_message_t){.kind = (gossip_kind_t)wire->kind,
-	    .endpoint = wire->endpoint,
-	    .number = wire->number,
-	    .read_ms = wire->read_ms,
-	    .wait_ms = wire->wait_ms,
-	    .kept = wire->kept,
+	    .endpoint_hash = wire->endpoint,
+	    .query_id = wire->number,
+	    .prefill_ms = wire->read_ms,
+	    .queue_wait_ms = wire->wait_ms,
+	    .cached_prefixes = wire->kept,
 	    .prefixes_len = wire->n_prefixes,
 	    .digests_len = wire->n_digests,
-	    .version = wire->version,
+	    .version_hash = wire->version,
 	    .crashes_len = wire->n_crashes,
-	    .held_ms = wire->held_ms};
+	    .quarantined_ms = wire->held_ms};
 	for (size_t i = 0; i < wire->n_prefixes; i++)
 		message->prefixes[i] = wire->prefixes[i];
 	for (size_t i = 0; i < wire->n_digests; i++)
@@ -87,7 +87,7 @@
 	Wire__GossipMessage *wire;
 	bool read;
 
-	if (len > GOSSIP_MESSAGE_SIZE || len < NONCE + TAG ||
+	if (len > GOSSIP_DATAGRAM_MAX || len < NONCE + TAG ||
 	    crypto_aead_chacha20poly1305_ietf_decrypt(plain, &plain_len, NULL,
 		bytes + NONCE, len - NONCE, NULL, 0, bytes, key->bytes) != 0)
 		return false;
--- a/moortack/relay/gossip_peers.c
+++ b/moortack/relay/gossip_peers.c
@@ -1,20 +1,20 @@
 #include "moortack/relay/gossip_peers.h"
 
 bool
-gossip_peer_serves(const membership_t *members, const member_t *member)
+gossip_peer_available(const membership_t *members, const member_t *member)
 {
 	return member->peer[0] != '\0' && membership_named(members, member);
 }
 
 size_t
-gossip_peers_of(
+gossip_peers_collect(
     const membership_t *members, const member_t *peers[GOSSIP_PEERS_MAX])
 {
 	size_t count = 0;
 
 	for (const member_t *one = members->members; one != NULL;
 	     one = one->hh.next) {
-		if (!gossip_peer_serves(members, one))
+		if (!gossip_peer_available(members, one))
 			continue;
 		if (count < GOSSIP_PEERS_MAX)
 			peers[count] = one;
--- a/moortack/relay/prefill_queue.c
+++ b/moortack/relay/prefill_queue.c
@@ -13,17 +13,18 @@
 static double
 overdue_ms(const prefill_queue_t *queue, double now_ms)
 {
-	const read_ticket_t *oldest = queue->tickets;
+	const prefill_entry_t *oldest = queue->entries;
 
-	return oldest != NULL && now_ms > oldest->expected_ms
-	    ? now_ms - oldest->expected_ms
+	return oldest != NULL && now_ms > oldest->expected_end_ms
+	    ? now_ms - oldest->expected_end_ms
 	    : 0;
 }
 
 double
 prefill_queue_wait_ms(const prefill_queue_t *queue, double now_ms)
 {
-	double wait_ms = queue->free_ms > now_ms ? queue->free_ms - now_ms : 0;
+	double wait_ms =
+	    queue->idle_at_ms > now_ms ? queue->idle_at_ms - now_ms : 0;
 
 	return wait_ms + overdue_ms(queue, now_ms);
 }
@@ -37,52 +38,53 @@
 }
 
 void
-prefill_queue_extend(prefill_queue_t *queue, double read_ms, double now_ms)
+prefill_queue_add_remote(prefill_queue_t *queue, double read_ms, double now_ms)
 {
-	if (queue->free_ms < now_ms)
-		queue->free_ms = now_ms;
-	queue->free_ms += believed_ms(read_ms);
+	if (queue->idle_at_ms < now_ms)
+		queue->idle_at_ms = now_ms;
+	queue->idle_at_ms += believed_ms(read_ms);
 }
 
 void
-prefill_queue_add(prefill_queue_t *queue, read_ticket_t *ticket, double read_ms,
-    double now_ms)
+prefill_queue_add(prefill_queue_t *queue, prefill_entry_t *ticket,
+    double read_ms, double now_ms)
 {
-	prefill_queue_extend(queue, read_ms, now_ms);
-	ticket->read_ms = believed_ms(read_ms);
-	ticket->expected_ms = queue->free_ms;
+	prefill_queue_add_remote(queue, read_ms, now_ms);
+	ticket->prefill_ms = believed_ms(read_ms);
+	ticket->expected_end_ms = queue->idle_at_ms;
 	ticket->queued = true;
-	DL_APPEND(queue->tickets, ticket);
+	DL_APPEND(queue->entries, ticket);
 }
 
 /* Take the ticket out; what is behind it moves by the time given. */
 static void
-ticket_out(prefill_queue_t *queue, read_ticket_t *ticket, double moved_ms)
+ticket_out(prefill_queue_t *queue, prefill_entry_t *ticket, double moved_ms)
 {
-	for (read_ticket_t *after = ticket->next; after != NULL;
+	for (prefill_entry_t *after = ticket->next; after != NULL;
 	     after = after->next)
-		after->expected_ms += moved_ms;
-	queue->free_ms += moved_ms;
-	DL_DELETE(queue->tickets, ticket);
+		after->expected_end_ms += moved_ms;
+	queue->idle_at_ms += moved_ms;
+	DL_DELETE(queue->entries, ticket);
 	ticket->queued = false;
 }
 
 void
-prefill_queue_begun(
-    prefill_queue_t *queue, read_ticket_t *ticket, double now_ms)
+prefill_queue_complete(
+    prefill_queue_t *queue, prefill_entry_t *ticket, double now_ms)
 {
 	if (ticket->queued)
-		ticket_out(queue, ticket, now_ms - ticket->expected_ms);
+		ticket_out(queue, ticket, now_ms - ticket->expected_end_ms);
 }
 
 void
-prefill_queue_drop(prefill_queue_t *queue, read_ticket_t *ticket, double now_ms)
+prefill_queue_cancel(
+    prefill_queue_t *queue, prefill_entry_t *ticket, double now_ms)
 {
-	double unread_ms = ticket->expected_ms - now_ms;
+	double unread_ms = ticket->expected_end_ms - now_ms;
 
 	if (!ticket->queued)
 		return;
-	if (unread_ms > ticket->read_ms)
-		unread_ms = ticket->read_ms;
+	if (unread_ms > ticket->prefill_ms)
+		unread_ms = ticket->prefill_ms;
 	ticket_out(queue, ticket, unread_ms > 0 ? -unread_ms : 0);
 }
--- a/moortack/relay/prefill_rate.c
+++ b/moortack/relay/prefill_rate.c
@@ -9,42 +9,44 @@
 #define VARIANCE_MIN 0.01
 
 void
-prefill_rate_take(prefill_rate_t *pace, double tokens, double ms)
+prefill_rate_observe(prefill_rate_t *pace, double tokens, double ms)
 {
-	pace->count = FADING * pace->count + 1;
-	pace->x = FADING * pace->x + tokens;
-	pace->y = FADING * pace->y + ms;
-	pace->xx = FADING * pace->xx + tokens * tokens;
-	pace->xy = FADING * pace->xy + tokens * ms;
-	pace->taken++;
+	pace->weight = FADING * pace->weight + 1;
+	pace->sum_tokens = FADING * pace->sum_tokens + tokens;
+	pace->sum_ms = FADING * pace->sum_ms + ms;
+	pace->sum_tokens_squared =
+	    FADING * pace->sum_tokens_squared + tokens * tokens;
+	pace->sum_tokens_ms = FADING * pace->sum_tokens_ms + tokens * ms;
+	pace->samples++;
 }
 
 double
-prefill_rate_slope(const prefill_rate_t *pace)
+prefill_rate_ms_per_token(const prefill_rate_t *pace)
 {
 	double mean_x, mean_y, variance, slope;
 
-	if (pace->taken < TAKEN_MIN)
+	if (pace->samples < TAKEN_MIN)
 		return -1;
-	mean_x = pace->x / pace->count;
-	mean_y = pace->y / pace->count;
-	variance = pace->xx / pace->count - mean_x * mean_x;
+	mean_x = pace->sum_tokens / pace->weight;
+	mean_y = pace->sum_ms / pace->weight;
+	variance = pace->sum_tokens_squared / pace->weight - mean_x * mean_x;
 	if (variance <= VARIANCE_MIN * mean_x * mean_x)
 		return -1;
-	slope = (pace->xy / pace->count - mean_x * mean_y) / variance;
+	slope =
+	    (pace->sum_tokens_ms / pace->weight - mean_x * mean_y) / variance;
 	return slope > 0 ? slope : 0;
 }
 
 double
-prefill_rate_ms(const prefill_rate_t *pace, double tokens)
+prefill_rate_first_byte_ms(const prefill_rate_t *pace, double tokens)
 {
-	double slope = prefill_rate_slope(pace);
+	double slope = prefill_rate_ms_per_token(pace);
 	double ms;
 
-	if (pace->taken < TAKEN_MIN)
+	if (pace->samples < TAKEN_MIN)
 		return -1;
-	ms = pace->y / pace->count;
+	ms = pace->sum_ms / pace->weight;
 	if (slope >= 0)
-		ms += slope * (tokens - pace->x / pace->count);
+		ms += slope * (tokens - pace->sum_tokens / pace->weight);
 	return ms > 0 ? ms : 0;
 }
--- a/moortack/relay/prefix_memory.c
+++ b/moortack/relay/prefix_index.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/prefix_memory.h"
+#include "moortack/relay/prefix_index.h"
 
 #include <stdlib.h>
 #include <xxhash.h>
@@ -14,17 +14,17 @@
 #define KEEP_MS 30000
 
 bool
-prefix_memory_init(prefix_memory_t *memory)
+prefix_index_init(prefix_index_t *memory)
 {
-	memory->len = MARKS;
-	memory->marks = calloc(memory->len, sizeof(*memory->marks));
-	return memory->marks != NULL;
+	memory->cap = MARKS;
+	memory->entries = calloc(memory->cap, sizeof(*memory->entries));
+	return memory->entries != NULL;
 }
 
 void
-prefix_memory_finish(prefix_memory_t *memory)
+prefix_index_finish(prefix_index_t *memory)
 {
-	free(memory->marks);
+	free(memory->entries);
 }
 
 void
@@ -54,43 +54,43 @@
 }
 
 /* The first of the places where the mark may stand. */
-static prefix_mark_t *
-mark_places(const prefix_memory_t *memory, uint64_t hash)
+static prefix_entry_t *
+mark_places(const prefix_index_t *memory, uint64_t hash)
 {
-	return &memory->marks[hash & (memory->len - 1) & ~(size_t)(WAYS - 1)];
+	return &memory->entries[hash & (memory->cap - 1) & ~(size_t)(WAYS - 1)];
 }
 
 static void
-mark_note(prefix_memory_t *memory, uint64_t hash, int64_t now_ms)
+mark_note(prefix_index_t *memory, uint64_t hash, int64_t now_ms)
 {
-	prefix_mark_t *places = mark_places(memory, hash);
-	prefix_mark_t *oldest = places;
+	prefix_entry_t *places = mark_places(memory, hash);
+	prefix_entry_t *oldest = places;
 
 	for (size_t i = 0; i < WAYS; i++) {
 		if (places[i].hash == hash) {
 			oldest = &places[i];
 			break;
 		}
-		if (places[i].at_ms < oldest->at_ms)
+		if (places[i].sent_ms < oldest->sent_ms)
 			oldest = &places[i];
 	}
-	*oldest = (prefix_mark_t){hash, now_ms};
+	*oldest = (prefix_entry_t){hash, now_ms};
 }
 
 static bool
-mark_fresh(const prefix_memory_t *memory, uint64_t hash, int64_t now_ms)
+mark_fresh(const prefix_index_t *memory, uint64_t hash, int64_t now_ms)
 {
-	const prefix_mark_t *places = mark_places(memory, hash);
+	const prefix_entry_t *places = mark_places(memory, hash);
 
 	for (size_t i = 0; i < WAYS; i++) {
 		if (places[i].hash == hash)
-			return now_ms - places[i].at_ms < KEEP_MS;
+			return now_ms - places[i].sent_ms < KEEP_MS;
 	}
 	return false;
 }
 
 void
-prefix_memory_note(prefix_memory_t *memory, const prefix_list_t *list,
+prefix_index_add(prefix_index_t *memory, const prefix_list_t *list,
     uint64_t endpoint, int64_t now_ms)
 {
 	for (size_t i = 0; i < list->len; i++)
@@ -98,8 +98,8 @@
 }
 
 size_t
-prefix_memory_count(const prefix_memory_t *memory, const prefix_list_t *list,
-    uint64_t endpoint, int64_t now_ms)
+prefix_index_match_count(const prefix_index_t *memory,
+    const prefix_list_t *list, uint64_t endpoint, int64_t now_ms)
 {
 	size_t count = 0;
 
@@ -111,10 +111,10 @@
 }
 
 uint32_t
-prefix_memory_kept(const prefix_memory_t *memory, const prefix_list_t *list,
-    uint64_t endpoint, int64_t now_ms)
+prefix_index_cached_tokens(const prefix_index_t *memory,
+    const prefix_list_t *list, uint64_t endpoint, int64_t now_ms)
 {
-	size_t count = prefix_memory_count(memory, list, endpoint, now_ms);
+	size_t count = prefix_index_match_count(memory, list, endpoint, now_ms);
 
 	return count > 0 ? list->tokens[count - 1] : 0;
 }
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -437,7 +437,7 @@
 	relay->daemons_most = 1;
 	relay->started = clock_elapsed(relay->clock);
 	http_inbound_hold(relay->server, true);
-	if (!prefix_memory_init(&relay->prefixes))
+	if (!prefix_index_init(&relay->prefixes))
 		return err_set(err, ERR_MEMORY, "out of memory");
 	return true;
 }
@@ -449,7 +449,7 @@
 		request_end(relay->first, "cut", "stopped");
 	http_inbound_server_free(relay->server);
 	relay_config_release(relay->config);
-	prefix_memory_finish(&relay->prefixes);
+	prefix_index_finish(&relay->prefixes);
 	relay_counts_finish(relay);
 	warmup_daemons_finish(&relay->warmup_daemons);
 }
--- a/moortack/relay/relay_answer.c
+++ b/moortack/relay/relay_answer.c
@@ -76,7 +76,7 @@
 
 	attempt->sent = true;
 	attempt->sent_at = clock_elapsed(relay->clock);
-	endpoint_take_up(attempt->endpoint);
+	endpoint_request_started(attempt->endpoint);
 	if (req->sends == 0)
 		stats_observe(
 		    &relay->stats.added_ms, (double)request_age_ms(req));
@@ -105,13 +105,14 @@
 	}
 	attempt->headed = true;
 	attempt_heard(req);
-	prefill_queue_begun(&attempt->endpoint->unread, &attempt->ticket,
+	prefill_queue_complete(&attempt->endpoint->prefill_queue,
+	    &attempt->ticket,
 	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
 	relay_guard_alive(req);
 	attempt->first_ms = (double)timespec_ms_between(
 	    attempt->sent_at, clock_elapsed(req->relay->clock));
 	if (answer->load_told)
-		endpoint_told_load(attempt->endpoint, &answer->load);
+		endpoint_record_load(attempt->endpoint, &answer->load);
 	if (answer->not_run || answer->wrong_endpoint)
 		return;
 	if (req->route->kind == ROUTE_STREAM && success(msg->status) &&
@@ -310,7 +311,7 @@
 	attempt_t *attempt = &req->attempt;
 
 	if (failure == HTTP_OUTBOUND_NO_ANSWER && attempt->kept) {
-		endpoint_drop_links(attempt->endpoint);
+		endpoint_close_idle(attempt->endpoint);
 		req->kept_dead = true;
 	}
 	attempt->broke = failure == HTTP_OUTBOUND_NO_ANSWER ||
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -25,7 +25,7 @@
 {
 	const endpoint_t *endpoint = req->attempt.endpoint;
 	const rollout_t *rollout =
-	    rollouts_find(req->relay->rollouts, endpoint->facts.service);
+	    rollouts_find(req->relay->rollouts, endpoint->info.service);
 
 	return rollout == NULL || !rollout_under_way(rollout) ||
 	    !rollout_is_new(rollout, endpoint);
@@ -60,7 +60,7 @@
 		const endpoint_t *endpoint = req->attempt.endpoint;
 
 		if (endpoint != NULL &&
-		    strcmp(endpoint->facts.service, rollout->order.service) ==
+		    strcmp(endpoint->info.service, rollout->order.service) ==
 			0 &&
 		    !rollout_is_new(rollout, endpoint))
 			count++;
@@ -72,11 +72,12 @@
 relay_first_version(const void *arg, const char *service)
 {
 	const relay_t *relay = arg;
-	endpoint_group_t *group = endpoint_set_group(relay->endpoints, service);
+	endpoint_group_t *group =
+	    endpoint_set_find_group(relay->endpoints, service);
 
 	if (group == NULL)
 		return "";
-	endpoint_group_learn(group);
+	endpoint_group_learn_base_version(group);
 	return group->base_version;
 }
 
@@ -86,12 +87,13 @@
 {
 	attempt_t *attempt = &req->attempt;
 
-	prefill_queue_drop(&attempt->endpoint->unread, &attempt->ticket,
+	prefill_queue_cancel(&attempt->endpoint->prefill_queue,
+	    &attempt->ticket,
 	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
 	if (!req->attempt.sent)
 		return;
 	session_note(req);
-	endpoint_let_go(req->attempt.endpoint);
+	endpoint_request_ended(req->attempt.endpoint);
 }
 
 static void
@@ -135,7 +137,7 @@
 		return;
 	}
 	attempt_uncount(req);
-	endpoint_keep_link(attempt->endpoint, attempt->conn, idle_ms);
+	endpoint_keep_connection(attempt->endpoint, attempt->conn, idle_ms);
 	attempt_clear(req);
 }
 
@@ -147,7 +149,7 @@
 	int64_t max_ms = request_idempotent(req) ? INT64_MAX : IDLE_UNSAFE_MS;
 
 	attempt->conn =
-	    req->kept_dead ? NULL : endpoint_take_link(endpoint, max_ms);
+	    req->kept_dead ? NULL : endpoint_take_connection(endpoint, max_ms);
 	attempt->kept = attempt->conn != NULL;
 	if (attempt->kept)
 		http_outbound_set_silent(attempt->conn,
@@ -156,7 +158,7 @@
 	if (attempt->conn == NULL) {
 		stats_add(&relay->stats, STAT_CONNECTIONS, 1);
 		attempt->conn =
-		    http_outbound_new(relay->base, &endpoint->facts.address,
+		    http_outbound_new(relay->base, &endpoint->info.address,
 			CONNECT_MS, relay->bounds.silent_ms);
 		if (attempt->conn == NULL)
 			return false;
@@ -185,7 +187,7 @@
 	struct evbuffer *body = evbuffer_new();
 	attempt_head_t words = {.request = msg,
 	    .arrival = &req->arrival,
-	    .endpoint = &attempt->endpoint->facts,
+	    .endpoint = &attempt->endpoint->info,
 	    .organisation =
 		req->organisation != NULL ? req->organisation->name : NULL,
 	    .model = attempt->model,
@@ -219,7 +221,7 @@
 	    "of=%zu cold=%zu told=%zu load=%.0f wait_ms=%.0f read_ms=%.0f "
 	    "first_ms=%.0f "
 	    "left_ms=%" PRId64 " config=%" PRIu64 " endpoints_age_ms=%" PRId64,
-	    req->arrival.id, req->endpoint_id, place->endpoint->facts.zone,
+	    req->arrival.id, req->endpoint_id, place->endpoint->info.zone,
 	    req->attempt.model != NULL ? req->attempt.model : "-",
 	    req->sends + req->connects + 1, req->attempt.kept, req->begun,
 	    place->candidates, place->cold, place->told, place->load,
@@ -299,7 +301,7 @@
 		return;
 	}
 	req->place = place;
-	strcpy(req->endpoint_id, place.endpoint->facts.id);
+	strcpy(req->endpoint_id, place.endpoint->info.id);
 	if (!connection_get(req, place.endpoint)) {
 		attempts_end(req, ERR_NO_ENDPOINT, "no_socket");
 		return;
@@ -329,7 +331,7 @@
 	const relay_route_t *route;
 
 	/* The process may have stood still while it connected. */
-	if (req->config == relay->config && endpoint->present &&
+	if (req->config == relay->config && endpoint->in_set &&
 	    endpoint_accepts_requests(endpoint) && relay_warmup_acquire(req) &&
 	    !relay_quarantine_refuses(req) &&
 	    relay_permit(relay, &req->arrival, msg->target, &route,
@@ -380,20 +382,20 @@
 		stats_add(stats, STAT_CONNECTS_FAILED, 1);
 		relay_warmup_connect_failed(req);
 		if (!req->attempt.refused) {
-			endpoint_failed(endpoint);
+			endpoint_record_failure(endpoint);
 			break;
 		}
-		endpoint_refused_connection(endpoint);
+		endpoint_record_refused(endpoint);
 		relay_attempt_refused(req);
 		break;
 	case ATTEMPT_NOT_RUN:
 		stats_add(stats, STAT_NOT_RUN, 1);
 		if (req->attempt.answer.wrong_endpoint)
-			endpoint_superseded(endpoint);
+			endpoint_record_superseded(endpoint);
 		break;
 	case ATTEMPT_UNKNOWN:
 		stats_add(stats, STAT_BROKEN, 1);
-		endpoint_failed(endpoint);
+		endpoint_record_failure(endpoint);
 		relay_guard_suspect(req);
 		if (req->attempt.broke)
 			relay_attempt_broke(req);
@@ -404,7 +406,7 @@
 		break;
 	case ATTEMPT_DROPPED:
 		stats_add(stats, STAT_ESCALATED, 1);
-		endpoint_worked(endpoint);
+		endpoint_record_success(endpoint);
 		break;
 	}
 }
@@ -419,7 +421,7 @@
 	    "id=%s endpoint=%s why=%s end=%d sends=%u kept=%d begun=%d "
 	    "last_event=%" PRId64 " model=%s confidence=%d running=%u "
 	    "waiting=%u digest=%016" PRIx64,
-	    req->arrival.id, attempt->endpoint->facts.id, why, (int)end,
+	    req->arrival.id, attempt->endpoint->info.id, why, (int)end,
 	    req->sends, attempt->kept, req->begun, req->last_event,
 	    attempt->model != NULL ? attempt->model : "-", req->confidence,
 	    attempt->endpoint->load.running, attempt->endpoint->load.waiting,
@@ -444,7 +446,7 @@
 void
 attempt_answered(relay_request_t *req)
 {
-	endpoint_worked(req->attempt.endpoint);
+	endpoint_record_success(req->attempt.endpoint);
 	relay_attempt_survived(req);
 	relay_guard_answered(req);
 }
--- a/moortack/relay/relay_candidates.c
+++ b/moortack/relay/relay_candidates.c
@@ -51,7 +51,7 @@
 version_fits(const endpoint_group_t *group, const rollout_t *rollout,
     version_class_t wanted, const endpoint_t *endpoint)
 {
-	const char *version = endpoint->facts.version;
+	const char *version = endpoint->info.version;
 
 	switch (wanted) {
 	case VERSION_ANY:
@@ -85,7 +85,8 @@
 {
 	return endpoint_accepts_requests(endpoint) &&
 	    region_fits(req, endpoint) && !was_tried(req, endpoint) &&
-	    (endpoint->idle != NULL || endpoint->connections < connections);
+	    (endpoint->idle_connections != NULL ||
+		endpoint->connections < connections);
 }
 
 /* Of more endpoints than are weighed, those that follow in the ring on what the
@@ -97,7 +98,7 @@
 	const relay_t *relay = req->relay;
 	uint32_t connections = connections_share(req);
 	warmup_snapshot_t warmup;
-	size_t from = endpoint_group_from(
+	size_t from = endpoint_group_lower_bound(
 	    group, req->shared != 0 ? req->shared : req->spread);
 
 	out->len = 0;
@@ -109,27 +110,28 @@
 		    !version_fits(group, rollout, wanted, one))
 			continue;
 		if (!relay_warmup_allows(relay, one, &warmup)) {
-			out->cold++;
+			out->cold_skipped++;
 			continue;
 		}
 		out->endpoints[out->len] = one;
-		out->seen[out->len++] = (choose_candidate_t){.hash = one->hash,
-		    .load = endpoint_load_now(one, relay->daemons_most),
-		    .slots = one->facts.slots,
-		    .same_zone = strcmp(one->facts.zone, relay->zone) == 0,
-		    .ejected = endpoint_ejected(one)};
+		out->inputs[out->len++] = (endpoint_candidate_t){
+		    .hash = one->hash,
+		    .load = endpoint_estimate_load(one, relay->daemons_most),
+		    .slots = one->info.slots,
+		    .same_zone = strcmp(one->info.zone, relay->zone) == 0,
+		    .ejected = endpoint_is_ejected(one)};
 	}
 }
 
 void
-candidates_keep(candidates_t *set, const bool *kept)
+candidates_filter(candidates_t *set, const bool *kept)
 {
 	size_t len = 0;
 
 	for (size_t i = 0; i < set->len; i++) {
 		if (!kept[i])
 			continue;
-		set->seen[len] = set->seen[i];
+		set->inputs[len] = set->inputs[i];
 		set->endpoints[len] = set->endpoints[i];
 		len++;
 	}
@@ -138,7 +140,7 @@
 
 /* The candidate's place in an order that changes with each roll-out. */
 static uint64_t
-narrow_weight(const choose_candidate_t *candidate, const rollout_t *rollout)
+narrow_weight(const endpoint_candidate_t *candidate, const rollout_t *rollout)
 {
 	return XXH3_64bits_withSeed(
 	    &candidate->hash, sizeof(candidate->hash), rollout->order.number);
@@ -151,7 +153,7 @@
     const candidates_t *set, double share)
 {
 	double under_way = group->in_flight_mean * req->relay->daemons_most;
-	double each = TRIAL_PART * set->seen[0].slots;
+	double each = TRIAL_PART * set->inputs[0].slots;
 
 	return each > 0 ? (size_t)ceil(under_way * share / each) : set->len;
 }
@@ -174,15 +176,15 @@
 			keep = filled > 0 ? filled : 1;
 	}
 	for (size_t i = 0; i < set->len; i++) {
-		uint64_t weight = narrow_weight(&set->seen[i], rollout);
+		uint64_t weight = narrow_weight(&set->inputs[i], rollout);
 		size_t before = 0;
 
 		for (size_t j = 0; j < set->len; j++)
 			before +=
-			    narrow_weight(&set->seen[j], rollout) > weight;
+			    narrow_weight(&set->inputs[j], rollout) > weight;
 		kept[i] = before < keep;
 	}
-	candidates_keep(set, kept);
+	candidates_filter(set, kept);
 }
 
 static version_class_t
@@ -200,7 +202,7 @@
 group_has(const endpoint_group_t *group, const char *version)
 {
 	for (size_t i = 0; i < group->len; i++) {
-		if (strcmp(group->ring[i]->facts.version, version) == 0)
+		if (strcmp(group->ring[i]->info.version, version) == 0)
 			return true;
 	}
 	return false;
@@ -220,25 +222,26 @@
 }
 
 bool
-candidates_of(const relay_request_t *req, candidates_t *out, const char **why)
+candidates_collect(
+    const relay_request_t *req, candidates_t *out, const char **why)
 {
 	endpoint_group_t *group;
 	rollout_t *rollout;
 	version_class_t wanted;
 
 	out->len = 0;
-	out->cold = 0;
+	out->cold_skipped = 0;
 	*why = "no_pool";
 	if (req->service == NULL)
 		return false;
 	*why = "no_endpoints";
-	group = endpoint_set_group(req->relay->endpoints, req->service);
+	group = endpoint_set_find_group(req->relay->endpoints, req->service);
 	if (group == NULL)
 		return false;
 	rollout = rollouts_find(req->relay->rollouts, req->service);
 	wanted = class_wanted(req, rollout);
 	if (wanted == VERSION_ANY)
-		endpoint_group_learn(group);
+		endpoint_group_learn_base_version(group);
 	if (wanted == VERSION_OLD)
 		candidates_old(req, group, rollout, out);
 	else
@@ -249,7 +252,7 @@
 	if (out->len == 0 && wanted == VERSION_NEW &&
 	    rollout_old_allowed(rollout))
 		candidates_old(req, group, rollout, out);
-	if (out->len == 0 && out->cold > 0)
+	if (out->len == 0 && out->cold_skipped > 0)
 		*why = "warming_up";
 	return out->len > 0;
 }
--- a/moortack/relay/relay_candidates.h
+++ b/moortack/relay/relay_candidates.h
@@ -6,7 +6,7 @@
 #ifndef MOORTACK_RELAY_RELAY_CANDIDATES_H
 #define MOORTACK_RELAY_RELAY_CANDIDATES_H
 
-#include "moortack/relay/choose.h"
+#include "moortack/relay/endpoint_choice.h"
 #include "relay_request.h"
 
 #define CANDIDATES_MAX 256
@@ -14,16 +14,17 @@
 /** Endpoints that may take the request, with what the choice sees of them. */
 typedef struct candidates {
 	endpoint_t *endpoints[CANDIDATES_MAX];
-	choose_candidate_t seen[CANDIDATES_MAX];
+	endpoint_candidate_t inputs[CANDIDATES_MAX];
 	size_t len;
-	size_t cold; /**< cold endpoints left out, with no share left */
+	size_t cold_skipped; /**< cold endpoints left out, with no share left */
 } candidates_t;
 
 /** @param why set if there are none
  * @return whether there are any */
-bool candidates_of(const relay_request_t *, candidates_t *, const char **why);
+bool
+candidates_collect(const relay_request_t *, candidates_t *, const char **why);
 
 /** Drop the candidates that are not to be kept. */
-void candidates_keep(candidates_t *, const bool *kept);
+void candidates_filter(candidates_t *, const bool *kept);
 
 #endif
--- a/moortack/relay/relay_counts.c
+++ b/moortack/relay/relay_counts.c
@@ -85,7 +85,7 @@
 		HASH_ADD_KEYPTR(hh, relay->callers_known, callers->route,
 		    strlen(callers->route), callers);
 	}
-	return first_try_take(&callers->tries, deadline_ms);
+	return retry_age_observe(&callers->tries, deadline_ms);
 }
 
 void
--- a/moortack/relay/relay_crashes.c
+++ b/moortack/relay/relay_crashes.c
@@ -20,7 +20,7 @@
 {
 	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " crashes=%zu endpoint=%s how=%s", digest,
-	    quarantine_crashes(&self->table, digest), endpoint->facts.id, how);
+	    quarantine_crashes(&self->table, digest), endpoint->info.id, how);
 }
 
 /* Take the attempts that were under way there, and tell of them. */
@@ -29,8 +29,8 @@
     const endpoint_t *endpoint, const char *how)
 {
 	gossip_message_t message = {.kind = GOSSIP_CRASH,
-	    .endpoint = endpoint->short_hash,
-	    .version = quarantine_version_of(endpoint)};
+	    .endpoint_hash = endpoint->short_hash,
+	    .version_hash = quarantine_version_of(endpoint)};
 	broken_attempt_t broken;
 
 	while (crash_evidence_take(evidence, endpoint->short_hash, &broken)) {
@@ -112,7 +112,7 @@
 	    .at = clock_elapsed(req->relay->clock)};
 
 	/* One that leaves ends when it is done. */
-	if (attempt.digest == 0 || endpoint->facts.leaving)
+	if (attempt.digest == 0 || endpoint->info.leaving)
 		return false;
 	crash_evidence_note(evidence, &attempt);
 	return true;
@@ -156,11 +156,11 @@
 {
 	for (size_t i = 0; i < self->left.len; i++) {
 		const broken_attempt_t *one = &self->left.broken[i];
-		endpoint_t *endpoint = endpoint_set_find_short(
+		endpoint_t *endpoint = endpoint_set_find_by_short_hash(
 		    self->relay->endpoints, one->incarnation);
 
 		if (endpoint != NULL &&
-		    timespec_ms_between(one->at, endpoint->link_ended_at) >= 0)
+		    timespec_ms_between(one->at, endpoint->idle_closed_at) >= 0)
 			crash_probe_begin(&self->probes, self->relay->base,
 			    endpoint, PROBE_MS, on_probed, self);
 	}
--- a/moortack/relay/relay_guard.c
+++ b/moortack/relay/relay_guard.c
@@ -80,20 +80,21 @@
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
 	struct timespec now = clock_elapsed(req->relay->clock);
-	rollout_t *rollout = endpoint->suspected_len > 0
-	    ? rollouts_find(req->relay->rollouts, endpoint->facts.service)
+	rollout_t *rollout = endpoint->suspected_failures_len > 0
+	    ? rollouts_find(req->relay->rollouts, endpoint->info.service)
 	    : NULL;
 
 	if (rollout == NULL)
 		return;
-	for (size_t i = 0; i < endpoint->suspected_len; i++) {
-		const suspected_failure_t *failure = &endpoint->suspected[i];
+	for (size_t i = 0; i < endpoint->suspected_failures_len; i++) {
+		const suspected_failure_t *failure =
+		    &endpoint->suspected_failures[i];
 
 		if (timespec_ms_between(failure->at, now) < SUSPECT_MS)
 			version_guard_take(
 			    &rollout->guard, &failure->answer, now);
 	}
-	endpoint->suspected_len = 0;
+	endpoint->suspected_failures_len = 0;
 }
 
 /* What stood before the prompt is not the version's doing. */
@@ -145,9 +146,9 @@
 	endpoint_t *endpoint = req->attempt.endpoint;
 
 	if (guarded(req) == NULL ||
-	    endpoint->suspected_len == ENDPOINT_SUSPECTED_MAX)
+	    endpoint->suspected_failures_len == ENDPOINT_SUSPECTED_FAILURES_MAX)
 		return;
-	endpoint->suspected[endpoint->suspected_len++] =
+	endpoint->suspected_failures[endpoint->suspected_failures_len++] =
 	    (suspected_failure_t){.answer = sign_of(req, GUARD_FAILED, 0),
 		.at = clock_elapsed(req->relay->clock)};
 }
--- a/moortack/relay/relay_model.c
+++ b/moortack/relay/relay_model.c
@@ -105,7 +105,7 @@
 
 	if (model == NULL)
 		return;
-	prefill_rate_take(&model->pace, attempt->place.unread,
+	prefill_rate_observe(&model->pace, attempt->place.unread,
 	    attempt->first_ms > attempt->place.wait_ms
 		? attempt->first_ms - attempt->place.wait_ms
 		: 0);
@@ -133,8 +133,9 @@
 	    attempt->sent_at, clock_elapsed(req->relay->clock));
 	/* Only a wait that is longer than expected says something. */
 	waited_ms -= attempt->place.wait_ms;
-	if (waited_ms > prefill_rate_ms(&model->pace, attempt->place.unread))
-		prefill_rate_take(
+	if (waited_ms >
+	    prefill_rate_first_byte_ms(&model->pace, attempt->place.unread))
+		prefill_rate_observe(
 		    &model->pace, attempt->place.unread, waited_ms);
 }
 
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -226,7 +226,7 @@
 	relay_rows_earlier_take(node);
 	relay_evacuations_expire(node);
 	relay_warmup_tick(&node->relay, false);
-	endpoint_set_observe(&node->endpoints);
+	endpoint_set_sample_in_flight(&node->endpoints);
 	members_step(node);
 	gossip_tick(&node->gossip);
 	sessions_step(node);
--- a/moortack/relay/relay_ask.c
+++ b/moortack/relay/relay_owner_query.c
@@ -61,13 +61,13 @@
 {
 	placing_question_t *question = &req->question;
 	asked_endpoint_t *asked = &question->of[question->len++];
-	gossip_message_t message = {.kind = GOSSIP_QUESTION,
-	    .endpoint = endpoint->short_hash,
-	    .number = question->number};
+	gossip_message_t message = {.kind = GOSSIP_QUERY,
+	    .endpoint_hash = endpoint->short_hash,
+	    .query_id = question->number};
 
 	relay_gossip_prefixes(&message, prefixes);
 	*asked = (asked_endpoint_t){.hash = endpoint->hash};
-	if (gossip_ask(req->relay->gossip, endpoint->facts.zone, &message))
+	if (gossip_query(req->relay->gossip, endpoint->info.zone, &message))
 		question->open++;
 	else
 		asked->told = true;
@@ -104,21 +104,21 @@
 	relay_t *relay = req->relay;
 	const char *model = relay_model_name(req, req->model_index);
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
-	const choose_wish_t wish = {.affinity = req->shared ^ model_hash};
+	const choice_criteria_t wish = {.affinity = req->shared ^ model_hash};
 	size_t first[ASKED_MAX];
 	const char *why;
 	size_t len;
 
 	/* Asked already: the answers came, or are not waited for any longer. */
 	if (req->question.number != 0 || req->arrival.parts_len == 0 ||
-	    !gossip_may_ask(relay->gossip, relay_read_ms(req)) ||
-	    !candidates_of(req, &candidates, &why))
+	    !gossip_may_query(relay->gossip, relay_read_ms(req)) ||
+	    !candidates_collect(req, &candidates, &why))
 		return false;
 	prefix_list_fill(&prefixes, &req->arrival, model_hash);
 	req->question = (placing_question_t){
 	    .number = number_next(relay), .model = req->model_index};
-	len = choose_first(
-	    candidates.seen, candidates.len, &wish, first, ASKED_MAX);
+	len = endpoint_rank_by_affinity(
+	    candidates.inputs, candidates.len, &wish, first, ASKED_MAX);
 	for (size_t i = 0; i < len; i++)
 		one_ask(req, candidates.endpoints[first[i]], &prefixes);
 	return answers_wait(req);
@@ -130,17 +130,17 @@
 {
 	relay_t *relay = arg;
 	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
-	endpoint_t *endpoint =
-	    endpoint_set_find_short(relay->endpoints, message->endpoint);
+	endpoint_t *endpoint = endpoint_set_find_by_short_hash(
+	    relay->endpoints, message->endpoint_hash);
 	prefix_list_t prefixes = {.len = message->prefixes_len};
 
 	if (endpoint == NULL)
 		return;
 	memcpy(prefixes.hashes, message->prefixes,
 	    message->prefixes_len * sizeof(message->prefixes[0]));
-	prefix_memory_note(&relay->prefixes, &prefixes, endpoint->hash, now_ms);
-	prefill_queue_extend(
-	    &endpoint->unread, message->read_ms, (double)now_ms);
+	prefix_index_add(&relay->prefixes, &prefixes, endpoint->hash, now_ms);
+	prefill_queue_add_remote(
+	    &endpoint->prefill_queue, message->prefill_ms, (double)now_ms);
 }
 
 static bool
@@ -148,18 +148,18 @@
 {
 	relay_t *relay = arg;
 	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
-	const endpoint_t *endpoint =
-	    endpoint_set_find_short(relay->endpoints, question->endpoint);
+	const endpoint_t *endpoint = endpoint_set_find_by_short_hash(
+	    relay->endpoints, question->endpoint_hash);
 	prefix_list_t prefixes = {.len = question->prefixes_len};
 
 	if (endpoint == NULL)
 		return false;
 	memcpy(prefixes.hashes, question->prefixes,
 	    question->prefixes_len * sizeof(question->prefixes[0]));
-	answer->kept = (uint32_t)prefix_memory_count(
+	answer->cached_prefixes = (uint32_t)prefix_index_match_count(
 	    &relay->prefixes, &prefixes, endpoint->hash, now_ms);
-	answer->wait_ms =
-	    (uint32_t)prefill_queue_wait_ms(&endpoint->unread, (double)now_ms);
+	answer->queue_wait_ms = (uint32_t)prefill_queue_wait_ms(
+	    &endpoint->prefill_queue, (double)now_ms);
 	return true;
 }
 
@@ -177,18 +177,19 @@
 static void
 on_answered(void *arg, const gossip_message_t *answer)
 {
-	relay_request_t *req = asking_find(arg, answer->number);
+	relay_request_t *req = asking_find(arg, answer->query_id);
 
 	if (req == NULL)
 		return;
 	for (size_t i = 0; i < req->question.len; i++) {
 		asked_endpoint_t *asked = &req->question.of[i];
 
-		if ((uint32_t)asked->hash != answer->endpoint || asked->told)
+		if ((uint32_t)asked->hash != answer->endpoint_hash ||
+		    asked->told)
 			continue;
 		asked->told = true;
-		asked->wait_ms = answer->wait_ms;
-		asked->kept = answer->kept;
+		asked->wait_ms = answer->queue_wait_ms;
+		asked->kept = answer->cached_prefixes;
 		req->question.open--;
 	}
 	if (req->question.open == 0)
--- a/moortack/relay/relay_select.c
+++ b/moortack/relay/relay_placement.c
@@ -23,7 +23,8 @@
 	const relay_route_t *route = req->route;
 	const relay_model_t *known =
 	    relay_model_known(req, relay_model_name(req, index));
-	double slope = known != NULL ? prefill_rate_slope(&known->pace) : -1;
+	double slope =
+	    known != NULL ? prefill_rate_ms_per_token(&known->pace) : -1;
 	double most;
 
 	if (slope >= 0)
@@ -85,11 +86,12 @@
 	size_t count = 0;
 
 	for (size_t i = 0; i < set->len; i++) {
-		kept[i] = relay_ask_told(req, index, set->seen[i].hash) != NULL;
+		kept[i] =
+		    relay_ask_told(req, index, set->inputs[i].hash) != NULL;
 		count += kept[i];
 	}
 	if (count > 0)
-		candidates_keep(set, kept);
+		candidates_filter(set, kept);
 	return count;
 }
 
@@ -106,24 +108,26 @@
 	double again = again_of(req);
 
 	for (size_t i = 0; i < set->len; i++) {
-		choose_candidate_t *one = &set->seen[i];
+		endpoint_candidate_t *one = &set->inputs[i];
 		const asked_endpoint_t *told =
 		    relay_ask_told(req, index, one->hash);
-		uint32_t kept = prefix_memory_kept(
+		uint32_t kept = prefix_index_cached_tokens(
 		    &relay->prefixes, prefixes, one->hash, now_ms);
 		uint32_t shared_unread;
 
-		one->wait_ms = prefill_queue_wait_ms(
-		    &set->endpoints[i]->unread, (double)now_ms);
+		one->queue_wait_ms = prefill_queue_wait_ms(
+		    &set->endpoints[i]->prefill_queue, (double)now_ms);
 		if (told != NULL) {
-			one->wait_ms = fmax(one->wait_ms, told->wait_ms);
+			one->queue_wait_ms =
+			    fmax(one->queue_wait_ms, told->wait_ms);
 			kept = told_kept(prefixes, told, kept);
 		}
 		shared_unread = shared > kept ? shared - kept : 0;
-		one->unread = tokens_beyond(&req->arrival, kept);
-		one->own_ms = slope * (one->unread - shared_unread);
-		one->shared_ms = (slope + again) * shared_unread;
-		one->far_ms = one->same_zone ? 0 : far_ms;
+		one->uncached_tokens = tokens_beyond(&req->arrival, kept);
+		one->own_prefill_ms =
+		    slope * (one->uncached_tokens - shared_unread);
+		one->shared_prefill_ms = (slope + again) * shared_unread;
+		one->cross_zone_ms = one->same_zone ? 0 : far_ms;
 	}
 }
 
@@ -141,43 +145,44 @@
 	static prefix_list_t prefixes;
 	const char *model = relay_model_name(req, index);
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
-	choose_wish_t wish = {.prompt = req->arrival.parts_len > 0,
+	choice_criteria_t wish = {.has_prompt = req->arrival.parts_len > 0,
 	    .affinity = req->shared ^ model_hash,
-	    .first_keeps = req->relay->gossip->unheard,
-	    .dice = req->relay->rng->next(req->relay->rng),
-	    .zone_bonus = ZONE_BONUS};
+	    .first_cached = req->relay->gossip->unheard_share,
+	    .tie_breaker = req->relay->rng->next(req->relay->rng),
+	    .cross_zone_penalty = ZONE_BONUS};
 	const relay_model_t *known = relay_model_known(req, model);
 	size_t chosen;
 
 	*out = (placement_t){.first_ms = -1};
-	if (!candidates_of(req, &candidates, why)) {
-		out->cold = candidates.cold;
+	if (!candidates_collect(req, &candidates, why)) {
+		out->cold = candidates.cold_skipped;
 		return false;
 	}
-	if (wish.prompt) {
+	if (wish.has_prompt) {
 		prefix_list_fill(&prefixes, &req->arrival, model_hash);
 		out->told = told_keep(req, index, &candidates);
 		if (out->told > 0)
-			wish.first_keeps = 0;
+			wish.first_cached = 0;
 		prompt_see(req, &prefixes, index, &candidates);
 	}
 	/* What may crash it is kept from where most others run. */
 	if (relay_suspected(req))
-		wish.prompt = false;
-	chosen = choose_endpoint(candidates.seen, candidates.len, &wish);
+		wish.has_prompt = false;
+	chosen = endpoint_choose(candidates.inputs, candidates.len, &wish);
 	if (chosen == SIZE_MAX)
 		return false;
 	out->endpoint = candidates.endpoints[chosen];
 	out->candidates = candidates.len;
-	out->cold = candidates.cold;
-	out->load = candidates.seen[chosen].load;
-	out->wait_ms = candidates.seen[chosen].wait_ms;
-	out->read_ms =
-	    fmin(slope_of(req, index) * candidates.seen[chosen].unread,
-		PREFILL_QUEUE_PROMPT_MAX_MS);
-	out->unread = candidates.seen[chosen].unread;
+	out->cold = candidates.cold_skipped;
+	out->load = candidates.inputs[chosen].load;
+	out->wait_ms = candidates.inputs[chosen].queue_wait_ms;
+	out->read_ms = fmin(
+	    slope_of(req, index) * candidates.inputs[chosen].uncached_tokens,
+	    PREFILL_QUEUE_PROMPT_MAX_MS);
+	out->unread = candidates.inputs[chosen].uncached_tokens;
 	if (known != NULL)
-		out->first_ms = prefill_rate_ms(&known->pace, out->unread);
+		out->first_ms =
+		    prefill_rate_first_byte_ms(&known->pace, out->unread);
 	if (out->first_ms >= 0)
 		out->first_ms += out->wait_ms;
 	return true;
@@ -187,14 +192,14 @@
 message_tell(
     relay_t *relay, const placement_t *place, const prefix_list_t *prefixes)
 {
-	gossip_message_t message = {.kind = GOSSIP_SENT,
-	    .endpoint = place->endpoint->short_hash,
-	    .read_ms = (uint32_t)place->read_ms};
+	gossip_message_t message = {.kind = GOSSIP_PROMPT_SENT,
+	    .endpoint_hash = place->endpoint->short_hash,
+	    .prefill_ms = (uint32_t)place->read_ms};
 
-	if (!gossip_worth(relay->gossip, place->read_ms))
+	if (!gossip_should_send(relay->gossip, place->read_ms))
 		return;
 	relay_gossip_prefixes(&message, prefixes);
-	gossip_tell(relay->gossip, place->endpoint->facts.zone, &message);
+	gossip_send(relay->gossip, place->endpoint->info.zone, &message);
 }
 
 void
@@ -209,9 +214,9 @@
 		return;
 	prefix_list_fill(
 	    &prefixes, &req->arrival, XXH3_64bits(model, strlen(model)));
-	prefix_memory_note(
+	prefix_index_add(
 	    &relay->prefixes, &prefixes, place->endpoint->hash, now_ms);
-	prefill_queue_add(&place->endpoint->unread, &req->attempt.ticket,
+	prefill_queue_add(&place->endpoint->prefill_queue, &req->attempt.ticket,
 	    place->read_ms, (double)now_ms);
 	message_tell(relay, place, &prefixes);
 }
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -24,7 +24,7 @@
 uint32_t
 quarantine_version_of(const endpoint_t *endpoint)
 {
-	const endpoint_facts_t *facts = &endpoint->facts;
+	const endpoint_info_t *facts = &endpoint->info;
 	uint64_t service = XXH3_64bits(facts->service, strlen(facts->service));
 	uint64_t version = XXH3_64bits_withSeed(
 	    facts->version, strlen(facts->version), service);
@@ -70,7 +70,7 @@
 	relay_quarantine_t *self = arg;
 
 	if (suspect->stored_version != 0 &&
-	    gossip_owns(self->relay->gossip, suspect->digest))
+	    gossip_owns_digest(self->relay->gossip, suspect->digest))
 		quarantine_row_remove(self, suspect);
 }
 
@@ -80,7 +80,7 @@
 void
 quarantine_tell(relay_quarantine_t *self, const gossip_message_t *message)
 {
-	gossip_tell_owners(self->relay->gossip, message);
+	gossip_send_to_owners(self->relay->gossip, message);
 	if (self->again_len < QUARANTINE_MESSAGES_MAX)
 		self->again[self->again_len++] = *message;
 }
@@ -94,7 +94,7 @@
 	if (!quarantine_clear(&self->table, digest))
 		return;
 	self->cleared++;
-	if (gossip_owns(self->relay->gossip, digest))
+	if (gossip_owns_digest(self->relay->gossip, digest))
 		quarantine_row_remove(self, suspect);
 }
 
@@ -112,7 +112,7 @@
 	    "digest=%016" PRIx64 " crashes=0 endpoint=%s how=cleared",
 	    relay_digest(req), req->endpoint_id);
 	if (req->on_trial)
-		gossip_tell_each(req->relay->gossip, &message);
+		gossip_broadcast(req->relay->gossip, &message);
 	quarantine_tell(self, &message);
 	cleared_take(self, relay_digest(req), "run");
 }
@@ -129,13 +129,14 @@
 
 		if (message->kind == GOSSIP_CRASH) {
 			quarantine_crash(&self->table, digest,
-			    message->endpoint, message->version, false);
+			    message->endpoint_hash, message->version_hash,
+			    false);
 		} else if (message->kind == GOSSIP_CLEARED) {
 			cleared_take(self, digest, "told");
 		} else {
 			quarantine_merge(&self->table, digest, message->crashes,
-			    message->crashes_len, message->version,
-			    message->held_ms);
+			    message->crashes_len, message->version_hash,
+			    message->quarantined_ms);
 			suspect = quarantine_find(&self->table, digest);
 			if (suspect != NULL)
 				suspect->told = TELLS;
@@ -150,7 +151,7 @@
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
 
-	return gossip_owns(self->relay->gossip, suspect->digest) ||
+	return gossip_owns_digest(self->relay->gossip, suspect->digest) ||
 	    (suspect->witnessed &&
 		timespec_ms_between(suspect->crashed_at, now) >= ms);
 }
@@ -166,16 +167,16 @@
 static void
 verdict_tell(relay_quarantine_t *self, suspect_t *suspect)
 {
-	gossip_message_t message = {.kind = GOSSIP_HELD,
+	gossip_message_t message = {.kind = GOSSIP_QUARANTINED,
 	    .digests = {suspect->digest},
 	    .digests_len = 1,
-	    .version = suspect->version,
+	    .version_hash = suspect->version,
 	    .crashes_len = suspect->crashes_len,
-	    .held_ms = (uint32_t)timespec_ms_between(
+	    .quarantined_ms = (uint32_t)timespec_ms_between(
 		suspect->held_at, clock_elapsed(self->relay->clock))};
 
 	memcpy(message.crashes, suspect->crashes, sizeof(message.crashes));
-	gossip_tell_each(self->relay->gossip, &message);
+	gossip_broadcast(self->relay->gossip, &message);
 	suspect->told++;
 }
 
@@ -217,7 +218,7 @@
 	suspect_t *one, *next;
 
 	for (size_t i = 0; i < self->again_len; i++)
-		gossip_tell_owners(self->relay->gossip, &self->again[i]);
+		gossip_send_to_owners(self->relay->gossip, &self->again[i]);
 	self->again_len = 0;
 	quarantine_evidence_step(self);
 	if (look)
--- a/moortack/relay/relay_request.h
+++ b/moortack/relay/relay_request.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * One request's life, shared by the relay's files: taken (relay.c), sent
- * (relay_attempt.c), placed (relay_select.c), answered (relay_answer.c).
+ * (relay_attempt.c), placed (relay_placement.c), answered (relay_answer.c).
  */
 #ifndef MOORTACK_RELAY_RELAY_REQUEST_H
 #define MOORTACK_RELAY_RELAY_REQUEST_H
@@ -47,11 +47,11 @@
 	struct timespec sent_at;
 	const char *model; /**< named by the router; NULL: the caller's */
 	placement_t place;
-	read_ticket_t ticket; /**< while the endpoint has to read it */
-	bool sent;	      /**< bytes may have left */
-	bool kept;	      /**< on a connection that was used before */
-	double first_ms;      /**< from the send to the answer's first byte */
-	bool headed;	      /**< the answer's head came */
+	prefill_entry_t ticket; /**< while the endpoint has to read it */
+	bool sent;		/**< bytes may have left */
+	bool kept;		/**< on a connection that was used before */
+	double first_ms;	/**< from the send to the answer's first byte */
+	bool headed;		/**< the answer's head came */
 	bool ended;	      /**< the process that it was sent to has ended */
 	bool is_new;	      /**< of a roll-out's new version */
 	bool on_trial;	      /**< whose endpoints were being filled */
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -241,7 +241,7 @@
 
 	(void)whole;
 	if (table == ROW_TABLE_ENDPOINTS)
-		endpoint_set_learn(&node->endpoints);
+		endpoint_set_learn_base_versions(&node->endpoints);
 	relay_open(&node->relay);
 	if (table != ROW_TABLE_OWN)
 		return;
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -31,8 +31,8 @@
 	digest = relay_digest(req);
 	if (!quarantine_is_held(quarantine_find(&self->table, digest)))
 		return false;
-	req->on_trial = quarantine_admits(
-	    &self->table, digest, gossip_owns(req->relay->gossip, digest));
+	req->on_trial = quarantine_admits(&self->table, digest,
+	    gossip_owns_digest(req->relay->gossip, digest));
 	decision_log(req, digest);
 	return !req->on_trial;
 }
@@ -66,12 +66,12 @@
 live_count(const relay_request_t *req)
 {
 	const endpoint_group_t *group =
-	    endpoint_set_group(req->relay->endpoints, req->service);
+	    endpoint_set_find_group(req->relay->endpoints, req->service);
 	size_t count = 0;
 
 	for (size_t i = 0; group != NULL && i < group->len; i++)
-		count += !group->ring[i]->facts.leaving &&
-		    !endpoint_ejected(group->ring[i]) &&
+		count += !group->ring[i]->info.leaving &&
+		    !endpoint_is_ejected(group->ring[i]) &&
 		    !crash_evidence_open(&req->relay->quarantine.evidence,
 			group->ring[i]->short_hash);
 	return count;
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -58,9 +58,9 @@
 left_after_start_ms(
     const endpoint_t *endpoint, const warmup_snapshot_t *snapshot)
 {
-	int64_t age_ms = snapshot->wall_ms - endpoint->facts.born_ms;
+	int64_t age_ms = snapshot->wall_ms - endpoint->info.started_ms;
 
-	if (endpoint->facts.born_ms == 0 || age_ms < 0)
+	if (endpoint->info.started_ms == 0 || age_ms < 0)
 		return 0;
 	return max_ms(snapshot->warmup_ms - age_ms, 0);
 }
--- a/moortack/relay/first_try.c
+++ b/moortack/relay/retry_age.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/first_try.h"
+#include "moortack/relay/retry_age.h"
 
 /* Callers that wait at least this part of the longest time are at their first
  * try: making a connection takes the rest. */
@@ -14,19 +14,19 @@
 #define MOST_FADING 0.9999
 
 double
-first_try_take(first_try_t *self, int64_t deadline_ms)
+retry_age_observe(retry_age_t *self, int64_t deadline_ms)
 {
 	double ms = (double)deadline_ms;
 	double is_near;
 
 	if (deadline_ms <= 0)
 		return 0;
-	self->most_ms *= MOST_FADING;
-	if (ms > self->most_ms)
-		self->most_ms = ms;
-	is_near = ms >= NEAR_PART * self->most_ms ? 1 : 0;
-	self->near += NEAR_WEIGHT * (is_near - self->near);
-	if (is_near > 0 || self->near < ALIKE_MIN)
+	self->longest_ms *= MOST_FADING;
+	if (ms > self->longest_ms)
+		self->longest_ms = ms;
+	is_near = ms >= NEAR_PART * self->longest_ms ? 1 : 0;
+	self->near_longest += NEAR_WEIGHT * (is_near - self->near_longest);
+	if (is_near > 0 || self->near_longest < ALIKE_MIN)
 		return 0;
-	return self->most_ms - ms;
+	return self->longest_ms - ms;
 }
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -121,7 +121,7 @@
 bool
 rollout_is_new(const rollout_t *rollout, const endpoint_t *endpoint)
 {
-	return strcmp(rollout->order.to, endpoint->facts.version) == 0;
+	return strcmp(rollout->order.to, endpoint->info.version) == 0;
 }
 
 bool
@@ -158,7 +158,7 @@
 {
 	return rollout->state_order < rollout->order.number &&
 	    rollout->state == ROLLOUT_REVERTED &&
-	    strcmp(rollout->state_to, endpoint->facts.version) == 0;
+	    strcmp(rollout->state_to, endpoint->info.version) == 0;
 }
 
 static void
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -351,9 +351,9 @@
 		known = endpoint_set_find(&daemon->node.endpoints, key);
 		FUZZ_CHECK((known != NULL) == entry->present);
 		FUZZ_CHECK(
-		    known == NULL || known->facts.leaving == entry->leaving);
+		    known == NULL || known->info.leaving == entry->leaving);
 		FUZZ_CHECK(
-		    known == NULL || known->facts.born_ms == entry->born);
+		    known == NULL || known->info.started_ms == entry->born);
 		FUZZ_CHECK(known == NULL || !known->lapsed);
 	}
 }
--- a/test/fuzz/warmup_fuzz.c
+++ b/test/fuzz/warmup_fuzz.c
@@ -40,7 +40,7 @@
 /** A row that reaches each daemon at its own time. */
 typedef struct update {
 	int64_t at_ms[DAEMONS]; /**< NEVER: already delivered */
-	endpoint_facts_t facts;
+	endpoint_info_t facts;
 	int64_t zone; /**< whose evacuation changed; negative: the row is an
 			 endpoint's */
 	bool evacuated;
@@ -87,16 +87,16 @@
 	snprintf(out, ZONE_NAME_SIZE, "zone-%d", (int)zone);
 }
 
-static endpoint_facts_t
+static endpoint_info_t
 facts_of(size_t endpoint)
 {
-	endpoint_facts_t facts = {.service = SERVICE, .slots = 16};
+	endpoint_info_t facts = {.service = SERVICE, .slots = 16};
 	int64_t left_ms = world.cold_until_ms[endpoint] - world.now_ms;
 
 	snprintf(facts.id, sizeof(facts.id), "i-%zu-%u", endpoint,
 	    world.incarnation[endpoint]);
 	zone_name(facts.zone, (int64_t)(endpoint % ZONES));
-	facts.warm_in_ms = left_ms > 0 ? left_ms : 0;
+	facts.warmup_remaining_ms = left_ms > 0 ? left_ms : 0;
 	return facts;
 }
 
@@ -108,14 +108,14 @@
 }
 
 static void
-facts_apply(daemon_t *daemon, const endpoint_facts_t *facts)
+facts_apply(daemon_t *daemon, const endpoint_info_t *facts)
 {
 	/* Rows of earlier incarnations are ignored. */
 	for (size_t i = 0; i < ENDPOINTS; i++) {
-		endpoint_facts_t now = facts_of(i);
+		endpoint_info_t now = facts_of(i);
 
 		if (strcmp(now.id, facts->id) == 0)
-			endpoint_set_take(&daemon->endpoints, facts);
+			endpoint_set_update(&daemon->endpoints, facts);
 	}
 }
 
@@ -185,7 +185,7 @@
 	warmup_daemons_update_own(
 	    &daemon->relay.warmup_daemons, true, at_start, daemon->clock.now);
 	for (size_t i = 0; i < ENDPOINTS; i++) {
-		endpoint_facts_t facts = facts_of(i);
+		endpoint_info_t facts = facts_of(i);
 
 		facts_apply(daemon, &facts);
 	}
@@ -319,7 +319,7 @@
 
 	relay_warmup_snapshot(&req, &snapshot);
 	for (size_t i = 0; i < ENDPOINTS; i++) {
-		endpoint_facts_t facts = facts_of(i);
+		endpoint_info_t facts = facts_of(i);
 		endpoint_t *endpoint =
 		    endpoint_set_find(&daemon->endpoints, facts.id);
 
--- a/test/platform/decoders_test.c
+++ b/test/platform/decoders_test.c
@@ -204,7 +204,7 @@
 	static const char leaving[] =
 	    "{\"service\":\"s1\",\"address\":\"10.0.0.9:8080\",\"zone\":\"a\","
 	    "\"version\":\"v1\",\"batch_slots\":64,\"state\":\"draining\"}";
-	endpoint_facts_t facts;
+	endpoint_info_t facts;
 	err_t err;
 
 	(void)state;
@@ -251,7 +251,7 @@
 static bool
 born_taken(const char *born, int64_t *born_ms)
 {
-	endpoint_facts_t facts;
+	endpoint_info_t facts;
 	char text[400];
 	err_t err;
 	bool taken;
@@ -261,7 +261,7 @@
 	taken = endpoint_row_decode("i-1", text, strlen(text), &facts, &err);
 	if (!taken && strstr(err.detail, "born") == NULL)
 		fail_msg("\"%s\" does not name born", err.detail);
-	*born_ms = facts.born_ms;
+	*born_ms = facts.started_ms;
 	return taken;
 }
 
@@ -315,7 +315,7 @@
 		"batch_slots"},
 	    {"no JSON", "object"},
 	};
-	endpoint_facts_t facts;
+	endpoint_info_t facts;
 	err_t err;
 
 	(void)state;
@@ -466,7 +466,7 @@
 what_a_caller_may_not_say_is_not_passed_on(void **state)
 {
 	heads_t heads = {.msg = {.method = "POST", .keep_alive = true}};
-	endpoint_facts_t facts = {.id = "i-1"};
+	endpoint_info_t facts = {.id = "i-1"};
 	struct evbuffer *out = evbuffer_new();
 	arrival_t arrival;
 	attempt_head_t attempt = {.request = &heads.msg,
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -203,7 +203,7 @@
 {
 	row_t row = {.key = key, .value = value, .value_len = len};
 	char ended[VALUE_SIZE + 1];
-	endpoint_facts_t endpoint;
+	endpoint_info_t endpoint;
 	rollout_order_t order;
 	member_facts_t member;
 	bool good;
@@ -354,11 +354,11 @@
 	for (const endpoint_t *one = a->endpoints.endpoints; one != NULL;
 	     one = one->hh.next) {
 		const endpoint_t *other =
-		    endpoint_set_find(&b->endpoints, one->facts.id);
+		    endpoint_set_find(&b->endpoints, one->info.id);
 
 		FUZZ_CHECK(other != NULL);
-		FUZZ_CHECK(other->facts.leaving == one->facts.leaving);
-		FUZZ_CHECK(other->facts.born_ms == one->facts.born_ms);
+		FUZZ_CHECK(other->info.leaving == one->info.leaving);
+		FUZZ_CHECK(other->info.started_ms == one->info.started_ms);
 	}
 }
 
--- a/test/support/silent_store.h
+++ b/test/support/silent_store.h
@@ -53,15 +53,15 @@
  * time of its start, where there is one; "?" is no entry. */
 static inline bool
 told_endpoint(const char *id, const char *text, size_t len,
-    endpoint_facts_t *facts, err_t *err)
+    endpoint_info_t *facts, err_t *err)
 {
 	const char *born = memchr(text, '@', len);
 
 	if (len == 1 && text[0] == '?')
 		return err_set(err, ERR_UNREADABLE, "no entry");
-	*facts = (endpoint_facts_t){.service = "s", .zone = "a", .slots = 1};
+	*facts = (endpoint_info_t){.service = "s", .zone = "a", .slots = 1};
 	if (born != NULL) {
-		facts->born_ms = strtoll(born + 1, NULL, 10);
+		facts->started_ms = strtoll(born + 1, NULL, 10);
 		len = (size_t)(born - text);
 	}
 	snprintf(
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -37,14 +37,14 @@
 static void
 version_learn(chooser_t *chooser, int number, const char *version)
 {
-	endpoint_facts_t facts = {.service = "lm",
+	endpoint_info_t facts = {.service = "lm",
 	    .zone = "a",
 	    .slots = 8,
 	    .address = {"10.0.0.1", 80}};
 
 	snprintf(facts.id, sizeof(facts.id), "i-%d", number);
 	strcpy(facts.version, version);
-	endpoint_set_take(&chooser->endpoints, &facts);
+	endpoint_set_update(&chooser->endpoints, &facts);
 }
 
 static void
@@ -95,7 +95,7 @@
 
 	chooser->request.shared = shared;
 	assert_true(
-	    candidates_of(&chooser->request, &chooser->candidates, &why));
+	    candidates_collect(&chooser->request, &chooser->candidates, &why));
 	return chooser->candidates.len;
 }
 
@@ -103,7 +103,7 @@
 weighs(const chooser_t *chooser, uint64_t hash)
 {
 	for (size_t i = 0; i < chooser->candidates.len; i++) {
-		if (chooser->candidates.seen[i].hash == hash)
+		if (chooser->candidates.inputs[i].hash == hash)
 			return true;
 	}
 	return false;
@@ -122,7 +122,8 @@
 		assert_int_equal(len, CANDIDATES_MAX);
 		assert_int_equal(weighed(two, shared_by(i)), len);
 		for (size_t j = 0; j < len; j++)
-			assert_true(weighs(two, one->candidates.seen[j].hash));
+			assert_true(
+			    weighs(two, one->candidates.inputs[j].hash));
 	}
 	chooser_end(one);
 	chooser_end(two);
@@ -133,7 +134,7 @@
 {
 	chooser_t *one = chooser_begin(false, ENDPOINTS);
 	const endpoint_group_t *group =
-	    endpoint_set_group(&one->endpoints, "lm");
+	    endpoint_set_find_group(&one->endpoints, "lm");
 	bool seen[ENDPOINTS] = {false};
 
 	(void)state;
@@ -166,23 +167,24 @@
 {
 	enum { FEW = 10, DAEMONS = 91 };
 	chooser_t *one = chooser_begin(false, FEW);
-	endpoint_group_t *group = endpoint_set_group(&one->endpoints, "lm");
+	endpoint_group_t *group =
+	    endpoint_set_find_group(&one->endpoints, "lm");
 	endpoint_t *used = group->ring[3];
 
 	(void)state;
-	endpoint_take_up(used);
+	endpoint_request_started(used);
 	assert_float_equal(
-	    endpoint_load_now(used, DAEMONS), 1 + 90.0 / FEW, 0.01);
+	    endpoint_estimate_load(used, DAEMONS), 1 + 90.0 / FEW, 0.01);
 	assert_float_equal(
-	    endpoint_load_now(group->ring[4], DAEMONS), 90.0 / FEW, 0.01);
-	endpoint_let_go(used);
-	assert_float_equal(endpoint_load_now(used, DAEMONS), 0, 0.01);
+	    endpoint_estimate_load(group->ring[4], DAEMONS), 90.0 / FEW, 0.01);
+	endpoint_request_ended(used);
+	assert_float_equal(endpoint_estimate_load(used, DAEMONS), 0, 0.01);
 	/* What is under way at one that is gone counts no longer. */
-	endpoint_take_up(used);
+	endpoint_request_started(used);
 	endpoint_hold(used);
 	endpoint_set_remove(&one->endpoints, used);
 	assert_int_equal(group->in_flight, 0);
-	endpoint_let_go(used);
+	endpoint_request_ended(used);
 	assert_int_equal(group->in_flight, 0);
 	endpoint_release(used);
 	chooser_end(one);
@@ -228,7 +230,7 @@
 	for (int i = 0; i < NEW; i++)
 		version_learn(one, i, "v2");
 	rollout_of(one, &watch, part);
-	group = endpoint_set_group(&one->endpoints, "lm");
+	group = endpoint_set_find_group(&one->endpoints, "lm");
 	group->in_flight_mean = under_way;
 	one->relay.daemons_most = 1;
 	len = weighed(one, 0);
--- a/test/unit/endpoint_set_test.c
+++ b/test/unit/endpoint_set_test.c
@@ -15,7 +15,7 @@
 
 #include "../support/manual_clock.h"
 #include "moortack/relay/endpoint_set.h"
-#include "moortack/relay/prefix_memory.h"
+#include "moortack/relay/prefix_index.h"
 
 #define BORN 1700000000000
 /* Far longer than an entry of an earlier start is doubted. */
@@ -47,24 +47,24 @@
 	return 0;
 }
 
-static endpoint_facts_t
+static endpoint_info_t
 entry(int64_t born_ms)
 {
-	return (endpoint_facts_t){.id = "i-1",
+	return (endpoint_info_t){.id = "i-1",
 	    .service = "lm",
 	    .zone = "a",
 	    .version = "v1",
 	    .slots = 8,
 	    .address = {"10.0.0.1", 80},
-	    .born_ms = born_ms};
+	    .started_ms = born_ms};
 }
 
 static endpoint_t *
 take(started_t *started, int64_t born_ms)
 {
-	endpoint_facts_t facts = entry(born_ms);
+	endpoint_info_t facts = entry(born_ms);
 
-	return endpoint_set_take(&started->set, &facts);
+	return endpoint_set_update(&started->set, &facts);
 }
 
 /* Give the endpoint all that can be believed of one. */
@@ -73,12 +73,12 @@
 {
 	static const endpoint_load_t load = {.running = 5, .waiting = 2};
 
-	prefill_queue_extend(&endpoint->unread, 900, 100000);
-	endpoint_told_load(endpoint, &load);
-	endpoint_take_up(endpoint);
+	prefill_queue_add_remote(&endpoint->prefill_queue, 900, 100000);
+	endpoint_record_load(endpoint, &load);
+	endpoint_request_started(endpoint);
 	for (int i = 0; i < 8; i++)
-		endpoint_failed(endpoint);
-	endpoint->suspected_len = 3;
+		endpoint_record_failure(endpoint);
+	endpoint->suspected_failures_len = 3;
 	endpoint->lapsed = true;
 }
 
@@ -90,21 +90,21 @@
 	endpoint_t *next;
 
 	believe(old);
-	assert_true(endpoint_ejected(old));
+	assert_true(endpoint_is_ejected(old));
 	next = take(started, BORN + 1);
 	assert_ptr_not_equal(next, old);
-	assert_false(old->present);
+	assert_false(old->in_set);
 	assert_ptr_equal(endpoint_set_find(&started->set, "i-1"), next);
 	assert_float_equal(
-	    prefill_queue_wait_ms(&next->unread, 100000), 0, 0.001);
-	assert_false(next->load_known);
+	    prefill_queue_wait_ms(&next->prefill_queue, 100000), 0, 0.001);
+	assert_false(next->load_reported);
 	assert_int_equal(next->in_flight, 0);
 	assert_int_equal(next->group->in_flight, 0);
-	assert_false(endpoint_ejected(next));
-	assert_int_equal(next->suspected_len, 0);
+	assert_false(endpoint_is_ejected(next));
+	assert_int_equal(next->suspected_failures_len, 0);
 	assert_false(next->lapsed);
 	/* What still runs at the old one ends there. */
-	endpoint_let_go(old);
+	endpoint_request_ended(old);
 	assert_int_equal(next->in_flight, 0);
 	endpoint_release(old);
 }
@@ -117,18 +117,18 @@
 	started_t *started = *state;
 	endpoint_t *endpoint = take(started, BORN);
 
-	endpoint_failed(endpoint);
-	assert_false(endpoint_ejected(endpoint));
-	endpoint_refused_connection(endpoint);
-	assert_true(endpoint_ejected(endpoint));
+	endpoint_record_failure(endpoint);
+	assert_false(endpoint_is_ejected(endpoint));
+	endpoint_record_refused(endpoint);
+	assert_true(endpoint_is_ejected(endpoint));
 	started->clock.now = timespec_after_ms(started->clock.now, 500);
-	assert_false(endpoint_ejected(endpoint));
-	endpoint_worked(endpoint);
-	endpoint_superseded(endpoint);
+	assert_false(endpoint_is_ejected(endpoint));
+	endpoint_record_success(endpoint);
+	endpoint_record_superseded(endpoint);
 	started->clock.now = timespec_after_ms(started->clock.now, 3600);
-	assert_true(endpoint_ejected(endpoint));
-	endpoint_worked(endpoint);
-	assert_false(endpoint_ejected(endpoint));
+	assert_true(endpoint_is_ejected(endpoint));
+	endpoint_record_success(endpoint);
+	assert_false(endpoint_is_ejected(endpoint));
 }
 
 /* Notes of other daemons name an endpoint by its short hash, and what it keeps
@@ -142,16 +142,17 @@
 	endpoint_t *old = take(started, BORN);
 	uint32_t named = old->short_hash;
 	uint64_t remembered = old->hash;
-	prefix_memory_t memory;
+	prefix_index_t memory;
 	endpoint_t *next;
 
-	assert_true(prefix_memory_init(&memory));
-	prefix_memory_note(&memory, &prefixes, remembered, 1000);
+	assert_true(prefix_index_init(&memory));
+	prefix_index_add(&memory, &prefixes, remembered, 1000);
 	next = take(started, BORN + 5);
-	assert_null(endpoint_set_find_short(&started->set, named));
+	assert_null(endpoint_set_find_by_short_hash(&started->set, named));
 	assert_int_equal(
-	    prefix_memory_kept(&memory, &prefixes, next->hash, 1000), 0);
-	prefix_memory_finish(&memory);
+	    prefix_index_cached_tokens(&memory, &prefixes, next->hash, 1000),
+	    0);
+	prefix_index_finish(&memory);
 }
 
 static void
@@ -162,8 +163,8 @@
 
 	believe(first);
 	assert_ptr_equal(take(started, BORN), first);
-	assert_true(first->load_known);
-	endpoint_let_go(first);
+	assert_true(first->load_reported);
+	endpoint_request_ended(first);
 }
 
 static void
@@ -171,16 +172,16 @@
 {
 	started_t *started = *state;
 	endpoint_t *now = take(started, BORN + 9);
-	endpoint_facts_t facts;
+	endpoint_info_t facts;
 
 	assert_ptr_equal(take(started, BORN), now);
-	assert_int_equal(now->facts.born_ms, BORN + 9);
-	assert_false(endpoint_set_earlier(&started->set, &facts));
+	assert_int_equal(now->info.started_ms, BORN + 9);
+	assert_false(endpoint_set_find_earlier(&started->set, &facts));
 	/* The one that runs writes its entry again: that one was late. */
 	assert_ptr_equal(take(started, BORN + 9), now);
 	started->clock.now = timespec_after_ms(started->clock.now, LONG_MS);
-	assert_false(endpoint_set_earlier(&started->set, &facts));
-	assert_int_equal(started->set.earlier_len, 0);
+	assert_false(endpoint_set_find_earlier(&started->set, &facts));
+	assert_int_equal(started->set.earlier_entries, 0);
 }
 
 /* Who started again with its clock set back is not passed over for good. */
@@ -188,13 +189,13 @@
 an_earlier_start_that_stays_is_taken(void **state)
 {
 	started_t *started = *state;
-	endpoint_facts_t facts;
+	endpoint_info_t facts;
 
 	take(started, BORN + 9);
 	take(started, BORN);
 	started->clock.now = timespec_after_ms(started->clock.now, LONG_MS);
-	assert_true(endpoint_set_earlier(&started->set, &facts));
-	assert_int_equal(facts.born_ms, BORN);
+	assert_true(endpoint_set_find_earlier(&started->set, &facts));
+	assert_int_equal(facts.started_ms, BORN);
 }
 
 static void
@@ -202,12 +203,12 @@
 {
 	started_t *started = *state;
 	endpoint_t *now = take(started, BORN + 9);
-	endpoint_facts_t leaving = entry(BORN);
+	endpoint_info_t leaving = entry(BORN);
 
 	leaving.leaving = true;
-	endpoint_set_take(&started->set, &leaving);
-	assert_true(now->facts.leaving);
-	assert_false(take(started, BORN + 9)->facts.leaving);
+	endpoint_set_update(&started->set, &leaving);
+	assert_true(now->info.leaving);
+	assert_false(take(started, BORN + 9)->info.leaving);
 }
 
 /* An entry that says nothing of its start is none of a replica that did. */
@@ -218,7 +219,7 @@
 	endpoint_t *now = take(started, BORN);
 
 	assert_ptr_equal(take(started, 0), now);
-	assert_int_equal(now->facts.born_ms, BORN);
+	assert_int_equal(now->info.started_ms, BORN);
 }
 
 int
--- a/test/unit/gossip_test.c
+++ b/test/unit/gossip_test.c
@@ -14,14 +14,14 @@
 #include <string.h>
 
 #include "../support/manual_clock.h"
+#include "moortack/relay/endpoint_owner.h"
 #include "moortack/relay/gossip.h"
 #include "moortack/relay/gossip_message.h"
-#include "moortack/relay/owners.h"
 
 static manual_clock_t hand = {{&manual_ops}, {1000, 0}};
 
-static const gossip_message_t message = {.endpoint = 0xfedcba98,
-    .read_ms = 1234,
+static const gossip_message_t message = {.endpoint_hash = 0xfedcba98,
+    .prefill_ms = 1234,
     .prefixes = {1, 0xffffffff, 3, 4, 5, 6},
     .prefixes_len = 6};
 
@@ -29,7 +29,7 @@
 a_message_is_read_by_who_has_the_key(void **state)
 {
 	gossip_key_t key, other;
-	uint8_t bytes[GOSSIP_MESSAGE_SIZE];
+	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 	gossip_message_t read;
 	size_t len;
 
@@ -37,10 +37,10 @@
 	gossip_key_derive(&key, "secret");
 	gossip_key_derive(&other, "another");
 	len = gossip_message_seal(&message, &key, bytes);
-	assert_true(len <= GOSSIP_MESSAGE_SIZE);
+	assert_true(len <= GOSSIP_DATAGRAM_MAX);
 	assert_true(gossip_message_open(&read, &key, bytes, len));
-	assert_int_equal(read.endpoint, message.endpoint);
-	assert_int_equal(read.read_ms, message.read_ms);
+	assert_int_equal(read.endpoint_hash, message.endpoint_hash);
+	assert_int_equal(read.prefill_ms, message.prefill_ms);
 	assert_int_equal(read.prefixes_len, message.prefixes_len);
 	assert_memory_equal(
 	    read.prefixes, message.prefixes, sizeof(message.prefixes));
@@ -51,19 +51,19 @@
 what_crashes_endpoints_is_told_in_one_datagram(void **state)
 {
 	const gossip_message_t crash = {.kind = GOSSIP_CRASH,
-	    .endpoint = UINT32_MAX,
-	    .version = UINT32_MAX,
+	    .endpoint_hash = UINT32_MAX,
+	    .version_hash = UINT32_MAX,
 	    .digests = {UINT64_MAX, 2, 3, 4, UINT64_MAX},
 	    .digests_len = GOSSIP_MESSAGE_DIGESTS_MAX};
-	const gossip_message_t verdict = {.kind = GOSSIP_HELD,
+	const gossip_message_t verdict = {.kind = GOSSIP_QUARANTINED,
 	    .digests = {UINT64_MAX},
 	    .digests_len = 1,
-	    .version = UINT32_MAX,
+	    .version_hash = UINT32_MAX,
 	    .crashes = {UINT32_MAX, 2, UINT32_MAX},
 	    .crashes_len = GOSSIP_MESSAGE_CRASHES_MAX,
-	    .held_ms = UINT32_MAX};
+	    .quarantined_ms = UINT32_MAX};
 	const gossip_message_t *const messages[] = {&crash, &verdict};
-	uint8_t bytes[GOSSIP_MESSAGE_SIZE];
+	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 	gossip_key_t key;
 	gossip_message_t read;
 
@@ -72,7 +72,7 @@
 	for (size_t i = 0; i < 2; i++) {
 		size_t len = gossip_message_seal(messages[i], &key, bytes);
 
-		assert_true(len <= GOSSIP_MESSAGE_SIZE);
+		assert_true(len <= GOSSIP_DATAGRAM_MAX);
 		assert_true(gossip_message_open(&read, &key, bytes, len));
 		assert_memory_equal(&read, messages[i], sizeof(read));
 	}
@@ -82,7 +82,7 @@
 what_was_changed_is_refused(void **state)
 {
 	gossip_key_t key;
-	uint8_t bytes[GOSSIP_MESSAGE_SIZE + 1] = {0};
+	uint8_t bytes[GOSSIP_DATAGRAM_MAX + 1] = {0};
 	gossip_message_t read;
 	size_t len;
 
@@ -131,10 +131,11 @@
 
 	(void)state;
 	members_fill(&members, all, GOSSIP_PEERS_MAX + 1, 4);
-	assert_int_equal(gossip_peers_of(&members, peers), GOSSIP_PEERS_MAX);
+	assert_int_equal(
+	    gossip_peers_collect(&members, peers), GOSSIP_PEERS_MAX);
 	all[2].state = MEMBER_LEAVING;
 	assert_int_equal(
-	    gossip_peers_of(&members, peers), GOSSIP_PEERS_MAX - 1);
+	    gossip_peers_collect(&members, peers), GOSSIP_PEERS_MAX - 1);
 	HASH_CLEAR(hh, members.members);
 }
 
@@ -148,7 +149,7 @@
 	membership_t members;
 
 	members_fill(&members, all, len, self);
-	owner = owner_of(&members, zone, endpoint);
+	owner = endpoint_owner_find(&members, zone, endpoint);
 	HASH_CLEAR(hh, members.members);
 	return owner != NULL ? (size_t)(owner - all) : self;
 }
@@ -203,12 +204,12 @@
 static void
 an_answer_comes_back_as_it_was_told(void **state)
 {
-	const gossip_message_t told = {.kind = GOSSIP_ANSWER,
-	    .endpoint = 7,
-	    .number = 0xffffffff,
-	    .wait_ms = 4321,
-	    .kept = 3};
-	uint8_t bytes[GOSSIP_MESSAGE_SIZE];
+	const gossip_message_t told = {.kind = GOSSIP_RESPONSE,
+	    .endpoint_hash = 7,
+	    .query_id = 0xffffffff,
+	    .queue_wait_ms = 4321,
+	    .cached_prefixes = 3};
+	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 	gossip_key_t key;
 	gossip_message_t read;
 
@@ -216,11 +217,11 @@
 	gossip_key_derive(&key, "secret");
 	assert_true(gossip_message_open(
 	    &read, &key, bytes, gossip_message_seal(&told, &key, bytes)));
-	assert_int_equal(read.kind, GOSSIP_ANSWER);
-	assert_int_equal(read.endpoint, told.endpoint);
-	assert_int_equal(read.number, told.number);
-	assert_int_equal(read.wait_ms, told.wait_ms);
-	assert_int_equal(read.kept, told.kept);
+	assert_int_equal(read.kind, GOSSIP_RESPONSE);
+	assert_int_equal(read.endpoint_hash, told.endpoint_hash);
+	assert_int_equal(read.query_id, told.query_id);
+	assert_int_equal(read.queue_wait_ms, told.queue_wait_ms);
+	assert_int_equal(read.cached_prefixes, told.cached_prefixes);
 }
 
 /* The less may be sent, the longer a prompt has to be. */
@@ -235,19 +236,19 @@
 	(void)state;
 	assert_true(gossip_init(
 	    &gossip, NULL, &hand.source, &members, "", NULL, NULL, &err));
-	assert_true(gossip_worth(&gossip, 25));
-	assert_false(gossip_worth(&gossip, 5));
-	gossip.allowance /= 10;
-	assert_false(gossip_worth(&gossip, 25));
-	assert_true(gossip_worth(&gossip, 500));
-	gossip.allowance = 0;
-	while (told < 100 && gossip_worth(&gossip, 5000)) {
-		gossip.allowance -= 800;
+	assert_true(gossip_should_send(&gossip, 25));
+	assert_false(gossip_should_send(&gossip, 5));
+	gossip.send_budget /= 10;
+	assert_false(gossip_should_send(&gossip, 25));
+	assert_true(gossip_should_send(&gossip, 500));
+	gossip.send_budget = 0;
+	while (told < 100 && gossip_should_send(&gossip, 5000)) {
+		gossip.send_budget -= 800;
 		told++;
 	}
 	assert_int_equal(told, 0);
 	hand.now.tv_sec += 60;
-	assert_true(gossip_worth(&gossip, 25));
+	assert_true(gossip_should_send(&gossip, 25));
 	gossip_finish(&gossip);
 }
 
--- a/test/unit/lapse_test.c
+++ b/test/unit/lapse_test.c
@@ -146,7 +146,7 @@
 	now = entry_of(&told, "e1");
 	assert_ptr_not_equal(now, before);
 	assert_false(now->lapsed);
-	assert_false(before->present);
+	assert_false(before->in_set);
 	assert_int_equal(
 	    row_source_told(&told.node.source, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER + 1);
@@ -203,7 +203,7 @@
 	told_node_init(&told);
 	entry_tell(&told, "e1", "leaving", VERSION_BEFORE);
 	entry_tell(&told, "e1", "ready", VERSION_ENTRY);
-	assert_true(entry_of(&told, "e1")->facts.leaving);
+	assert_true(entry_of(&told, "e1")->info.leaving);
 	entry_tell(&told, "e1", NULL, VERSION_ENTRY);
 	assert_non_null(entry_of(&told, "e1"));
 	entry_tell(&told, "e1", NULL, VERSION_END);
@@ -256,7 +256,8 @@
 	entry_tell(&told, "e3", "v2", VERSION_ENTRY + 2);
 	relay_rows_ops.settled(&told.node, ROW_TABLE_ENDPOINTS, false);
 	assert_string_equal(
-	    endpoint_set_group(&told.node.endpoints, "s")->base_version, "v1");
+	    endpoint_set_find_group(&told.node.endpoints, "s")->base_version,
+	    "v1");
 	told_node_finish(&told);
 }
 
--- a/test/unit/relay_decisions_test.c
+++ b/test/unit/relay_decisions_test.c
@@ -13,10 +13,10 @@
 
 #include "common/clock_source.h"
 #include "moortack/relay/event_scan.h"
-#include "moortack/relay/first_try.h"
 #include "moortack/relay/model_choice.h"
 #include "moortack/relay/model_record.h"
 #include "moortack/relay/prefill_rate.h"
+#include "moortack/relay/retry_age.h"
 #include "moortack/relay/retry_share.h"
 #include "moortack/relay/rollout_plan.h"
 #include "moortack/relay/session_memory.h"
@@ -120,28 +120,28 @@
 static void
 who_came_back_has_less_time(void **state)
 {
-	first_try_t tries = {0};
+	retry_age_t tries = {0};
 
 	(void)state;
 	for (int i = 0; i < 50; i++)
-		assert_true(first_try_take(&tries, 20000 - i % 10) == 0);
-	assert_true(first_try_take(&tries, 18500) > 1400);
-	assert_true(first_try_take(&tries, 18500) < 1600);
-	assert_true(first_try_take(&tries, 19990) == 0);
-	assert_true(first_try_take(&tries, 0) == 0);
+		assert_true(retry_age_observe(&tries, 20000 - i % 10) == 0);
+	assert_true(retry_age_observe(&tries, 18500) > 1400);
+	assert_true(retry_age_observe(&tries, 18500) < 1600);
+	assert_true(retry_age_observe(&tries, 19990) == 0);
+	assert_true(retry_age_observe(&tries, 0) == 0);
 }
 
 /* Callers with times of their own tell nothing of earlier tries. */
 static void
 times_of_their_own_tell_nothing(void **state)
 {
-	first_try_t tries = {0};
+	retry_age_t tries = {0};
 
 	(void)state;
 	for (int i = 0; i < 200; i++)
-		first_try_take(&tries, 1000 + i % 10 * 2000);
+		retry_age_observe(&tries, 1000 + i % 10 * 2000);
 	for (int i = 0; i < 10; i++)
-		assert_true(first_try_take(&tries, 1000 + i * 2000) == 0);
+		assert_true(retry_age_observe(&tries, 1000 + i * 2000) == 0);
 }
 
 /* Guards against a new daemon that reads differing deadlines as earlier tries:
@@ -149,12 +149,12 @@
 static void
 differing_deadlines_at_start_show_no_earlier_try(void **state)
 {
-	first_try_t tries = {0};
+	retry_age_t tries = {0};
 
 	(void)state;
 	for (int i = 0; i < 200; i++)
 		assert_true(
-		    first_try_take(&tries, 17000 + i * 7919 % 3000) == 0);
+		    retry_age_observe(&tries, 17000 + i * 7919 % 3000) == 0);
 }
 
 static void
@@ -163,18 +163,18 @@
 	prefill_rate_t pace = {0};
 
 	(void)state;
-	assert_true(prefill_rate_ms(&pace, 1000) < 0);
+	assert_true(prefill_rate_first_byte_ms(&pace, 1000) < 0);
 	for (int i = 0; i < 20; i++)
-		prefill_rate_take(
+		prefill_rate_observe(
 		    &pace, 1000 * (i % 5 + 1), 50 + 100 * (i % 5));
-	assert_true(prefill_rate_ms(&pace, 10000) > 900);
-	assert_true(prefill_rate_ms(&pace, 10000) < 1000);
-	assert_true(prefill_rate_ms(&pace, 100) >= 0);
+	assert_true(prefill_rate_first_byte_ms(&pace, 10000) > 900);
+	assert_true(prefill_rate_first_byte_ms(&pace, 10000) < 1000);
+	assert_true(prefill_rate_first_byte_ms(&pace, 100) >= 0);
 	/* What becomes slow shows soon. */
 	for (int i = 0; i < 100; i++)
-		prefill_rate_take(
+		prefill_rate_observe(
 		    &pace, 1000 * (i % 5 + 1), 500 + 1000 * (i % 5));
-	assert_true(prefill_rate_ms(&pace, 10000) > 8000);
+	assert_true(prefill_rate_first_byte_ms(&pace, 10000) > 8000);
 }
 
 static void
@@ -184,9 +184,9 @@
 
 	(void)state;
 	for (int i = 0; i < 10; i++)
-		prefill_rate_take(&pace, 800, 40);
-	assert_true(prefill_rate_ms(&pace, 8000) > 39);
-	assert_true(prefill_rate_ms(&pace, 8000) < 41);
+		prefill_rate_observe(&pace, 800, 40);
+	assert_true(prefill_rate_first_byte_ms(&pace, 8000) > 39);
+	assert_true(prefill_rate_first_byte_ms(&pace, 8000) < 41);
 }
 
 static void
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -187,7 +187,7 @@
 {
 	endpoint_t endpoint = {0};
 
-	strcpy(endpoint.facts.version, version);
+	strcpy(endpoint.info.version, version);
 	return rollout_taken_back(told->rollout, &endpoint);
 }
 
