--- a/include/moortack/relay/endpoint_choice.h
+++ b/include/moortack/relay/endpoint_choice.h
@@ -1,11 +1,12 @@
 /**
  * @file
- * The choice of an endpoint among those that may take a request: a pure
- * decision, without I/O and clock.
+ * Chooses an endpoint among those that may serve a request. Pure functions,
+ * without I/O or a clock.
  *
- * Prompts go where they cost least, in milliseconds of an endpoint's time: what
- * waits there, what has to be read, what the way is worth. Plain work goes
- * where the smallest part of the slots is taken.
+ * Requests with a prompt go to the endpoint with the lowest cost in
+ * milliseconds of endpoint time: queueing, prefill and cross-zone transfer.
+ * Requests without one go to the endpoint with the smallest share of its slots
+ * in use.
  */
 #ifndef MOORTACK_RELAY_ENDPOINT_CHOICE_H
 #define MOORTACK_RELAY_ENDPOINT_CHOICE_H
@@ -16,38 +17,42 @@
 
 /** One endpoint that may be chosen. */
 typedef struct endpoint_candidate {
-	uint64_t hash; /**< of its id */
-	double load;   /**< requests that it likely holds */
+	uint64_t hash; /**< of the endpoint's incarnation */
+	double load;   /**< estimated number of requests that it holds */
 	uint32_t slots;
 	bool same_zone;
-	bool ejected;		  /**< taken only if all are */
-	uint32_t uncached_tokens; /**< tokens that it isn't known to keep */
-	double queue_wait_ms; /**< until it begins to read one more prompt */
-	double
-	    own_prefill_ms; /**< reading what is the request's own of these */
-	double
-	    shared_prefill_ms; /**< reading what others share, and its price */
-	double cross_zone_ms;  /**< what the way there is worth */
+	bool ejected; /**< chosen only if all candidates are ejected */
+	uint32_t uncached_tokens; /**< tokens of the prompt that aren't known to
+				     be cached there */
+	double queue_wait_ms;  /**< until it starts to prefill another prompt */
+	double own_prefill_ms; /**< prefill of the uncached tokens that only
+				  this request has */
+	double shared_prefill_ms; /**< prefill of the uncached tokens that other
+				     requests share, including what their
+				     recomputation costs */
+	double cross_zone_ms; /**< cost of sending the prompt to another zone */
 } endpoint_candidate_t;
 
-/** What the choice weighs. */
+/** What the request asks of an endpoint. */
 typedef struct choice_criteria {
-	bool has_prompt;     /**< it has one; else it is plain work */
-	uint64_t affinity;   /**< hash of what the prompt shares */
-	double first_cached; /**< how likely the first endpoint in the order for
-			       that keeps it, by the sends of others */
-	uint32_t tie_breaker;	   /**< random, to break ties */
-	double cross_zone_penalty; /**< of a slot share, for the same zone */
+	bool has_prompt;      /**< false: choose by the share of slots in use */
+	uint64_t affinity;    /**< hash of the prompt's shared prefix */
+	double first_cached;  /**< probability that the first endpoint by
+				 affinity has the shared prefix cached because
+				 other daemons sent it there, 0 to 1 */
+	uint32_t tie_breaker; /**< random */
+	double cross_zone_penalty; /**< added to the share of slots in use for
+				      endpoints in other zones */
 } choice_criteria_t;
 
-/** The first ones in the order for what is shared, which all daemons see alike:
- * of those that are not ejected, if there are any.
- * @param out room for @p most indexes
+/** Ranks the candidates by rendezvous hashing of the affinity hash; all daemons
+ * get the same order. Ejected candidates are left out unless all are ejected.
+ * @param out room for @p max indexes, the first one first
  * @return how many were filled in */
 size_t endpoint_rank_by_affinity(const endpoint_candidate_t *, size_t len,
-    const choice_criteria_t *, size_t *out, size_t most);
+    const choice_criteria_t *, size_t *out, size_t max);
 
-/** @return the chosen index, or SIZE_MAX when there is none */
+/** @return the chosen index, or SIZE_MAX if there are no candidates */
 size_t endpoint_choose(
     const endpoint_candidate_t *, size_t len, const choice_criteria_t *);
 
--- a/include/moortack/relay/endpoint_owner.h
+++ b/include/moortack/relay/endpoint_owner.h
@@ -1,16 +1,16 @@
 /**
  * @file
- * Which daemon keeps the account of what an endpoint was sent, in fleets that
- * are too large for each daemon to be told of each prompt. A pure decision that
- * all daemons make alike.
+ * Which daemon tracks the prompts sent to an endpoint, in fleets that are too
+ * large for each daemon to be notified of each prompt. A pure function that
+ * gives the same result at all daemons.
  */
 #ifndef MOORTACK_RELAY_ENDPOINT_OWNER_H
 #define MOORTACK_RELAY_ENDPOINT_OWNER_H
 
 #include "moortack/relay/gossip_peers.h"
 
-/** The daemon that keeps the endpoint's account: one of its zone, where there
- * is any. One that goes or comes moves the accounts that it has, or gets, only.
+/** The daemon that owns the endpoint; one of its zone if there is any. If a
+ * daemon joins or leaves, only the endpoints that it owns move.
  * @param zone the endpoint's
  * @param endpoint hash of its id
  * @return NULL: this daemon */
--- a/include/moortack/relay/prefill_queue.h
+++ b/include/moortack/relay/prefill_queue.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * What an endpoint still has to read, as far as this daemon knows: those
- * prompts of which other daemons tell, and its own in the order sent, each with
- * the time at which its answer ought to begin. An answer that begins later or
- * earlier than expected moves all behind it, so that prompts show too of which
- * this daemon did not hear. A pure estimate.
+ * Estimates which prompts an endpoint still has to prefill: those that other
+ * daemons report, and those of this daemon in the order sent, each with the
+ * time at which its response is expected to start. A response that starts later
+ * or earlier than expected shifts all entries behind it, which accounts for
+ * prompts that this daemon wasn't notified of. A pure estimate.
  */
 #ifndef MOORTACK_RELAY_PREFILL_QUEUE_H
 #define MOORTACK_RELAY_PREFILL_QUEUE_H
@@ -12,40 +12,46 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Milliseconds that reading one prompt is believed to take at most, whatever
- * its caller says of it: twice the longest on the users' sheets, of 58,000
+/** Upper bound, in milliseconds, for the prefill of one prompt, whatever its
+ * caller declares: twice the longest in the users' workload profiles, of 58,000
  * tokens. */
 #define PREFILL_QUEUE_PROMPT_MAX_MS 10000.0
 
-/** One prompt that was sent and whose answer has not begun. */
+/** A prompt that was sent and whose response hasn't started. */
 typedef struct prefill_entry {
-	double prefill_ms;	/**< that reading it ought to take */
-	double expected_end_ms; /**< when its answer ought to begin */
+	double prefill_ms;	/**< expected duration */
+	double expected_end_ms; /**< when its response is expected to start */
 	bool queued;
 	struct prefill_entry *next;
 	struct prefill_entry *prev;
 } prefill_entry_t;
 
-/** Times are milliseconds of the daemon's steady clock. */
+/** Times are milliseconds of the daemon's monotonic clock. */
 typedef struct prefill_queue {
-	prefill_entry_t *entries; /**< the oldest first */
-	double idle_at_ms;	  /**< when all that is known of is read */
+	prefill_entry_t *entries; /**< oldest first */
+	double idle_at_ms;	  /**< when the prefill of all known prompts is
+				     expected to end */
 } prefill_queue_t;
 
 void prefill_queue_init(prefill_queue_t *);
 
-/** Milliseconds until the endpoint ought to begin reading one more. */
+/** Milliseconds until the endpoint is expected to start the prefill of another
+ * prompt. */
 double prefill_queue_wait_ms(const prefill_queue_t *, double now_ms);
 
-/** A prompt is sent; the ticket is the caller's, and is held until it ends. */
+/** Adds a prompt that this daemon sent. The entry is owned by the caller and
+ * must stay valid until it is completed or cancelled. */
 void prefill_queue_add(
-    prefill_queue_t *, prefill_entry_t *, double read_ms, double now_ms);
-/** More is to be read: another daemon sent a prompt. */
-void prefill_queue_add_remote(prefill_queue_t *, double read_ms, double now_ms);
-/** Its answer begins. */
+    prefill_queue_t *, prefill_entry_t *, double prefill_ms, double now_ms);
+/** Adds a prompt that another daemon sent. */
+void
+prefill_queue_add_remote(prefill_queue_t *, double prefill_ms, double now_ms);
+/** The response to the prompt has started. Does nothing if the entry isn't
+ * queued. */
 void
 prefill_queue_complete(prefill_queue_t *, prefill_entry_t *, double now_ms);
-/** It is taken back, or its attempt has failed. */
+/** The request was cancelled, or its attempt has failed. Does nothing if the
+ * entry isn't queued. */
 void prefill_queue_cancel(prefill_queue_t *, prefill_entry_t *, double now_ms);
 
 #endif
--- a/include/moortack/relay/prefill_rate.h
+++ b/include/moortack/relay/prefill_rate.h
@@ -1,14 +1,15 @@
 /**
  * @file
- * How long an answer takes to begin, by the tokens that are read before it: a
- * fading straight line through what was measured. A pure estimate.
+ * Estimates the time until a response starts from the number of uncached tokens
+ * of its prompt: a linear regression over exponentially decaying samples. A
+ * pure estimate.
  */
 #ifndef MOORTACK_RELAY_PREFILL_RATE_H
 #define MOORTACK_RELAY_PREFILL_RATE_H
 
 #include <stdint.h>
 
-/** Fading sums of tokens x and milliseconds y. */
+/** Exponentially decaying sums over the samples. */
 typedef struct prefill_rate {
 	double weight;
 	double sum_tokens;
@@ -18,15 +19,16 @@
 	uint32_t samples;
 } prefill_rate_t;
 
-/** An answer began after @p ms. @param tokens of its prompt */
+/** Records that a response started after @p ms.
+ * @param tokens uncached tokens of its prompt */
 void prefill_rate_observe(prefill_rate_t *, double tokens, double ms);
 
-/** Milliseconds that a token more takes to be read; negative: too few were
- * measured, or of one size. */
+/** Milliseconds per additional token. Negative: there are too few samples, or
+ * all have about the same number of tokens. */
 double prefill_rate_ms_per_token(const prefill_rate_t *);
 
-/** Milliseconds until the answer to a prompt of @p tokens begins; negative:
- * too few were measured. */
+/** Milliseconds until the response to a prompt with @p tokens uncached tokens
+ * starts. Negative: there are too few samples. */
 double prefill_rate_first_byte_ms(const prefill_rate_t *, double tokens);
 
 #endif
--- a/include/moortack/relay/prefix_index.h
+++ b/include/moortack/relay/prefix_index.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Which endpoints were lately sent prompts that begin alike: they still keep
- * what they read, and need not read it again. A bounded set of marks; the
- * oldest make room.
+ * Which prefixes endpoints are likely to have in their KV caches, by the
+ * prompts that were recently sent to them. A set-associative table of fixed
+ * size; the oldest entry of a bucket is replaced.
  */
 #ifndef MOORTACK_RELAY_PREFIX_INDEX_H
 #define MOORTACK_RELAY_PREFIX_INDEX_H
@@ -13,9 +13,9 @@
 
 #include "moortack/relay/dialect.h"
 
-/** A beginning of a prompt that an endpoint was sent. */
+/** A prompt prefix that was sent to an endpoint. */
 typedef struct prefix_entry {
-	uint64_t hash;	 /**< of beginning and endpoint; 0: none */
+	uint64_t hash;	 /**< of the prefix and the endpoint; 0: unused */
 	int64_t sent_ms; /**< when it was last sent */
 } prefix_entry_t;
 
@@ -24,27 +24,28 @@
 	size_t cap;
 } prefix_index_t;
 
-/** The beginnings of one prompt, the shortest first. */
+/** The prefixes of one prompt, shortest first. */
 typedef struct prefix_list {
 	uint32_t hashes[ARRIVAL_PARTS_MAX];
-	uint32_t tokens[ARRIVAL_PARTS_MAX]; /**< of each one whole */
+	uint32_t tokens[ARRIVAL_PARTS_MAX]; /**< length of each prefix */
 	size_t len;
 } prefix_list_t;
 
 bool prefix_index_init(prefix_index_t *);
 void prefix_index_finish(prefix_index_t *);
 
-/** The beginnings that the arrival's parts form.
- * @param model hash of it: models keep apart what they read */
+/** Fills in the prefixes that the prompt's parts form.
+ * @param model hash of its name: models don't share cached prefixes */
 void prefix_list_fill(prefix_list_t *, const arrival_t *, uint64_t model);
 
-/** An endpoint is sent the prompt. */
+/** Records that the prompt is sent to the endpoint. */
 void prefix_index_add(
     prefix_index_t *, const prefix_list_t *, uint64_t endpoint, int64_t now_ms);
-/** How many of the beginnings the endpoint has likely kept. */
+/** Number of the prompt's prefixes that the endpoint is likely to have cached.
+ */
 size_t prefix_index_match_count(const prefix_index_t *, const prefix_list_t *,
     uint64_t endpoint, int64_t now_ms);
-/** Tokens of the prompt that the endpoint has likely kept. */
+/** Number of the prompt's tokens that the endpoint is likely to have cached. */
 uint32_t prefix_index_cached_tokens(const prefix_index_t *,
     const prefix_list_t *, uint64_t endpoint, int64_t now_ms);
 
--- a/include/moortack/relay/retry_age.h
+++ b/include/moortack/relay/retry_age.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * How long ago a caller first tried, read from the time that it still waits:
- * one that was refused and came back has less of it left than others of its
- * route. A pure, fading estimate for one route.
+ * Estimates how long ago a caller first tried from the deadline that it sends:
+ * a caller that was refused and retries has less time left than the other
+ * callers of its route. A pure, exponentially decaying estimate for one route.
  */
 #ifndef MOORTACK_RELAY_RETRY_AGE_H
 #define MOORTACK_RELAY_RETRY_AGE_H
@@ -10,14 +10,15 @@
 #include <stdint.h>
 
 typedef struct retry_age {
-	double longest_ms; /**< that callers wait; fading */
-	double
-	    near_longest; /**< part of them that waits nearly as long; fading */
+	double longest_ms;   /**< longest deadline; decays */
+	double near_longest; /**< share of callers whose deadline is near the
+				longest; moving average */
 } retry_age_t;
 
-/** A request came whose caller waits this long.
- * @return milliseconds since its first try; 0 where callers of the route wait
- * for times of their own, or say none, or few requests have come yet */
+/** Records a request whose caller waits for @p deadline_ms from now.
+ * @return milliseconds since the caller's first try; 0 if the route's callers
+ * have differing deadlines or send none, or if too few requests have come yet
+ */
 double retry_age_observe(retry_age_t *, int64_t deadline_ms);
 
 #endif
--- a/moortack/relay/endpoint_choice.c
+++ b/moortack/relay/endpoint_choice.c
@@ -3,19 +3,19 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define DICE_RANGE 4294967296.0
-/* Loads this close, as a share of the slots, are the same. */
-#define TIE_SHARE 0.02
-/* Times this close, in milliseconds, are the same. */
+#define RANDOM_RANGE 4294967296.0
+/* Loads that differ by less than this share of the slots count as equal. */
+#define TIE_LOAD_SHARE 0.02
+/* Costs that differ by less than this many milliseconds count as equal. */
 #define TIE_MS 4.0
-/* What each request that an endpoint holds adds to what is expected there: its
- * steps are longer, and some are prompts of other daemons that can't be seen
- * otherwise. Without it the worth of two of the users' sheets is 0.004 and
- * 0.016 less (20 days each). */
-#define LOAD_MS 15.0
+/* Cost of each request that an endpoint is estimated to hold: its decoding
+ * steps take longer, and some of the requests are prompts of other daemons that
+ * this daemon doesn't know of otherwise. Without it the score of two of the
+ * users' workload profiles is 0.004 and 0.016 lower (20 days each). */
+#define MS_PER_REQUEST 15.0
 
 static bool
-any_sound(const endpoint_candidate_t *candidates, size_t len)
+any_healthy(const endpoint_candidate_t *candidates, size_t len)
 {
 	for (size_t i = 0; i < len; i++) {
 		if (!candidates[i].ejected)
@@ -24,42 +24,44 @@
 	return false;
 }
 
-/* The endpoint's place in the order for what is shared. */
+/* Rendezvous hashing: the endpoint with the greatest weight ranks first for the
+ * affinity hash. */
 static uint64_t
-rendezvous(uint64_t endpoint, uint64_t affinity)
+rendezvous_weight(uint64_t endpoint, uint64_t affinity)
 {
 	return XXH3_64bits_withSeed(&endpoint, sizeof(endpoint), affinity);
 }
 
 static double
-dice_of(const endpoint_candidate_t *candidate, const choice_criteria_t *wish)
+tie_break(
+    const endpoint_candidate_t *candidate, const choice_criteria_t *criteria)
 {
-	return (double)(uint32_t)rendezvous(
-		   candidate->hash, wish->tie_breaker) /
-	    DICE_RANGE;
+	return (double)(uint32_t)rendezvous_weight(
+		   candidate->hash, criteria->tie_breaker) /
+	    RANDOM_RANGE;
 }
 
 size_t
 endpoint_rank_by_affinity(const endpoint_candidate_t *candidates, size_t len,
-    const choice_criteria_t *wish, size_t *out, size_t most)
+    const choice_criteria_t *criteria, size_t *out, size_t max)
 {
-	bool sound = any_sound(candidates, len);
+	bool healthy_only = any_healthy(candidates, len);
 	size_t count = 0;
 
 	for (size_t i = 0; i < len; i++) {
 		uint64_t weight =
-		    rendezvous(candidates[i].hash, wish->affinity);
+		    rendezvous_weight(candidates[i].hash, criteria->affinity);
 		size_t at = count;
 
-		if (sound && candidates[i].ejected)
+		if (healthy_only && candidates[i].ejected)
 			continue;
 		while (at > 0 &&
-		    rendezvous(candidates[out[at - 1]].hash, wish->affinity) <
-			weight)
+		    rendezvous_weight(candidates[out[at - 1]].hash,
+			criteria->affinity) < weight)
 			at--;
-		if (at == most)
+		if (at == max)
 			continue;
-		if (count < most)
+		if (count < max)
 			count++;
 		memmove(
 		    &out[at + 1], &out[at], (count - at - 1) * sizeof(out[0]));
@@ -68,27 +70,31 @@
 	return count;
 }
 
-/* Where the answer likely begins first, for what it costs others. */
+/* Picks the endpoint with the lowest estimated time to the first byte,
+ * including the cost to other requests. */
 static size_t
-choose_soonest(const endpoint_candidate_t *candidates, size_t len,
-    const choice_criteria_t *wish, bool sound)
+choose_lowest_cost(const endpoint_candidate_t *candidates, size_t len,
+    const choice_criteria_t *criteria, bool healthy_only)
 {
 	size_t first = SIZE_MAX;
 	size_t best = SIZE_MAX;
 	double best_ms = 0;
 
-	if (wish->first_cached > 0)
-		endpoint_rank_by_affinity(candidates, len, wish, &first, 1);
+	if (criteria->first_cached > 0)
+		endpoint_rank_by_affinity(candidates, len, criteria, &first, 1);
 	for (size_t i = 0; i < len; i++) {
-		const endpoint_candidate_t *one = &candidates[i];
-		double ms = one->queue_wait_ms + one->own_prefill_ms +
-		    one->shared_prefill_ms + one->cross_zone_ms +
-		    LOAD_MS * one->load + TIE_MS * dice_of(one, wish);
-
-		if (sound && one->ejected)
+		const endpoint_candidate_t *candidate = &candidates[i];
+		double ms = candidate->queue_wait_ms +
+		    candidate->own_prefill_ms + candidate->shared_prefill_ms +
+		    candidate->cross_zone_ms +
+		    MS_PER_REQUEST * candidate->load +
+		    TIE_MS * tie_break(candidate, criteria);
+
+		if (healthy_only && candidate->ejected)
 			continue;
 		if (i == first)
-			ms -= wish->first_cached * one->shared_prefill_ms;
+			ms -= criteria->first_cached *
+			    candidate->shared_prefill_ms;
 		if (best == SIZE_MAX || ms < best_ms) {
 			best = i;
 			best_ms = ms;
@@ -98,22 +104,23 @@
 }
 
 static size_t
-choose_idlest(const endpoint_candidate_t *candidates, size_t len,
-    const choice_criteria_t *wish, bool sound)
+choose_least_loaded(const endpoint_candidate_t *candidates, size_t len,
+    const choice_criteria_t *criteria, bool healthy_only)
 {
 	double best_score = 0;
 	size_t best = SIZE_MAX;
 
 	for (size_t i = 0; i < len; i++) {
-		const endpoint_candidate_t *one = &candidates[i];
+		const endpoint_candidate_t *candidate = &candidates[i];
 		double score;
 
-		if (sound && one->ejected)
+		if (healthy_only && candidate->ejected)
 			continue;
-		score = (one->load + 1) / (one->slots > 0 ? one->slots : 1);
-		score += TIE_SHARE * dice_of(one, wish);
-		if (!one->same_zone)
-			score += wish->cross_zone_penalty;
+		score = (candidate->load + 1) /
+		    (candidate->slots > 0 ? candidate->slots : 1);
+		score += TIE_LOAD_SHARE * tie_break(candidate, criteria);
+		if (!candidate->same_zone)
+			score += criteria->cross_zone_penalty;
 		if (best == SIZE_MAX || score < best_score) {
 			best = i;
 			best_score = score;
@@ -124,12 +131,13 @@
 
 size_t
 endpoint_choose(const endpoint_candidate_t *candidates, size_t len,
-    const choice_criteria_t *wish)
+    const choice_criteria_t *criteria)
 {
-	bool sound = any_sound(candidates, len);
+	bool healthy_only = any_healthy(candidates, len);
 
 	if (len == 0)
 		return SIZE_MAX;
-	return wish->has_prompt ? choose_soonest(candidates, len, wish, sound)
-				: choose_idlest(candidates, len, wish, sound);
+	return criteria->has_prompt
+	    ? choose_lowest_cost(candidates, len, criteria, healthy_only)
+	    : choose_least_loaded(candidates, len, criteria, healthy_only);
 }
--- a/moortack/relay/endpoint_owner.c
+++ b/moortack/relay/endpoint_owner.c
@@ -3,26 +3,26 @@
 #include <string.h>
 #include <xxhash.h>
 
-/** A daemon's place in the order for one endpoint: by rendezvous hashing, those
- * of the endpoint's zone first. */
+/** A daemon's rank for an endpoint by rendezvous hashing; daemons in the
+ * endpoint's zone rank first. */
 typedef struct owner_rank {
-	bool near;
+	bool same_zone;
 	uint64_t weight;
 } owner_rank_t;
 
 static owner_rank_t
-rank_of(
-    const char *name, const char *zone, const char *wanted, uint32_t endpoint)
+owner_rank(const char *name, const char *zone, const char *endpoint_zone,
+    uint32_t endpoint)
 {
-	return (owner_rank_t){strcmp(zone, wanted) == 0,
+	return (owner_rank_t){strcmp(zone, endpoint_zone) == 0,
 	    XXH3_64bits_withSeed(name, strlen(name), endpoint)};
 }
 
 static bool
-before(const owner_rank_t *a, const owner_rank_t *b)
+ranks_before(const owner_rank_t *a, const owner_rank_t *b)
 {
-	if (a->near != b->near)
-		return a->near;
+	if (a->same_zone != b->same_zone)
+		return a->same_zone;
 	return a->weight > b->weight;
 }
 
@@ -35,16 +35,16 @@
 	owner_rank_t best = {0};
 
 	if (members->state == MEMBER_READY)
-		best = rank_of(self->name, self->zone, zone, endpoint);
-	for (const member_t *one = members->members; one != NULL;
-	     one = one->hh.next) {
+		best = owner_rank(self->name, self->zone, zone, endpoint);
+	for (const member_t *member = members->members; member != NULL;
+	     member = member->hh.next) {
 		owner_rank_t rank =
-		    rank_of(one->name, one->zone, zone, endpoint);
+		    owner_rank(member->name, member->zone, zone, endpoint);
 
-		if (!before(&rank, &best) ||
-		    !gossip_peer_available(members, one))
+		if (!ranks_before(&rank, &best) ||
+		    !gossip_peer_available(members, member))
 			continue;
-		owner = one;
+		owner = member;
 		best = rank;
 	}
 	return owner;
--- a/moortack/relay/prefill_queue.c
+++ b/moortack/relay/prefill_queue.c
@@ -9,7 +9,8 @@
 	*queue = (prefill_queue_t){0};
 }
 
-/* How late the oldest answer is: what stands behind it is at least as late. */
+/* How late the response to the oldest prompt is; the prompts queued behind it
+ * are at least as late. */
 static double
 overdue_ms(const prefill_queue_t *queue, double now_ms)
 {
@@ -30,61 +31,62 @@
 }
 
 static double
-believed_ms(double read_ms)
+capped_ms(double prefill_ms)
 {
-	return read_ms < PREFILL_QUEUE_PROMPT_MAX_MS
-	    ? read_ms
+	return prefill_ms < PREFILL_QUEUE_PROMPT_MAX_MS
+	    ? prefill_ms
 	    : PREFILL_QUEUE_PROMPT_MAX_MS;
 }
 
 void
-prefill_queue_add_remote(prefill_queue_t *queue, double read_ms, double now_ms)
+prefill_queue_add_remote(
+    prefill_queue_t *queue, double prefill_ms, double now_ms)
 {
 	if (queue->idle_at_ms < now_ms)
 		queue->idle_at_ms = now_ms;
-	queue->idle_at_ms += believed_ms(read_ms);
+	queue->idle_at_ms += capped_ms(prefill_ms);
 }
 
 void
-prefill_queue_add(prefill_queue_t *queue, prefill_entry_t *ticket,
-    double read_ms, double now_ms)
+prefill_queue_add(prefill_queue_t *queue, prefill_entry_t *entry,
+    double prefill_ms, double now_ms)
 {
-	prefill_queue_add_remote(queue, read_ms, now_ms);
-	ticket->prefill_ms = believed_ms(read_ms);
-	ticket->expected_end_ms = queue->idle_at_ms;
-	ticket->queued = true;
-	DL_APPEND(queue->entries, ticket);
+	prefill_queue_add_remote(queue, prefill_ms, now_ms);
+	entry->prefill_ms = capped_ms(prefill_ms);
+	entry->expected_end_ms = queue->idle_at_ms;
+	entry->queued = true;
+	DL_APPEND(queue->entries, entry);
 }
 
-/* Take the ticket out; what is behind it moves by the time given. */
+/* Removes the entry, and shifts the expected end of those behind it. */
 static void
-ticket_out(prefill_queue_t *queue, prefill_entry_t *ticket, double moved_ms)
+entry_remove(prefill_queue_t *queue, prefill_entry_t *entry, double shift_ms)
 {
-	for (prefill_entry_t *after = ticket->next; after != NULL;
+	for (prefill_entry_t *after = entry->next; after != NULL;
 	     after = after->next)
-		after->expected_end_ms += moved_ms;
-	queue->idle_at_ms += moved_ms;
-	DL_DELETE(queue->entries, ticket);
-	ticket->queued = false;
+		after->expected_end_ms += shift_ms;
+	queue->idle_at_ms += shift_ms;
+	DL_DELETE(queue->entries, entry);
+	entry->queued = false;
 }
 
 void
 prefill_queue_complete(
-    prefill_queue_t *queue, prefill_entry_t *ticket, double now_ms)
+    prefill_queue_t *queue, prefill_entry_t *entry, double now_ms)
 {
-	if (ticket->queued)
-		ticket_out(queue, ticket, now_ms - ticket->expected_end_ms);
+	if (entry->queued)
+		entry_remove(queue, entry, now_ms - entry->expected_end_ms);
 }
 
 void
 prefill_queue_cancel(
-    prefill_queue_t *queue, prefill_entry_t *ticket, double now_ms)
+    prefill_queue_t *queue, prefill_entry_t *entry, double now_ms)
 {
-	double unread_ms = ticket->expected_end_ms - now_ms;
+	double remaining_ms = entry->expected_end_ms - now_ms;
 
-	if (!ticket->queued)
+	if (!entry->queued)
 		return;
-	if (unread_ms > ticket->prefill_ms)
-		unread_ms = ticket->prefill_ms;
-	ticket_out(queue, ticket, unread_ms > 0 ? -unread_ms : 0);
+	if (remaining_ms > entry->prefill_ms)
+		remaining_ms = entry->prefill_ms;
+	entry_remove(queue, entry, remaining_ms > 0 ? -remaining_ms : 0);
 }
--- a/moortack/relay/prefill_rate.c
+++ b/moortack/relay/prefill_rate.c
@@ -1,52 +1,54 @@
 #include "moortack/relay/prefill_rate.h"
 
-/* Weight that what was measured before keeps at each new answer: some fifty
+/* Factor by which earlier samples decay with each response: about fifty of them
  * count, so that a change of load or version shows within seconds. */
-#define FADING 0.98
-/* Answers after which the line is believed. */
-#define TAKEN_MIN 5
-/* Least variance of tokens, in those of the mean squared, for a slope. */
+#define DECAY 0.98
+/* Minimum number of samples for an estimate. */
+#define SAMPLES_MIN 5
+/* Minimum variance of the token counts, relative to their squared mean, for a
+ * slope. */
 #define VARIANCE_MIN 0.01
 
 void
-prefill_rate_observe(prefill_rate_t *pace, double tokens, double ms)
+prefill_rate_observe(prefill_rate_t *rate, double tokens, double ms)
 {
-	pace->weight = FADING * pace->weight + 1;
-	pace->sum_tokens = FADING * pace->sum_tokens + tokens;
-	pace->sum_ms = FADING * pace->sum_ms + ms;
-	pace->sum_tokens_squared =
-	    FADING * pace->sum_tokens_squared + tokens * tokens;
-	pace->sum_tokens_ms = FADING * pace->sum_tokens_ms + tokens * ms;
-	pace->samples++;
+	rate->weight = DECAY * rate->weight + 1;
+	rate->sum_tokens = DECAY * rate->sum_tokens + tokens;
+	rate->sum_ms = DECAY * rate->sum_ms + ms;
+	rate->sum_tokens_squared =
+	    DECAY * rate->sum_tokens_squared + tokens * tokens;
+	rate->sum_tokens_ms = DECAY * rate->sum_tokens_ms + tokens * ms;
+	rate->samples++;
 }
 
 double
-prefill_rate_ms_per_token(const prefill_rate_t *pace)
+prefill_rate_ms_per_token(const prefill_rate_t *rate)
 {
-	double mean_x, mean_y, variance, slope;
+	double mean_tokens, mean_ms, variance, slope;
 
-	if (pace->samples < TAKEN_MIN)
+	if (rate->samples < SAMPLES_MIN)
 		return -1;
-	mean_x = pace->sum_tokens / pace->weight;
-	mean_y = pace->sum_ms / pace->weight;
-	variance = pace->sum_tokens_squared / pace->weight - mean_x * mean_x;
-	if (variance <= VARIANCE_MIN * mean_x * mean_x)
+	mean_tokens = rate->sum_tokens / rate->weight;
+	mean_ms = rate->sum_ms / rate->weight;
+	variance =
+	    rate->sum_tokens_squared / rate->weight - mean_tokens * mean_tokens;
+	if (variance <= VARIANCE_MIN * mean_tokens * mean_tokens)
 		return -1;
-	slope =
-	    (pace->sum_tokens_ms / pace->weight - mean_x * mean_y) / variance;
+	slope = (rate->sum_tokens_ms / rate->weight - mean_tokens * mean_ms) /
+	    variance;
 	return slope > 0 ? slope : 0;
 }
 
 double
-prefill_rate_first_byte_ms(const prefill_rate_t *pace, double tokens)
+prefill_rate_first_byte_ms(const prefill_rate_t *rate, double tokens)
 {
-	double slope = prefill_rate_ms_per_token(pace);
+	double slope = prefill_rate_ms_per_token(rate);
 	double ms;
 
-	if (pace->samples < TAKEN_MIN)
+	if (rate->samples < SAMPLES_MIN)
 		return -1;
-	ms = pace->sum_ms / pace->weight;
+	ms = rate->sum_ms / rate->weight;
 	if (slope >= 0)
-		ms += slope * (tokens - pace->sum_tokens / pace->weight);
+		ms += slope * (tokens - rate->sum_tokens / rate->weight);
 	return ms > 0 ? ms : 0;
 }
--- a/test/unit/placing_test.c
+++ b/test/unit/placing_test.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Where prompts go: what endpoints keep, what they still have to read, and the
- * choice among them.
+ * Which endpoint a prompt is sent to: the prefix index, the prefill queues, and
+ * the choice among endpoints.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +14,7 @@
 #include "moortack/relay/prefix_index.h"
 
 #define ENDPOINTS 8
-#define SHARED 4711
+#define AFFINITY 4711
 
 static void
 candidates_fill(endpoint_candidate_t *out)
@@ -28,62 +28,66 @@
 }
 
 static choice_criteria_t
-wish_of(uint32_t dice)
+criteria_of(uint32_t tie_breaker)
 {
 	return (choice_criteria_t){.has_prompt = true,
-	    .affinity = SHARED,
+	    .affinity = AFFINITY,
 	    .first_cached = 0.9,
-	    .tie_breaker = dice};
+	    .tie_breaker = tie_breaker};
 }
 
 static void
-the_same_prompt_goes_to_the_same_endpoint(void **state)
+equal_prompts_go_to_the_same_endpoint(void **state)
 {
 	endpoint_candidate_t candidates[ENDPOINTS];
-	choice_criteria_t wish = wish_of(0);
+	choice_criteria_t criteria = criteria_of(0);
 	size_t first;
 
 	(void)state;
 	candidates_fill(candidates);
-	first = endpoint_choose(candidates, ENDPOINTS, &wish);
-	for (uint32_t dice = 0; dice < 50; dice++) {
-		wish = wish_of(dice);
+	first = endpoint_choose(candidates, ENDPOINTS, &criteria);
+	for (uint32_t tie_breaker = 0; tie_breaker < 50; tie_breaker++) {
+		criteria = criteria_of(tie_breaker);
 		assert_int_equal(
-		    endpoint_choose(candidates, ENDPOINTS, &wish), first);
+		    endpoint_choose(candidates, ENDPOINTS, &criteria), first);
 	}
-	/* A wait that is shorter than reading it elsewhere is borne. */
+	/* A wait that is shorter than the prefill elsewhere is accepted. */
 	candidates[first].queue_wait_ms = 300;
-	assert_int_equal(endpoint_choose(candidates, ENDPOINTS, &wish), first);
+	assert_int_equal(
+	    endpoint_choose(candidates, ENDPOINTS, &criteria), first);
 	candidates[first].queue_wait_ms = 500;
 	assert_int_not_equal(
-	    endpoint_choose(candidates, ENDPOINTS, &wish), first);
+	    endpoint_choose(candidates, ENDPOINTS, &criteria), first);
 }
 
 static void
-what_is_kept_is_worth_its_reading(void **state)
+cached_prefixes_save_prefill_time(void **state)
 {
 	endpoint_candidate_t candidates[ENDPOINTS];
-	choice_criteria_t wish = wish_of(7);
-	size_t first, owner;
+	choice_criteria_t criteria = criteria_of(7);
+	size_t first, caching;
 
 	(void)state;
 	candidates_fill(candidates);
-	first = endpoint_choose(candidates, ENDPOINTS, &wish);
-	owner = (first + 1) % ENDPOINTS;
-	candidates[owner].shared_prefill_ms = 0;
+	first = endpoint_choose(candidates, ENDPOINTS, &criteria);
+	caching = (first + 1) % ENDPOINTS;
+	candidates[caching].shared_prefill_ms = 0;
 	candidates[first].queue_wait_ms = 50;
-	assert_int_equal(endpoint_choose(candidates, ENDPOINTS, &wish), owner);
-	/* Alone, nobody else has sent anything there. */
-	wish.first_cached = 0;
+	assert_int_equal(
+	    endpoint_choose(candidates, ENDPOINTS, &criteria), caching);
+	/* If there are no other daemons, none of them has sent the prefix
+	 * there. */
+	criteria.first_cached = 0;
 	candidates[first].queue_wait_ms = 0;
-	assert_int_equal(endpoint_choose(candidates, ENDPOINTS, &wish), owner);
+	assert_int_equal(
+	    endpoint_choose(candidates, ENDPOINTS, &criteria), caching);
 }
 
 static void
-another_place_is_taken_for_what_it_saves(void **state)
+other_zone_is_chosen_if_it_is_cheaper(void **state)
 {
 	endpoint_candidate_t candidates[ENDPOINTS];
-	choice_criteria_t wish = wish_of(7);
+	choice_criteria_t criteria = criteria_of(7);
 	size_t chosen;
 
 	(void)state;
@@ -92,60 +96,62 @@
 		candidates[i].same_zone = i == 5;
 		candidates[i].cross_zone_ms = i == 5 ? 0 : 600;
 	}
-	assert_int_equal(endpoint_choose(candidates, ENDPOINTS, &wish), 5);
+	assert_int_equal(endpoint_choose(candidates, ENDPOINTS, &criteria), 5);
 	candidates[5].queue_wait_ms = 900;
-	chosen = endpoint_choose(candidates, ENDPOINTS, &wish);
+	chosen = endpoint_choose(candidates, ENDPOINTS, &criteria);
 	assert_int_not_equal(chosen, 5);
 }
 
 static void
-busy_endpoints_are_passed_over(void **state)
+loaded_endpoints_are_avoided(void **state)
 {
 	endpoint_candidate_t candidates[ENDPOINTS];
-	choice_criteria_t wish = wish_of(7);
+	choice_criteria_t criteria = criteria_of(7);
 	size_t first;
 
 	(void)state;
 	candidates_fill(candidates);
-	first = endpoint_choose(candidates, ENDPOINTS, &wish);
+	first = endpoint_choose(candidates, ENDPOINTS, &criteria);
 	candidates[first].load = 40;
 	assert_int_not_equal(
-	    endpoint_choose(candidates, ENDPOINTS, &wish), first);
+	    endpoint_choose(candidates, ENDPOINTS, &criteria), first);
 }
 
 static void
-an_ejected_endpoint_is_taken_only_if_all_are(void **state)
+ejected_endpoint_is_chosen_only_if_all_are(void **state)
 {
 	endpoint_candidate_t candidates[ENDPOINTS];
-	choice_criteria_t wish = wish_of(0);
+	choice_criteria_t criteria = criteria_of(0);
 	size_t first;
 
 	(void)state;
 	candidates_fill(candidates);
-	first = endpoint_choose(candidates, ENDPOINTS, &wish);
+	first = endpoint_choose(candidates, ENDPOINTS, &criteria);
 	candidates[first].ejected = true;
 	assert_int_not_equal(
-	    endpoint_choose(candidates, ENDPOINTS, &wish), first);
+	    endpoint_choose(candidates, ENDPOINTS, &criteria), first);
 	for (size_t i = 0; i < ENDPOINTS; i++)
 		candidates[i].ejected = true;
-	assert_int_equal(endpoint_choose(candidates, ENDPOINTS, &wish), first);
-	assert_int_equal(endpoint_choose(candidates, 0, &wish), SIZE_MAX);
+	assert_int_equal(
+	    endpoint_choose(candidates, ENDPOINTS, &criteria), first);
+	assert_int_equal(endpoint_choose(candidates, 0, &criteria), SIZE_MAX);
 }
 
 static void
-plain_work_goes_where_least_waits(void **state)
+requests_without_prompt_go_to_the_least_loaded(void **state)
 {
 	endpoint_candidate_t candidates[ENDPOINTS];
-	choice_criteria_t wish = {.cross_zone_penalty = 0.1};
+	choice_criteria_t criteria = {.cross_zone_penalty = 0.1};
 
 	(void)state;
 	candidates_fill(candidates);
 	candidates[5].load = 0;
-	for (wish.tie_breaker = 0; wish.tie_breaker < 20; wish.tie_breaker++)
+	for (criteria.tie_breaker = 0; criteria.tie_breaker < 20;
+	     criteria.tie_breaker++)
 		assert_int_equal(
-		    endpoint_choose(candidates, ENDPOINTS, &wish), 5);
+		    endpoint_choose(candidates, ENDPOINTS, &criteria), 5);
 	candidates[2].same_zone = true;
-	assert_int_equal(endpoint_choose(candidates, ENDPOINTS, &wish), 2);
+	assert_int_equal(endpoint_choose(candidates, ENDPOINTS, &criteria), 2);
 }
 
 static prefix_list_t
@@ -163,59 +169,59 @@
 }
 
 static void
-beginnings_are_kept_by_endpoint_and_model(void **state)
+prefixes_are_indexed_by_endpoint_and_model(void **state)
 {
 	prefix_list_t first = prompt_of(2, 3), second = prompt_of(2, 4);
 	prefix_list_t other = prompt_of(5, 3), of_model;
 	arrival_t arrival = {.parts_len = 1, .parts = {{1, 100}}};
-	prefix_index_t memory;
+	prefix_index_t index;
 
 	(void)state;
-	assert_true(prefix_index_init(&memory));
+	assert_true(prefix_index_init(&index));
 	assert_int_equal(
-	    prefix_index_cached_tokens(&memory, &first, 77, 1000), 0);
-	prefix_index_add(&memory, &first, 77, 1000);
+	    prefix_index_cached_tokens(&index, &first, 77, 1000), 0);
+	prefix_index_add(&index, &first, 77, 1000);
 	assert_int_equal(
-	    prefix_index_cached_tokens(&memory, &first, 77, 1000), 1150);
+	    prefix_index_cached_tokens(&index, &first, 77, 1000), 1150);
 	assert_int_equal(
-	    prefix_index_cached_tokens(&memory, &second, 77, 1000), 1100);
+	    prefix_index_cached_tokens(&index, &second, 77, 1000), 1100);
 	assert_int_equal(
-	    prefix_index_cached_tokens(&memory, &other, 77, 1000), 100);
+	    prefix_index_cached_tokens(&index, &other, 77, 1000), 100);
 	assert_int_equal(
-	    prefix_index_cached_tokens(&memory, &first, 78, 1000), 0);
+	    prefix_index_cached_tokens(&index, &first, 78, 1000), 0);
 	prefix_list_fill(&of_model, &arrival, 10);
 	assert_int_equal(
-	    prefix_index_cached_tokens(&memory, &of_model, 77, 1000), 0);
-	/* Endpoints forget. */
+	    prefix_index_cached_tokens(&index, &of_model, 77, 1000), 0);
+	/* Entries expire. */
 	assert_int_equal(
-	    prefix_index_cached_tokens(&memory, &first, 77, 100000), 0);
-	prefix_index_finish(&memory);
+	    prefix_index_cached_tokens(&index, &first, 77, 100000), 0);
+	prefix_index_finish(&index);
 }
 
 static void
-a_full_memory_forgets_the_oldest(void **state)
+full_index_replaces_the_oldest_entries(void **state)
 {
-	prefix_index_t memory;
+	prefix_index_t index;
 	prefix_list_t list;
-	size_t kept = 0;
+	size_t hits = 0;
 
 	(void)state;
-	assert_true(prefix_index_init(&memory));
+	assert_true(prefix_index_init(&index));
 	for (int64_t i = 0; i < 20000; i++) {
 		list = prompt_of((uint64_t)i + 10, (uint64_t)i);
-		prefix_index_add(&memory, &list, 77, i / 2);
+		prefix_index_add(&index, &list, 77, i / 2);
 	}
 	for (uint64_t i = 19000; i < 20000; i++) {
 		list = prompt_of(i + 10, i);
-		kept +=
-		    prefix_index_cached_tokens(&memory, &list, 77, 10000) > 100;
+		hits +=
+		    prefix_index_cached_tokens(&index, &list, 77, 10000) > 100;
 	}
-	assert_true(kept > 950);
-	prefix_index_finish(&memory);
+	assert_true(hits > 950);
+	prefix_index_finish(&index);
 }
 
 static void
-prompts_wait_for_those_before(void **state)
+prompts_wait_for_earlier_ones(void **state)
 {
 	prefill_entry_t first, second;
 	prefill_queue_t queue;
@@ -234,9 +240,9 @@
 	assert_true(prefill_queue_wait_ms(&queue, 1500) == 0);
 }
 
-/* What others sent there shows by answers that begin late. */
+/* Prompts of other daemons show by responses that start late. */
 static void
-a_late_answer_moves_what_is_behind(void **state)
+late_response_shifts_later_prompts(void **state)
 {
 	prefill_entry_t first, second;
 	prefill_queue_t queue;
@@ -245,7 +251,7 @@
 	prefill_queue_init(&queue);
 	prefill_queue_add(&queue, &first, 300, 1000);
 	prefill_queue_add(&queue, &second, 200, 1000);
-	/* 500 ms over its time: at least as long for the next. */
+	/* 500 ms late: the next one is at least as late. */
 	assert_true(prefill_queue_wait_ms(&queue, 1800) >= 500);
 	prefill_queue_complete(&queue, &first, 1800);
 	assert_true(prefill_queue_wait_ms(&queue, 1800) == 200);
@@ -253,9 +259,9 @@
 	assert_true(prefill_queue_wait_ms(&queue, 1850) == 0);
 }
 
-/* What another daemon tells is waited for as one's own. */
+/* Prompts that other daemons report count as those of this daemon. */
 static void
-prompts_of_others_are_waited_for(void **state)
+prompts_of_other_daemons_are_queued(void **state)
 {
 	prefill_entry_t own;
 	prefill_queue_t queue;
@@ -270,10 +276,10 @@
 	assert_true(prefill_queue_wait_ms(&queue, 1400) == 0);
 }
 
-/* A caller may say of its prompt what it likes: that keeps an endpoint out of
- * use for seconds, not for good, at the daemons that were told, too. */
+/* A caller may declare any prompt length. It makes an endpoint look busy for
+ * seconds, not indefinitely, also at the daemons that are notified. */
 static void
-no_prompt_is_believed_to_take_for_ever(void **state)
+declared_prefill_time_is_capped(void **state)
 {
 	prefill_entry_t own;
 	prefill_queue_t queue;
@@ -289,7 +295,7 @@
 }
 
 static void
-what_is_taken_back_is_not_waited_for(void **state)
+cancelled_prompts_are_not_waited_for(void **state)
 {
 	prefill_entry_t first, second;
 	prefill_queue_t queue;
@@ -308,19 +314,19 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(the_same_prompt_goes_to_the_same_endpoint),
-	    cmocka_unit_test(what_is_kept_is_worth_its_reading),
-	    cmocka_unit_test(another_place_is_taken_for_what_it_saves),
-	    cmocka_unit_test(busy_endpoints_are_passed_over),
-	    cmocka_unit_test(an_ejected_endpoint_is_taken_only_if_all_are),
-	    cmocka_unit_test(plain_work_goes_where_least_waits),
-	    cmocka_unit_test(beginnings_are_kept_by_endpoint_and_model),
-	    cmocka_unit_test(a_full_memory_forgets_the_oldest),
-	    cmocka_unit_test(prompts_wait_for_those_before),
-	    cmocka_unit_test(a_late_answer_moves_what_is_behind),
-	    cmocka_unit_test(prompts_of_others_are_waited_for),
-	    cmocka_unit_test(no_prompt_is_believed_to_take_for_ever),
-	    cmocka_unit_test(what_is_taken_back_is_not_waited_for),
+	    cmocka_unit_test(equal_prompts_go_to_the_same_endpoint),
+	    cmocka_unit_test(cached_prefixes_save_prefill_time),
+	    cmocka_unit_test(other_zone_is_chosen_if_it_is_cheaper),
+	    cmocka_unit_test(loaded_endpoints_are_avoided),
+	    cmocka_unit_test(ejected_endpoint_is_chosen_only_if_all_are),
+	    cmocka_unit_test(requests_without_prompt_go_to_the_least_loaded),
+	    cmocka_unit_test(prefixes_are_indexed_by_endpoint_and_model),
+	    cmocka_unit_test(full_index_replaces_the_oldest_entries),
+	    cmocka_unit_test(prompts_wait_for_earlier_ones),
+	    cmocka_unit_test(late_response_shifts_later_prompts),
+	    cmocka_unit_test(prompts_of_other_daemons_are_queued),
+	    cmocka_unit_test(declared_prefill_time_is_capped),
+	    cmocka_unit_test(cancelled_prompts_are_not_waited_for),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
