--- a/include/moortack/relay/endpoint_set.h
+++ b/include/moortack/relay/endpoint_set.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The endpoints that are known, by service: what they said of themselves, what
- * this daemon has under way there, and the connections it keeps to them.
+ * The known endpoints by service: what they report about themselves, the
+ * requests that this daemon has in flight there, and its connections to them.
  */
 #ifndef MOORTACK_RELAY_ENDPOINT_SET_H
 #define MOORTACK_RELAY_ENDPOINT_SET_H
@@ -19,39 +19,40 @@
 #define ENDPOINT_NAME_SIZE 96
 #define ENDPOINT_SUSPECTED_FAILURES_MAX 8
 
-/** What an endpoint says of itself; filled by an endpoint source. */
+/** What an endpoint reports about itself; filled in by an endpoint source. */
 typedef struct endpoint_info {
 	char id[ENDPOINT_NAME_SIZE]; /**< of this incarnation */
 	char service[ENDPOINT_NAME_SIZE];
 	char zone[ENDPOINT_NAME_SIZE];
 	char version[ENDPOINT_NAME_SIZE]; /**< of its software */
 	http_address_t address;
-	uint32_t slots; /**< requests that it works on together */
+	uint32_t slots; /**< requests that it processes concurrently */
 	bool leaving;
-	int64_t warmup_remaining_ms; /**< how long it is still slow after its
-					start */
+	int64_t warmup_remaining_ms; /**< how long its warm-up after the start
+					still takes */
 	int64_t started_ms; /**< Unix time of this incarnation's start; 0: not
-			    said. An endpoint may start again under its id */
+			       reported. An endpoint may restart under the same
+			       id */
 } endpoint_info_t;
 
 /** How an entry relates to the incarnation that is known under its id. */
 typedef enum incarnation_order {
 	INCARNATION_FIRST,   /**< none is known */
-	INCARNATION_SAME,    /**< it is of the known one */
-	INCARNATION_LATER,   /**< of one that started after it */
-	INCARNATION_EARLIER, /**< of one that started before it, or says nothing
-			  of its start while the known one did */
+	INCARNATION_SAME,    /**< it is of the known incarnation */
+	INCARNATION_LATER,   /**< it is of one that started later */
+	INCARNATION_EARLIER, /**< it is of one that started earlier, or doesn't
+				report its start while the known one did */
 } incarnation_order_t;
 
-/** A load report that came with an answer. */
+/** A load report that came with a response. */
 typedef struct endpoint_load {
 	uint32_t running;
 	uint32_t waiting;
 	uint32_t slots;
 } endpoint_load_t;
 
-/** An answer that broke off, and may be the endpoint's death or its version's
- * fault. */
+/** A response that was truncated, which may be due to a crash of the endpoint
+ * or to a fault in its version. */
 typedef struct suspected_failure {
 	guard_answer_t answer;
 	struct timespec at;
@@ -62,12 +63,13 @@
 typedef struct endpoint_connection endpoint_connection_t;
 typedef struct endpoint_set endpoint_set_t;
 
-/** A kept connection. */
+/** An idle connection. */
 struct endpoint_connection {
 	endpoint_t *endpoint;
 	http_outbound_t *conn;
 	struct timespec idle_since;
-	int64_t idle_max_ms; /**< the endpoint closes it about then */
+	int64_t
+	    idle_max_ms; /**< the endpoint closes it after about this time */
 	endpoint_connection_t *next;
 };
 
@@ -76,23 +78,26 @@
 	endpoint_set_t *set;
 	endpoint_group_t *group; /**< NULL: not in the set */
 	zone_t *zone;		 /**< where it runs; owned by the set */
-	uint32_t refs;		 /**< the set and each request hold one */
-	bool in_set;		 /**< in the set */
-	bool lapsed;		 /**< its entry is gone since an outage */
-	endpoint_info_t *earlier_entry; /**< an entry of an earlier start, which
-				      is not believed yet; NULL: none */
-	struct timespec earlier_entry_at; /**< since when */
+	uint32_t refs;		 /**< one of the set and one of each request */
+	bool in_set;
+	bool lapsed; /**< its entry was removed during an outage of the store */
+	endpoint_info_t
+	    *earlier_entry; /**< entry of an earlier incarnation that isn't
+			       accepted yet; NULL: none */
+	struct timespec earlier_entry_at; /**< when it came */
 	uint32_t in_flight;		  /**< requests of this daemon */
-	uint32_t connections;		  /**< of this daemon, busy and idle */
+	uint32_t connections; /**< of this daemon, in use and idle */
 	endpoint_connection_t *idle_connections;
-	struct timespec idle_closed_at; /**< when it last closed an idle one */
+	struct timespec
+	    idle_closed_at; /**< when it last closed an idle connection */
 	endpoint_load_t load;
 	struct timespec load_reported_at;
 	uint32_t
-	    load_reported_in_flight; /**< in_flight when the load was told */
+	    load_reported_in_flight; /**< in_flight at the time of the report */
 	bool load_reported;
-	prefill_queue_t prefill_queue; /**< prompts that it has not read yet */
-	uint32_t failures;	       /**< in a row */
+	prefill_queue_t
+	    prefill_queue; /**< prompts that it has still to prefill */
+	uint32_t failures; /**< consecutive */
 	struct timespec ejected_until;
 	suspected_failure_t suspected_failures[ENDPOINT_SUSPECTED_FAILURES_MAX];
 	size_t suspected_failures_len;
@@ -101,21 +106,25 @@
 	int64_t warmup_slot;	    /**< slot of warmup_share_left */
 	uint32_t warmup_share_left; /**< requests that this daemon may still
 				       send to it in the slot */
-	uint64_t hash;		    /**< of the id and the start */
-	uint32_t short_hash;	    /**< the same, as other daemons tell it */
-	UT_hash_handle hh;	    /**< by id */
-	UT_hash_handle hh_short;    /**< by short_hash */
+	uint64_t hash;		    /**< of the id and the start time */
+	uint32_t
+	    short_hash;	   /**< lower 32 bits of it, as sent to other daemons */
+	UT_hash_handle hh; /**< by id */
+	UT_hash_handle hh_short; /**< by short_hash */
 };
 
 /** The endpoints of a service. */
 struct endpoint_group {
 	char service[ENDPOINT_NAME_SIZE];
-	endpoint_t **ring; /**< by hash: all daemons have the same order */
+	endpoint_t **ring; /**< sorted by hash, so that all daemons have the
+			      same order */
 	size_t len;
 	size_t cap;
 	uint32_t in_flight;    /**< requests of this daemon at all of them */
-	double in_flight_mean; /**< the same over the last seconds */
-	char base_version[ENDPOINT_NAME_SIZE]; /**< "": not known yet */
+	double in_flight_mean; /**< moving average of in_flight over some
+				  seconds */
+	char base_version[ENDPOINT_NAME_SIZE]; /**< version that most endpoints
+						  have; "": not known yet */
 	UT_hash_handle hh;
 };
 
@@ -125,23 +134,24 @@
 	endpoint_t *by_short_hash;
 	endpoint_group_t *groups;
 	zone_table_t zones;
-	size_t
-	    earlier_entries; /**< endpoints with an entry of an earlier start */
+	size_t earlier_entries; /**< number of endpoints with an entry of an
+				   earlier incarnation */
 };
 
 void endpoint_set_init(endpoint_set_t *, const clock_source_t *);
 void endpoint_set_finish(endpoint_set_t *);
 
-/** How an entry relates to @p known, which may be NULL. */
+/** How an entry relates to the known endpoint, which may be NULL. */
 incarnation_order_t
 endpoint_compare_incarnation(const endpoint_t *known, const endpoint_info_t *);
-/** Take over what an endpoint says. A later incarnation replaces the one that
- * is known, with all that was believed of it. An entry of an earlier one is
- * kept beside, and stops new requests if it says that the endpoint leaves.
- * @return the endpoint under that id, or NULL: out of memory */
+/** Applies an endpoint's entry. A later incarnation replaces the known one and
+ * all state of it. An entry of an earlier incarnation is stored beside the
+ * known one, and stops new requests if it says that the endpoint is leaving.
+ * @return the endpoint with that id, or NULL: out of memory */
 endpoint_t *endpoint_set_update(endpoint_set_t *, const endpoint_info_t *);
-/** An entry of an earlier incarnation that nothing has contradicted for long
- * enough: the endpoint's clock was set back before it started again.
+/** Finds an entry of an earlier incarnation that no other entry has
+ * contradicted for long enough: the endpoint's clock was set back before it
+ * restarted.
  * @return false: there is none */
 bool endpoint_set_find_earlier(const endpoint_set_t *, endpoint_info_t *out);
 /** Whether it may get new requests: it is not leaving, and its zone is not
@@ -151,11 +161,12 @@
 uint32_t endpoint_set_zone_in_flight(const endpoint_set_t *, const zone_t *);
 /** The same for all evacuated zones. */
 uint32_t endpoint_set_evacuated_in_flight(const endpoint_set_t *);
-/** Treat the endpoint as cold for at least this long from now. */
+/** Treats the endpoint as cold for at least this long from now. */
 void endpoint_mark_cold(endpoint_t *, int64_t ms);
-/** Its entry went in an outage: it is kept for a while, as it was. */
+/** Its entry was removed during an outage of the store: the endpoint stays in
+ * use for a while. */
 void endpoint_mark_lapsed(endpoint_t *);
-/** Take an endpoint out; its requests go on. */
+/** Removes an endpoint from the set; its requests in flight continue. */
 void endpoint_set_remove(endpoint_set_t *, endpoint_t *);
 endpoint_t *endpoint_set_find(const endpoint_set_t *, const char *id);
 endpoint_t *
@@ -163,53 +174,57 @@
 endpoint_group_t *
 endpoint_set_find_group(const endpoint_set_t *, const char *service);
 
-/** How many said that they leave. */
+/** Number of endpoints that report that they are leaving. */
 uint32_t endpoint_set_count_leaving(const endpoint_set_t *);
 
 /** @return false: out of memory */
 bool endpoint_group_add(endpoint_group_t *, endpoint_t *);
 void endpoint_group_remove(endpoint_group_t *, const endpoint_t *);
-/** The place in the ring of the first endpoint from this hash on; the ring's
- * length: there is none. */
+/** Index in the ring of the first endpoint whose hash is not less than this
+ * one; the ring's length: there is none. */
 size_t endpoint_group_lower_bound(const endpoint_group_t *, uint64_t hash);
-/** Learn, once, which version most endpoints of a service have while none is
- * ordered: others are not used until an order names them. */
+/** Sets the base version, once, to the version that most endpoints of the
+ * service have while no roll-out is ordered: endpoints of other versions are
+ * not used until an order names them. */
 void endpoint_group_learn_base_version(endpoint_group_t *);
 void endpoint_set_learn_base_versions(endpoint_set_t *);
 
-/** Take the mean of what is under way; called a few times a second. */
+/** Updates the moving averages of requests in flight; called a few times a
+ * second. */
 void endpoint_set_sample_in_flight(endpoint_set_t *);
 
 endpoint_t *endpoint_hold(endpoint_t *);
 void endpoint_release(endpoint_t *);
 
-/** A kept connection that is idle for less than its bound and @p max_ms, or
- * NULL; it is the caller's. */
+/** Takes a connection out of the pool that has been idle for less than its
+ * limit and @p max_ms, or NULL; the caller owns it. */
 http_outbound_t *endpoint_take_connection(endpoint_t *, int64_t max_ms);
-/** Keep a connection. @param idle_max_ms how long */
+/** Puts a connection into the pool.
+ * @param idle_max_ms how long it may stay idle */
 void
 endpoint_keep_connection(endpoint_t *, http_outbound_t *, int64_t idle_max_ms);
 
-/** A kept connection was dead: those that idle likely are, too. */
+/** Closes all idle connections: a reused one was closed or lost, and the others
+ * are likely to be, too. */
 void endpoint_close_idle(endpoint_t *);
 
-/** A request of this daemon was sent there. */
+/** A request of this daemon was sent to it. */
 void endpoint_request_started(endpoint_t *);
 /** That request has ended there. */
 void endpoint_request_ended(endpoint_t *);
 void endpoint_record_load(endpoint_t *, const endpoint_load_t *);
-/** An answer came from it, or none did. */
+/** It has responded, which ends an ejection, or an attempt has failed. */
 void endpoint_record_success(endpoint_t *);
 void endpoint_record_failure(endpoint_t *);
 /** It refused a connection: ejects it without waiting for further failures. */
 void endpoint_record_refused(endpoint_t *);
-/** Another incarnation answers at its address: ejects it for longer than its
+/** Another incarnation responds at its address: ejects it for longer than its
  * outdated entry remains. */
 void endpoint_record_superseded(endpoint_t *);
 bool endpoint_is_ejected(const endpoint_t *);
 
-/** Requests that it likely holds, of all callers.
- * @param callers daemons that send to it */
-double endpoint_estimate_load(const endpoint_t *, uint32_t callers);
+/** Estimated number of requests that it holds, of all daemons.
+ * @param daemons number of daemons that send to it */
+double endpoint_estimate_load(const endpoint_t *, uint32_t daemons);
 
 #endif
--- a/moortack/relay/endpoint_connections.c
+++ b/moortack/relay/endpoint_connections.c
@@ -7,70 +7,70 @@
 {
 	endpoint_connection_t *next;
 
-	for (endpoint_connection_t *link = endpoint->idle_connections;
-	     link != NULL; link = next) {
-		next = link->next;
-		http_outbound_free(link->conn);
-		free(link);
+	for (endpoint_connection_t *connection = endpoint->idle_connections;
+	     connection != NULL; connection = next) {
+		next = connection->next;
+		http_outbound_free(connection->conn);
+		free(connection);
 		endpoint->connections--;
 	}
 	endpoint->idle_connections = NULL;
 }
 
 static void
-link_forget(endpoint_t *endpoint, endpoint_connection_t *link)
+connection_unlink(endpoint_t *endpoint, endpoint_connection_t *connection)
 {
 	for (endpoint_connection_t **at = &endpoint->idle_connections;
 	     *at != NULL; at = &(*at)->next) {
-		if (*at == link) {
-			*at = link->next;
+		if (*at == connection) {
+			*at = connection->next;
 			break;
 		}
 	}
-	free(link);
+	free(connection);
 }
 
 static void
-link_close(endpoint_connection_t *link, http_outbound_t *conn)
+connection_close(endpoint_connection_t *connection, http_outbound_t *conn)
 {
-	endpoint_t *endpoint = link->endpoint;
+	endpoint_t *endpoint = connection->endpoint;
 
-	link_forget(endpoint, link);
+	connection_unlink(endpoint, connection);
 	endpoint->connections--;
 	http_outbound_free(conn);
 }
 
 static void
-on_link_ended(void *arg, http_outbound_t *conn)
+on_connection_closed(void *arg, http_outbound_t *conn)
 {
-	endpoint_connection_t *link = arg;
+	endpoint_connection_t *connection = arg;
 
-	link->endpoint->idle_closed_at =
-	    clock_elapsed(link->endpoint->set->clock);
-	link_close(link, conn);
+	connection->endpoint->idle_closed_at =
+	    clock_elapsed(connection->endpoint->set->clock);
+	connection_close(connection, conn);
 }
 
 http_outbound_t *
 endpoint_take_connection(endpoint_t *endpoint, int64_t max_ms)
 {
 	struct timespec now = clock_elapsed(endpoint->set->clock);
-	endpoint_connection_t *link = endpoint->idle_connections;
+	endpoint_connection_t *connection = endpoint->idle_connections;
 	http_outbound_t *conn;
 	int64_t idle_ms;
 
-	/* The newest stands first. */
-	while (link != NULL) {
-		endpoint_connection_t *next = link->next;
+	/* Most recently used first. */
+	while (connection != NULL) {
+		endpoint_connection_t *next = connection->next;
 
-		idle_ms = timespec_ms_between(link->idle_since, now);
-		conn = link->conn;
-		if (idle_ms < link->idle_max_ms && idle_ms < max_ms) {
-			link_forget(endpoint, link);
+		idle_ms = timespec_ms_between(connection->idle_since, now);
+		conn = connection->conn;
+		if (idle_ms < connection->idle_max_ms && idle_ms < max_ms) {
+			connection_unlink(endpoint, connection);
 			return conn;
 		}
-		if (idle_ms >= link->idle_max_ms)
-			link_close(link, conn);
-		link = next;
+		if (idle_ms >= connection->idle_max_ms)
+			connection_close(connection, conn);
+		connection = next;
 	}
 	return NULL;
 }
@@ -79,19 +79,19 @@
 endpoint_keep_connection(
     endpoint_t *endpoint, http_outbound_t *conn, int64_t idle_max_ms)
 {
-	endpoint_connection_t *link =
-	    endpoint->in_set ? calloc(1, sizeof(*link)) : NULL;
+	endpoint_connection_t *connection =
+	    endpoint->in_set ? calloc(1, sizeof(*connection)) : NULL;
 
-	if (link == NULL) {
+	if (connection == NULL) {
 		http_outbound_free(conn);
 		endpoint->connections--;
 		return;
 	}
-	link->endpoint = endpoint;
-	link->conn = conn;
-	link->idle_since = clock_elapsed(endpoint->set->clock);
-	link->idle_max_ms = idle_max_ms;
-	link->next = endpoint->idle_connections;
-	endpoint->idle_connections = link;
-	http_outbound_rest(conn, on_link_ended, link);
+	connection->endpoint = endpoint;
+	connection->conn = conn;
+	connection->idle_since = clock_elapsed(endpoint->set->clock);
+	connection->idle_max_ms = idle_max_ms;
+	connection->next = endpoint->idle_connections;
+	endpoint->idle_connections = connection;
+	http_outbound_rest(conn, on_connection_closed, connection);
 }
--- a/moortack/relay/endpoint_group.c
+++ b/moortack/relay/endpoint_group.c
@@ -3,9 +3,9 @@
 
 #include "moortack/relay/endpoint_set.h"
 
-#define CAP_FIRST 16
+#define INITIAL_CAP 16
 
-/** How many endpoints have a version. */
+/** Number of endpoints with a version. */
 typedef struct version_count {
 	char version[ENDPOINT_NAME_SIZE];
 	uint32_t count;
@@ -31,7 +31,7 @@
 static bool
 ring_reserve(endpoint_group_t *group)
 {
-	size_t cap = group->cap > 0 ? 2 * group->cap : CAP_FIRST;
+	size_t cap = group->cap > 0 ? 2 * group->cap : INITIAL_CAP;
 	endpoint_t **grown;
 
 	if (group->len < group->cap)
@@ -73,7 +73,7 @@
 }
 
 static version_count_t *
-count_of(version_count_t **counts, const char *version)
+version_count_get(version_count_t **counts, const char *version)
 {
 	version_count_t *count;
 
@@ -97,7 +97,8 @@
 	if (group->base_version[0] != '\0')
 		return;
 	for (size_t i = 0; i < group->len; i++) {
-		count = count_of(&counts, group->ring[i]->info.version);
+		count =
+		    version_count_get(&counts, group->ring[i]->info.version);
 		if (count != NULL)
 			count->count++;
 	}
--- a/moortack/relay/endpoint_health.c
+++ b/moortack/relay/endpoint_health.c
@@ -1,8 +1,8 @@
 #include "moortack/relay/endpoint_set.h"
 
-/* Failures in a row before an endpoint is passed over, and for how long: the
- * first time, and at most. The maximum is longer than the entry of a crashed
- * endpoint remains, which is three heartbeats of 1,200 ms. */
+/* Consecutive failures after which an endpoint is ejected, and for how long:
+ * the first time, and at most. The maximum is longer than the entry of a
+ * crashed endpoint remains, which is three heartbeats of 1,200 ms. */
 #define EJECT_FAILURES 3
 #define EJECT_FIRST_MS INT64_C(500)
 #define EJECT_MAX_MS 4000
@@ -26,15 +26,15 @@
 void
 endpoint_record_failure(endpoint_t *endpoint)
 {
-	uint32_t over;
+	uint32_t excess;
 
 	endpoint->failures++;
 	if (endpoint->failures < EJECT_FAILURES)
 		return;
-	over = endpoint->failures - EJECT_FAILURES;
+	excess = endpoint->failures - EJECT_FAILURES;
 	eject(endpoint,
-	    EJECT_FIRST_MS << (over < EJECT_SHIFT_MAX ? over
-						      : EJECT_SHIFT_MAX));
+	    EJECT_FIRST_MS << (excess < EJECT_SHIFT_MAX ? excess
+							: EJECT_SHIFT_MAX));
 }
 
 void
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -2,37 +2,38 @@
 
 #include "relay_node_priv.h"
 
-/* Entries that lapsed may be gone since their last row: whoever relies on this
- * daemon has to hear of that still. */
+/* Endpoints with lapsed entries may have been removed after their last row:
+ * followers of this daemon still have to be sent their removal. */
 static void
-lapsed_keep_back(relay_node_t *node)
+lapsed_rows_hold_back(relay_node_t *node)
 {
-	uint64_t least = 0;
+	uint64_t oldest = 0;
 
-	for (const endpoint_t *one = node->endpoints.endpoints; one != NULL;
-	     one = one->hh.next) {
-		const cached_row_t *row = one->lapsed
+	for (const endpoint_t *endpoint = node->endpoints.endpoints;
+	     endpoint != NULL; endpoint = endpoint->hh.next) {
+		const cached_row_t *row = endpoint->lapsed
 		    ? row_cache_find(&node->source.cache, ROW_TABLE_ENDPOINTS,
-			  one->info.id)
+			  endpoint->info.id)
 		    : NULL;
 
-		if (row != NULL && (least == 0 || row->version < least))
-			least = row->version;
+		if (row != NULL && (oldest == 0 || row->version < oldest))
+			oldest = row->version;
 	}
 	row_source_keep_back(
-	    &node->source, ROW_TABLE_ENDPOINTS, least == 0 ? 0 : least + 1);
+	    &node->source, ROW_TABLE_ENDPOINTS, oldest == 0 ? 0 : oldest + 1);
 }
 
-/* An entry is gone, as of a version of the store: whoever knows less has to be
- * told. What another daemon tells is final. In an outage, and shortly after it,
- * entries also go that are of living endpoints. */
+/* Handles the removal of an entry at a version of the store; followers with an
+ * older version have to be notified. A removal that the parent reports is
+ * final. During an outage of the store and shortly after it, entries of
+ * endpoints that are alive are removed, too. */
 static void
-endpoint_gone(relay_node_t *node, endpoint_t *endpoint, uint64_t version)
+endpoint_removed(relay_node_t *node, endpoint_t *endpoint, uint64_t version)
 {
 	bool keep =
 	    node->lapses && !node->source.taking && !endpoint->info.leaving;
 	bool was_lapsed = endpoint->lapsed;
-	row_t end;
+	row_t tombstone;
 
 	if (keep && was_lapsed)
 		return;
@@ -41,22 +42,22 @@
 	    endpoint->info.service, keep, endpoint->in_flight);
 	if (keep) {
 		endpoint_mark_lapsed(endpoint);
-		lapsed_keep_back(node);
+		lapsed_rows_hold_back(node);
 		return;
 	}
 	if (!endpoint->info.leaving)
 		relay_quarantine_gone(&node->relay.quarantine, endpoint);
-	end = (row_t){
+	tombstone = (row_t){
 	    .key = endpoint->info.id, .version = version, .deleted = true};
-	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &end);
+	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &tombstone);
 	endpoint_set_remove(&node->endpoints, endpoint);
 	if (was_lapsed)
-		lapsed_keep_back(node);
+		lapsed_rows_hold_back(node);
 }
 
 static void
 entry_log(
-    relay_node_t *node, const endpoint_info_t *facts, incarnation_order_t order)
+    relay_node_t *node, const endpoint_info_t *info, incarnation_order_t order)
 {
 	static const char *const orders[] = {
 	    [INCARNATION_FIRST] = "first",
@@ -68,64 +69,69 @@
 	event_line_throttled(&node->log, EVENT_THROTTLED_ENDPOINT,
 	    "id=%s service=%s address=%s:%u zone=%s version=%s leaving=%d "
 	    "born_ms=%" PRId64 " incarnation=%s",
-	    facts->id, facts->service, facts->address.host, facts->address.port,
-	    facts->zone, facts->version, facts->leaving, facts->started_ms,
+	    info->id, info->service, info->address.host, info->address.port,
+	    info->zone, info->version, info->leaving, info->started_ms,
 	    orders[order]);
 }
 
-/* @param news its row is newer than the one that was known */
+/* @param is_newer its row is newer than the one known before */
 static void
-endpoint_taken(relay_node_t *node, const endpoint_info_t *facts, bool news)
+endpoint_apply(relay_node_t *node, const endpoint_info_t *info, bool is_newer)
 {
-	endpoint_t *before = endpoint_set_find(&node->endpoints, facts->id);
-	incarnation_order_t order = endpoint_compare_incarnation(before, facts);
-	bool was_lapsed = before != NULL && before->lapsed;
+	endpoint_t *previous = endpoint_set_find(&node->endpoints, info->id);
+	incarnation_order_t order =
+	    endpoint_compare_incarnation(previous, info);
+	bool was_lapsed = previous != NULL && previous->lapsed;
 	endpoint_t *endpoint;
 
-	if (order != INCARNATION_SAME || before->info.leaving != facts->leaving)
-		entry_log(node, facts, order);
+	if (order != INCARNATION_SAME ||
+	    previous->info.leaving != info->leaving)
+		entry_log(node, info, order);
 	if (order == INCARNATION_LATER)
-		relay_endpoint_ended(&node->relay, before);
-	endpoint = endpoint_set_update(&node->endpoints, facts);
+		relay_endpoint_ended(&node->relay, previous);
+	endpoint = endpoint_set_update(&node->endpoints, info);
 	if (!was_lapsed || endpoint == NULL)
 		return;
-	/* A daemon that knows less still has the row that lapsed here. */
-	endpoint->lapsed = order != INCARNATION_LATER && !news &&
+	/* A daemon with an older version still has the row that lapsed here. */
+	endpoint->lapsed = order != INCARNATION_LATER && !is_newer &&
 	    node->source.taking && node->source.taking_less;
-	lapsed_keep_back(node);
+	lapsed_rows_hold_back(node);
 }
 
-/* What names no endpoint is none, whatever the row was before: others that
- * follow this daemon are told so, too. */
+/* A row that doesn't decode to an endpoint counts as its removal, whatever it
+ * held before; followers are sent the removal, too. */
 static void
-no_endpoint(relay_node_t *node, endpoint_t *known, const row_t *row)
+endpoint_row_delete(relay_node_t *node, endpoint_t *known, const row_t *row)
 {
-	const row_t end = {
+	const row_t tombstone = {
 	    .key = row->key, .version = row->version, .deleted = true};
 
 	if (known != NULL)
-		endpoint_gone(node, known, row->version);
+		endpoint_removed(node, known, row->version);
 	else
-		row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &end);
+		row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &tombstone);
 }
 
-/* An endpoint that had gone is not back because an older copy names it, until
- * it writes again. Others tell of each of its rows no more than once. */
+/* An endpoint that was removed doesn't come back because a restored older copy
+ * of the store lists it, until it writes its entry again. Rows from a parent
+ * are applied in any case, since it sends each of the endpoint's rows at most
+ * once. */
 static bool
-end_holds(const relay_node_t *node, const cached_row_t *known, const row_t *row)
+removal_stands(
+    const relay_node_t *node, const cached_row_t *known, const row_t *row)
 {
 	return !node->source.taking && relay_rows_of_later_era(known, row) &&
 	    known->value == NULL;
 }
 
-/* Nor is one in use again that leaves. */
+/* Nor does a leaving endpoint get requests again for that reason. */
 static bool
-leaving_holds(const cached_row_t *known, const row_t *row,
-    const endpoint_t *endpoint, const endpoint_info_t *facts)
+leaving_stands(const cached_row_t *known, const row_t *row,
+    const endpoint_t *endpoint, const endpoint_info_t *info)
 {
 	return relay_rows_of_later_era(known, row) && known->value != NULL &&
-	    endpoint != NULL && endpoint->info.leaving && !facts->leaving &&
-	    endpoint_compare_incarnation(endpoint, facts) == INCARNATION_SAME;
+	    endpoint != NULL && endpoint->info.leaving && !info->leaving &&
+	    endpoint_compare_incarnation(endpoint, info) == INCARNATION_SAME;
 }
 
 void
@@ -134,41 +140,41 @@
 	endpoint_t *endpoint = endpoint_set_find(&node->endpoints, row->key);
 	const cached_row_t *known =
 	    row_cache_find(&node->source.cache, ROW_TABLE_ENDPOINTS, row->key);
-	bool news = known == NULL || row->version > known->version;
-	endpoint_info_t facts;
+	bool is_newer = known == NULL || row->version > known->version;
+	endpoint_info_t info;
 	err_t err;
 
 	if (row->deleted) {
-		no_endpoint(node, endpoint, row);
+		endpoint_row_delete(node, endpoint, row);
 		return;
 	}
-	if (end_holds(node, known, row)) {
+	if (removal_stands(node, known, row)) {
 		relay_rows_keep(node, ROW_TABLE_ENDPOINTS, known, row);
 		return;
 	}
 	if (!node->ports.sources->endpoint(
-		row->key, row->value, row->value_len, &facts, &err)) {
+		row->key, row->value, row->value_len, &info, &err)) {
 		row_refusals_note(
 		    &node->refusals, ROW_KIND_ENDPOINT, row, &err);
-		no_endpoint(node, endpoint, row);
+		endpoint_row_delete(node, endpoint, row);
 		return;
 	}
-	if (leaving_holds(known, row, endpoint, &facts)) {
+	if (leaving_stands(known, row, endpoint, &info)) {
 		relay_rows_keep(node, ROW_TABLE_ENDPOINTS, known, row);
 		return;
 	}
 	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, row);
-	endpoint_taken(node, &facts, news);
+	endpoint_apply(node, &info, is_newer);
 }
 
-/* Entries that did not come back after an outage are gone. */
+/* Removes the endpoints whose entries did not come back after an outage. */
 void
 relay_rows_lapsed_end(relay_node_t *node)
 {
 	const row_watch_t *watch =
 	    row_source_watch(&node->source, ROW_TABLE_ENDPOINTS);
 	struct timespec now = clock_elapsed(node->ports.clock);
-	endpoint_t *one, *next;
+	endpoint_t *current, *next;
 
 	if (node->source.following || !watch->reachable ||
 	    timespec_ms_between(node->store_back, now) <
@@ -177,28 +183,29 @@
 	node->lapses = false;
 	if (node->source.kept_back[ROW_TABLE_ENDPOINTS] == 0)
 		return;
-	for (one = node->endpoints.endpoints; one != NULL; one = next) {
-		next = one->hh.next;
-		if (one->lapsed)
-			endpoint_gone(node, one, watch->version + 1);
+	for (current = node->endpoints.endpoints; current != NULL;
+	     current = next) {
+		next = current->hh.next;
+		if (current->lapsed)
+			endpoint_removed(node, current, watch->version + 1);
 	}
 }
 
-/* Entries of earlier starts that nothing has contradicted are taken: whoever
- * started again with its clock set back is not lost. */
+/* Accepts uncontradicted entries of earlier incarnations, so that an endpoint
+ * isn't lost if it restarts with its clock set back. */
 void
 relay_rows_earlier_take(relay_node_t *node)
 {
-	endpoint_info_t facts;
+	endpoint_info_t info;
 
-	while (endpoint_set_find_earlier(&node->endpoints, &facts)) {
-		endpoint_t *before =
-		    endpoint_set_find(&node->endpoints, facts.id);
+	while (endpoint_set_find_earlier(&node->endpoints, &info)) {
+		endpoint_t *previous =
+		    endpoint_set_find(&node->endpoints, info.id);
 
-		relay_endpoint_ended(&node->relay, before);
-		endpoint_set_remove(&node->endpoints, before);
-		endpoint_taken(node, &facts, true);
-		lapsed_keep_back(node);
+		relay_endpoint_ended(&node->relay, previous);
+		endpoint_set_remove(&node->endpoints, previous);
+		endpoint_apply(node, &info, true);
+		lapsed_rows_hold_back(node);
 	}
 }
 
--- a/moortack/relay/endpoint_set.c
+++ b/moortack/relay/endpoint_set.c
@@ -4,16 +4,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A report older than this says little; measured lag of reports and queues. */
-#define LOAD_FRESH_MS 1500
-/* Weight of one look in the mean of what is under way: with five looks a second
- * some four seconds count. */
-#define MEAN_WEIGHT 0.05
-/* An entry of an earlier start is a heartbeat that came late, unless the
- * endpoint's clock was set back before it started again: then no other entry
- * follows. Three heartbeats of 1,200 ms, after which a silent endpoint's entry
- * goes, and the way. */
-#define EARLIER_BELIEVED_MS 4000
+/* Older load reports are ignored. From the measured delay of reports and the
+ * time that requests wait in queues. */
+#define LOAD_REPORT_MAX_AGE_MS 1500
+/* Weight of one sample in the moving average of requests in flight: at five
+ * samples a second it covers about four seconds. */
+#define IN_FLIGHT_SAMPLE_WEIGHT 0.05
+/* An entry of an earlier incarnation is a heartbeat that came late, unless the
+ * endpoint's clock was set back before it restarted: then no other entry
+ * follows. Three heartbeats of 1,200 ms, after which the entry of a silent
+ * endpoint is removed, and the transfer time. */
+#define EARLIER_ENTRY_ACCEPT_MS 4000
 
 void
 endpoint_set_init(endpoint_set_t *set, const clock_source_t *clock)
@@ -23,7 +24,7 @@
 }
 
 static endpoint_group_t *
-group_of(endpoint_set_t *set, const char *service)
+group_get(endpoint_set_t *set, const char *service)
 {
 	endpoint_group_t *group = endpoint_set_find_group(set, service);
 
@@ -42,7 +43,7 @@
 {
 	for (endpoint_group_t *group = set->groups; group != NULL;
 	     group = group->hh.next)
-		group->in_flight_mean += MEAN_WEIGHT *
+		group->in_flight_mean += IN_FLIGHT_SAMPLE_WEIGHT *
 		    ((double)group->in_flight - group->in_flight_mean);
 }
 
@@ -63,7 +64,7 @@
 }
 
 static void
-earlier_drop(endpoint_t *endpoint)
+earlier_entry_discard(endpoint_t *endpoint)
 {
 	if (endpoint->earlier_entry == NULL)
 		return;
@@ -75,14 +76,14 @@
 void
 endpoint_mark_lapsed(endpoint_t *endpoint)
 {
-	earlier_drop(endpoint);
+	earlier_entry_discard(endpoint);
 	endpoint->lapsed = true;
 }
 
 void
 endpoint_set_remove(endpoint_set_t *set, endpoint_t *endpoint)
 {
-	earlier_drop(endpoint);
+	earlier_entry_discard(endpoint);
 	HASH_DEL(set->endpoints, endpoint);
 	HASH_DELETE(hh_short, set->by_short_hash, endpoint);
 	endpoint_group_remove(endpoint->group, endpoint);
@@ -133,9 +134,9 @@
 {
 	uint32_t count = 0;
 
-	for (const endpoint_t *one = set->endpoints; one != NULL;
-	     one = one->hh.next)
-		count += one->info.leaving;
+	for (const endpoint_t *endpoint = set->endpoints; endpoint != NULL;
+	     endpoint = endpoint->hh.next)
+		count += endpoint->info.leaving;
 	return count;
 }
 
@@ -160,9 +161,9 @@
 {
 	uint32_t count = 0;
 
-	for (const endpoint_t *one = set->endpoints; one != NULL;
-	     one = one->hh.next)
-		count += one->zone == zone ? one->in_flight : 0;
+	for (const endpoint_t *endpoint = set->endpoints; endpoint != NULL;
+	     endpoint = endpoint->hh.next)
+		count += endpoint->zone == zone ? endpoint->in_flight : 0;
 	return count;
 }
 
@@ -171,9 +172,9 @@
 {
 	uint32_t count = 0;
 
-	for (const endpoint_t *one = set->endpoints; one != NULL;
-	     one = one->hh.next)
-		count += one->zone->evacuated ? one->in_flight : 0;
+	for (const endpoint_t *endpoint = set->endpoints; endpoint != NULL;
+	     endpoint = endpoint->hh.next)
+		count += endpoint->zone->evacuated ? endpoint->in_flight : 0;
 	return count;
 }
 
@@ -196,32 +197,33 @@
 
 incarnation_order_t
 endpoint_compare_incarnation(
-    const endpoint_t *known, const endpoint_info_t *facts)
+    const endpoint_t *known, const endpoint_info_t *info)
 {
 	if (known == NULL)
 		return INCARNATION_FIRST;
-	if (facts->started_ms > known->info.started_ms)
+	if (info->started_ms > known->info.started_ms)
 		return INCARNATION_LATER;
-	return facts->started_ms < known->info.started_ms ? INCARNATION_EARLIER
-							  : INCARNATION_SAME;
+	return info->started_ms < known->info.started_ms ? INCARNATION_EARLIER
+							 : INCARNATION_SAME;
 }
 
-/* A process does not move: another address, or zone, is another endpoint. */
+/* A process does not move: an entry with another address or zone is another
+ * endpoint. */
 static bool
-moved(const endpoint_t *endpoint, const endpoint_info_t *facts)
+has_moved(const endpoint_t *endpoint, const endpoint_info_t *info)
 {
 	const endpoint_info_t *known = &endpoint->info;
 
-	return strcmp(known->service, facts->service) != 0 ||
-	    strcmp(known->zone, facts->zone) != 0 ||
-	    strcmp(known->address.host, facts->address.host) != 0 ||
-	    known->address.port != facts->address.port;
+	return strcmp(known->service, info->service) != 0 ||
+	    strcmp(known->zone, info->zone) != 0 ||
+	    strcmp(known->address.host, info->address.host) != 0 ||
+	    known->address.port != info->address.port;
 }
 
 static void
-earlier_keep(endpoint_t *endpoint, const endpoint_info_t *facts)
+earlier_entry_store(endpoint_t *endpoint, const endpoint_info_t *info)
 {
-	endpoint->info.leaving |= facts->leaving;
+	endpoint->info.leaving |= info->leaving;
 	endpoint->lapsed = false;
 	if (endpoint->earlier_entry == NULL) {
 		endpoint->earlier_entry =
@@ -232,42 +234,42 @@
 		    clock_elapsed(endpoint->set->clock);
 		endpoint->set->earlier_entries++;
 	}
-	*endpoint->earlier_entry = *facts;
+	*endpoint->earlier_entry = *info;
 }
 
-/* Hashes tell incarnations apart: what other daemons tell of one, and what is
- * remembered of it, is not taken for another one's. */
+/* The hash differs for each incarnation, so that messages of other daemons and
+ * entries of the prefix index for one incarnation don't apply to another. */
 static uint64_t
-incarnation_hash(const endpoint_info_t *facts)
+incarnation_hash(const endpoint_info_t *info)
 {
 	return XXH3_64bits_withSeed(
-	    facts->id, strlen(facts->id), (uint64_t)facts->started_ms);
+	    info->id, strlen(info->id), (uint64_t)info->started_ms);
 }
 
 static endpoint_t *
-endpoint_add(endpoint_set_t *set, const endpoint_info_t *facts)
+endpoint_add(endpoint_set_t *set, const endpoint_info_t *info)
 {
-	endpoint_group_t *group = group_of(set, facts->service);
-	zone_t *zone = zone_table_get(&set->zones, facts->zone);
+	endpoint_group_t *group = group_get(set, info->service);
+	zone_t *zone = zone_table_get(&set->zones, info->zone);
 	endpoint_t *endpoint = calloc(1, sizeof(*endpoint));
 
 	if (group == NULL || zone == NULL || endpoint == NULL) {
 		free(endpoint);
 		return NULL;
 	}
-	endpoint->hash = incarnation_hash(facts);
+	endpoint->hash = incarnation_hash(info);
 	if (!endpoint_group_add(group, endpoint)) {
 		free(endpoint);
 		return NULL;
 	}
-	endpoint->info = *facts;
+	endpoint->info = *info;
 	endpoint->set = set;
 	endpoint->group = group;
 	endpoint->zone = zone;
 	endpoint->refs = 1;
 	endpoint->in_set = true;
 	prefill_queue_init(&endpoint->prefill_queue);
-	endpoint_mark_cold(endpoint, facts->warmup_remaining_ms);
+	endpoint_mark_cold(endpoint, info->warmup_remaining_ms);
 	HASH_ADD_KEYPTR(hh, set->endpoints, endpoint->info.id,
 	    strlen(endpoint->info.id), endpoint);
 	endpoint->short_hash = (uint32_t)endpoint->hash;
@@ -277,26 +279,26 @@
 }
 
 endpoint_t *
-endpoint_set_update(endpoint_set_t *set, const endpoint_info_t *facts)
+endpoint_set_update(endpoint_set_t *set, const endpoint_info_t *info)
 {
-	endpoint_t *endpoint = endpoint_set_find(set, facts->id);
+	endpoint_t *endpoint = endpoint_set_find(set, info->id);
 	incarnation_order_t order =
-	    endpoint_compare_incarnation(endpoint, facts);
+	    endpoint_compare_incarnation(endpoint, info);
 
 	if (order == INCARNATION_EARLIER) {
-		earlier_keep(endpoint, facts);
+		earlier_entry_store(endpoint, info);
 		return endpoint;
 	}
 	if (order == INCARNATION_LATER ||
-	    (order == INCARNATION_SAME && moved(endpoint, facts))) {
+	    (order == INCARNATION_SAME && has_moved(endpoint, info))) {
 		endpoint_set_remove(set, endpoint);
 		endpoint = NULL;
 	}
 	if (endpoint == NULL)
-		return endpoint_add(set, facts);
-	earlier_drop(endpoint);
-	endpoint->info = *facts;
-	endpoint_mark_cold(endpoint, facts->warmup_remaining_ms);
+		return endpoint_add(set, info);
+	earlier_entry_discard(endpoint);
+	endpoint->info = *info;
+	endpoint_mark_cold(endpoint, info->warmup_remaining_ms);
 	endpoint->lapsed = false;
 	return endpoint;
 }
@@ -308,13 +310,13 @@
 
 	if (set->earlier_entries == 0)
 		return false;
-	for (const endpoint_t *one = set->endpoints; one != NULL;
-	     one = one->hh.next) {
-		if (one->earlier_entry == NULL ||
-		    timespec_ms_between(one->earlier_entry_at, now) <
-			EARLIER_BELIEVED_MS)
+	for (const endpoint_t *endpoint = set->endpoints; endpoint != NULL;
+	     endpoint = endpoint->hh.next) {
+		if (endpoint->earlier_entry == NULL ||
+		    timespec_ms_between(endpoint->earlier_entry_at, now) <
+			EARLIER_ENTRY_ACCEPT_MS)
 			continue;
-		*out = *one->earlier_entry;
+		*out = *endpoint->earlier_entry;
 		return true;
 	}
 	return false;
@@ -345,29 +347,29 @@
 	endpoint->load_reported = true;
 }
 
-/* What all other callers together likely have there: each of them about as much
- * as this daemon has at an endpoint on average. */
+/* Estimated requests of all other daemons at the endpoint: as many for each
+ * daemon as this one has in flight per endpoint of the service on average. */
 static double
-load_of_others(const endpoint_t *endpoint, uint32_t callers)
+other_daemons_load(const endpoint_t *endpoint, uint32_t daemons)
 {
 	const endpoint_group_t *group = endpoint->group;
 
-	if (group == NULL || group->len == 0 || callers == 0)
+	if (group == NULL || group->len == 0 || daemons == 0)
 		return 0;
-	return (double)(callers - 1) * group->in_flight / (double)group->len;
+	return (double)(daemons - 1) * group->in_flight / (double)group->len;
 }
 
 double
-endpoint_estimate_load(const endpoint_t *endpoint, uint32_t callers)
+endpoint_estimate_load(const endpoint_t *endpoint, uint32_t daemons)
 {
 	double own = endpoint->in_flight;
-	double told;
+	double reported;
 
 	if (!endpoint->load_reported ||
 	    timespec_ms_between(endpoint->load_reported_at,
-		clock_elapsed(endpoint->set->clock)) > LOAD_FRESH_MS)
-		return own + load_of_others(endpoint, callers);
-	told = (double)endpoint->load.running + endpoint->load.waiting;
-	told += own - endpoint->load_reported_in_flight;
-	return told > own ? told : own;
+		clock_elapsed(endpoint->set->clock)) > LOAD_REPORT_MAX_AGE_MS)
+		return own + other_daemons_load(endpoint, daemons);
+	reported = (double)endpoint->load.running + endpoint->load.waiting;
+	reported += own - endpoint->load_reported_in_flight;
+	return reported > own ? reported : own;
 }
--- a/test/unit/endpoint_set_test.c
+++ b/test/unit/endpoint_set_test.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Endpoints that start again under their id: what was believed of an earlier
- * incarnation is not believed of the next one, and no late word of the earlier
- * one brings it back.
+ * Endpoints that restart under the same id: state of an earlier incarnation
+ * must not apply to the next one, and a late entry of the earlier one must not
+ * bring it back.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,38 +17,38 @@
 #include "moortack/relay/endpoint_set.h"
 #include "moortack/relay/prefix_index.h"
 
-#define BORN 1700000000000
-/* Far longer than an entry of an earlier start is doubted. */
+#define START_MS 1700000000000
+/* Far longer than it takes to accept an entry of an earlier incarnation. */
 #define LONG_MS 60000
 
-/** A set, and a clock that the test moves. */
-typedef struct started {
+/** An endpoint set with a clock that the test sets. */
+typedef struct fixture {
 	manual_clock_t clock;
 	endpoint_set_t set;
-} started_t;
+} fixture_t;
 
 static int
 begin(void **state)
 {
-	static started_t started;
+	static fixture_t fixture;
 
-	started.clock = (manual_clock_t){{&manual_ops}, {100, 0}};
-	endpoint_set_init(&started.set, &started.clock.source);
-	*state = &started;
+	fixture.clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	endpoint_set_init(&fixture.set, &fixture.clock.source);
+	*state = &fixture;
 	return 0;
 }
 
 static int
 end(void **state)
 {
-	started_t *started = *state;
+	fixture_t *fixture = *state;
 
-	endpoint_set_finish(&started->set);
+	endpoint_set_finish(&fixture->set);
 	return 0;
 }
 
 static endpoint_info_t
-entry(int64_t born_ms)
+entry(int64_t start_ms)
 {
 	return (endpoint_info_t){.id = "i-1",
 	    .service = "lm",
@@ -56,20 +56,20 @@
 	    .version = "v1",
 	    .slots = 8,
 	    .address = {"10.0.0.1", 80},
-	    .started_ms = born_ms};
+	    .started_ms = start_ms};
 }
 
 static endpoint_t *
-take(started_t *started, int64_t born_ms)
+apply_entry(fixture_t *fixture, int64_t start_ms)
 {
-	endpoint_info_t facts = entry(born_ms);
+	endpoint_info_t info = entry(start_ms);
 
-	return endpoint_set_update(&started->set, &facts);
+	return endpoint_set_update(&fixture->set, &info);
 }
 
-/* Give the endpoint all that can be believed of one. */
+/* Sets all the state that an endpoint can have. */
 static void
-believe(endpoint_t *endpoint)
+fill_state(endpoint_t *endpoint)
 {
 	static const endpoint_load_t load = {.running = 5, .waiting = 2};
 
@@ -83,18 +83,18 @@
 }
 
 static void
-nothing_is_believed_of_the_next_start(void **state)
+restart_resets_all_state(void **state)
 {
-	started_t *started = *state;
-	endpoint_t *old = endpoint_hold(take(started, BORN));
+	fixture_t *fixture = *state;
+	endpoint_t *old = endpoint_hold(apply_entry(fixture, START_MS));
 	endpoint_t *next;
 
-	believe(old);
+	fill_state(old);
 	assert_true(endpoint_is_ejected(old));
-	next = take(started, BORN + 1);
+	next = apply_entry(fixture, START_MS + 1);
 	assert_ptr_not_equal(next, old);
 	assert_false(old->in_set);
-	assert_ptr_equal(endpoint_set_find(&started->set, "i-1"), next);
+	assert_ptr_equal(endpoint_set_find(&fixture->set, "i-1"), next);
 	assert_float_equal(
 	    prefill_queue_wait_ms(&next->prefill_queue, 100000), 0, 0.001);
 	assert_false(next->load_reported);
@@ -103,123 +103,126 @@
 	assert_false(endpoint_is_ejected(next));
 	assert_int_equal(next->suspected_failures_len, 0);
 	assert_false(next->lapsed);
-	/* What still runs at the old one ends there. */
+	/* Requests in flight at the old incarnation end there. */
 	endpoint_request_ended(old);
 	assert_int_equal(next->in_flight, 0);
 	endpoint_release(old);
 }
 
 /* A crashed endpoint looks idle until its entry expires: a single refused
- * connection, or a single answer of another incarnation, ejects it. */
+ * connection, or a single response of another incarnation, ejects it. */
 static void
-a_refusing_or_superseded_endpoint_is_ejected_at_once(void **state)
+refusing_or_superseded_endpoint_is_ejected_at_once(void **state)
 {
-	started_t *started = *state;
-	endpoint_t *endpoint = take(started, BORN);
+	fixture_t *fixture = *state;
+	endpoint_t *endpoint = apply_entry(fixture, START_MS);
 
 	endpoint_record_failure(endpoint);
 	assert_false(endpoint_is_ejected(endpoint));
 	endpoint_record_refused(endpoint);
 	assert_true(endpoint_is_ejected(endpoint));
-	started->clock.now = timespec_after_ms(started->clock.now, 500);
+	fixture->clock.now = timespec_after_ms(fixture->clock.now, 500);
 	assert_false(endpoint_is_ejected(endpoint));
 	endpoint_record_success(endpoint);
 	endpoint_record_superseded(endpoint);
-	started->clock.now = timespec_after_ms(started->clock.now, 3600);
+	fixture->clock.now = timespec_after_ms(fixture->clock.now, 3600);
 	assert_true(endpoint_is_ejected(endpoint));
 	endpoint_record_success(endpoint);
 	assert_false(endpoint_is_ejected(endpoint));
 }
 
-/* Notes of other daemons name an endpoint by its short hash, and what it keeps
- * is remembered by its hash. */
+/* Messages of other daemons name an endpoint by its short hash, and the prefix
+ * index by its hash. */
 static void
-what_is_told_of_the_old_one_names_nobody(void **state)
+hashes_of_the_old_incarnation_match_nothing(void **state)
 {
 	static const prefix_list_t prefixes = {
 	    .hashes = {7}, .tokens = {500}, .len = 1};
-	started_t *started = *state;
-	endpoint_t *old = take(started, BORN);
-	uint32_t named = old->short_hash;
-	uint64_t remembered = old->hash;
-	prefix_index_t memory;
+	fixture_t *fixture = *state;
+	endpoint_t *old = apply_entry(fixture, START_MS);
+	uint32_t old_short_hash = old->short_hash;
+	uint64_t old_hash = old->hash;
+	prefix_index_t index;
 	endpoint_t *next;
 
-	assert_true(prefix_index_init(&memory));
-	prefix_index_add(&memory, &prefixes, remembered, 1000);
-	next = take(started, BORN + 5);
-	assert_null(endpoint_set_find_by_short_hash(&started->set, named));
+	assert_true(prefix_index_init(&index));
+	prefix_index_add(&index, &prefixes, old_hash, 1000);
+	next = apply_entry(fixture, START_MS + 5);
+	assert_null(
+	    endpoint_set_find_by_short_hash(&fixture->set, old_short_hash));
 	assert_int_equal(
-	    prefix_index_cached_tokens(&memory, &prefixes, next->hash, 1000),
-	    0);
-	prefix_index_finish(&memory);
+	    prefix_index_cached_tokens(&index, &prefixes, next->hash, 1000), 0);
+	prefix_index_finish(&index);
 }
 
 static void
-the_same_start_stays_what_it_is(void **state)
+entry_of_the_same_incarnation_keeps_state(void **state)
 {
-	started_t *started = *state;
-	endpoint_t *first = take(started, BORN);
+	fixture_t *fixture = *state;
+	endpoint_t *first = apply_entry(fixture, START_MS);
 
-	believe(first);
-	assert_ptr_equal(take(started, BORN), first);
+	fill_state(first);
+	assert_ptr_equal(apply_entry(fixture, START_MS), first);
 	assert_true(first->load_reported);
 	endpoint_request_ended(first);
 }
 
 static void
-a_late_entry_of_an_earlier_start_brings_nothing_back(void **state)
+late_entry_of_an_earlier_incarnation_is_ignored(void **state)
 {
-	started_t *started = *state;
-	endpoint_t *now = take(started, BORN + 9);
-	endpoint_info_t facts;
-
-	assert_ptr_equal(take(started, BORN), now);
-	assert_int_equal(now->info.started_ms, BORN + 9);
-	assert_false(endpoint_set_find_earlier(&started->set, &facts));
-	/* The one that runs writes its entry again: that one was late. */
-	assert_ptr_equal(take(started, BORN + 9), now);
-	started->clock.now = timespec_after_ms(started->clock.now, LONG_MS);
-	assert_false(endpoint_set_find_earlier(&started->set, &facts));
-	assert_int_equal(started->set.earlier_entries, 0);
+	fixture_t *fixture = *state;
+	endpoint_t *current = apply_entry(fixture, START_MS + 9);
+	endpoint_info_t info;
+
+	assert_ptr_equal(apply_entry(fixture, START_MS), current);
+	assert_int_equal(current->info.started_ms, START_MS + 9);
+	assert_false(endpoint_set_find_earlier(&fixture->set, &info));
+	/* The running incarnation writes its entry again: the earlier one was
+	 * late. */
+	assert_ptr_equal(apply_entry(fixture, START_MS + 9), current);
+	fixture->clock.now = timespec_after_ms(fixture->clock.now, LONG_MS);
+	assert_false(endpoint_set_find_earlier(&fixture->set, &info));
+	assert_int_equal(fixture->set.earlier_entries, 0);
 }
 
-/* Who started again with its clock set back is not passed over for good. */
+/* An endpoint that restarted with its clock set back must not be ignored for
+ * good. */
 static void
-an_earlier_start_that_stays_is_taken(void **state)
+uncontradicted_earlier_incarnation_is_accepted(void **state)
 {
-	started_t *started = *state;
-	endpoint_info_t facts;
-
-	take(started, BORN + 9);
-	take(started, BORN);
-	started->clock.now = timespec_after_ms(started->clock.now, LONG_MS);
-	assert_true(endpoint_set_find_earlier(&started->set, &facts));
-	assert_int_equal(facts.started_ms, BORN);
+	fixture_t *fixture = *state;
+	endpoint_info_t info;
+
+	apply_entry(fixture, START_MS + 9);
+	apply_entry(fixture, START_MS);
+	fixture->clock.now = timespec_after_ms(fixture->clock.now, LONG_MS);
+	assert_true(endpoint_set_find_earlier(&fixture->set, &info));
+	assert_int_equal(info.started_ms, START_MS);
 }
 
 static void
-an_earlier_start_that_leaves_gets_no_new_requests(void **state)
+leaving_earlier_incarnation_stops_new_requests(void **state)
 {
-	started_t *started = *state;
-	endpoint_t *now = take(started, BORN + 9);
-	endpoint_info_t leaving = entry(BORN);
+	fixture_t *fixture = *state;
+	endpoint_t *current = apply_entry(fixture, START_MS + 9);
+	endpoint_info_t leaving = entry(START_MS);
 
 	leaving.leaving = true;
-	endpoint_set_update(&started->set, &leaving);
-	assert_true(now->info.leaving);
-	assert_false(take(started, BORN + 9)->info.leaving);
+	endpoint_set_update(&fixture->set, &leaving);
+	assert_true(current->info.leaving);
+	assert_false(apply_entry(fixture, START_MS + 9)->info.leaving);
 }
 
-/* An entry that says nothing of its start is none of a replica that did. */
+/* An entry without a start time can't be of an incarnation that reported one.
+ */
 static void
-an_entry_without_a_start_is_an_earlier_one(void **state)
+entry_without_start_time_counts_as_earlier(void **state)
 {
-	started_t *started = *state;
-	endpoint_t *now = take(started, BORN);
+	fixture_t *fixture = *state;
+	endpoint_t *current = apply_entry(fixture, START_MS);
 
-	assert_ptr_equal(take(started, 0), now);
-	assert_int_equal(now->info.started_ms, BORN);
+	assert_ptr_equal(apply_entry(fixture, 0), current);
+	assert_int_equal(current->info.started_ms, START_MS);
 }
 
 int
@@ -227,23 +230,21 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test_setup_teardown(
-		nothing_is_believed_of_the_next_start, begin, end),
+		restart_resets_all_state, begin, end),
 	    cmocka_unit_test_setup_teardown(
-		a_refusing_or_superseded_endpoint_is_ejected_at_once, begin,
-		end),
+		refusing_or_superseded_endpoint_is_ejected_at_once, begin, end),
 	    cmocka_unit_test_setup_teardown(
-		what_is_told_of_the_old_one_names_nobody, begin, end),
+		hashes_of_the_old_incarnation_match_nothing, begin, end),
 	    cmocka_unit_test_setup_teardown(
-		the_same_start_stays_what_it_is, begin, end),
+		entry_of_the_same_incarnation_keeps_state, begin, end),
 	    cmocka_unit_test_setup_teardown(
-		a_late_entry_of_an_earlier_start_brings_nothing_back, begin,
-		end),
+		late_entry_of_an_earlier_incarnation_is_ignored, begin, end),
 	    cmocka_unit_test_setup_teardown(
-		an_earlier_start_that_stays_is_taken, begin, end),
+		uncontradicted_earlier_incarnation_is_accepted, begin, end),
 	    cmocka_unit_test_setup_teardown(
-		an_earlier_start_that_leaves_gets_no_new_requests, begin, end),
+		leaving_earlier_incarnation_stops_new_requests, begin, end),
 	    cmocka_unit_test_setup_teardown(
-		an_entry_without_a_start_is_an_earlier_one, begin, end),
+		entry_without_start_time_counts_as_earlier, begin, end),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
