--- a/moortack/relay/relay_candidates.c
+++ b/moortack/relay/relay_candidates.c
@@ -6,21 +6,23 @@
 #include <xxhash.h>
 
 #define CONNECTIONS_MIN 2
-/* Part of an endpoint's slots that a roll-out's first endpoints are to have
- * taken for a time. A version that is bad under load only fails, on the users'
- * sheets, from half of them on; with as many endpoints as the share of the
- * requests, 4 to 8 of 16 to 64 are taken on calm days, and it got 0.4 of all
- * requests unnoticed. With this it is stopped on sheets with 16 and 24 slots
- * (two seeds each, 0.6: one of four was not); with 48 and 64 their traffic does
- * not fill half of an endpoint. */
-#define TRIAL_PART 0.75
+/* Share of their slots that the first endpoints of a roll-out should have in
+ * use during its trial. In the users' workload profiles a version that is bad
+ * under load only fails from half of the slots on. If the new version gets as
+ * large a share of the endpoints as of the requests, 4 to 8 of 16 to 64 slots
+ * are in use on calm days, and such a version got 0.4 of all requests
+ * unnoticed. With this share it is stopped in profiles with 16 and 24 slots
+ * (two seeds each; with 0.6 one of four was not); with 48 and 64 slots their
+ * traffic does not fill half of an endpoint. */
+#define TRIAL_FILL 0.75
 
-/** Which versions are asked for. */
+/** Which versions a request may go to. */
 typedef enum version_class {
 	VERSION_ANY,
-	VERSION_OLD, /**< the one that is replaced */
+	VERSION_OLD, /**< the version that is replaced */
 	VERSION_NEW,
-	VERSION_OTHER, /**< any but the new one, and one that was taken back */
+	VERSION_OTHER, /**< neither the new version nor one that was rolled back
+			*/
 } version_class_t;
 
 static bool
@@ -33,7 +35,7 @@
 	return false;
 }
 
-/* This daemon's part of the connections that an endpoint accepts. */
+/* This daemon's share of the connections that an endpoint accepts. */
 static uint32_t
 connections_share(const relay_request_t *req)
 {
@@ -48,7 +50,7 @@
 }
 
 static bool
-version_fits(const endpoint_group_t *group, const rollout_t *rollout,
+version_matches(const endpoint_group_t *group, const rollout_t *rollout,
     version_class_t wanted, const endpoint_t *endpoint)
 {
 	const char *version = endpoint->info.version;
@@ -69,7 +71,7 @@
 
 /* Both the route and the organisation may restrict the regions. */
 static bool
-region_fits(const relay_request_t *req, const endpoint_t *endpoint)
+region_allowed(const relay_request_t *req, const endpoint_t *endpoint)
 {
 	const char *region = endpoint->zone->region;
 
@@ -80,17 +82,18 @@
 }
 
 static bool
-endpoint_fits(const relay_request_t *req, const endpoint_t *endpoint,
+endpoint_eligible(const relay_request_t *req, const endpoint_t *endpoint,
     uint32_t connections)
 {
 	return endpoint_accepts_requests(endpoint) &&
-	    region_fits(req, endpoint) && !was_tried(req, endpoint) &&
+	    region_allowed(req, endpoint) && !was_tried(req, endpoint) &&
 	    (endpoint->idle_connections != NULL ||
 		endpoint->connections < connections);
 }
 
-/* Of more endpoints than are weighed, those that follow in the ring on what the
- * prompt shares: all daemons weigh the same ones for the same part. */
+/* If there are more endpoints than CANDIDATES_MAX, takes those that follow the
+ * hash of the shared prefix in the ring: all daemons consider the same
+ * endpoints for the same prefix. */
 static void
 candidates_find(const relay_request_t *req, const endpoint_group_t *group,
     const rollout_t *rollout, version_class_t wanted, candidates_t *out)
@@ -98,38 +101,39 @@
 	const relay_t *relay = req->relay;
 	uint32_t connections = connections_share(req);
 	warmup_snapshot_t warmup;
-	size_t from = endpoint_group_lower_bound(
+	size_t start = endpoint_group_lower_bound(
 	    group, req->shared != 0 ? req->shared : req->spread);
 
 	out->len = 0;
 	relay_warmup_snapshot(req, &warmup);
 	for (size_t i = 0; i < group->len && out->len < CANDIDATES_MAX; i++) {
-		endpoint_t *one = group->ring[(from + i) % group->len];
+		endpoint_t *endpoint = group->ring[(start + i) % group->len];
 
-		if (!endpoint_fits(req, one, connections) ||
-		    !version_fits(group, rollout, wanted, one))
+		if (!endpoint_eligible(req, endpoint, connections) ||
+		    !version_matches(group, rollout, wanted, endpoint))
 			continue;
-		if (!relay_warmup_allows(relay, one, &warmup)) {
+		if (!relay_warmup_allows(relay, endpoint, &warmup)) {
 			out->cold_skipped++;
 			continue;
 		}
-		out->endpoints[out->len] = one;
+		out->endpoints[out->len] = endpoint;
 		out->inputs[out->len++] = (endpoint_candidate_t){
-		    .hash = one->hash,
-		    .load = endpoint_estimate_load(one, relay->daemons_most),
-		    .slots = one->info.slots,
-		    .same_zone = strcmp(one->info.zone, relay->zone) == 0,
-		    .ejected = endpoint_is_ejected(one)};
+		    .hash = endpoint->hash,
+		    .load =
+			endpoint_estimate_load(endpoint, relay->daemons_most),
+		    .slots = endpoint->info.slots,
+		    .same_zone = strcmp(endpoint->info.zone, relay->zone) == 0,
+		    .ejected = endpoint_is_ejected(endpoint)};
 	}
 }
 
 void
-candidates_filter(candidates_t *set, const bool *kept)
+candidates_filter(candidates_t *set, const bool *keep)
 {
 	size_t len = 0;
 
 	for (size_t i = 0; i < set->len; i++) {
-		if (!kept[i])
+		if (!keep[i])
 			continue;
 		set->inputs[len] = set->inputs[i];
 		set->endpoints[len] = set->endpoints[i];
@@ -138,57 +142,59 @@
 	set->len = len;
 }
 
-/* The candidate's place in an order that changes with each roll-out. */
+/* Rank of the candidate in an order that differs for each roll-out. */
 static uint64_t
-narrow_weight(const endpoint_candidate_t *candidate, const rollout_t *rollout)
+rollout_weight(const endpoint_candidate_t *candidate, const rollout_t *rollout)
 {
 	return XXH3_64bits_withSeed(
 	    &candidate->hash, sizeof(candidate->hash), rollout->order.number);
 }
 
-/* How many of them a share of the requests fills up to where faults under load
- * show. */
+/* Number of endpoints of which a share of the requests fills TRIAL_FILL of the
+ * slots, at which faults under load show. */
 static size_t
 trial_size(const relay_request_t *req, const endpoint_group_t *group,
     const candidates_t *set, double share)
 {
-	double under_way = group->in_flight_mean * req->relay->daemons_most;
-	double each = TRIAL_PART * set->inputs[0].slots;
+	double in_flight = group->in_flight_mean * req->relay->daemons_most;
+	double per_endpoint = TRIAL_FILL * set->inputs[0].slots;
 
-	return each > 0 ? (size_t)ceil(under_way * share / each) : set->len;
+	return per_endpoint > 0 ? (size_t)ceil(in_flight * share / per_endpoint)
+				: set->len;
 }
 
-/* A small share of the requests goes to as small a share of the endpoints, so
- * that these are as busy as they will be later, and for a time to fewer. */
+/* Restricts a small share of the requests to as small a share of the endpoints,
+ * so that these are as busy as they will be later; during the trial to fewer.
+ */
 static void
 candidates_narrow(const relay_request_t *req, const endpoint_group_t *group,
     const rollout_t *rollout, candidates_t *set)
 {
-	static bool kept[CANDIDATES_MAX];
-	size_t keep = (size_t)ceil((double)set->len * rollout->share);
+	static bool selected[CANDIDATES_MAX];
+	size_t count = (size_t)ceil((double)set->len * rollout->share);
 	size_t filled;
 
-	if (rollout->share >= 1.0 || keep == 0)
+	if (rollout->share >= 1.0 || count == 0)
 		return;
 	if (rollout_on_trial(rollout)) {
 		filled = trial_size(req, group, set, rollout->share);
-		if (filled < keep)
-			keep = filled > 0 ? filled : 1;
+		if (filled < count)
+			count = filled > 0 ? filled : 1;
 	}
 	for (size_t i = 0; i < set->len; i++) {
-		uint64_t weight = narrow_weight(&set->inputs[i], rollout);
-		size_t before = 0;
+		uint64_t weight = rollout_weight(&set->inputs[i], rollout);
+		size_t ahead = 0;
 
 		for (size_t j = 0; j < set->len; j++)
-			before +=
-			    narrow_weight(&set->inputs[j], rollout) > weight;
-		kept[i] = before < keep;
+			ahead +=
+			    rollout_weight(&set->inputs[j], rollout) > weight;
+		selected[i] = ahead < count;
 	}
-	candidates_filter(set, kept);
+	candidates_filter(set, selected);
 }
 
 static version_class_t
-class_wanted(const relay_request_t *req, rollout_t *rollout)
+version_class_for(const relay_request_t *req, rollout_t *rollout)
 {
 	if (rollout == NULL || rollout->order.number == 0)
 		return VERSION_ANY;
@@ -199,7 +205,7 @@
 }
 
 static bool
-group_has(const endpoint_group_t *group, const char *version)
+group_has_version(const endpoint_group_t *group, const char *version)
 {
 	for (size_t i = 0; i < group->len; i++) {
 		if (strcmp(group->ring[i]->info.version, version) == 0)
@@ -208,13 +214,13 @@
 	return false;
 }
 
-/* Endpoints of the version that is replaced, or, if there is none of it, or it
- * isn't known, of any that may be it. */
+/* Endpoints of the version that is replaced; if it is unknown or has no
+ * endpoints, those of any version that may be it. */
 static void
-candidates_old(const relay_request_t *req, const endpoint_group_t *group,
+candidates_find_old(const relay_request_t *req, const endpoint_group_t *group,
     const rollout_t *rollout, candidates_t *out)
 {
-	version_class_t wanted = group_has(group, rollout_base(rollout))
+	version_class_t wanted = group_has_version(group, rollout_base(rollout))
 	    ? VERSION_OLD
 	    : VERSION_OTHER;
 
@@ -239,19 +245,19 @@
 	if (group == NULL)
 		return false;
 	rollout = rollouts_find(req->relay->rollouts, req->service);
-	wanted = class_wanted(req, rollout);
+	wanted = version_class_for(req, rollout);
 	if (wanted == VERSION_ANY)
 		endpoint_group_learn_base_version(group);
 	if (wanted == VERSION_OLD)
-		candidates_old(req, group, rollout, out);
+		candidates_find_old(req, group, rollout, out);
 	else
 		candidates_find(req, group, rollout, wanted, out);
 	if (wanted == VERSION_NEW)
 		candidates_narrow(req, group, rollout, out);
-	/* None of the wanted version can take it. */
+	/* No endpoint of the preferred version can accept the request. */
 	if (out->len == 0 && wanted == VERSION_NEW &&
 	    rollout_old_allowed(rollout))
-		candidates_old(req, group, rollout, out);
+		candidates_find_old(req, group, rollout, out);
 	if (out->len == 0 && out->cold_skipped > 0)
 		*why = "warming_up";
 	return out->len > 0;
--- a/moortack/relay/relay_candidates.h
+++ b/moortack/relay/relay_candidates.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The endpoints that may take a request: of its service, of the version that a
- * roll-out wants for it, with a connection to be had.
+ * The endpoints that may serve a request: those of its service, of the version
+ * that a roll-out assigns to it, with a connection available.
  */
 #ifndef MOORTACK_RELAY_RELAY_CANDIDATES_H
 #define MOORTACK_RELAY_RELAY_CANDIDATES_H
@@ -11,12 +11,14 @@
 
 #define CANDIDATES_MAX 256
 
-/** Endpoints that may take the request, with what the choice sees of them. */
+/** Endpoints that may serve the request, and the inputs to the choice among
+ * them. */
 typedef struct candidates {
 	endpoint_t *endpoints[CANDIDATES_MAX];
 	endpoint_candidate_t inputs[CANDIDATES_MAX];
 	size_t len;
-	size_t cold_skipped; /**< cold endpoints left out, with no share left */
+	size_t cold_skipped; /**< cold endpoints left out since they have no
+				warm-up share left */
 } candidates_t;
 
 /** @param why set if there are none
@@ -24,7 +26,7 @@
 bool
 candidates_collect(const relay_request_t *, candidates_t *, const char **why);
 
-/** Drop the candidates that are not to be kept. */
-void candidates_filter(candidates_t *, const bool *kept);
+/** Removes the candidates whose @p keep is false. */
+void candidates_filter(candidates_t *, const bool *keep);
 
 #endif
--- a/moortack/relay/relay_owner_query.c
+++ b/moortack/relay/relay_owner_query.c
@@ -3,11 +3,11 @@
 
 #include "relay_candidates.h"
 
-/* How long an answer is waited for: the way between zones and back, and a VM
- * that is busy for a moment; little against the objectives of streams. An owner
- * that is gone costs as much, and the choice is then made by what this daemon
- * knows itself. */
-#define ANSWER_MS 20
+/* Timeout for responses: a round trip between zones, and a VM that is busy for
+ * a moment; short compared with the objectives of streams. If an owner is down,
+ * the request waits for as long, and the endpoint is then chosen by what this
+ * daemon knows itself. */
+#define RESPONSE_TIMEOUT_MS 20
 #define US_PER_MS 1000
 
 void
@@ -32,19 +32,19 @@
 const asked_endpoint_t *
 relay_ask_told(const relay_request_t *req, size_t model, uint64_t endpoint)
 {
-	const placing_question_t *question = &req->question;
+	const placing_question_t *query = &req->question;
 
-	if (question->number == 0 || question->model != model)
+	if (query->number == 0 || query->model != model)
 		return NULL;
-	for (size_t i = 0; i < question->len; i++) {
-		if (question->of[i].hash == endpoint && question->of[i].told)
-			return &question->of[i];
+	for (size_t i = 0; i < query->len; i++) {
+		if (query->of[i].hash == endpoint && query->of[i].told)
+			return &query->of[i];
 	}
 	return NULL;
 }
 
 static void
-on_limit(evutil_socket_t fd, short what, void *arg)
+on_timeout(evutil_socket_t fd, short what, void *arg)
 {
 	relay_request_t *req = arg;
 
@@ -54,42 +54,43 @@
 	attempt_begin(req);
 }
 
-/* Ask one owner; what this daemon keeps itself is told at once. */
+/* Queries the owner of one endpoint. If this daemon is the owner itself, its
+ * own estimates count as the response. */
 static void
-one_ask(relay_request_t *req, const endpoint_t *endpoint,
+owner_query(relay_request_t *req, const endpoint_t *endpoint,
     const prefix_list_t *prefixes)
 {
-	placing_question_t *question = &req->question;
-	asked_endpoint_t *asked = &question->of[question->len++];
+	placing_question_t *query = &req->question;
+	asked_endpoint_t *queried = &query->of[query->len++];
 	gossip_message_t message = {.kind = GOSSIP_QUERY,
 	    .endpoint_hash = endpoint->short_hash,
-	    .query_id = question->number};
+	    .query_id = query->number};
 
 	relay_gossip_prefixes(&message, prefixes);
-	*asked = (asked_endpoint_t){.hash = endpoint->hash};
+	*queried = (asked_endpoint_t){.hash = endpoint->hash};
 	if (gossip_query(req->relay->gossip, endpoint->info.zone, &message))
-		question->open++;
+		query->open++;
 	else
-		asked->told = true;
+		queried->told = true;
 }
 
 static bool
-answers_wait(relay_request_t *req)
+responses_wait(relay_request_t *req)
 {
-	struct timeval time = {0, ANSWER_MS * US_PER_MS};
-	placing_question_t *question = &req->question;
+	struct timeval time = {0, RESPONSE_TIMEOUT_MS * US_PER_MS};
+	placing_question_t *query = &req->question;
 
-	if (question->open == 0)
+	if (query->open == 0)
 		return false;
-	question->limit = event_new(req->relay->base, -1, 0, on_limit, req);
-	if (question->limit != NULL && event_add(question->limit, &time) == 0)
+	query->limit = event_new(req->relay->base, -1, 0, on_timeout, req);
+	if (query->limit != NULL && event_add(query->limit, &time) == 0)
 		return true;
-	question->open = 0;
+	query->open = 0;
 	return false;
 }
 
 static uint32_t
-number_next(relay_t *relay)
+next_query_id(relay_t *relay)
 {
 	if (++relay->questions == 0)
 		relay->questions++;
@@ -104,29 +105,31 @@
 	relay_t *relay = req->relay;
 	const char *model = relay_model_name(req, req->model_index);
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
-	const choice_criteria_t wish = {.affinity = req->shared ^ model_hash};
-	size_t first[ASKED_MAX];
+	const choice_criteria_t criteria = {
+	    .affinity = req->shared ^ model_hash};
+	size_t ranked[ASKED_MAX];
 	const char *why;
 	size_t len;
 
-	/* Asked already: the answers came, or are not waited for any longer. */
+	/* The owners were queried before: they have responded, or the timeout
+	 * has passed. */
 	if (req->question.number != 0 || req->arrival.parts_len == 0 ||
 	    !gossip_may_query(relay->gossip, relay_read_ms(req)) ||
 	    !candidates_collect(req, &candidates, &why))
 		return false;
 	prefix_list_fill(&prefixes, &req->arrival, model_hash);
 	req->question = (placing_question_t){
-	    .number = number_next(relay), .model = req->model_index};
+	    .number = next_query_id(relay), .model = req->model_index};
 	len = endpoint_rank_by_affinity(
-	    candidates.inputs, candidates.len, &wish, first, ASKED_MAX);
+	    candidates.inputs, candidates.len, &criteria, ranked, ASKED_MAX);
 	for (size_t i = 0; i < len; i++)
-		one_ask(req, candidates.endpoints[first[i]], &prefixes);
-	return answers_wait(req);
+		owner_query(req, candidates.endpoints[ranked[i]], &prefixes);
+	return responses_wait(req);
 }
 
-/* Another daemon has sent a prompt. */
+/* Another daemon has sent a prompt to an endpoint. */
 static void
-on_sent(void *arg, const gossip_message_t *message)
+on_prompt_sent(void *arg, const gossip_message_t *message)
 {
 	relay_t *relay = arg;
 	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
@@ -144,52 +147,52 @@
 }
 
 static bool
-on_asked(void *arg, const gossip_message_t *question, gossip_message_t *answer)
+on_query(void *arg, const gossip_message_t *query, gossip_message_t *response)
 {
 	relay_t *relay = arg;
 	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
 	const endpoint_t *endpoint = endpoint_set_find_by_short_hash(
-	    relay->endpoints, question->endpoint_hash);
-	prefix_list_t prefixes = {.len = question->prefixes_len};
+	    relay->endpoints, query->endpoint_hash);
+	prefix_list_t prefixes = {.len = query->prefixes_len};
 
 	if (endpoint == NULL)
 		return false;
-	memcpy(prefixes.hashes, question->prefixes,
-	    question->prefixes_len * sizeof(question->prefixes[0]));
-	answer->cached_prefixes = (uint32_t)prefix_index_match_count(
+	memcpy(prefixes.hashes, query->prefixes,
+	    query->prefixes_len * sizeof(query->prefixes[0]));
+	response->cached_prefixes = (uint32_t)prefix_index_match_count(
 	    &relay->prefixes, &prefixes, endpoint->hash, now_ms);
-	answer->queue_wait_ms = (uint32_t)prefill_queue_wait_ms(
+	response->queue_wait_ms = (uint32_t)prefill_queue_wait_ms(
 	    &endpoint->prefill_queue, (double)now_ms);
 	return true;
 }
 
 static relay_request_t *
-asking_find(const relay_t *relay, uint32_t number)
+querying_request_find(const relay_t *relay, uint32_t query_id)
 {
 	for (relay_request_t *req = relay->first; req != NULL;
 	     req = req->next) {
-		if (req->question.open > 0 && req->question.number == number)
+		if (req->question.open > 0 && req->question.number == query_id)
 			return req;
 	}
 	return NULL;
 }
 
 static void
-on_answered(void *arg, const gossip_message_t *answer)
+on_response(void *arg, const gossip_message_t *response)
 {
-	relay_request_t *req = asking_find(arg, answer->query_id);
+	relay_request_t *req = querying_request_find(arg, response->query_id);
 
 	if (req == NULL)
 		return;
 	for (size_t i = 0; i < req->question.len; i++) {
-		asked_endpoint_t *asked = &req->question.of[i];
+		asked_endpoint_t *queried = &req->question.of[i];
 
-		if ((uint32_t)asked->hash != answer->endpoint_hash ||
-		    asked->told)
+		if ((uint32_t)queried->hash != response->endpoint_hash ||
+		    queried->told)
 			continue;
-		asked->told = true;
-		asked->wait_ms = answer->queue_wait_ms;
-		asked->kept = answer->cached_prefixes;
+		queried->told = true;
+		queried->wait_ms = response->queue_wait_ms;
+		queried->kept = response->cached_prefixes;
 		req->question.open--;
 	}
 	if (req->question.open == 0)
@@ -197,4 +200,4 @@
 }
 
 const gossip_ops_t relay_gossip_ops = {
-    on_sent, on_asked, on_answered, relay_quarantine_told};
+    on_prompt_sent, on_query, on_response, relay_quarantine_told};
--- a/moortack/relay/relay_placement.c
+++ b/moortack/relay/relay_placement.c
@@ -4,137 +4,149 @@
 
 #include "relay_candidates.h"
 
-/* An endpoint in another zone costs priced bytes and time: as much as this
- * share of its slots being taken. */
-#define ZONE_BONUS 0.12
-/* What a KB to another zone is worth, in milliseconds of an endpoint's time.
- * With 4, the worth of the users' sheet where bytes are dear is 0.006 less;
- * where they are cheap nothing shows (20 days each). */
-#define FAR_MS_PER_KB 8.0
+/* Added to the share of slots in use for an endpoint in another zone, since
+ * bytes to it cost money and time. */
+#define CROSS_ZONE_PENALTY 0.12
+/* Cost of a KB sent to another zone, in milliseconds of endpoint time. With 4,
+ * the score of the users' workload profile with expensive bytes is 0.006 lower;
+ * with cheap bytes there is no difference (20 days each). */
+#define CROSS_ZONE_MS_PER_KB 8.0
 #define BYTES_PER_KB 1024.0
-/* Until a model's pace is measured: milliseconds for a token of the largest
- * one; the others by their price. */
-#define SLOPE_UNKNOWN 0.06
+/* Used until a model's prefill rate is measured: milliseconds per token of the
+ * largest model; smaller models are scaled by their price. */
+#define DEFAULT_MS_PER_TOKEN 0.06
 
-/* Milliseconds that a token takes to be read by the model. */
+/* Milliseconds that the model takes per prefilled token. */
 static double
-slope_of(const relay_request_t *req, size_t index)
+prefill_ms_per_token(const relay_request_t *req, size_t index)
 {
 	const relay_route_t *route = req->route;
-	const relay_model_t *known =
+	const relay_model_t *known_model =
 	    relay_model_known(req, relay_model_name(req, index));
-	double slope =
-	    known != NULL ? prefill_rate_ms_per_token(&known->pace) : -1;
-	double most;
+	double ms_per_token = known_model != NULL
+	    ? prefill_rate_ms_per_token(&known_model->pace)
+	    : -1;
+	double max_cost;
 
-	if (slope >= 0)
-		return slope;
+	if (ms_per_token >= 0)
+		return ms_per_token;
 	if (!req->arrival.any_model || route->models_len == 0)
-		return SLOPE_UNKNOWN;
-	most = route->models[route->models_len - 1].cost;
-	return most > 0 ? SLOPE_UNKNOWN * route->models[index].cost / most
-			: SLOPE_UNKNOWN;
+		return DEFAULT_MS_PER_TOKEN;
+	max_cost = route->models[route->models_len - 1].cost;
+	return max_cost > 0
+	    ? DEFAULT_MS_PER_TOKEN * route->models[index].cost / max_cost
+	    : DEFAULT_MS_PER_TOKEN;
 }
 
-/* What it costs that a shared token is read again, beyond the time of this
- * request's model: what moves to another endpoint is read there by the larger
- * models too, and what was read before was read for nothing. Without it the
- * worth of two of the users' sheets is 0.012 and 0.013 less (20 days each). */
+/* Additional cost of recomputing a shared token, beyond the time of this
+ * request's model: a prefix that moves to another endpoint is prefilled there
+ * by the larger models too, and its prefill at the previous endpoint is wasted.
+ * Without it the score of two of the users' workload profiles is 0.012 and
+ * 0.013 lower (20 days each). */
 static double
-again_of(const relay_request_t *req)
+recompute_ms_per_token(const relay_request_t *req)
 {
 	size_t models = req->arrival.any_model ? req->route->models_len : 0;
 
-	return slope_of(req, models > 0 ? models - 1 : 0);
+	return prefill_ms_per_token(req, models > 0 ? models - 1 : 0);
 }
 
-/* What the prompt shares with others: all but its last part. The caller's two
- * accounts of its tokens need not agree. */
+/* Tokens of all parts of the prompt but the last, which are shared with other
+ * requests. The token counts of the parts and of the prompt come from the
+ * caller and need not agree. */
 static uint32_t
-shared_tokens(const prefix_list_t *prefixes, uint32_t all)
+shared_tokens(const prefix_list_t *prefixes, uint32_t total)
 {
 	uint32_t shared =
 	    prefixes->len > 1 ? prefixes->tokens[prefixes->len - 2] : 0;
 
-	return shared < all ? shared : all;
+	return shared < total ? shared : total;
 }
 
 static uint32_t
-tokens_beyond(const arrival_t *arrival, uint32_t kept)
+uncached_tokens(const arrival_t *arrival, uint32_t cached)
 {
-	return arrival->tokens_in > kept ? arrival->tokens_in - kept : 0;
+	return arrival->tokens_in > cached ? arrival->tokens_in - cached : 0;
 }
 
-/* Tokens that the endpoint keeps, as this daemon and the owner know. */
+/* Tokens cached at the endpoint, by the greater of the owner's and this
+ * daemon's estimate. */
 static uint32_t
-told_kept(
-    const prefix_list_t *prefixes, const asked_endpoint_t *told, uint32_t known)
+reported_cached_tokens(const prefix_list_t *prefixes,
+    const asked_endpoint_t *report, uint32_t known)
 {
-	size_t count = told->kept < prefixes->len ? told->kept : prefixes->len;
+	size_t count =
+	    report->kept < prefixes->len ? report->kept : prefixes->len;
 	uint32_t tokens = count > 0 ? prefixes->tokens[count - 1] : 0;
 
 	return tokens > known ? tokens : known;
 }
 
-/* Of what an owner told, more is known than of the others: those alone are
- * weighed.
+/* Estimates of an owner are better than those of this daemon: if there are any,
+ * only the endpoints they are of remain candidates.
  * @return how many there are */
 static size_t
-told_keep(const relay_request_t *req, size_t index, candidates_t *set)
+candidates_filter_reported(
+    const relay_request_t *req, size_t index, candidates_t *set)
 {
-	static bool kept[CANDIDATES_MAX];
+	static bool keep[CANDIDATES_MAX];
 	size_t count = 0;
 
 	for (size_t i = 0; i < set->len; i++) {
-		kept[i] =
+		keep[i] =
 		    relay_ask_told(req, index, set->inputs[i].hash) != NULL;
-		count += kept[i];
+		count += keep[i];
 	}
 	if (count > 0)
-		candidates_filter(set, kept);
+		candidates_filter(set, keep);
 	return count;
 }
 
 static void
-prompt_see(const relay_request_t *req, const prefix_list_t *prefixes,
+candidates_estimate(const relay_request_t *req, const prefix_list_t *prefixes,
     size_t index, candidates_t *set)
 {
 	const relay_t *relay = req->relay;
 	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
-	double far_ms = (double)evbuffer_get_length(req->body) / BYTES_PER_KB *
-	    FAR_MS_PER_KB;
+	double cross_zone_ms = (double)evbuffer_get_length(req->body) /
+	    BYTES_PER_KB * CROSS_ZONE_MS_PER_KB;
 	uint32_t shared = shared_tokens(prefixes, req->arrival.tokens_in);
-	double slope = slope_of(req, index);
-	double again = again_of(req);
+	double ms_per_token = prefill_ms_per_token(req, index);
+	double recompute_ms = recompute_ms_per_token(req);
 
 	for (size_t i = 0; i < set->len; i++) {
-		endpoint_candidate_t *one = &set->inputs[i];
-		const asked_endpoint_t *told =
-		    relay_ask_told(req, index, one->hash);
-		uint32_t kept = prefix_index_cached_tokens(
-		    &relay->prefixes, prefixes, one->hash, now_ms);
-		uint32_t shared_unread;
-
-		one->queue_wait_ms = prefill_queue_wait_ms(
+		endpoint_candidate_t *candidate = &set->inputs[i];
+		const asked_endpoint_t *report =
+		    relay_ask_told(req, index, candidate->hash);
+		uint32_t cached = prefix_index_cached_tokens(
+		    &relay->prefixes, prefixes, candidate->hash, now_ms);
+		uint32_t shared_uncached;
+
+		candidate->queue_wait_ms = prefill_queue_wait_ms(
 		    &set->endpoints[i]->prefill_queue, (double)now_ms);
-		if (told != NULL) {
-			one->queue_wait_ms =
-			    fmax(one->queue_wait_ms, told->wait_ms);
-			kept = told_kept(prefixes, told, kept);
+		if (report != NULL) {
+			candidate->queue_wait_ms =
+			    fmax(candidate->queue_wait_ms, report->wait_ms);
+			cached =
+			    reported_cached_tokens(prefixes, report, cached);
 		}
-		shared_unread = shared > kept ? shared - kept : 0;
-		one->uncached_tokens = tokens_beyond(&req->arrival, kept);
-		one->own_prefill_ms =
-		    slope * (one->uncached_tokens - shared_unread);
-		one->shared_prefill_ms = (slope + again) * shared_unread;
-		one->cross_zone_ms = one->same_zone ? 0 : far_ms;
+		shared_uncached = shared > cached ? shared - cached : 0;
+		candidate->uncached_tokens =
+		    uncached_tokens(&req->arrival, cached);
+		candidate->own_prefill_ms = ms_per_token *
+		    (candidate->uncached_tokens - shared_uncached);
+		candidate->shared_prefill_ms =
+		    (ms_per_token + recompute_ms) * shared_uncached;
+		candidate->cross_zone_ms =
+		    candidate->same_zone ? 0 : cross_zone_ms;
 	}
 }
 
 double
 relay_read_ms(const relay_request_t *req)
 {
-	return slope_of(req, req->model_index) * req->arrival.tokens_in;
+	return prefill_ms_per_token(req, req->model_index) *
+	    req->arrival.tokens_in;
 }
 
 bool
@@ -145,12 +157,12 @@
 	static prefix_list_t prefixes;
 	const char *model = relay_model_name(req, index);
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
-	choice_criteria_t wish = {.has_prompt = req->arrival.parts_len > 0,
+	choice_criteria_t criteria = {.has_prompt = req->arrival.parts_len > 0,
 	    .affinity = req->shared ^ model_hash,
 	    .first_cached = req->relay->gossip->unheard_share,
 	    .tie_breaker = req->relay->rng->next(req->relay->rng),
-	    .cross_zone_penalty = ZONE_BONUS};
-	const relay_model_t *known = relay_model_known(req, model);
+	    .cross_zone_penalty = CROSS_ZONE_PENALTY};
+	const relay_model_t *known_model = relay_model_known(req, model);
 	size_t chosen;
 
 	*out = (placement_t){.first_ms = -1};
@@ -158,17 +170,18 @@
 		out->cold = candidates.cold_skipped;
 		return false;
 	}
-	if (wish.has_prompt) {
+	if (criteria.has_prompt) {
 		prefix_list_fill(&prefixes, &req->arrival, model_hash);
-		out->told = told_keep(req, index, &candidates);
+		out->told = candidates_filter_reported(req, index, &candidates);
 		if (out->told > 0)
-			wish.first_cached = 0;
-		prompt_see(req, &prefixes, index, &candidates);
+			criteria.first_cached = 0;
+		candidates_estimate(req, &prefixes, index, &candidates);
 	}
-	/* What may crash it is kept from where most others run. */
+	/* A request suspected of crashing endpoints avoids those with the most
+	 * requests. */
 	if (relay_suspected(req))
-		wish.has_prompt = false;
-	chosen = endpoint_choose(candidates.inputs, candidates.len, &wish);
+		criteria.has_prompt = false;
+	chosen = endpoint_choose(candidates.inputs, candidates.len, &criteria);
 	if (chosen == SIZE_MAX)
 		return false;
 	out->endpoint = candidates.endpoints[chosen];
@@ -176,34 +189,35 @@
 	out->cold = candidates.cold_skipped;
 	out->load = candidates.inputs[chosen].load;
 	out->wait_ms = candidates.inputs[chosen].queue_wait_ms;
-	out->read_ms = fmin(
-	    slope_of(req, index) * candidates.inputs[chosen].uncached_tokens,
+	out->read_ms = fmin(prefill_ms_per_token(req, index) *
+		candidates.inputs[chosen].uncached_tokens,
 	    PREFILL_QUEUE_PROMPT_MAX_MS);
 	out->unread = candidates.inputs[chosen].uncached_tokens;
-	if (known != NULL)
+	if (known_model != NULL)
 		out->first_ms =
-		    prefill_rate_first_byte_ms(&known->pace, out->unread);
+		    prefill_rate_first_byte_ms(&known_model->pace, out->unread);
 	if (out->first_ms >= 0)
 		out->first_ms += out->wait_ms;
 	return true;
 }
 
 static void
-message_tell(
-    relay_t *relay, const placement_t *place, const prefix_list_t *prefixes)
+prompt_publish(
+    relay_t *relay, const placement_t *placement, const prefix_list_t *prefixes)
 {
 	gossip_message_t message = {.kind = GOSSIP_PROMPT_SENT,
-	    .endpoint_hash = place->endpoint->short_hash,
-	    .prefill_ms = (uint32_t)place->read_ms};
+	    .endpoint_hash = placement->endpoint->short_hash,
+	    .prefill_ms = (uint32_t)placement->read_ms};
 
-	if (!gossip_should_send(relay->gossip, place->read_ms))
+	if (!gossip_should_send(relay->gossip, placement->read_ms))
 		return;
 	relay_gossip_prefixes(&message, prefixes);
-	gossip_send(relay->gossip, place->endpoint->info.zone, &message);
+	gossip_send(relay->gossip, placement->endpoint->info.zone, &message);
 }
 
 void
-relay_place_note(relay_request_t *req, const placement_t *place, size_t index)
+relay_place_note(
+    relay_request_t *req, const placement_t *placement, size_t index)
 {
 	static prefix_list_t prefixes;
 	const char *model = relay_model_name(req, index);
@@ -215,8 +229,8 @@
 	prefix_list_fill(
 	    &prefixes, &req->arrival, XXH3_64bits(model, strlen(model)));
 	prefix_index_add(
-	    &relay->prefixes, &prefixes, place->endpoint->hash, now_ms);
-	prefill_queue_add(&place->endpoint->prefill_queue, &req->attempt.ticket,
-	    place->read_ms, (double)now_ms);
-	message_tell(relay, place, &prefixes);
+	    &relay->prefixes, &prefixes, placement->endpoint->hash, now_ms);
+	prefill_queue_add(&placement->endpoint->prefill_queue,
+	    &req->attempt.ticket, placement->read_ms, (double)now_ms);
+	prompt_publish(relay, placement, &prefixes);
 }
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -1,9 +1,9 @@
 /**
  * @file
- * Endpoints that are weighed for a request where there are more than there is
- * room for: they were the 256 that a daemon had learned of last, others at each
- * daemon, so that what one prompt shares with others was read anew at more
- * endpoints than need be, and the endpoints that came first got no request.
+ * Candidates of a request if there are more endpoints than CANDIDATES_MAX. They
+ * were the last 256 endpoints that a daemon had learned of, which differed
+ * between daemons. Shared prefixes were thus prefilled at more endpoints than
+ * necessary, and the endpoints that were known first got no requests.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -24,151 +24,152 @@
 #define NEW 160 /* endpoints of a new version */
 #define ORDER_MS 20000
 
-/** A daemon, as far as it chooses. */
-typedef struct chooser {
+/** A daemon, as far as it chooses endpoints. */
+typedef struct daemon {
 	manual_clock_t clock;
 	endpoint_set_t endpoints;
 	rollouts_t rollouts;
 	relay_t relay;
 	relay_request_t request;
 	candidates_t candidates;
-} chooser_t;
+} daemon_t;
 
 static void
-version_learn(chooser_t *chooser, int number, const char *version)
+version_learn(daemon_t *daemon, int number, const char *version)
 {
-	endpoint_info_t facts = {.service = "lm",
+	endpoint_info_t info = {.service = "lm",
 	    .zone = "a",
 	    .slots = 8,
 	    .address = {"10.0.0.1", 80}};
 
-	snprintf(facts.id, sizeof(facts.id), "i-%d", number);
-	strcpy(facts.version, version);
-	endpoint_set_update(&chooser->endpoints, &facts);
+	snprintf(info.id, sizeof(info.id), "i-%d", number);
+	strcpy(info.version, version);
+	endpoint_set_update(&daemon->endpoints, &info);
 }
 
 static void
-endpoint_learn(chooser_t *chooser, int number)
+endpoint_learn(daemon_t *daemon, int number)
 {
-	version_learn(chooser, number, "v1");
+	version_learn(daemon, number, "v1");
 }
 
-/* Two daemons learn of endpoints in orders of their own. */
-static chooser_t *
-chooser_begin(bool backwards, int endpoints)
+/* Two daemons learn of endpoints in different orders. */
+static daemon_t *
+daemon_new(bool backwards, int endpoints)
 {
-	chooser_t *chooser = calloc(1, sizeof(*chooser));
+	daemon_t *daemon = calloc(1, sizeof(*daemon));
 
-	chooser->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
-	endpoint_set_init(&chooser->endpoints, &chooser->clock.source);
+	daemon->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	endpoint_set_init(&daemon->endpoints, &daemon->clock.source);
 	for (int i = 0; i < endpoints; i++)
-		endpoint_learn(chooser, backwards ? endpoints - 1 - i : i);
-	chooser->relay = (relay_t){.clock = &chooser->clock.source,
-	    .endpoints = &chooser->endpoints,
-	    .rollouts = &chooser->rollouts,
+		endpoint_learn(daemon, backwards ? endpoints - 1 - i : i);
+	daemon->relay = (relay_t){.clock = &daemon->clock.source,
+	    .endpoints = &daemon->endpoints,
+	    .rollouts = &daemon->rollouts,
 	    .daemons_most = 2};
-	chooser->request = (relay_request_t){.relay = &chooser->relay,
+	daemon->request = (relay_request_t){.relay = &daemon->relay,
 	    .config = relay_config_new(1),
 	    .service = "lm"};
-	return chooser;
+	return daemon;
 }
 
 static void
-chooser_end(chooser_t *chooser)
+daemon_free(daemon_t *daemon)
 {
-	relay_config_release(chooser->request.config);
-	endpoint_set_finish(&chooser->endpoints);
-	free(chooser);
+	relay_config_release(daemon->request.config);
+	endpoint_set_finish(&daemon->endpoints);
+	free(daemon);
 }
 
-/* What some prompts share, as the hash of it. */
+/* Hash of the prefix that some prompts share. */
 static uint64_t
-shared_by(uint64_t prompts)
+prefix_hash(uint64_t prompts)
 {
 	return XXH3_64bits(&prompts, sizeof(prompts));
 }
 
 static size_t
-weighed(chooser_t *chooser, uint64_t shared)
+candidates_count(daemon_t *daemon, uint64_t shared)
 {
 	const char *why;
 
-	chooser->request.shared = shared;
+	daemon->request.shared = shared;
 	assert_true(
-	    candidates_collect(&chooser->request, &chooser->candidates, &why));
-	return chooser->candidates.len;
+	    candidates_collect(&daemon->request, &daemon->candidates, &why));
+	return daemon->candidates.len;
 }
 
 static bool
-weighs(const chooser_t *chooser, uint64_t hash)
+is_candidate(const daemon_t *daemon, uint64_t hash)
 {
-	for (size_t i = 0; i < chooser->candidates.len; i++) {
-		if (chooser->candidates.inputs[i].hash == hash)
+	for (size_t i = 0; i < daemon->candidates.len; i++) {
+		if (daemon->candidates.inputs[i].hash == hash)
 			return true;
 	}
 	return false;
 }
 
 static void
-all_daemons_weigh_the_same_ones_for_what_is_shared(void **state)
+all_daemons_have_the_same_candidates_for_a_prefix(void **state)
 {
-	chooser_t *one = chooser_begin(false, ENDPOINTS);
-	chooser_t *two = chooser_begin(true, ENDPOINTS);
+	daemon_t *one = daemon_new(false, ENDPOINTS);
+	daemon_t *two = daemon_new(true, ENDPOINTS);
 
 	(void)state;
 	for (uint64_t i = 1; i <= PROMPTS; i++) {
-		size_t len = weighed(one, shared_by(i));
+		size_t len = candidates_count(one, prefix_hash(i));
 
 		assert_int_equal(len, CANDIDATES_MAX);
-		assert_int_equal(weighed(two, shared_by(i)), len);
+		assert_int_equal(candidates_count(two, prefix_hash(i)), len);
 		for (size_t j = 0; j < len; j++)
 			assert_true(
-			    weighs(two, one->candidates.inputs[j].hash));
+			    is_candidate(two, one->candidates.inputs[j].hash));
 	}
-	chooser_end(one);
-	chooser_end(two);
+	daemon_free(one);
+	daemon_free(two);
 }
 
 static void
-each_endpoint_is_weighed_for_some_prompt(void **state)
+each_endpoint_is_a_candidate_for_some_prompt(void **state)
 {
-	chooser_t *one = chooser_begin(false, ENDPOINTS);
+	daemon_t *daemon = daemon_new(false, ENDPOINTS);
 	const endpoint_group_t *group =
-	    endpoint_set_find_group(&one->endpoints, "lm");
+	    endpoint_set_find_group(&daemon->endpoints, "lm");
 	bool seen[ENDPOINTS] = {false};
 
 	(void)state;
 	for (uint64_t i = 1; i <= PROMPTS; i++) {
-		weighed(one, shared_by(i));
+		candidates_count(daemon, prefix_hash(i));
 		for (size_t j = 0; j < group->len; j++)
-			seen[j] |= weighs(one, group->ring[j]->hash);
+			seen[j] |= is_candidate(daemon, group->ring[j]->hash);
 	}
 	for (int i = 0; i < ENDPOINTS; i++)
 		assert_true(seen[i]);
-	chooser_end(one);
+	daemon_free(daemon);
 }
 
 static void
-a_few_endpoints_are_all_weighed(void **state)
+few_endpoints_are_all_candidates(void **state)
 {
-	chooser_t *one = chooser_begin(false, CANDIDATES_MAX);
+	daemon_t *daemon = daemon_new(false, CANDIDATES_MAX);
 
 	(void)state;
-	assert_int_equal(weighed(one, shared_by(1)), CANDIDATES_MAX);
-	chooser_end(one);
+	assert_int_equal(
+	    candidates_count(daemon, prefix_hash(1)), CANDIDATES_MAX);
+	daemon_free(daemon);
 }
 
-/* Without a report, others are taken to have as much at an endpoint as this
- * daemon has on average: one request of its own was counted as one of each of
- * 91 daemons, so that a daemon sent no second prompt to where the first was
- * read. */
+/* Without a load report, other daemons are assumed to have as many requests at
+ * an endpoint as this daemon has on average. One request of its own was counted
+ * as one of each of 91 daemons, so that a daemon sent no second prompt to the
+ * endpoint that had prefilled the first. */
 static void
-others_are_taken_to_be_alike(void **state)
+other_daemons_are_assumed_to_have_equal_load(void **state)
 {
 	enum { FEW = 10, DAEMONS = 91 };
-	chooser_t *one = chooser_begin(false, FEW);
+	daemon_t *daemon = daemon_new(false, FEW);
 	endpoint_group_t *group =
-	    endpoint_set_find_group(&one->endpoints, "lm");
+	    endpoint_set_find_group(&daemon->endpoints, "lm");
 	endpoint_t *used = group->ring[3];
 
 	(void)state;
@@ -179,33 +180,33 @@
 	    endpoint_estimate_load(group->ring[4], DAEMONS), 90.0 / FEW, 0.01);
 	endpoint_request_ended(used);
 	assert_float_equal(endpoint_estimate_load(used, DAEMONS), 0, 0.01);
-	/* What is under way at one that is gone counts no longer. */
+	/* Requests at a removed endpoint no longer count. */
 	endpoint_request_started(used);
 	endpoint_hold(used);
-	endpoint_set_remove(&one->endpoints, used);
+	endpoint_set_remove(&daemon->endpoints, used);
 	assert_int_equal(group->in_flight, 0);
 	endpoint_request_ended(used);
 	assert_int_equal(group->in_flight, 0);
 	endpoint_release(used);
-	chooser_end(one);
+	daemon_free(daemon);
 }
 
-/* A roll-out of v2 of which that part of its time has passed. */
+/* A roll-out of v2 of which this part of its duration has passed. */
 static rollout_t *
-rollout_of(chooser_t *chooser, row_watch_t *watch, double part)
+rollout_add(daemon_t *daemon, row_watch_t *watch, double part)
 {
 	static rollout_t rollout;
-	static event_log_t quiet;
+	static event_log_t log;
 
-	event_log_init(&quiet, &chooser->clock.source, 1e-9);
-	*watch = (row_watch_t){.clock = &chooser->clock.source,
+	event_log_init(&log, &daemon->clock.source, 1e-9);
+	*watch = (row_watch_t){.clock = &daemon->clock.source,
 	    .settled_once = true,
-	    .known = chooser->clock.now};
-	chooser->rollouts = (rollouts_t){.clock = &chooser->clock.source,
+	    .known = daemon->clock.now};
+	daemon->rollouts = (rollouts_t){.clock = &daemon->clock.source,
 	    .orders = watch,
 	    .states = watch,
-	    .log = &quiet};
-	rollout = (rollout_t){.owner = &chooser->rollouts,
+	    .log = &log};
+	rollout = (rollout_t){.owner = &daemon->rollouts,
 	    .order = {.service = "lm",
 		.to = "v2",
 		.number = 5,
@@ -213,58 +214,58 @@
 	    .state = ROLLOUT_IN_PROGRESS,
 	    .state_order = 5,
 	    .seen = timespec_after_ms(
-		chooser->clock.now, -(int64_t)(part * ORDER_MS))};
-	HASH_ADD_KEYPTR(hh, chooser->rollouts.all, rollout.order.service,
+		daemon->clock.now, -(int64_t)(part * ORDER_MS))};
+	HASH_ADD_KEYPTR(hh, daemon->rollouts.all, rollout.order.service,
 	    strlen(rollout.order.service), &rollout);
 	return &rollout;
 }
 
 static size_t
-weighed_of_new(double part, double under_way)
+new_candidates_count(double part, double in_flight)
 {
-	chooser_t *one = chooser_begin(false, 0);
+	daemon_t *daemon = daemon_new(false, 0);
 	row_watch_t watch;
 	endpoint_group_t *group;
 	size_t len;
 
 	for (int i = 0; i < NEW; i++)
-		version_learn(one, i, "v2");
-	rollout_of(one, &watch, part);
-	group = endpoint_set_find_group(&one->endpoints, "lm");
-	group->in_flight_mean = under_way;
-	one->relay.daemons_most = 1;
-	len = weighed(one, 0);
-	HASH_CLEAR(hh, one->rollouts.all);
-	chooser_end(one);
+		version_learn(daemon, i, "v2");
+	rollout_add(daemon, &watch, part);
+	group = endpoint_set_find_group(&daemon->endpoints, "lm");
+	group->in_flight_mean = in_flight;
+	daemon->relay.daemons_most = 1;
+	len = candidates_count(daemon, 0);
+	HASH_CLEAR(hh, daemon->rollouts.all);
+	daemon_free(daemon);
 	return len;
 }
 
-/* The load: a new version that is bad from half of the slots on, of which a
- * sixth are taken. A twentieth of the requests goes to a twentieth of its
- * endpoints; then for a time a tenth to as few as have 0.75 of theirs taken. */
+/* A new version that fails once half of the slots are in use, while a sixth
+ * are. A twentieth of the requests goes to a twentieth of its endpoints; then
+ * for a time a tenth goes to so few endpoints that 0.75 of their slots are in
+ * use. */
 static void
-the_first_endpoints_of_a_new_version_are_filled_for_a_time(void **state)
+new_version_fills_its_first_endpoints_during_the_trial(void **state)
 {
-	const double under_way = NEW * 8 / 6.0;
+	const double in_flight = NEW * 8 / 6.0;
 
 	(void)state;
-	assert_int_equal(weighed_of_new(0.2, under_way), NEW / 20);
-	assert_int_equal(weighed_of_new(0.45, under_way), 4);
-	assert_int_equal(weighed_of_new(0.45, 0), 1);
-	assert_int_equal(weighed_of_new(0.45, NEW * 8), NEW / 10);
+	assert_int_equal(new_candidates_count(0.2, in_flight), NEW / 20);
+	assert_int_equal(new_candidates_count(0.45, in_flight), 4);
+	assert_int_equal(new_candidates_count(0.45, 0), 1);
+	assert_int_equal(new_candidates_count(0.45, NEW * 8), NEW / 10);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
+	    cmocka_unit_test(all_daemons_have_the_same_candidates_for_a_prefix),
+	    cmocka_unit_test(each_endpoint_is_a_candidate_for_some_prompt),
+	    cmocka_unit_test(few_endpoints_are_all_candidates),
+	    cmocka_unit_test(other_daemons_are_assumed_to_have_equal_load),
 	    cmocka_unit_test(
-		all_daemons_weigh_the_same_ones_for_what_is_shared),
-	    cmocka_unit_test(each_endpoint_is_weighed_for_some_prompt),
-	    cmocka_unit_test(a_few_endpoints_are_all_weighed),
-	    cmocka_unit_test(others_are_taken_to_be_alike),
-	    cmocka_unit_test(
-		the_first_endpoints_of_a_new_version_are_filled_for_a_time),
+		new_version_fills_its_first_endpoints_during_the_trial),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
