--- a/include/moortack/relay/gossip.h
+++ b/include/moortack/relay/gossip.h
@@ -1,11 +1,11 @@
 /**
  * @file
- * Tells other daemons of the prompts that this one sends, and takes what they
- * tell: so that it is known what an endpoint still has to read, and what it
- * keeps. A small fleet tells all; in a larger one the endpoint's owner is told
- * (endpoint_owner.h), and asked before a prompt is placed. By datagrams, since
- * what comes late is false: nothing is sent again, nothing waits, nothing is
- * kept.
+ * Notifies other daemons of the prompts that this one sends, and receives their
+ * notifications, from which the prefill queues and cached prefixes of the
+ * endpoints are estimated. In a small fleet all daemons are notified; in a
+ * larger one the endpoint's owner (endpoint_owner.h) is notified, and queried
+ * before a prompt is placed. Messages are UDP datagrams, since late ones are
+ * outdated: there is no retransmission, queueing or storage.
  */
 #ifndef MOORTACK_RELAY_GOSSIP_H
 #define MOORTACK_RELAY_GOSSIP_H
@@ -20,15 +20,15 @@
 #include "moortack/relay/gossip_peers.h"
 
 typedef struct gossip_ops {
-	/** Another daemon has sent a prompt. */
+	/** Another daemon has sent a prompt to an endpoint. */
 	void (*on_prompt_sent)(void *arg, const gossip_message_t *);
-	/** Another daemon asks this one: fill in the answer.
-	 * @return false: nothing is known, don't answer */
-	bool (*on_query)(void *arg, const gossip_message_t *question,
-	    gossip_message_t *answer);
-	/** The answer to a question of this daemon. */
+	/** Another daemon queries this one: fill in the response.
+	 * @return false: nothing is known, don't respond */
+	bool (*on_query)(void *arg, const gossip_message_t *query,
+	    gossip_message_t *response);
+	/** The response to a query of this daemon. */
 	void (*on_response)(void *arg, const gossip_message_t *);
-	/** What another daemon knows of requests that crash endpoints. */
+	/** Another daemon reports on requests that crash endpoints. */
 	void (*on_crash_message)(void *arg, const gossip_message_t *);
 } gossip_ops_t;
 
@@ -43,54 +43,58 @@
 	bool has_key;
 	struct sockaddr_in peers[GOSSIP_PEERS_MAX];
 	size_t peers_len;
-	bool uses_owners;     /**< the fleet is too large to tell all */
-	double unheard_share; /**< part of all daemons' sends that this one does
-			 not hear of, 0 to 1 */
+	bool uses_owners; /**< the fleet is too large to notify all daemons */
+	double unheard_share; /**< share of all daemons' prompts that this one
+				 isn't notified of, 0 to 1 */
 	double send_budget;   /**< bytes that may be sent now */
 	struct timespec send_budget_at;
-	uint64_t datagrams_sent; /**< datagrams */
+	uint64_t datagrams_sent;
 	uint64_t bytes_sent;
 	uint64_t datagrams_received;
-	uint64_t datagrams_refused;  /**< datagrams that could not be opened */
-	uint64_t messages_skipped;   /**< messages beyond the allowance */
-	uint64_t queries_sent;	     /**< questions sent */
-	uint64_t responses_received; /**< answers that came */
+	uint64_t datagrams_refused; /**< datagrams that could not be decrypted
+				       and decoded */
+	uint64_t messages_skipped;  /**< messages not sent for lack of budget */
+	uint64_t queries_sent;
+	uint64_t responses_received;
 } gossip_t;
 
-/** @param address IP:PORT that other daemons know; "": tell and take nothing */
+/** @param address IP:PORT at which other daemons reach this one; "": send and
+ * receive nothing */
 bool gossip_init(gossip_t *, struct event_base *, const clock_source_t *,
     const membership_t *, const char *address, const gossip_ops_t *, void *arg,
     err_t *);
 void gossip_finish(gossip_t *);
 
-/** The fleet's secret is known: messages may be told. */
+/** The fleet's secret is known: messages may be sent. */
 void gossip_set_secret(gossip_t *, const char *fleet_secret);
 
-/** Look again who the gossip peers are; called a few times a second. */
+/** Updates the gossip peers; called a few times a second. */
 void gossip_tick(gossip_t *);
 
-/** Whether a prompt that takes this long to be read is worth telling: the less
- * may be sent, the longer ones only. */
-bool gossip_should_send(gossip_t *, double read_ms);
-/** Tell all, or the endpoint's owner.
+/** Whether a prompt with this prefill time is worth a message: the smaller the
+ * remaining budget, the longer the prompt has to be. */
+bool gossip_should_send(gossip_t *, double prefill_ms);
+/** Sends a message to all gossip peers, or in a larger fleet to the endpoint's
+ * owner.
  * @param zone the endpoint's */
 void gossip_send(gossip_t *, const char *zone, const gossip_message_t *);
 
-/** Tell all gossip peers, or, in a larger fleet, the owners of the digests that
- * it names. */
+/** Sends a message to all gossip peers, or in a larger fleet to the owners of
+ * the digests in it. */
 void gossip_send_to_owners(gossip_t *, const gossip_message_t *);
-/** Tell each daemon that serves, whatever the size of the fleet. */
+/** Sends a message to each daemon that serves, whatever the size of the fleet.
+ */
 void gossip_broadcast(gossip_t *, const gossip_message_t *);
 /** Whether this daemon is the digest's owner: one of all that serve, by
  * rendezvous hashing. */
 bool gossip_owns_digest(const gossip_t *, uint64_t digest);
 
-/** Whether questions may be asked now: the fleet has owners, and enough may be
- * sent.
- * @param read_ms as above */
-bool gossip_may_query(gossip_t *, double read_ms);
-/** Ask the endpoint's owner.
- * @return false: this daemon keeps that account itself */
+/** Whether queries may be sent now: the fleet is large enough to have owners,
+ * and the send budget allows it.
+ * @param prefill_ms as above */
+bool gossip_may_query(gossip_t *, double prefill_ms);
+/** Queries the endpoint's owner.
+ * @return false: this daemon is the owner itself */
 bool gossip_query(gossip_t *, const char *zone, const gossip_message_t *);
 
 #endif
--- a/moortack/relay/gossip.c
+++ b/moortack/relay/gossip.c
@@ -5,28 +5,29 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Bytes a second that a daemon may send, and at once: most of the 6 KB a second
- * that it has for control, and enough for all messages of today's fleets. With
- * 3,000 and 6,000 the worth of two of the users' sheets was 0.008 and 0.011
- * less (20 days each). */
-#define BYTES_PER_S 4000.0
-#define BYTES_AT_ONCE 12000.0
-/* Others are told of prompts that take this long to be read, while there is
- * room to tell: shorter ones hold nobody up. Of 0, 20 and 50 none differed. */
-#define READ_MIN_MS 20.0
+/* Send budget: bytes per second, and at most at once. Most of the 6 KB a second
+ * that a daemon may spend on control traffic, and enough for all messages in
+ * fleets of today's size. With 3,000 and 6,000 the score of two of the users'
+ * workload profiles was 0.008 and 0.011 lower (20 days each). */
+#define BUDGET_BYTES_PER_S 4000.0
+#define BUDGET_BYTES_MAX 12000.0
+/* Minimum prefill time of prompts that other daemons are notified of while the
+ * budget is full: shorter ones delay no other request. The results for 0, 20
+ * and 50 did not differ. */
+#define PREFILL_MIN_MS 20.0
 #define MS_PER_SEC 1000.0
-/* What the network adds to a datagram. */
+/* IP and UDP headers of a datagram, in bytes. */
 #define DATAGRAM_OVERHEAD 28
-/* Datagrams taken before other events have their turn. */
-#define TAKEN_AT_ONCE 64
-/* Part of what may be sent at once that is left for telling of long prompts:
- * beyond it, questions are asked for those only. */
-#define ASK_PART 0.5
+/* Datagrams received before other events are processed. */
+#define DATAGRAMS_PER_EVENT 64
+/* Share of the full send budget that is reserved for messages on long prompts:
+ * below it, queries are sent for long prompts only. */
+#define QUERY_MIN_SHARE 0.5
 /* Digests of requests have owners in any zone. */
 #define NO_ZONE ""
 
 static bool
-address_read(const char *text, struct sockaddr_in *out)
+address_parse(const char *text, struct sockaddr_in *out)
 {
 	const char *colon = strrchr(text, ':');
 	char host[INET_ADDRSTRLEN];
@@ -41,10 +42,11 @@
 	return inet_pton(AF_INET, host, &out->sin_addr) == 1;
 }
 
-/* What can't be sent at once is of no use later. */
+/* A datagram that can't be sent at once is dropped, since it would be outdated
+ * later. */
 static void
-bytes_send(gossip_t *self, const struct sockaddr_in *to, const uint8_t *bytes,
-    size_t len)
+datagram_send(gossip_t *self, const struct sockaddr_in *to,
+    const uint8_t *bytes, size_t len)
 {
 	self->send_budget -= (double)(len + DATAGRAM_OVERHEAD);
 	if (sendto(self->fd, bytes, len, MSG_DONTWAIT,
@@ -60,15 +62,15 @@
 {
 	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 
-	bytes_send(
+	datagram_send(
 	    self, to, bytes, gossip_message_seal(message, &self->key, bytes));
 }
 
 static void
-message_take(gossip_t *self, const struct sockaddr_in *from,
+message_dispatch(gossip_t *self, const struct sockaddr_in *from,
     const gossip_message_t *message)
 {
-	gossip_message_t answer = {.kind = GOSSIP_RESPONSE,
+	gossip_message_t response = {.kind = GOSSIP_RESPONSE,
 	    .endpoint_hash = message->endpoint_hash,
 	    .query_id = message->query_id};
 
@@ -77,8 +79,8 @@
 		self->ops->on_prompt_sent(self->arg, message);
 		break;
 	case GOSSIP_QUERY:
-		if (self->ops->on_query(self->arg, message, &answer))
-			message_send(self, from, &answer);
+		if (self->ops->on_query(self->arg, message, &response))
+			message_send(self, from, &response);
 		break;
 	case GOSSIP_RESPONSE:
 		self->responses_received++;
@@ -103,7 +105,7 @@
 	gossip_message_t message;
 
 	(void)what;
-	for (int i = 0; i < TAKEN_AT_ONCE; i++) {
+	for (int i = 0; i < DATAGRAMS_PER_EVENT; i++) {
 		socklen_t from_len = sizeof(from);
 		ssize_t len = recvfrom(fd, bytes, sizeof(bytes), 0,
 		    (struct sockaddr *)&from, &from_len);
@@ -117,7 +119,7 @@
 			continue;
 		}
 		self->datagrams_received++;
-		message_take(self, &from, &message);
+		message_dispatch(self, &from, &message);
 	}
 }
 
@@ -126,26 +128,26 @@
     const clock_source_t *clock, const membership_t *members,
     const char *address, const gossip_ops_t *ops, void *arg, err_t *err)
 {
-	struct sockaddr_in own;
+	struct sockaddr_in local;
 
 	*self = (gossip_t){.clock = clock,
 	    .members = members,
 	    .ops = ops,
 	    .arg = arg,
 	    .fd = -1,
-	    .send_budget = BYTES_AT_ONCE,
+	    .send_budget = BUDGET_BYTES_MAX,
 	    .send_budget_at = clock_elapsed(clock)};
 	if (address[0] == '\0')
 		return true;
-	if (!address_read(address, &own))
-		return err_set(
-		    err, ERR_SETTING, "%s is no address for messages", address);
+	if (!address_parse(address, &local))
+		return err_set(err, ERR_SETTING,
+		    "%s is not an IP:PORT address for gossip", address);
 	self->fd =
 	    socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (self->fd < 0 ||
-	    bind(self->fd, (struct sockaddr *)&own, sizeof(own)) != 0)
-		return err_set(
-		    err, ERR_SETTING, "cannot take datagrams at %s", address);
+	    bind(self->fd, (struct sockaddr *)&local, sizeof(local)) != 0)
+		return err_set(err, ERR_SETTING,
+		    "cannot bind a UDP socket to %s", address);
 	self->readable =
 	    event_new(base, self->fd, EV_READ | EV_PERSIST, on_readable, self);
 	if (self->readable == NULL || event_add(self->readable, NULL) != 0)
@@ -171,24 +173,24 @@
 }
 
 static void
-allowance_grow(gossip_t *self)
+send_budget_refill(gossip_t *self)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
-	self->send_budget += BYTES_PER_S / MS_PER_SEC *
+	self->send_budget += BUDGET_BYTES_PER_S / MS_PER_SEC *
 	    (double)timespec_ms_between(self->send_budget_at, now);
 	self->send_budget_at = now;
-	if (self->send_budget > BYTES_AT_ONCE)
-		self->send_budget = BYTES_AT_ONCE;
+	if (self->send_budget > BUDGET_BYTES_MAX)
+		self->send_budget = BUDGET_BYTES_MAX;
 }
 
 bool
-gossip_should_send(gossip_t *self, double read_ms)
+gossip_should_send(gossip_t *self, double prefill_ms)
 {
-	allowance_grow(self);
-	if (read_ms * self->send_budget >= READ_MIN_MS * BYTES_AT_ONCE)
+	send_budget_refill(self);
+	if (prefill_ms * self->send_budget >= PREFILL_MIN_MS * BUDGET_BYTES_MAX)
 		return true;
-	if (read_ms >= READ_MIN_MS)
+	if (prefill_ms >= PREFILL_MIN_MS)
 		self->messages_skipped++;
 	return false;
 }
@@ -198,16 +200,17 @@
 {
 	const member_t *peers[GOSSIP_PEERS_MAX];
 	uint32_t daemons = membership_count(self->members);
-	bool open = self->fd >= 0 && self->has_key;
+	bool enabled = self->fd >= 0 && self->has_key;
 	size_t count;
 
-	count = open ? gossip_peers_collect(self->members, peers) : 0;
+	count = enabled ? gossip_peers_collect(self->members, peers) : 0;
 	self->uses_owners = count > GOSSIP_PEERS_MAX;
 	if (self->uses_owners)
 		count = 0;
 	self->peers_len = 0;
 	for (size_t i = 0; i < count; i++) {
-		if (address_read(peers[i]->peer, &self->peers[self->peers_len]))
+		if (address_parse(
+			peers[i]->peer, &self->peers[self->peers_len]))
 			self->peers_len++;
 	}
 	self->unheard_share =
@@ -222,11 +225,11 @@
 	const member_t *owner =
 	    endpoint_owner_find(self->members, zone, endpoint);
 
-	return owner != NULL && address_read(owner->peer, out);
+	return owner != NULL && address_parse(owner->peer, out);
 }
 
 static void
-peers_tell(gossip_t *self, const gossip_message_t *message)
+peers_send(gossip_t *self, const gossip_message_t *message)
 {
 	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 	size_t len;
@@ -235,7 +238,7 @@
 		return;
 	len = gossip_message_seal(message, &self->key, bytes);
 	for (size_t i = 0; i < self->peers_len; i++)
-		bytes_send(self, &self->peers[i], bytes, len);
+		datagram_send(self, &self->peers[i], bytes, len);
 }
 
 void
@@ -244,7 +247,7 @@
 	struct sockaddr_in owner;
 
 	if (!self->uses_owners)
-		peers_tell(self, message);
+		peers_send(self, message);
 	else if (owner_address(self, zone, message->endpoint_hash, &owner))
 		message_send(self, &owner, message);
 }
@@ -259,19 +262,19 @@
 void
 gossip_send_to_owners(gossip_t *self, const gossip_message_t *message)
 {
-	gossip_message_t one = *message;
+	gossip_message_t single = *message;
 	struct sockaddr_in owner;
 
 	if (!self->uses_owners) {
-		peers_tell(self, message);
+		peers_send(self, message);
 		return;
 	}
-	one.digests_len = 1;
+	single.digests_len = 1;
 	for (size_t i = 0; i < message->digests_len; i++) {
-		one.digests[0] = message->digests[i];
+		single.digests[0] = message->digests[i];
 		if (owner_address(
-			self, NO_ZONE, (uint32_t)one.digests[0], &owner))
-			message_send(self, &owner, &one);
+			self, NO_ZONE, (uint32_t)single.digests[0], &owner))
+			message_send(self, &owner, &single);
 	}
 }
 
@@ -285,32 +288,32 @@
 	if (self->fd < 0 || !self->has_key)
 		return;
 	len = gossip_message_seal(message, &self->key, bytes);
-	for (const member_t *one = self->members->members; one != NULL;
-	     one = one->hh.next) {
-		if (gossip_peer_available(self->members, one) &&
-		    address_read(one->peer, &to))
-			bytes_send(self, &to, bytes, len);
+	for (const member_t *member = self->members->members; member != NULL;
+	     member = member->hh.next) {
+		if (gossip_peer_available(self->members, member) &&
+		    address_parse(member->peer, &to))
+			datagram_send(self, &to, bytes, len);
 	}
 }
 
 bool
-gossip_may_query(gossip_t *self, double read_ms)
+gossip_may_query(gossip_t *self, double prefill_ms)
 {
 	if (!self->uses_owners)
 		return false;
-	allowance_grow(self);
-	return self->send_budget >= ASK_PART * BYTES_AT_ONCE ||
-	    gossip_should_send(self, read_ms);
+	send_budget_refill(self);
+	return self->send_budget >= QUERY_MIN_SHARE * BUDGET_BYTES_MAX ||
+	    gossip_should_send(self, prefill_ms);
 }
 
 bool
-gossip_query(gossip_t *self, const char *zone, const gossip_message_t *question)
+gossip_query(gossip_t *self, const char *zone, const gossip_message_t *query)
 {
 	struct sockaddr_in owner;
 
-	if (!owner_address(self, zone, question->endpoint_hash, &owner))
+	if (!owner_address(self, zone, query->endpoint_hash, &owner))
 		return false;
-	message_send(self, &owner, question);
+	message_send(self, &owner, query);
 	self->queries_sent++;
 	return true;
 }
--- a/moortack/relay/gossip_message.c
+++ b/moortack/relay/gossip_message.c
@@ -4,13 +4,13 @@
 
 #include "moortack/wire/peer.pb-c.h"
 
-/* Told apart from other uses of the fleet's secret. */
+/* Separates the key from other keys derived from the fleet's secret. */
 #define KEY_CONTEXT "moortack send notes 1"
-/* A random one for each datagram; twelve bytes, since most of a datagram would
- * else be its envelope. */
-#define NONCE crypto_aead_chacha20poly1305_ietf_NPUBBYTES
-#define TAG crypto_aead_chacha20poly1305_ietf_ABYTES
-#define PLAIN_MAX (GOSSIP_DATAGRAM_MAX - NONCE - TAG)
+/* Random for each datagram. Twelve bytes, since with a longer nonce most of a
+ * datagram would be overhead. */
+#define NONCE_SIZE crypto_aead_chacha20poly1305_ietf_NPUBBYTES
+#define TAG_SIZE crypto_aead_chacha20poly1305_ietf_ABYTES
+#define PLAIN_MAX (GOSSIP_DATAGRAM_MAX - NONCE_SIZE - TAG_SIZE)
 
 void
 gossip_key_derive(gossip_key_t *key, const char *fleet_secret)
@@ -44,14 +44,14 @@
 	wire.crashes = (uint32_t *)(uintptr_t)message->crashes;
 	wire.held_ms = message->quarantined_ms;
 	len = wire__gossip_message__pack(&wire, plain);
-	randombytes_buf(out, NONCE);
-	crypto_aead_chacha20poly1305_ietf_encrypt(
-	    out + NONCE, &sealed, plain, len, NULL, 0, NULL, out, key->bytes);
-	return NONCE + (size_t)sealed;
+	randombytes_buf(out, NONCE_SIZE);
+	crypto_aead_chacha20poly1305_ietf_encrypt(out + NONCE_SIZE, &sealed,
+	    plain, len, NULL, 0, NULL, out, key->bytes);
+	return NONCE_SIZE + (size_t)sealed;
 }
 
 static bool
-message_read(gossip_message_t *message, const Wire__GossipMessage *wire)
+message_from_wire(gossip_message_t *message, const Wire__GossipMessage *wire)
 {
 	if (wire->n_prefixes > GOSSIP_MESSAGE_PREFIXES_MAX ||
 	    wire->n_digests > GOSSIP_MESSAGE_DIGESTS_MAX ||
@@ -85,16 +85,17 @@
 	uint8_t plain[PLAIN_MAX];
 	unsigned long long plain_len;
 	Wire__GossipMessage *wire;
-	bool read;
+	bool valid;
 
-	if (len > GOSSIP_DATAGRAM_MAX || len < NONCE + TAG ||
+	if (len > GOSSIP_DATAGRAM_MAX || len < NONCE_SIZE + TAG_SIZE ||
 	    crypto_aead_chacha20poly1305_ietf_decrypt(plain, &plain_len, NULL,
-		bytes + NONCE, len - NONCE, NULL, 0, bytes, key->bytes) != 0)
+		bytes + NONCE_SIZE, len - NONCE_SIZE, NULL, 0, bytes,
+		key->bytes) != 0)
 		return false;
 	wire = wire__gossip_message__unpack(NULL, (size_t)plain_len, plain);
 	if (wire == NULL)
 		return false;
-	read = message_read(message, wire);
+	valid = message_from_wire(message, wire);
 	wire__gossip_message__free_unpacked(wire, NULL);
-	return read;
+	return valid;
 }
--- a/moortack/relay/gossip_peers.c
+++ b/moortack/relay/gossip_peers.c
@@ -12,12 +12,12 @@
 {
 	size_t count = 0;
 
-	for (const member_t *one = members->members; one != NULL;
-	     one = one->hh.next) {
-		if (!gossip_peer_available(members, one))
+	for (const member_t *member = members->members; member != NULL;
+	     member = member->hh.next) {
+		if (!gossip_peer_available(members, member))
 			continue;
 		if (count < GOSSIP_PEERS_MAX)
-			peers[count] = one;
+			peers[count] = member;
 		count++;
 	}
 	return count;
--- a/test/platform/owners.lua
+++ b/test/platform/owners.lua
@@ -1,17 +1,17 @@
--- In a fleet that is too large for each daemon to be told of each prompt, the
--- owners of endpoints are told and asked: what one daemon had read at an
--- endpoint, another sends there too. An owner that stands still holds nobody up.
+-- In a fleet that is too large to notify all daemons of each prompt, the owners
+-- of endpoints are notified and queried: a prompt with the same prefix goes to
+-- the same endpoint from another daemon. A stopped owner must not delay requests.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
 local DAEMONS = 11
 local SUBJECTS = 6
-local STILL = 4
--- Far below any objective of a stream; an answer is waited for 20 ms.
+local STOPPED = 4
+-- Far below any objective of a stream; the timeout for a response is 20 ms.
 local SERVED_MS = 1000
 local w = words.world(4, DAEMONS)
 
-lib.wait_until("the daemons know of each other", function()
+lib.wait_until("all daemons are known to each other", function()
   for _, daemon in ipairs(w.daemons) do
     if words.metric(daemon, "entries") ~= DAEMONS then return false end
   end
@@ -19,11 +19,11 @@
 end)
 
 local function sum(name)
-  local all = 0
+  local total = 0
   for _, daemon in ipairs(w.daemons) do
-    all = all + words.metric(daemon, name)
+    total = total + words.metric(daemon, name)
   end
-  return all
+  return total
 end
 
 local function send(daemon, subject, own)
@@ -33,39 +33,39 @@
   return w:endpoint_of(answer.id)
 end
 
--- The tick that notices the size of the fleet.
+-- The owners are used from the next tick on, which counts the peers.
 run.sleep(400)
 for subject = 1, SUBJECTS do
   local first = send(w.daemons[subject % DAEMONS + 1], subject, 2 * subject)
-  -- Longer than the prompt is believed to be read.
+  -- Longer than the estimated prefill time of the prompt.
   run.sleep(700)
   local second = send(w.daemons[(subject + 5) % DAEMONS + 1], subject,
     2 * subject + 1)
   lib.equal(second, first, "the endpoint of the second prompt")
 end
-lib.check(sum("owners_asked") > SUBJECTS, "nobody was asked")
+lib.check(sum("owners_asked") > SUBJECTS, "too few queries to owners")
 lib.check(sum("owners_answered") >= 0.9 * sum("owners_asked"),
-  "%d answers to %d questions", sum("owners_answered"), sum("owners_asked"))
-lib.equal(sum("gossip_refused"), 0, "refused gossip")
+  "%d responses to %d queries", sum("owners_answered"), sum("owners_asked"))
+lib.equal(sum("gossip_refused"), 0, "refused gossip datagrams")
 
--- Not the one that reads the store, nor the one that is asked here: what these
--- know would be missed for another reason.
-local asker = w.daemons[1]
-local still = {}
+-- Stops neither the daemon that reads the store nor the one that gets the
+-- requests: the checks could fail without their data for another reason.
+local entry = w.daemons[1]
+local stopped = {}
 for i = 2, DAEMONS do
-  if #still < STILL and words.metric(w.daemons[i], "following") == 1 then
-    still[#still + 1] = w.daemons[i]
+  if #stopped < STOPPED and words.metric(w.daemons[i], "following") == 1 then
+    stopped[#stopped + 1] = w.daemons[i]
   end
 end
-local asked = words.metric(asker, "owners_asked")
-for _, daemon in ipairs(still) do daemon:stop() end
+local queries = words.metric(entry, "owners_asked")
+for _, daemon in ipairs(stopped) do daemon:stop() end
 for subject = 1, SUBJECTS do
-  local since = run.now()
-  send(asker, 100 + subject, 1000 + subject)
-  lib.check(run.now() - since < SERVED_MS, "a prompt took %d ms",
-    run.now() - since)
+  local start = run.now()
+  send(entry, 100 + subject, 1000 + subject)
+  lib.check(run.now() - start < SERVED_MS, "a prompt took %d ms",
+    run.now() - start)
 end
-lib.check(words.metric(asker, "owners_asked") > asked,
-  "nobody is asked while some stand still")
-for _, daemon in ipairs(still) do daemon:continue() end
+lib.check(words.metric(entry, "owners_asked") > queries,
+  "no queries while some daemons are stopped")
+for _, daemon in ipairs(stopped) do daemon:continue() end
 lib.say("ok")
--- a/test/unit/gossip_test.c
+++ b/test/unit/gossip_test.c
@@ -1,7 +1,6 @@
 /**
  * @file
- * What daemons tell each other of their sends, and ask before they send:
- * messages, their seal, to whom they go, and whom is asked.
+ * Gossip messages, their encryption, who they are sent to, and who is queried.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,7 +17,7 @@
 #include "moortack/relay/gossip.h"
 #include "moortack/relay/gossip_message.h"
 
-static manual_clock_t hand = {{&manual_ops}, {1000, 0}};
+static manual_clock_t manual_clock = {{&manual_ops}, {1000, 0}};
 
 static const gossip_message_t message = {.endpoint_hash = 0xfedcba98,
     .prefill_ms = 1234,
@@ -26,11 +25,11 @@
     .prefixes_len = 6};
 
 static void
-a_message_is_read_by_who_has_the_key(void **state)
+message_opens_only_with_the_key(void **state)
 {
 	gossip_key_t key, other;
 	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
-	gossip_message_t read;
+	gossip_message_t opened;
 	size_t len;
 
 	(void)state;
@@ -38,34 +37,34 @@
 	gossip_key_derive(&other, "another");
 	len = gossip_message_seal(&message, &key, bytes);
 	assert_true(len <= GOSSIP_DATAGRAM_MAX);
-	assert_true(gossip_message_open(&read, &key, bytes, len));
-	assert_int_equal(read.endpoint_hash, message.endpoint_hash);
-	assert_int_equal(read.prefill_ms, message.prefill_ms);
-	assert_int_equal(read.prefixes_len, message.prefixes_len);
+	assert_true(gossip_message_open(&opened, &key, bytes, len));
+	assert_int_equal(opened.endpoint_hash, message.endpoint_hash);
+	assert_int_equal(opened.prefill_ms, message.prefill_ms);
+	assert_int_equal(opened.prefixes_len, message.prefixes_len);
 	assert_memory_equal(
-	    read.prefixes, message.prefixes, sizeof(message.prefixes));
-	assert_false(gossip_message_open(&read, &other, bytes, len));
+	    opened.prefixes, message.prefixes, sizeof(message.prefixes));
+	assert_false(gossip_message_open(&opened, &other, bytes, len));
 }
 
 static void
-what_crashes_endpoints_is_told_in_one_datagram(void **state)
+crash_messages_fit_into_one_datagram(void **state)
 {
 	const gossip_message_t crash = {.kind = GOSSIP_CRASH,
 	    .endpoint_hash = UINT32_MAX,
 	    .version_hash = UINT32_MAX,
 	    .digests = {UINT64_MAX, 2, 3, 4, UINT64_MAX},
 	    .digests_len = GOSSIP_MESSAGE_DIGESTS_MAX};
-	const gossip_message_t verdict = {.kind = GOSSIP_QUARANTINED,
+	const gossip_message_t quarantined = {.kind = GOSSIP_QUARANTINED,
 	    .digests = {UINT64_MAX},
 	    .digests_len = 1,
 	    .version_hash = UINT32_MAX,
 	    .crashes = {UINT32_MAX, 2, UINT32_MAX},
 	    .crashes_len = GOSSIP_MESSAGE_CRASHES_MAX,
 	    .quarantined_ms = UINT32_MAX};
-	const gossip_message_t *const messages[] = {&crash, &verdict};
+	const gossip_message_t *const messages[] = {&crash, &quarantined};
 	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 	gossip_key_t key;
-	gossip_message_t read;
+	gossip_message_t opened;
 
 	(void)state;
 	gossip_key_derive(&key, "secret");
@@ -73,17 +72,17 @@
 		size_t len = gossip_message_seal(messages[i], &key, bytes);
 
 		assert_true(len <= GOSSIP_DATAGRAM_MAX);
-		assert_true(gossip_message_open(&read, &key, bytes, len));
-		assert_memory_equal(&read, messages[i], sizeof(read));
+		assert_true(gossip_message_open(&opened, &key, bytes, len));
+		assert_memory_equal(&opened, messages[i], sizeof(opened));
 	}
 }
 
 static void
-what_was_changed_is_refused(void **state)
+altered_datagrams_are_refused(void **state)
 {
 	gossip_key_t key;
 	uint8_t bytes[GOSSIP_DATAGRAM_MAX + 1] = {0};
-	gossip_message_t read;
+	gossip_message_t opened;
 	size_t len;
 
 	(void)state;
@@ -91,39 +90,43 @@
 	len = gossip_message_seal(&message, &key, bytes);
 	for (size_t i = 0; i < len; i++) {
 		bytes[i] ^= 1;
-		assert_false(gossip_message_open(&read, &key, bytes, len));
+		assert_false(gossip_message_open(&opened, &key, bytes, len));
 		bytes[i] ^= 1;
 	}
-	for (size_t cut = 0; cut < len; cut++)
-		assert_false(gossip_message_open(&read, &key, bytes, cut));
-	assert_false(gossip_message_open(&read, &key, bytes, sizeof(bytes)));
+	for (size_t short_len = 0; short_len < len; short_len++)
+		assert_false(
+		    gossip_message_open(&opened, &key, bytes, short_len));
+	assert_false(gossip_message_open(&opened, &key, bytes, sizeof(bytes)));
 }
 
 static void
 members_fill(membership_t *members, member_t *all, size_t len, size_t self)
 {
-	*members = (membership_t){.clock = &hand.source,
+	*members = (membership_t){.clock = &manual_clock.source,
 	    .state = MEMBER_READY,
-	    .view = {.bounds = {.vouch_ms = 1000}, .vouched = hand.now}};
+	    .view = {
+		.bounds = {.vouch_ms = 1000}, .vouched = manual_clock.now}};
 	for (size_t i = 0; i < len; i++) {
-		member_t *one = &all[i];
+		member_t *member = &all[i];
 
-		memset(one, 0, sizeof(*one));
-		snprintf(one->name, sizeof(one->name), "10.0.%zu.1:80", i);
-		snprintf(one->peer, sizeof(one->peer), "10.0.%zu.1:81", i);
-		snprintf(one->zone, sizeof(one->zone), "zone-%zu", i % 3);
-		one->state = MEMBER_READY;
+		memset(member, 0, sizeof(*member));
+		snprintf(
+		    member->name, sizeof(member->name), "10.0.%zu.1:80", i);
+		snprintf(
+		    member->peer, sizeof(member->peer), "10.0.%zu.1:81", i);
+		snprintf(member->zone, sizeof(member->zone), "zone-%zu", i % 3);
+		member->state = MEMBER_READY;
 		if (i == self) {
-			strcpy(members->settings.name, one->name);
-			strcpy(members->settings.zone, one->zone);
+			strcpy(members->settings.name, member->name);
+			strcpy(members->settings.zone, member->zone);
 		} else {
-			HASH_ADD_STR(members->members, name, one);
+			HASH_ADD_STR(members->members, name, member);
 		}
 	}
 }
 
 static void
-a_small_fleet_tells_all(void **state)
+small_fleet_notifies_all_daemons(void **state)
 {
 	const member_t *peers[GOSSIP_PEERS_MAX];
 	member_t all[GOSSIP_PEERS_MAX + 1];
@@ -139,10 +142,9 @@
 	HASH_CLEAR(hh, members.members);
 }
 
-/* Who keeps the account of the endpoint, as the daemon of that number sees it.
- */
+/* The owner of the endpoint as the daemon with number @p self sees it. */
 static size_t
-owner_seen(
+owner_seen_by(
     member_t *all, size_t len, size_t self, const char *zone, uint32_t endpoint)
 {
 	const member_t *owner;
@@ -154,15 +156,15 @@
 	return owner != NULL ? (size_t)(owner - all) : self;
 }
 
-enum { DAEMONS = 90, ENDPOINTS = 140, KEPT_MAX = 8 };
+enum { DAEMONS = 90, ENDPOINTS = 140, OWNED_MAX = 8 };
 
-/* All daemons agree on it, it stands in the endpoint's zone, and nobody keeps
- * many. */
+/* All daemons agree on the owner, it is in the endpoint's zone, and no daemon
+ * owns many endpoints. */
 static void
-a_large_fleet_has_an_owner_for_each_endpoint(void **state)
+large_fleet_has_an_owner_for_each_endpoint(void **state)
 {
 	static member_t all[DAEMONS];
-	size_t keeps[DAEMONS] = {0};
+	size_t owned[DAEMONS] = {0};
 	char zone[16];
 
 	(void)state;
@@ -170,84 +172,85 @@
 		size_t owner;
 
 		snprintf(zone, sizeof(zone), "zone-%u", endpoint % 3);
-		owner = owner_seen(all, DAEMONS, 0, zone, endpoint);
+		owner = owner_seen_by(all, DAEMONS, 0, zone, endpoint);
 		assert_string_equal(all[owner].zone, zone);
-		keeps[owner]++;
+		owned[owner]++;
 		for (size_t self = 1; self < DAEMONS; self += 7)
 			assert_int_equal(
-			    owner_seen(all, DAEMONS, self, zone, endpoint),
+			    owner_seen_by(all, DAEMONS, self, zone, endpoint),
 			    owner);
 	}
 	for (size_t i = 0; i < DAEMONS; i++)
-		assert_true(keeps[i] <= KEPT_MAX);
+		assert_true(owned[i] <= OWNED_MAX);
 }
 
-/* Who goes leaves only the accounts that it had; without any daemon in the
- * endpoint's zone, one of another keeps them. */
+/* A daemon that leaves only moves the endpoints that it owned; if there is no
+ * daemon in the endpoint's zone, one of another zone is the owner. */
 static void
-accounts_move_only_with_their_owner(void **state)
+endpoints_move_only_with_their_owner(void **state)
 {
 	static member_t all[DAEMONS];
 
 	(void)state;
 	for (uint32_t endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
-		size_t before = owner_seen(all, DAEMONS, 0, "zone-0", endpoint);
+		size_t before =
+		    owner_seen_by(all, DAEMONS, 0, "zone-0", endpoint);
 		size_t after =
-		    owner_seen(all, DAEMONS - 1, 0, "zone-0", endpoint);
+		    owner_seen_by(all, DAEMONS - 1, 0, "zone-0", endpoint);
 
 		assert_true(before == after || before == DAEMONS - 1);
-		assert_true(owner_seen(all, DAEMONS, 0, "elsewhere", endpoint) <
-		    DAEMONS);
+		assert_true(owner_seen_by(all, DAEMONS, 0, "elsewhere",
+				endpoint) < DAEMONS);
 	}
 }
 
 static void
-an_answer_comes_back_as_it_was_told(void **state)
+response_survives_a_round_trip(void **state)
 {
-	const gossip_message_t told = {.kind = GOSSIP_RESPONSE,
+	const gossip_message_t sent = {.kind = GOSSIP_RESPONSE,
 	    .endpoint_hash = 7,
 	    .query_id = 0xffffffff,
 	    .queue_wait_ms = 4321,
 	    .cached_prefixes = 3};
 	uint8_t bytes[GOSSIP_DATAGRAM_MAX];
 	gossip_key_t key;
-	gossip_message_t read;
+	gossip_message_t opened;
 
 	(void)state;
 	gossip_key_derive(&key, "secret");
 	assert_true(gossip_message_open(
-	    &read, &key, bytes, gossip_message_seal(&told, &key, bytes)));
-	assert_int_equal(read.kind, GOSSIP_RESPONSE);
-	assert_int_equal(read.endpoint_hash, told.endpoint_hash);
-	assert_int_equal(read.query_id, told.query_id);
-	assert_int_equal(read.queue_wait_ms, told.queue_wait_ms);
-	assert_int_equal(read.cached_prefixes, told.cached_prefixes);
+	    &opened, &key, bytes, gossip_message_seal(&sent, &key, bytes)));
+	assert_int_equal(opened.kind, GOSSIP_RESPONSE);
+	assert_int_equal(opened.endpoint_hash, sent.endpoint_hash);
+	assert_int_equal(opened.query_id, sent.query_id);
+	assert_int_equal(opened.queue_wait_ms, sent.queue_wait_ms);
+	assert_int_equal(opened.cached_prefixes, sent.cached_prefixes);
 }
 
-/* The less may be sent, the longer a prompt has to be. */
+/* The smaller the send budget, the longer a prompt has to be. */
 static void
-long_prompts_are_told_first(void **state)
+long_prompts_are_preferred(void **state)
 {
-	membership_t members = {.clock = &hand.source};
+	membership_t members = {.clock = &manual_clock.source};
 	gossip_t gossip;
-	size_t told = 0;
+	size_t sent = 0;
 	err_t err;
 
 	(void)state;
-	assert_true(gossip_init(
-	    &gossip, NULL, &hand.source, &members, "", NULL, NULL, &err));
+	assert_true(gossip_init(&gossip, NULL, &manual_clock.source, &members,
+	    "", NULL, NULL, &err));
 	assert_true(gossip_should_send(&gossip, 25));
 	assert_false(gossip_should_send(&gossip, 5));
 	gossip.send_budget /= 10;
 	assert_false(gossip_should_send(&gossip, 25));
 	assert_true(gossip_should_send(&gossip, 500));
 	gossip.send_budget = 0;
-	while (told < 100 && gossip_should_send(&gossip, 5000)) {
+	while (sent < 100 && gossip_should_send(&gossip, 5000)) {
 		gossip.send_budget -= 800;
-		told++;
+		sent++;
 	}
-	assert_int_equal(told, 0);
-	hand.now.tv_sec += 60;
+	assert_int_equal(sent, 0);
+	manual_clock.now.tv_sec += 60;
 	assert_true(gossip_should_send(&gossip, 25));
 	gossip_finish(&gossip);
 }
@@ -256,14 +259,14 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_message_is_read_by_who_has_the_key),
-	    cmocka_unit_test(what_crashes_endpoints_is_told_in_one_datagram),
-	    cmocka_unit_test(what_was_changed_is_refused),
-	    cmocka_unit_test(a_small_fleet_tells_all),
-	    cmocka_unit_test(an_answer_comes_back_as_it_was_told),
-	    cmocka_unit_test(a_large_fleet_has_an_owner_for_each_endpoint),
-	    cmocka_unit_test(accounts_move_only_with_their_owner),
-	    cmocka_unit_test(long_prompts_are_told_first),
+	    cmocka_unit_test(message_opens_only_with_the_key),
+	    cmocka_unit_test(crash_messages_fit_into_one_datagram),
+	    cmocka_unit_test(altered_datagrams_are_refused),
+	    cmocka_unit_test(small_fleet_notifies_all_daemons),
+	    cmocka_unit_test(response_survives_a_round_trip),
+	    cmocka_unit_test(large_fleet_has_an_owner_for_each_endpoint),
+	    cmocka_unit_test(endpoints_move_only_with_their_owner),
+	    cmocka_unit_test(long_prompts_are_preferred),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
