--- a/moortack/relay/crash_probe.c
+++ b/moortack/relay/crash_probe.c
@@ -73,7 +73,7 @@
 	(void)what;
 	probe->attempts++;
 	probe->conn =
-	    http_outbound_new(probe->base, &probe->endpoint->facts.address,
+	    http_outbound_new(probe->base, &probe->endpoint->info.address,
 		CONNECT_TIMEOUT_MS, SILENCE_TIMEOUT_MS);
 	if (probe->conn == NULL || empty == NULL)
 		probe_end(probe);
--- a/moortack/relay/prefill_queue.c
+++ b/moortack/relay/prefill_queue.c
@@ -9,80 +9,84 @@
 	*queue = (prefill_queue_t){0};
 }
 
-/* How late the oldest answer is: what stands behind it is at least as late. */
+/* How late the response to the oldest prompt is; the prompts queued behind it
+ * are at least as late. */
 static double
 overdue_ms(const prefill_queue_t *queue, double now_ms)
 {
-	const read_ticket_t *oldest = queue->tickets;
+	const prefill_entry_t *oldest = queue->entries;
 
-	return oldest != NULL && now_ms > oldest->expected_ms
-	    ? now_ms - oldest->expected_ms
+	return oldest != NULL && now_ms > oldest->expected_end_ms
+	    ? now_ms - oldest->expected_end_ms
 	    : 0;
 }
 
 double
 prefill_queue_wait_ms(const prefill_queue_t *queue, double now_ms)
 {
-	double wait_ms = queue->free_ms > now_ms ? queue->free_ms - now_ms : 0;
+	double wait_ms =
+	    queue->idle_at_ms > now_ms ? queue->idle_at_ms - now_ms : 0;
 
 	return wait_ms + overdue_ms(queue, now_ms);
 }
 
 static double
-believed_ms(double read_ms)
+capped_ms(double prefill_ms)
 {
-	return read_ms < PREFILL_QUEUE_PROMPT_MAX_MS
-	    ? read_ms
+	return prefill_ms < PREFILL_QUEUE_PROMPT_MAX_MS
+	    ? prefill_ms
 	    : PREFILL_QUEUE_PROMPT_MAX_MS;
 }
 
 void
-prefill_queue_extend(prefill_queue_t *queue, double read_ms, double now_ms)
+prefill_queue_add_remote(
+    prefill_queue_t *queue, double prefill_ms, double now_ms)
 {
-	if (queue->free_ms < now_ms)
-		queue->free_ms = now_ms;
-	queue->free_ms += believed_ms(read_ms);
+	if (queue->idle_at_ms < now_ms)
+		queue->idle_at_ms = now_ms;
+	queue->idle_at_ms += capped_ms(prefill_ms);
 }
 
 void
-prefill_queue_add(prefill_queue_t *queue, read_ticket_t *ticket, double read_ms,
-    double now_ms)
+prefill_queue_add(prefill_queue_t *queue, prefill_entry_t *entry,
+    double prefill_ms, double now_ms)
 {
-	prefill_queue_extend(queue, read_ms, now_ms);
-	ticket->read_ms = believed_ms(read_ms);
-	ticket->expected_ms = queue->free_ms;
-	ticket->queued = true;
-	DL_APPEND(queue->tickets, ticket);
+	prefill_queue_add_remote(queue, prefill_ms, now_ms);
+	entry->prefill_ms = capped_ms(prefill_ms);
+	entry->expected_end_ms = queue->idle_at_ms;
+	entry->queued = true;
+	DL_APPEND(queue->entries, entry);
 }
 
-/* Take the ticket out; what is behind it moves by the time given. */
+/* Removes the entry, and shifts the expected end of those behind it. */
 static void
-ticket_out(prefill_queue_t *queue, read_ticket_t *ticket, double moved_ms)
+entry_remove(prefill_queue_t *queue, prefill_entry_t *entry, double shift_ms)
 {
-	for (read_ticket_t *after = ticket->next; after != NULL;
+	for (prefill_entry_t *after = entry->next; after != NULL;
 	     after = after->next)
-		after->expected_ms += moved_ms;
-	queue->free_ms += moved_ms;
-	DL_DELETE(queue->tickets, ticket);
-	ticket->queued = false;
+		after->expected_end_ms += shift_ms;
+	queue->idle_at_ms += shift_ms;
+	DL_DELETE(queue->entries, entry);
+	entry->queued = false;
 }
 
 void
-prefill_queue_begun(
-    prefill_queue_t *queue, read_ticket_t *ticket, double now_ms)
+prefill_queue_complete(
+    prefill_queue_t *queue, prefill_entry_t *entry, double now_ms)
 {
-	if (ticket->queued)
-		ticket_out(queue, ticket, now_ms - ticket->expected_ms);
+	if (entry->queued)
+		entry_remove(queue, entry, now_ms - entry->expected_end_ms);
 }
 
 void
-prefill_queue_drop(prefill_queue_t *queue, read_ticket_t *ticket, double now_ms)
+prefill_queue_cancel(
+    prefill_queue_t *queue, prefill_entry_t *entry, double now_ms)
 {
-	double unread_ms = ticket->expected_ms - now_ms;
+	double remaining_ms = entry->expected_end_ms - now_ms;
 
-	if (!ticket->queued)
+	if (!entry->queued)
 		return;
-	if (unread_ms > ticket->read_ms)
-		unread_ms = ticket->read_ms;
-	ticket_out(queue, ticket, unread_ms > 0 ? -unread_ms : 0);
+	if (remaining_ms > entry->prefill_ms)
+		remaining_ms = entry->prefill_ms;
+	entry_remove(queue, entry, remaining_ms > 0 ? -remaining_ms : 0);
 }
--- a/moortack/relay/relay_crashes.c
+++ b/moortack/relay/relay_crashes.c
@@ -22,7 +22,7 @@
 {
 	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " crashes=%zu endpoint=%s how=%s", digest,
-	    quarantine_crash_count(&self->table, digest), endpoint->facts.id,
+	    quarantine_crash_count(&self->table, digest), endpoint->info.id,
 	    how);
 }
 
@@ -33,8 +33,8 @@
     const endpoint_t *endpoint, const char *how)
 {
 	gossip_message_t message = {.kind = GOSSIP_CRASH,
-	    .endpoint = endpoint->short_hash,
-	    .version = endpoint_version_hash(endpoint)};
+	    .endpoint_hash = endpoint->short_hash,
+	    .version_hash = endpoint_version_hash(endpoint)};
 	unresolved_attempt_t attempt;
 
 	while (unresolved_attempts_take(
@@ -127,7 +127,7 @@
 
 	/* An endpoint that is leaving ends once its requests are completed;
 	 * that is no crash. */
-	if (attempt.digest == 0 || endpoint->facts.leaving)
+	if (attempt.digest == 0 || endpoint->info.leaving)
 		return false;
 	unresolved_attempts_add(attempts, &attempt);
 	return true;
@@ -174,12 +174,12 @@
 	for (size_t i = 0; i < self->abandoned.len; i++) {
 		const unresolved_attempt_t *attempt =
 		    &self->abandoned.attempts[i];
-		endpoint_t *endpoint = endpoint_set_find_short(
+		endpoint_t *endpoint = endpoint_set_find_by_short_hash(
 		    self->relay->endpoints, attempt->incarnation);
 
 		if (endpoint != NULL &&
 		    timespec_ms_between(
-			attempt->ended_at, endpoint->link_ended_at) >= 0)
+			attempt->ended_at, endpoint->idle_closed_at) >= 0)
 			crash_probe_schedule(&self->probes, self->relay->base,
 			    endpoint, PROBE_DELAY_MS, on_probe_done, self);
 	}
--- /dev/null
+++ b/moortack/relay/relay_owner_query.c
@@ -0,0 +1,203 @@
+#include <string.h>
+#include <xxhash.h>
+
+#include "relay_candidates.h"
+
+/* Timeout for responses: a round trip between zones, and a VM that is busy for
+ * a moment; short compared with the objectives of streams. If an owner is down,
+ * the request waits for as long, and the endpoint is then chosen by what this
+ * daemon knows itself. */
+#define RESPONSE_TIMEOUT_MS 20
+#define US_PER_MS 1000
+
+void
+relay_gossip_prefixes(gossip_message_t *message, const prefix_list_t *prefixes)
+{
+	while (message->prefixes_len + 1 < prefixes->len &&
+	    message->prefixes_len < GOSSIP_MESSAGE_PREFIXES_MAX) {
+		message->prefixes[message->prefixes_len] =
+		    prefixes->hashes[message->prefixes_len];
+		message->prefixes_len++;
+	}
+}
+
+void
+relay_ask_end(relay_request_t *req)
+{
+	if (req->question.limit != NULL)
+		event_free(req->question.limit);
+	req->question = (placing_question_t){0};
+}
+
+const asked_endpoint_t *
+relay_ask_told(const relay_request_t *req, size_t model, uint64_t endpoint)
+{
+	const placing_question_t *query = &req->question;
+
+	if (query->number == 0 || query->model != model)
+		return NULL;
+	for (size_t i = 0; i < query->len; i++) {
+		if (query->of[i].hash == endpoint && query->of[i].told)
+			return &query->of[i];
+	}
+	return NULL;
+}
+
+static void
+on_timeout(evutil_socket_t fd, short what, void *arg)
+{
+	relay_request_t *req = arg;
+
+	(void)fd;
+	(void)what;
+	req->question.open = 0;
+	attempt_begin(req);
+}
+
+/* Queries the owner of one endpoint. If this daemon is the owner itself, its
+ * own estimates count as the response. */
+static void
+owner_query(relay_request_t *req, const endpoint_t *endpoint,
+    const prefix_list_t *prefixes)
+{
+	placing_question_t *query = &req->question;
+	asked_endpoint_t *queried = &query->of[query->len++];
+	gossip_message_t message = {.kind = GOSSIP_QUERY,
+	    .endpoint_hash = endpoint->short_hash,
+	    .query_id = query->number};
+
+	relay_gossip_prefixes(&message, prefixes);
+	*queried = (asked_endpoint_t){.hash = endpoint->hash};
+	if (gossip_query(req->relay->gossip, endpoint->info.zone, &message))
+		query->open++;
+	else
+		queried->told = true;
+}
+
+static bool
+responses_wait(relay_request_t *req)
+{
+	struct timeval time = {0, RESPONSE_TIMEOUT_MS * US_PER_MS};
+	placing_question_t *query = &req->question;
+
+	if (query->open == 0)
+		return false;
+	query->limit = event_new(req->relay->base, -1, 0, on_timeout, req);
+	if (query->limit != NULL && event_add(query->limit, &time) == 0)
+		return true;
+	query->open = 0;
+	return false;
+}
+
+static uint32_t
+next_query_id(relay_t *relay)
+{
+	if (++relay->questions == 0)
+		relay->questions++;
+	return relay->questions;
+}
+
+bool
+relay_ask(relay_request_t *req)
+{
+	static candidates_t candidates;
+	static prefix_list_t prefixes;
+	relay_t *relay = req->relay;
+	const char *model = relay_model_name(req, req->model_index);
+	uint64_t model_hash = XXH3_64bits(model, strlen(model));
+	const choice_criteria_t criteria = {
+	    .affinity = req->shared ^ model_hash};
+	size_t ranked[ASKED_MAX];
+	const char *why;
+	size_t len;
+
+	/* The owners were queried before: they have responded, or the timeout
+	 * has passed. */
+	if (req->question.number != 0 || req->arrival.parts_len == 0 ||
+	    !gossip_may_query(relay->gossip, relay_read_ms(req)) ||
+	    !candidates_collect(req, &candidates, &why))
+		return false;
+	prefix_list_fill(&prefixes, &req->arrival, model_hash);
+	req->question = (placing_question_t){
+	    .number = next_query_id(relay), .model = req->model_index};
+	len = endpoint_rank_by_affinity(
+	    candidates.inputs, candidates.len, &criteria, ranked, ASKED_MAX);
+	for (size_t i = 0; i < len; i++)
+		owner_query(req, candidates.endpoints[ranked[i]], &prefixes);
+	return responses_wait(req);
+}
+
+/* Another daemon has sent a prompt to an endpoint. */
+static void
+on_prompt_sent(void *arg, const gossip_message_t *message)
+{
+	relay_t *relay = arg;
+	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	endpoint_t *endpoint = endpoint_set_find_by_short_hash(
+	    relay->endpoints, message->endpoint_hash);
+	prefix_list_t prefixes = {.len = message->prefixes_len};
+
+	if (endpoint == NULL)
+		return;
+	memcpy(prefixes.hashes, message->prefixes,
+	    message->prefixes_len * sizeof(message->prefixes[0]));
+	prefix_index_add(&relay->prefixes, &prefixes, endpoint->hash, now_ms);
+	prefill_queue_add_remote(
+	    &endpoint->prefill_queue, message->prefill_ms, (double)now_ms);
+}
+
+static bool
+on_query(void *arg, const gossip_message_t *query, gossip_message_t *response)
+{
+	relay_t *relay = arg;
+	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	const endpoint_t *endpoint = endpoint_set_find_by_short_hash(
+	    relay->endpoints, query->endpoint_hash);
+	prefix_list_t prefixes = {.len = query->prefixes_len};
+
+	if (endpoint == NULL)
+		return false;
+	memcpy(prefixes.hashes, query->prefixes,
+	    query->prefixes_len * sizeof(query->prefixes[0]));
+	response->cached_prefixes = (uint32_t)prefix_index_match_count(
+	    &relay->prefixes, &prefixes, endpoint->hash, now_ms);
+	response->queue_wait_ms = (uint32_t)prefill_queue_wait_ms(
+	    &endpoint->prefill_queue, (double)now_ms);
+	return true;
+}
+
+static relay_request_t *
+querying_request_find(const relay_t *relay, uint32_t query_id)
+{
+	for (relay_request_t *req = relay->first; req != NULL;
+	     req = req->next) {
+		if (req->question.open > 0 && req->question.number == query_id)
+			return req;
+	}
+	return NULL;
+}
+
+static void
+on_response(void *arg, const gossip_message_t *response)
+{
+	relay_request_t *req = querying_request_find(arg, response->query_id);
+
+	if (req == NULL)
+		return;
+	for (size_t i = 0; i < req->question.len; i++) {
+		asked_endpoint_t *queried = &req->question.of[i];
+
+		if ((uint32_t)queried->hash != response->endpoint_hash ||
+		    queried->told)
+			continue;
+		queried->told = true;
+		queried->wait_ms = response->queue_wait_ms;
+		queried->kept = response->cached_prefixes;
+		req->question.open--;
+	}
+	if (req->question.open == 0)
+		attempt_begin(req);
+}
+
+const gossip_ops_t relay_gossip_ops = {
+    on_prompt_sent, on_query, on_response, relay_quarantine_receive};
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -27,7 +27,7 @@
 uint32_t
 endpoint_version_hash(const endpoint_t *endpoint)
 {
-	const endpoint_facts_t *facts = &endpoint->facts;
+	const endpoint_info_t *facts = &endpoint->info;
 	uint64_t service = XXH3_64bits(facts->service, strlen(facts->service));
 	uint64_t version = XXH3_64bits_withSeed(
 	    facts->version, strlen(facts->version), service);
@@ -73,7 +73,7 @@
 	relay_quarantine_t *self = arg;
 
 	if (suspect->stored_version != 0 &&
-	    gossip_owns(self->relay->gossip, suspect->digest))
+	    gossip_owns_digest(self->relay->gossip, suspect->digest))
 		quarantine_row_remove(self, suspect);
 }
 
@@ -84,7 +84,7 @@
 void
 quarantine_announce(relay_quarantine_t *self, const gossip_message_t *message)
 {
-	gossip_tell_owners(self->relay->gossip, message);
+	gossip_send_to_owners(self->relay->gossip, message);
 	if (self->resend_len < QUARANTINE_RESEND_MAX)
 		self->resend[self->resend_len++] = *message;
 }
@@ -98,7 +98,7 @@
 	if (!quarantine_clear(&self->table, digest))
 		return;
 	self->cleared_count++;
-	if (gossip_owns(self->relay->gossip, digest))
+	if (gossip_owns_digest(self->relay->gossip, digest))
 		quarantine_row_remove(self, suspect);
 }
 
@@ -116,7 +116,7 @@
 	    "digest=%016" PRIx64 " crashes=0 endpoint=%s how=cleared",
 	    relay_digest(req), req->endpoint_id);
 	if (req->on_trial)
-		gossip_tell_each(req->relay->gossip, &message);
+		gossip_broadcast(req->relay->gossip, &message);
 	quarantine_announce(self, &message);
 	suspect_clear(self, relay_digest(req), "run");
 }
@@ -133,13 +133,14 @@
 
 		if (message->kind == GOSSIP_CRASH) {
 			quarantine_record_crash(&self->table, digest,
-			    message->endpoint, message->version, false);
+			    message->endpoint_hash, message->version_hash,
+			    false);
 		} else if (message->kind == GOSSIP_CLEARED) {
 			suspect_clear(self, digest, "told");
 		} else {
 			quarantine_merge(&self->table, digest, message->crashes,
-			    message->crashes_len, message->version,
-			    message->held_ms);
+			    message->crashes_len, message->version_hash,
+			    message->quarantined_ms);
 			suspect = quarantine_find(&self->table, digest);
 			if (suspect != NULL)
 				suspect->announcements = ANNOUNCEMENTS_MAX;
@@ -157,7 +158,7 @@
 {
 	struct timespec now = clock_elapsed(self->relay->clock);
 
-	return gossip_owns(self->relay->gossip, suspect->digest) ||
+	return gossip_owns_digest(self->relay->gossip, suspect->digest) ||
 	    (suspect->observed_locally &&
 		timespec_ms_between(suspect->last_crash_at, now) >= delay_ms);
 }
@@ -174,16 +175,16 @@
 static void
 suspect_announce(relay_quarantine_t *self, suspect_t *suspect)
 {
-	gossip_message_t message = {.kind = GOSSIP_HELD,
+	gossip_message_t message = {.kind = GOSSIP_QUARANTINED,
 	    .digests = {suspect->digest},
 	    .digests_len = 1,
-	    .version = suspect->version,
+	    .version_hash = suspect->version,
 	    .crashes_len = suspect->crashes_len,
-	    .held_ms = (uint32_t)timespec_ms_between(
+	    .quarantined_ms = (uint32_t)timespec_ms_between(
 		suspect->quarantined_at, clock_elapsed(self->relay->clock))};
 
 	memcpy(message.crashes, suspect->crashes, sizeof(message.crashes));
-	gossip_tell_each(self->relay->gossip, &message);
+	gossip_broadcast(self->relay->gossip, &message);
 	suspect->announcements++;
 }
 
@@ -228,7 +229,7 @@
 	suspect_t *suspect, *next;
 
 	for (size_t i = 0; i < self->resend_len; i++)
-		gossip_tell_owners(self->relay->gossip, &self->resend[i]);
+		gossip_send_to_owners(self->relay->gossip, &self->resend[i]);
 	self->resend_len = 0;
 	quarantine_check_unresolved(self);
 	if (check_versions)
