--- a/bench/placing.c
+++ b/bench/placing.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "moortack/relay/endpoint_choice.h"
+#include "moortack/relay/choose.h"
 #include "moortack/relay/prefill_queue.h"
 #include "moortack/relay/prefix_index.h"
 
--- a/include/moortack/relay/endpoint_choice.h
+++ b/include/moortack/relay/choose.h
@@ -8,8 +8,8 @@
  * Requests without one go to the endpoint with the smallest share of its slots
  * in use.
  */
-#ifndef MOORTACK_RELAY_ENDPOINT_CHOICE_H
-#define MOORTACK_RELAY_ENDPOINT_CHOICE_H
+#ifndef MOORTACK_RELAY_CHOOSE_H
+#define MOORTACK_RELAY_CHOOSE_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/include/moortack/relay/retry_age.h
+++ b/include/moortack/relay/first_try.h
@@ -4,8 +4,8 @@
  * a caller that was refused and retries has less time left than the other
  * callers of its route. A pure, exponentially decaying estimate for one route.
  */
-#ifndef MOORTACK_RELAY_RETRY_AGE_H
-#define MOORTACK_RELAY_RETRY_AGE_H
+#ifndef MOORTACK_RELAY_FIRST_TRY_H
+#define MOORTACK_RELAY_FIRST_TRY_H
 
 #include <stdint.h>
 
--- a/moortack/relay/endpoint_choice.c
+++ b/moortack/relay/choose.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/endpoint_choice.h"
+#include "moortack/relay/choose.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/moortack/relay/retry_age.c
+++ b/moortack/relay/first_try.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/retry_age.h"
+#include "moortack/relay/first_try.h"
 
 /* Callers whose deadline is at least this share of the longest one are at their
  * first try; the rest of the time goes into opening the connection. */
--- a/moortack/relay/relay_candidates.h
+++ b/moortack/relay/relay_candidates.h
@@ -6,7 +6,7 @@
 #ifndef MOORTACK_RELAY_RELAY_CANDIDATES_H
 #define MOORTACK_RELAY_RELAY_CANDIDATES_H
 
-#include "moortack/relay/endpoint_choice.h"
+#include "moortack/relay/choose.h"
 #include "relay_request.h"
 
 #define CANDIDATES_MAX 256
--- a/moortack/relay/relay_request.h
+++ b/moortack/relay/relay_request.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * One request's life, shared by the relay's files: taken (relay.c), sent
- * (relay_attempt.c), placed (relay_placement.c), answered (relay_answer.c).
+ * (relay_attempt.c), placed (relay_select.c), answered (relay_answer.c).
  */
 #ifndef MOORTACK_RELAY_RELAY_REQUEST_H
 #define MOORTACK_RELAY_RELAY_REQUEST_H
--- a/test/unit/placing_test.c
+++ b/test/unit/placing_test.c
@@ -9,7 +9,7 @@
 
 #include <cmocka.h>
 
-#include "moortack/relay/endpoint_choice.h"
+#include "moortack/relay/choose.h"
 #include "moortack/relay/prefill_queue.h"
 #include "moortack/relay/prefix_index.h"
 
--- a/test/unit/relay_decisions_test.c
+++ b/test/unit/relay_decisions_test.c
@@ -13,10 +13,10 @@
 
 #include "common/clock_source.h"
 #include "moortack/relay/event_scan.h"
+#include "moortack/relay/first_try.h"
 #include "moortack/relay/model_choice.h"
 #include "moortack/relay/model_record.h"
 #include "moortack/relay/prefill_rate.h"
-#include "moortack/relay/retry_age.h"
 #include "moortack/relay/retry_share.h"
 #include "moortack/relay/rollout_plan.h"
 #include "moortack/relay/session_memory.h"
