--- a/include/moortack/relay/endpoint_set.h
+++ b/include/moortack/relay/endpoint_set.h
@@ -12,8 +12,8 @@
 
 #include "common/clock_source.h"
 #include "common/http_outbound.h"
+#include "moortack/relay/canary_analysis.h"
 #include "moortack/relay/prefill_queue.h"
-#include "moortack/relay/version_guard.h"
 #include "moortack/relay/zone_table.h"
 
 #define ENDPOINT_NAME_SIZE 96
@@ -52,7 +52,7 @@
 /** An answer that broke off, and may be the endpoint's death or its version's
  * fault. */
 typedef struct suspected_failure {
-	guard_answer_t answer;
+	canary_observation_t answer;
 	struct timespec at;
 } suspected_failure_t;
 
--- a/include/moortack/relay/relay.h
+++ b/include/moortack/relay/relay.h
@@ -14,7 +14,7 @@
 #include "moortack/relay/dialect.h"
 #include "moortack/relay/first_try.h"
 #include "moortack/relay/gossip.h"
-#include "moortack/relay/model_record.h"
+#include "moortack/relay/model_stats.h"
 #include "moortack/relay/prefill_rate.h"
 #include "moortack/relay/prefix_memory.h"
 #include "moortack/relay/relay_config.h"
@@ -48,7 +48,7 @@
 /** What is known of a model of a service. */
 typedef struct relay_model {
 	uint64_t name; /**< hash of it */
-	model_record_t record;
+	model_stats_t record;
 	prefill_rate_t pace;
 } relay_model_t;
 
@@ -129,7 +129,7 @@
 
 /** Tell the guards of roll-outs which answers are overdue; called a few times a
  * second. */
-void relay_guard_look(relay_t *);
+void relay_canary_check_overdue(relay_t *);
 
 /** Requests under way at endpoints that a roll-out replaces; the argument is a
  * relay. */
--- a/include/moortack/relay/relay_node.h
+++ b/include/moortack/relay/relay_node.h
@@ -41,7 +41,7 @@
 	const source_dialect_t *sources;
 	const caller_dialect_t *callers;
 	const endpoint_dialect_t *endpoints;
-	const rollout_dialect_t *rollouts;
+	const rollout_status_encoder_t *rollouts;
 } relay_ports_t;
 
 typedef struct zone_region {
--- a/include/platform/rows.h
+++ b/include/platform/rows.h
@@ -45,6 +45,6 @@
 bool evacuation_row_check(const char *zone, err_t *);
 
 /** How a roll-out's state is told to the operator. */
-extern const rollout_dialect_t platform_rollout_dialect;
+extern const rollout_status_encoder_t platform_rollout_dialect;
 
 #endif
--- a/moortack/relay/version_guard.c
+++ b/moortack/relay/canary_analysis.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/version_guard.h"
+#include "moortack/relay/canary_analysis.h"
 
 #include <math.h>
 #include <string.h>
@@ -44,55 +44,56 @@
 #define RATE_MAX 0.95
 
 void
-version_guard_restart(version_guard_t *guard)
+canary_analysis_reset(canary_analysis_t *guard)
 {
-	for (size_t i = 0; i < guard->rows_len; i++)
-		memset(guard->rows[i].fresh, 0, sizeof(guard->rows[i].fresh));
+	for (size_t i = 0; i < guard->routes_len; i++)
+		memset(guard->routes[i].new_slices, 0,
+		    sizeof(guard->routes[i].new_slices));
 }
 
 static void
-row_slide(guard_row_of_route_t *row, struct timespec now)
+row_slide(canary_route_t *row, struct timespec now)
 {
 	int64_t slice = timespec_ms(now) / SLICE_MS;
-	int64_t steps = slice - row->slice;
+	int64_t steps = slice - row->last_slice;
 
 	if (steps <= 0)
 		return;
-	if (steps > GUARD_SLICES)
-		steps = GUARD_SLICES;
+	if (steps > CANARY_SLICES)
+		steps = CANARY_SLICES;
 	for (int64_t i = 0; i < steps; i++) {
-		size_t at = (size_t)((slice - i) % GUARD_SLICES);
+		size_t at = (size_t)((slice - i) % CANARY_SLICES);
 
-		row->fresh[at] = (guard_count_t){0};
-		row->base[at] = (guard_count_t){0};
+		row->new_slices[at] = (canary_counts_t){0};
+		row->old_slices[at] = (canary_counts_t){0};
 	}
-	row->slice = slice;
+	row->last_slice = slice;
 }
 
-static guard_row_of_route_t *
-row_of(version_guard_t *guard, uint64_t route)
+static canary_route_t *
+row_of(canary_analysis_t *guard, uint64_t route)
 {
-	for (size_t i = 0; i < guard->rows_len; i++) {
-		if (guard->rows[i].route == route)
-			return &guard->rows[i];
+	for (size_t i = 0; i < guard->routes_len; i++) {
+		if (guard->routes[i].route == route)
+			return &guard->routes[i];
 	}
-	if (guard->rows_len == GUARD_ROUTES_MAX)
+	if (guard->routes_len == CANARY_ROUTES_MAX)
 		return NULL;
-	guard->rows[guard->rows_len] = (guard_row_of_route_t){.route = route};
-	return &guard->rows[guard->rows_len++];
+	guard->routes[guard->routes_len] = (canary_route_t){.route = route};
+	return &guard->routes[guard->routes_len++];
 }
 
-static guard_pace_t *
-pace_of(version_guard_t *guard, uint64_t key)
+static canary_latency_t *
+pace_of(canary_analysis_t *guard, uint64_t key)
 {
-	for (size_t i = 0; i < guard->paces_len; i++) {
-		if (guard->paces[i].key == key)
-			return &guard->paces[i];
+	for (size_t i = 0; i < guard->latencies_len; i++) {
+		if (guard->latencies[i].key == key)
+			return &guard->latencies[i];
 	}
-	if (guard->paces_len == GUARD_PACES_MAX)
+	if (guard->latencies_len == CANARY_LATENCIES_MAX)
 		return NULL;
-	guard->paces[guard->paces_len] = (guard_pace_t){.key = key};
-	return &guard->paces[guard->paces_len++];
+	guard->latencies[guard->latencies_len] = (canary_latency_t){.key = key};
+	return &guard->latencies[guard->latencies_len++];
 }
 
 /** What counts as slow. */
@@ -107,20 +108,20 @@
 
 /** A time of an answer, and what is usual for it. */
 typedef struct timed {
-	guard_pace_t *pace; /**< NULL: not known */
+	canary_latency_t *pace; /**< NULL: not known */
 	const slow_bound_t *bound;
 	double ms;
 } timed_t;
 
 static timed_t
-first_of(version_guard_t *guard, const guard_answer_t *answer)
+first_of(canary_analysis_t *guard, const canary_observation_t *answer)
 {
 	return (timed_t){pace_of(guard, answer->route ^ answer->model),
 	    answer->stream ? &slow_event : &slow_first, answer->ms};
 }
 
 static timed_t
-gap_of(version_guard_t *guard, const guard_answer_t *answer)
+gap_of(canary_analysis_t *guard, const canary_observation_t *answer)
 {
 	return (timed_t){
 	    pace_of(guard, answer->route ^ answer->model ^ GAP_KEY), &slow_gap,
@@ -130,10 +131,10 @@
 static bool
 is_slow(const timed_t *timed)
 {
-	const guard_pace_t *pace = timed->pace;
+	const canary_latency_t *pace = timed->pace;
 	double usual = pace != NULL ? exp(pace->log_mean) : 0;
 
-	return pace != NULL && pace->seen >= PACE_SEEN_MIN &&
+	return pace != NULL && pace->samples >= PACE_SEEN_MIN &&
 	    timed->ms > timed->bound->factor * usual &&
 	    timed->ms > usual + timed->bound->least_ms;
 }
@@ -142,75 +143,76 @@
 static void
 pace_learn(const timed_t *timed, bool fresh)
 {
-	guard_pace_t *pace = timed->pace;
+	canary_latency_t *pace = timed->pace;
 	double weight;
 
 	if (pace == NULL || fresh)
 		return;
-	weight =
-	    pace->seen < PACE_SEEN_MIN ? 1.0 / (pace->seen + 1) : PACE_WEIGHT;
+	weight = pace->samples < PACE_SEEN_MIN ? 1.0 / (pace->samples + 1)
+					       : PACE_WEIGHT;
 	pace->log_mean += weight * (log(fmax(timed->ms, 1)) - pace->log_mean);
-	pace->seen++;
+	pace->samples++;
 }
 
 static void
-begun_count(
-    version_guard_t *guard, const guard_answer_t *answer, guard_count_t *count)
+begun_count(canary_analysis_t *guard, const canary_observation_t *answer,
+    canary_counts_t *count)
 {
 	timed_t timed = first_of(guard, answer);
 
-	count->seen++;
-	count->slow += is_slow(&timed);
-	pace_learn(&timed, answer->fresh);
+	count->responses++;
+	count->late += is_slow(&timed);
+	pace_learn(&timed, answer->is_new);
 }
 
 static bool
-overdue_count(
-    version_guard_t *guard, const guard_answer_t *answer, guard_count_t *count)
+overdue_count(canary_analysis_t *guard, const canary_observation_t *answer,
+    canary_counts_t *count)
 {
 	timed_t timed = first_of(guard, answer);
 
 	if (!is_slow(&timed))
 		return false;
-	count->seen++;
-	count->slow++;
+	count->responses++;
+	count->late++;
 	return true;
 }
 
 static void
-paced_count(
-    version_guard_t *guard, const guard_answer_t *answer, guard_count_t *count)
+paced_count(canary_analysis_t *guard, const canary_observation_t *answer,
+    canary_counts_t *count)
 {
 	timed_t timed = gap_of(guard, answer);
 
-	count->paced++;
-	count->dragged += is_slow(&timed);
-	pace_learn(&timed, answer->fresh);
+	count->gaps_measured++;
+	count->gaps_slow += is_slow(&timed);
+	pace_learn(&timed, answer->is_new);
 }
 
 bool
-version_guard_take(
-    version_guard_t *guard, const guard_answer_t *answer, struct timespec now)
+canary_analysis_observe(canary_analysis_t *guard,
+    const canary_observation_t *answer, struct timespec now)
 {
-	guard_row_of_route_t *row = row_of(guard, answer->route);
-	guard_count_t *count;
+	canary_route_t *row = row_of(guard, answer->route);
+	canary_counts_t *count;
 
 	if (row == NULL)
 		return false;
 	row_slide(row, now);
-	count = answer->fresh ? &row->fresh[row->slice % GUARD_SLICES]
-			      : &row->base[row->slice % GUARD_SLICES];
-	switch (answer->sign) {
-	case GUARD_BEGUN:
+	count = answer->is_new
+	    ? &row->new_slices[row->last_slice % CANARY_SLICES]
+	    : &row->old_slices[row->last_slice % CANARY_SLICES];
+	switch (answer->signal) {
+	case CANARY_FIRST_BYTE:
 		begun_count(guard, answer, count);
 		break;
-	case GUARD_OVERDUE:
+	case CANARY_OVERDUE:
 		return overdue_count(guard, answer, count);
-	case GUARD_PACED:
+	case CANARY_EVENT_GAP:
 		paced_count(guard, answer, count);
 		break;
-	case GUARD_FAILED:
-		count->seen += !answer->counted;
+	case CANARY_FAILED:
+		count->responses += !answer->counted;
 		count->failed++;
 		break;
 	}
@@ -218,38 +220,38 @@
 }
 
 void
-guard_count_add(guard_count_t *sum, const guard_count_t *more)
+canary_counts_add(canary_counts_t *sum, const canary_counts_t *more)
 {
-	sum->seen += more->seen;
+	sum->responses += more->responses;
 	sum->failed += more->failed;
-	sum->slow += more->slow;
-	sum->paced += more->paced;
-	sum->dragged += more->dragged;
+	sum->late += more->late;
+	sum->gaps_measured += more->gaps_measured;
+	sum->gaps_slow += more->gaps_slow;
 }
 
-static guard_count_t
-counts_sum(const guard_count_t *counts)
+static canary_counts_t
+counts_sum(const canary_counts_t *counts)
 {
-	guard_count_t sum = {0};
+	canary_counts_t sum = {0};
 
-	for (size_t i = 0; i < GUARD_SLICES; i++)
-		guard_count_add(&sum, &counts[i]);
+	for (size_t i = 0; i < CANARY_SLICES; i++)
+		canary_counts_add(&sum, &counts[i]);
 	return sum;
 }
 
 size_t
-version_guard_tally(
-    version_guard_t *guard, struct timespec now, guard_tally_t *out, size_t cap)
+canary_analysis_tally(canary_analysis_t *guard, struct timespec now,
+    canary_tally_t *out, size_t cap)
 {
 	size_t len = 0;
 
-	for (size_t i = 0; i < guard->rows_len && len < cap; i++) {
-		guard_row_of_route_t *row = &guard->rows[i];
+	for (size_t i = 0; i < guard->routes_len && len < cap; i++) {
+		canary_route_t *row = &guard->routes[i];
 
 		row_slide(row, now);
-		out[len++] = (guard_tally_t){.route = row->route,
-		    .fresh = counts_sum(row->fresh),
-		    .base = counts_sum(row->base)};
+		out[len++] = (canary_tally_t){.route = row->route,
+		    .new_counts = counts_sum(row->new_slices),
+		    .old_counts = counts_sum(row->old_slices)};
 	}
 	return len;
 }
@@ -269,24 +271,24 @@
 }
 
 bool
-version_guard_bad(const guard_tally_t *tally)
+canary_tally_is_bad(const canary_tally_t *tally)
 {
-	const guard_count_t *fresh = &tally->fresh;
-	const guard_count_t *base = &tally->base;
-
-	return test_worse(&test_failed, fresh->failed, fresh->seen,
-		   base->failed, base->seen) ||
-	    test_worse(
-		&test_slow, fresh->slow, fresh->seen, base->slow, base->seen) ||
-	    test_worse(&test_dragged, fresh->dragged, fresh->paced,
-		base->dragged, base->paced);
+	const canary_counts_t *fresh = &tally->new_counts;
+	const canary_counts_t *base = &tally->old_counts;
+
+	return test_worse(&test_failed, fresh->failed, fresh->responses,
+		   base->failed, base->responses) ||
+	    test_worse(&test_slow, fresh->late, fresh->responses, base->late,
+		base->responses) ||
+	    test_worse(&test_dragged, fresh->gaps_slow, fresh->gaps_measured,
+		base->gaps_slow, base->gaps_measured);
 }
 
 void
-guard_tally_add(
-    guard_tally_t *sums, size_t *len, size_t cap, const guard_tally_t *tally)
+canary_tally_add(
+    canary_tally_t *sums, size_t *len, size_t cap, const canary_tally_t *tally)
 {
-	guard_tally_t *sum = NULL;
+	canary_tally_t *sum = NULL;
 
 	for (size_t i = 0; i < *len; i++) {
 		if (sums[i].route == tally->route)
@@ -296,8 +298,8 @@
 		if (*len == cap)
 			return;
 		sum = &sums[(*len)++];
-		*sum = (guard_tally_t){.route = tally->route};
+		*sum = (canary_tally_t){.route = tally->route};
 	}
-	guard_count_add(&sum->fresh, &tally->fresh);
-	guard_count_add(&sum->base, &tally->base);
+	canary_counts_add(&sum->new_counts, &tally->new_counts);
+	canary_counts_add(&sum->old_counts, &tally->old_counts);
 }
--- a/moortack/relay/model_record.c
+++ b/moortack/relay/model_stats.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/model_record.h"
+#include "moortack/relay/model_stats.h"
 
 #include <math.h>
 
@@ -28,7 +28,7 @@
 }
 
 double
-model_good_enough(int confidence)
+model_good_probability(int confidence)
 {
 	return likelihood(confidence, CONFIDENCE_WIDTH);
 }
@@ -43,27 +43,28 @@
 }
 
 void
-model_record_take(model_record_t *record, bool on_time)
+model_stats_add_start(model_stats_t *record, bool on_time)
 {
-	if (record->seen == 0)
-		record->on_time = 1;
-	record->seen++;
-	record->on_time += RECORD_WEIGHT * ((double)on_time - record->on_time);
+	if (record->on_time_samples == 0)
+		record->on_time_rate = 1;
+	record->on_time_samples++;
+	record->on_time_rate +=
+	    RECORD_WEIGHT * ((double)on_time - record->on_time_rate);
 }
 
 static double
-good_of(const model_record_t *record, bool largest)
+good_of(const model_stats_t *record, bool largest)
 {
-	if (record->judged > 0)
-		return record->good;
+	if (record->good_samples > 0)
+		return record->good_rate;
 	return largest ? GOOD_LARGEST : GOOD_BETWEEN;
 }
 
 static double
-gain_of(const model_record_t *record, bool largest)
+gain_of(const model_stats_t *record, bool largest)
 {
-	if (record->compared > 0)
-		return record->gain;
+	if (record->gain_samples > 0)
+		return record->confidence_gain;
 	return largest ? GAIN_LARGEST : GAIN_BETWEEN;
 }
 
@@ -76,34 +77,35 @@
 }
 
 void
-model_record_judge(
-    model_record_t *record, int smallest, int confidence, bool largest)
+model_stats_add_confidence(
+    model_stats_t *record, int smallest, int confidence, bool largest)
 {
 	if (confidence < 0 || smallest < 0)
 		return;
 	if (smallest == 0) {
-		record->good = good_of(record, largest);
-		record->judged++;
-		record->good += RECORD_WEIGHT *
-		    (model_good_enough(confidence) - record->good);
+		record->good_rate = good_of(record, largest);
+		record->good_samples++;
+		record->good_rate += RECORD_WEIGHT *
+		    (model_good_probability(confidence) - record->good_rate);
 		return;
 	}
 	if (at_end(confidence))
 		return;
-	record->gain = gain_of(record, largest);
-	record->compared++;
-	record->gain += newest_weight(record->compared) *
-	    (confidence - smallest - record->gain);
+	record->confidence_gain = gain_of(record, largest);
+	record->gain_samples++;
+	record->confidence_gain += newest_weight(record->gain_samples) *
+	    (confidence - smallest - record->confidence_gain);
 }
 
 double
-model_record_on_time(const model_record_t *record)
+model_stats_on_time_probability(const model_stats_t *record)
 {
-	return record->seen > 0 ? record->on_time : 1;
+	return record->on_time_samples > 0 ? record->on_time_rate : 1;
 }
 
 double
-model_record_good(const model_record_t *record, int smallest, bool largest)
+model_stats_good_probability(
+    const model_stats_t *record, int smallest, bool largest)
 {
 	if (smallest <= 0)
 		return good_of(record, largest);
--- a/moortack/relay/relay_answer.c
+++ b/moortack/relay/relay_answer.c
@@ -107,7 +107,7 @@
 	attempt_heard(req);
 	prefill_queue_begun(&attempt->endpoint->unread, &attempt->ticket,
 	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
-	relay_guard_alive(req);
+	relay_canary_endpoint_alive(req);
 	attempt->first_ms = (double)timespec_ms_between(
 	    attempt->sent_at, clock_elapsed(req->relay->clock));
 	if (answer->load_told)
@@ -116,7 +116,7 @@
 		return;
 	if (req->route->kind == ROUTE_STREAM && success(msg->status) &&
 	    answer->genuine)
-		relay_guard_begun(req);
+		relay_canary_first_byte(req);
 	if (req->begun) {
 		if (!success(msg->status) || !answer->genuine)
 			attempt_over(req, ATTEMPT_UNKNOWN, "resume_refused");
@@ -151,7 +151,7 @@
 			req->pause_ms = pause_ms;
 	}
 	req->event_at = now;
-	relay_guard_event(req);
+	relay_canary_event(req);
 }
 
 /* Pass on the events that are whole. @return false: the attempt is over */
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -27,8 +27,8 @@
 	const rollout_t *rollout =
 	    rollouts_find(req->relay->rollouts, endpoint->facts.service);
 
-	return rollout == NULL || !rollout_under_way(rollout) ||
-	    !rollout_is_new(rollout, endpoint);
+	return rollout == NULL || !rollout_is_active(rollout) ||
+	    !rollout_is_new_version(rollout, endpoint);
 }
 
 /* The session is served by that version as long as the attempt lasts. */
@@ -36,7 +36,7 @@
 session_note(const relay_request_t *req)
 {
 	if (req->arrival.session != NULL && attempt_on_old(req))
-		rollouts_note_old(req->relay->rollouts, req->spread);
+		rollouts_record_old_session(req->relay->rollouts, req->spread);
 }
 
 void
@@ -62,7 +62,7 @@
 		if (endpoint != NULL &&
 		    strcmp(endpoint->facts.service, rollout->order.service) ==
 			0 &&
-		    !rollout_is_new(rollout, endpoint))
+		    !rollout_is_new_version(rollout, endpoint))
 			count++;
 	}
 	return count;
@@ -306,8 +306,9 @@
 	}
 	rollout = rollouts_find(req->relay->rollouts, req->service);
 	if (rollout != NULL && rollout->order.number != 0) {
-		req->attempt.is_new = rollout_is_new(rollout, place.endpoint);
-		req->attempt.on_trial = rollout_on_trial(rollout);
+		req->attempt.is_new =
+		    rollout_is_new_version(rollout, place.endpoint);
+		req->attempt.on_trial = rollout_is_saturating(rollout);
 	}
 	relay_warmup_acquire(req);
 	if (place.cold > 0)
@@ -394,13 +395,13 @@
 	case ATTEMPT_UNKNOWN:
 		stats_add(stats, STAT_BROKEN, 1);
 		endpoint_failed(endpoint);
-		relay_guard_suspect(req);
+		relay_canary_defer_failure(req);
 		if (req->attempt.broke)
 			relay_attempt_broke(req);
 		break;
 	case ATTEMPT_FAILED:
 		relay_attempt_survived(req);
-		relay_guard_failed(req);
+		relay_canary_failed(req);
 		break;
 	case ATTEMPT_DROPPED:
 		stats_add(stats, STAT_ESCALATED, 1);
@@ -446,5 +447,5 @@
 {
 	endpoint_worked(req->attempt.endpoint);
 	relay_attempt_survived(req);
-	relay_guard_answered(req);
+	relay_canary_completed(req);
 }
--- a/moortack/relay/relay_guard.c
+++ b/moortack/relay/relay_canary.c
@@ -37,17 +37,17 @@
 	    : NULL;
 }
 
-static guard_answer_t
-sign_of(const relay_request_t *req, guard_sign_t sign, double ms)
+static canary_observation_t
+sign_of(const relay_request_t *req, canary_signal_t sign, double ms)
 {
 	const attempt_t *attempt = &req->attempt;
 
-	return (guard_answer_t){.sign = sign,
+	return (canary_observation_t){.signal = sign,
 	    .route = XXH3_64bits(req->route->name, strlen(req->route->name)),
 	    .model = attempt->model != NULL
 		? XXH3_64bits(attempt->model, strlen(attempt->model))
 		: 0,
-	    .fresh = attempt->is_new,
+	    .is_new = attempt->is_new,
 	    .stream = req->route->kind == ROUTE_STREAM,
 	    .counted = attempt->counted,
 	    .ms = ms};
@@ -57,26 +57,26 @@
  * with their times counted, 7 of 18 good versions were taken back on large
  * sheets. They still fail by their version alone. */
 static bool
-tells(const relay_request_t *req, guard_sign_t sign)
+tells(const relay_request_t *req, canary_signal_t sign)
 {
-	return sign == GUARD_FAILED || !req->attempt.is_new ||
+	return sign == CANARY_FAILED || !req->attempt.is_new ||
 	    !req->attempt.on_trial;
 }
 
 static void
-sign_tell(relay_request_t *req, guard_sign_t sign, double ms)
+sign_tell(relay_request_t *req, canary_signal_t sign, double ms)
 {
 	rollout_t *rollout = guarded(req);
-	guard_answer_t answer = sign_of(req, sign, ms);
+	canary_observation_t answer = sign_of(req, sign, ms);
 
 	if (rollout != NULL && tells(req, sign) &&
-	    version_guard_take(
-		&rollout->guard, &answer, clock_elapsed(req->relay->clock)))
+	    canary_analysis_observe(
+		&rollout->canary, &answer, clock_elapsed(req->relay->clock)))
 		req->attempt.counted = true;
 }
 
 void
-relay_guard_alive(relay_request_t *req)
+relay_canary_endpoint_alive(relay_request_t *req)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
 	struct timespec now = clock_elapsed(req->relay->clock);
@@ -90,8 +90,8 @@
 		const suspected_failure_t *failure = &endpoint->suspected[i];
 
 		if (timespec_ms_between(failure->at, now) < SUSPECT_MS)
-			version_guard_take(
-			    &rollout->guard, &failure->answer, now);
+			canary_analysis_observe(
+			    &rollout->canary, &failure->answer, now);
 	}
 	endpoint->suspected_len = 0;
 }
@@ -104,43 +104,43 @@
 }
 
 void
-relay_guard_begun(relay_request_t *req)
+relay_canary_first_byte(relay_request_t *req)
 {
 	if (!req->attempt.counted)
-		sign_tell(
-		    req, GUARD_BEGUN, beyond_wait(req, req->attempt.first_ms));
+		sign_tell(req, CANARY_FIRST_BYTE,
+		    beyond_wait(req, req->attempt.first_ms));
 }
 
 static void
 paced_tell(relay_request_t *req)
 {
 	req->attempt.paced = true;
-	sign_tell(req, GUARD_PACED, event_gap_ms(req));
+	sign_tell(req, CANARY_EVENT_GAP, event_gap_ms(req));
 }
 
 void
-relay_guard_event(relay_request_t *req)
+relay_canary_event(relay_request_t *req)
 {
 	if (!req->attempt.paced && req->events == PACED_EVENTS)
 		paced_tell(req);
 }
 
 void
-relay_guard_answered(relay_request_t *req)
+relay_canary_completed(relay_request_t *req)
 {
-	relay_guard_begun(req);
+	relay_canary_first_byte(req);
 	if (!req->attempt.paced && req->events >= PACED_EVENTS_MIN)
 		paced_tell(req);
 }
 
 void
-relay_guard_failed(relay_request_t *req)
+relay_canary_failed(relay_request_t *req)
 {
-	sign_tell(req, GUARD_FAILED, 0);
+	sign_tell(req, CANARY_FAILED, 0);
 }
 
 void
-relay_guard_suspect(relay_request_t *req)
+relay_canary_defer_failure(relay_request_t *req)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
 
@@ -148,12 +148,12 @@
 	    endpoint->suspected_len == ENDPOINT_SUSPECTED_MAX)
 		return;
 	endpoint->suspected[endpoint->suspected_len++] =
-	    (suspected_failure_t){.answer = sign_of(req, GUARD_FAILED, 0),
+	    (suspected_failure_t){.answer = sign_of(req, CANARY_FAILED, 0),
 		.at = clock_elapsed(req->relay->clock)};
 }
 
 void
-relay_guard_look(relay_t *relay)
+relay_canary_check_overdue(relay_t *relay)
 {
 	struct timespec now = clock_elapsed(relay->clock);
 
@@ -163,7 +163,7 @@
 
 		if (attempt->endpoint != NULL && attempt->sent &&
 		    !attempt->headed && !attempt->counted)
-			sign_tell(req, GUARD_OVERDUE,
+			sign_tell(req, CANARY_OVERDUE,
 			    beyond_wait(req,
 				(double)timespec_ms_between(
 				    attempt->sent_at, now)));
--- a/moortack/relay/relay_candidates.c
+++ b/moortack/relay/relay_candidates.c
@@ -57,14 +57,14 @@
 	case VERSION_ANY:
 		return strcmp(group->base_version, version) == 0;
 	case VERSION_OLD:
-		return strcmp(rollout_base(rollout), version) == 0;
+		return strcmp(rollout_base_version(rollout), version) == 0;
 	case VERSION_NEW:
-		return rollout_is_new(rollout, endpoint);
+		return rollout_is_new_version(rollout, endpoint);
 	case VERSION_OTHER:
 		break;
 	}
-	return !rollout_is_new(rollout, endpoint) &&
-	    !rollout_taken_back(rollout, endpoint);
+	return !rollout_is_new_version(rollout, endpoint) &&
+	    !rollout_is_reverted_version(rollout, endpoint);
 }
 
 /* Both the route and the organisation may restrict the regions. */
@@ -168,7 +168,7 @@
 
 	if (rollout->share >= 1.0 || keep == 0)
 		return;
-	if (rollout_on_trial(rollout)) {
+	if (rollout_is_saturating(rollout)) {
 		filled = trial_size(req, group, set, rollout->share);
 		if (filled < keep)
 			keep = filled > 0 ? filled : 1;
@@ -212,7 +212,7 @@
 candidates_old(const relay_request_t *req, const endpoint_group_t *group,
     const rollout_t *rollout, candidates_t *out)
 {
-	version_class_t wanted = group_has(group, rollout_base(rollout))
+	version_class_t wanted = group_has(group, rollout_base_version(rollout))
 	    ? VERSION_OLD
 	    : VERSION_OTHER;
 
@@ -247,7 +247,7 @@
 		candidates_narrow(req, group, rollout, out);
 	/* None of the wanted version can take it. */
 	if (out->len == 0 && wanted == VERSION_NEW &&
-	    rollout_old_allowed(rollout))
+	    rollout_allows_old_version(rollout))
 		candidates_old(req, group, rollout, out);
 	if (out->len == 0 && out->cold > 0)
 		*why = "warming_up";
--- a/moortack/relay/relay_model.c
+++ b/moortack/relay/relay_model.c
@@ -52,7 +52,7 @@
 	if (req->model != NULL && req->begun)
 		return req->model;
 	if (!req->model_chosen) {
-		req->model_index = model_first(route->models_len);
+		req->model_index = model_choice_first(route->models_len);
 		req->model_chosen = true;
 	}
 	if (req->model_index >= route->models_len)
@@ -92,7 +92,7 @@
 		attempt->late_told = true;
 		model = relay_model_known(req, attempt->model);
 		if (model != NULL)
-			model_record_take(&model->record, false);
+			model_stats_add_start(&model->record, false);
 	}
 }
 
@@ -110,12 +110,13 @@
 		? attempt->first_ms - attempt->place.wait_ms
 		: 0);
 	if (!attempt->late_told)
-		model_record_take(&model->record, objective_left_ms(req) >= 0);
+		model_stats_add_start(
+		    &model->record, objective_left_ms(req) >= 0);
 	if (req->model_index == 0)
 		req->smallest_estimate = req->confidence;
 	else
-		model_record_judge(&model->record, req->smallest_estimate,
-		    req->confidence, largest);
+		model_stats_add_confidence(&model->record,
+		    req->smallest_estimate, req->confidence, largest);
 }
 
 void
@@ -151,35 +152,35 @@
 	if (model == NULL)
 		model = &unknown;
 	*option = (model_option_t){.cost = named->cost,
-	    .good = model_record_good(
+	    .good_probability = model_stats_good_probability(
 		&model->record, req->smallest_estimate, largest),
-	    .on_time = model_record_on_time(&model->record),
-	    .first_ms = -1};
+	    .on_time_rate = model_stats_on_time_probability(&model->record),
+	    .first_byte_ms = -1};
 	if (relay_place(req, index, &place, &why))
-		option->first_ms = place.first_ms;
+		option->first_byte_ms = place.first_ms;
 }
 
 void
 relay_model_judge(relay_request_t *req)
 {
 	const relay_route_t *route = req->route;
-	model_moment_t moment = {.model = req->model_index,
+	model_choice_input_t moment = {.model = req->model_index,
 	    .models = route->models_len,
 	    .confidence = req->confidence,
-	    .left_ms = objective_left_ms(req)};
+	    .remaining_ms = objective_left_ms(req)};
 	size_t next;
 
 	if (!req->arrival.any_model || route->models_len == 0)
 		return;
 	head_note(req);
 	late_note(req->relay);
-	if (model_is_sure(req->confidence))
+	if (model_choice_is_final(req->confidence))
 		return;
-	moment.repeat_left = req->sends < route->attempts &&
+	moment.retry_allowed = req->sends < route->attempts &&
 	    relay_repeat_plenty(req->relay, req->service);
 	for (size_t i = moment.model + 1; i < moment.models; i++)
 		option_fill(req, i, &moment.options[i]);
-	next = model_next(&moment);
+	next = model_choice_next(&moment);
 	if (next == req->model_index)
 		return;
 	req->model_index = next;
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -63,7 +63,7 @@
 report_send(relay_node_t *node)
 {
 	struct timespec now = clock_elapsed(node->ports.clock);
-	bool active = rollouts_active(&node->rollouts);
+	bool active = rollouts_any_active(&node->rollouts);
 	row_watch_t *own = &node->source.watches[ROW_TABLE_OWN].watch;
 
 	own->pace.pause_ms = active ? OWN_PAUSE_BUSY_MS : OWN_PAUSE_MS;
@@ -86,7 +86,7 @@
 static void
 sessions_send(relay_node_t *node)
 {
-	char *text = rollouts_sessions(&node->rollouts);
+	char *text = rollouts_encode_sessions(&node->rollouts);
 	char key[SESSIONS_KEY_SIZE];
 	row_t row = {.key = key, .value = text};
 
@@ -118,13 +118,13 @@
 		return;
 	row.value = known->value;
 	row.value_len = known->value_len;
-	rollouts_sessions_row(&node->rollouts, &row);
+	rollouts_apply_sessions_row(&node->rollouts, &row);
 }
 
 static void
 sessions_step(relay_node_t *node)
 {
-	if (!rollouts_active(&node->rollouts))
+	if (!rollouts_any_active(&node->rollouts))
 		return;
 	relay_sessions_note(&node->relay);
 	if (node->source.following)
@@ -231,8 +231,8 @@
 	gossip_tick(&node->gossip);
 	sessions_step(node);
 	relay_quarantine_tick(&node->relay.quarantine);
-	if (rollouts_active(&node->rollouts))
-		relay_guard_look(&node->relay);
+	if (rollouts_any_active(&node->rollouts))
+		relay_canary_check_overdue(&node->relay);
 	report_send(node);
 	calls_tell(node);
 	if (node->leaving)
@@ -332,16 +332,18 @@
 		    err, ERR_SETTING, "cannot set the region of a zone");
 	node->rollouts = (rollouts_t){.store = ports->store,
 	    .clock = ports->clock,
-	    .dialect = ports->rollouts,
+	    .status_encoder = ports->rollouts,
 	    .members = &node->members,
-	    .orders = orders,
-	    .states = &node->source.watches[ROW_TABLE_OWN].watch,
+	    .orders_watch = orders,
+	    .states_watch = &node->source.watches[ROW_TABLE_OWN].watch,
 	    .log = &node->log,
-	    .on_old = relay_on_old,
-	    .first_version = relay_first_version,
+	    .old_in_flight = relay_on_old,
+	    .group_base_version = relay_first_version,
 	    .relay = &node->relay};
-	session_memory_init(&node->rollouts.served, node->settings.session_ms);
-	session_memory_init(&node->rollouts.heard, node->settings.session_ms);
+	recent_sessions_init(
+	    &node->rollouts.local_sessions, node->settings.session_ms);
+	recent_sessions_init(
+	    &node->rollouts.peer_sessions, node->settings.session_ms);
 	node->relay = (relay_t){.base = ports->base,
 	    .clock = ports->clock,
 	    .rng = ports->rng,
--- a/moortack/relay/relay_request.h
+++ b/moortack/relay/relay_request.h
@@ -204,15 +204,15 @@
 
 /** The guard of a roll-out is told of the attempt's answer: it has begun, its
  * next event came, it ended in good order, or it is a failure. */
-void relay_guard_begun(relay_request_t *);
-void relay_guard_event(relay_request_t *);
-void relay_guard_answered(relay_request_t *);
-void relay_guard_failed(relay_request_t *);
+void relay_canary_first_byte(relay_request_t *);
+void relay_canary_event(relay_request_t *);
+void relay_canary_completed(relay_request_t *);
+void relay_canary_failed(relay_request_t *);
 /** An answer that broke off or never came: told once the endpoint
  * answers again, since one that died says nothing of its version. */
-void relay_guard_suspect(relay_request_t *);
+void relay_canary_defer_failure(relay_request_t *);
 /** The attempt's endpoint answers: what broke before was not its death. */
-void relay_guard_alive(relay_request_t *);
+void relay_canary_endpoint_alive(relay_request_t *);
 
 /** The attempt's connection ended before its answer: its endpoint may have
  * crashed. */
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -90,7 +90,7 @@
 		return;
 	if (node->ports.sources->order(
 		row->value, row->value_len, row->version, &order, &err))
-		rollouts_order(&node->rollouts, &order);
+		rollouts_apply_order(&node->rollouts, &order);
 	else
 		row_refusals_note(&node->refusals, ROW_KIND_ORDER, row, &err);
 }
@@ -146,7 +146,7 @@
 	err_t err;
 
 	row_source_put(&node->source, ROW_TABLE_OWN, row);
-	if (!rollouts_row(&node->rollouts, row, &err))
+	if (!rollouts_apply_state_row(&node->rollouts, row, &err))
 		row_refusals_note(&node->refusals, ROW_KIND_STATE, row, &err);
 }
 
@@ -183,7 +183,7 @@
 		on_key_row(node, row);
 	} else if (has_prefix(row, ROLLOUT_SESSIONS_PREFIX)) {
 		row_source_put(&node->source, ROW_TABLE_OWN, row);
-		rollouts_sessions_row(&node->rollouts, row);
+		rollouts_apply_sessions_row(&node->rollouts, row);
 	}
 }
 
@@ -282,7 +282,7 @@
 	relay_node_t *node = arg;
 
 	membership_store_clock(&node->members, now_ms);
-	rollouts_store_clock(&node->rollouts, now_ms);
+	rollouts_set_store_clock(&node->rollouts, now_ms);
 }
 
 static json_t *
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -7,8 +7,9 @@
 static bool
 members_stale(const relay_t *relay)
 {
-	return relay->rollouts != NULL && relay->rollouts->states != NULL &&
-	    row_watch_age_ms(relay->rollouts->states) > MEMBERS_STALE_MS;
+	return relay->rollouts != NULL &&
+	    relay->rollouts->states_watch != NULL &&
+	    row_watch_age_ms(relay->rollouts->states_watch) > MEMBERS_STALE_MS;
 }
 
 static int64_t
--- a/moortack/relay/rollout_plan.c
+++ b/moortack/relay/rollout_plan.c
@@ -31,7 +31,7 @@
 #define HASH_RANGE 18446744073709551616.0
 
 static double
-part_elapsed(const rollout_moment_t *moment)
+part_elapsed(const rollout_snapshot_t *moment)
 {
 	if (moment->duration_ms <= 0)
 		return 1.0;
@@ -39,7 +39,7 @@
 }
 
 double
-rollout_share(const rollout_moment_t *moment)
+rollout_plan_share(const rollout_snapshot_t *moment)
 {
 	double part = part_elapsed(moment);
 	double share = 0;
@@ -53,20 +53,20 @@
 		if (part >= steps[i].from)
 			share = steps[i].share;
 	}
-	if (moment->uncertain && share > UNCERTAIN_SHARE)
+	if (moment->stale && share > UNCERTAIN_SHARE)
 		return UNCERTAIN_SHARE;
 	return share;
 }
 
 bool
-rollout_pins(const rollout_moment_t *moment)
+rollout_plan_pins_sessions(const rollout_snapshot_t *moment)
 {
 	return moment->state == ROLLOUT_IN_PROGRESS &&
 	    part_elapsed(moment) < PIN_UNTIL;
 }
 
 bool
-rollout_trial(const rollout_moment_t *moment)
+rollout_plan_is_saturating(const rollout_snapshot_t *moment)
 {
 	double part = part_elapsed(moment);
 
@@ -75,18 +75,18 @@
 }
 
 bool
-rollout_takes(double share, uint64_t hash)
+rollout_share_includes(double share, uint64_t hash)
 {
 	return (double)hash < share * HASH_RANGE;
 }
 
 bool
-rollout_may_complete(const rollout_moment_t *moment, bool settled)
+rollout_plan_may_complete(const rollout_snapshot_t *moment, bool settled)
 {
 	double part = part_elapsed(moment);
 
 	if (moment->state != ROLLOUT_IN_PROGRESS || moment->stopped ||
-	    moment->uncertain)
+	    moment->stale)
 		return false;
 	return part >= COMPLETE_LATEST || (part >= COMPLETE_FROM && settled);
 }
--- a/moortack/relay/rollout_report.c
+++ b/moortack/relay/rollout_report.c
@@ -26,29 +26,29 @@
 	return (uint32_t)json_integer_value(json_array_get(row, at));
 }
 
-static guard_count_t
+static canary_counts_t
 count_read(const json_t *row, size_t at)
 {
-	return (guard_count_t){.seen = number_at(row, at),
+	return (canary_counts_t){.responses = number_at(row, at),
 	    .failed = number_at(row, at + 1),
-	    .slow = number_at(row, at + 2),
-	    .paced = number_at(row, at + 3),
-	    .dragged = number_at(row, at + 4)};
+	    .late = number_at(row, at + 2),
+	    .gaps_measured = number_at(row, at + 3),
+	    .gaps_slow = number_at(row, at + 4)};
 }
 
 static void
-tally_read(const json_t *row, guard_tally_t *tally)
+tally_read(const json_t *row, canary_tally_t *tally)
 {
 	const char *route = json_string_value(json_array_get(row, 0));
 
-	*tally = (guard_tally_t){
+	*tally = (canary_tally_t){
 	    .route = route != NULL ? strtoull(route, NULL, 16) : 0,
-	    .fresh = count_read(row, 1),
-	    .base = count_read(row, 1 + COUNT_FIELDS)};
+	    .new_counts = count_read(row, 1),
+	    .old_counts = count_read(row, 1 + COUNT_FIELDS)};
 }
 
 static void
-members_add(const rollout_t *rollout, guard_tally_t *sums, size_t *len)
+members_add(const rollout_t *rollout, canary_tally_t *sums, size_t *len)
 {
 	const membership_t *members = rollout->owner->members;
 
@@ -65,53 +65,54 @@
 			continue;
 		json_array_foreach(rows, i, row)
 		{
-			guard_tally_t tally;
+			canary_tally_t tally;
 
 			tally_read(row, &tally);
-			guard_tally_add(sums, len, SUM_ROUTES_MAX, &tally);
+			canary_tally_add(sums, len, SUM_ROUTES_MAX, &tally);
 		}
 	}
 }
 
 static void
-bad_log(const rollout_t *rollout, const guard_tally_t *tally)
+bad_log(const rollout_t *rollout, const canary_tally_t *tally)
 {
 	event_line(rollout->owner->log, "rollout_bad",
 	    "service=%s order=%" PRIu64 " route=%016" PRIx64
 	    " new=%u failed=%u slow=%u paced=%u dragged=%u"
 	    " old=%u failed=%u slow=%u paced=%u dragged=%u",
 	    rollout->order.service, rollout->order.number, tally->route,
-	    tally->fresh.seen, tally->fresh.failed, tally->fresh.slow,
-	    tally->fresh.paced, tally->fresh.dragged, tally->base.seen,
-	    tally->base.failed, tally->base.slow, tally->base.paced,
-	    tally->base.dragged);
+	    tally->new_counts.responses, tally->new_counts.failed,
+	    tally->new_counts.late, tally->new_counts.gaps_measured,
+	    tally->new_counts.gaps_slow, tally->old_counts.responses,
+	    tally->old_counts.failed, tally->old_counts.late,
+	    tally->old_counts.gaps_measured, tally->old_counts.gaps_slow);
 }
 
 /* All routes together show what no single one does yet. */
 static bool
-tallies_bad(const rollout_t *rollout, const guard_tally_t *sums, size_t len)
+tallies_bad(const rollout_t *rollout, const canary_tally_t *sums, size_t len)
 {
-	guard_tally_t all = {0};
+	canary_tally_t all = {0};
 
 	for (size_t i = 0; i < len; i++) {
-		guard_count_add(&all.fresh, &sums[i].fresh);
-		guard_count_add(&all.base, &sums[i].base);
-		if (version_guard_bad(&sums[i])) {
+		canary_counts_add(&all.new_counts, &sums[i].new_counts);
+		canary_counts_add(&all.old_counts, &sums[i].old_counts);
+		if (canary_tally_is_bad(&sums[i])) {
 			bad_log(rollout, &sums[i]);
 			return true;
 		}
 	}
-	if (!version_guard_bad(&all))
+	if (!canary_tally_is_bad(&all))
 		return false;
 	bad_log(rollout, &all);
 	return true;
 }
 
 bool
-rollout_found_bad(rollout_t *rollout)
+rollout_new_version_is_bad(rollout_t *rollout)
 {
-	guard_tally_t sums[SUM_ROUTES_MAX];
-	size_t len = version_guard_tally(&rollout->guard,
+	canary_tally_t sums[SUM_ROUTES_MAX];
+	size_t len = canary_analysis_tally(&rollout->canary,
 	    clock_elapsed(rollout->owner->clock), sums, SUM_ROUTES_MAX);
 
 	members_add(rollout, sums, &len);
@@ -120,11 +121,11 @@
 
 /* Every daemon sends all to the new version and has nothing on the old. */
 bool
-rollout_settled(const rollout_t *rollout)
+rollout_is_drained(const rollout_t *rollout)
 {
 	const membership_t *members = rollout->owner->members;
 
-	if (rollout->owner->on_old(rollout->owner->relay, rollout) > 0)
+	if (rollout->owner->old_in_flight(rollout->owner->relay, rollout) > 0)
 		return false;
 	for (const member_t *member = members->members; member != NULL;
 	     member = member->hh.next) {
@@ -141,42 +142,43 @@
 }
 
 static void
-count_write(json_t *row, const guard_count_t *count)
+count_write(json_t *row, const canary_counts_t *count)
 {
-	const uint32_t numbers[COUNT_FIELDS] = {count->seen, count->failed,
-	    count->slow, count->paced, count->dragged};
+	const uint32_t numbers[COUNT_FIELDS] = {count->responses, count->failed,
+	    count->late, count->gaps_measured, count->gaps_slow};
 
 	for (size_t i = 0; i < COUNT_FIELDS; i++)
 		json_array_append_new(row, json_integer(numbers[i]));
 }
 
 static json_t *
-tally_row(const guard_tally_t *tally)
+tally_row(const canary_tally_t *tally)
 {
 	char route[17];
 	json_t *row;
 
 	snprintf(route, sizeof(route), "%016" PRIx64, tally->route);
 	row = json_pack("[s]", route);
-	count_write(row, &tally->fresh);
-	count_write(row, &tally->base);
+	count_write(row, &tally->new_counts);
+	count_write(row, &tally->old_counts);
 	return row;
 }
 
 static json_t *
 rollout_report(rollout_t *rollout)
 {
-	guard_tally_t tallies[GUARD_ROUTES_MAX];
-	size_t len = version_guard_tally(&rollout->guard,
-	    clock_elapsed(rollout->owner->clock), tallies, GUARD_ROUTES_MAX);
-	rollout_moment_t moment = rollout_moment(rollout);
+	canary_tally_t tallies[CANARY_ROUTES_MAX];
+	size_t len = canary_analysis_tally(&rollout->canary,
+	    clock_elapsed(rollout->owner->clock), tallies, CANARY_ROUTES_MAX);
+	rollout_snapshot_t moment = rollout_take_snapshot(rollout);
 	json_t *rows = json_array();
 
 	for (size_t i = 0; i < len; i++)
 		json_array_append_new(rows, tally_row(&tallies[i]));
 	return json_pack("{s:I, s:f, s:i, s:o}", "order",
-	    (json_int_t)rollout->order.number, "share", rollout_share(&moment),
-	    "old", (int)rollout->owner->on_old(rollout->owner->relay, rollout),
+	    (json_int_t)rollout->order.number, "share",
+	    rollout_plan_share(&moment), "old",
+	    (int)rollout->owner->old_in_flight(rollout->owner->relay, rollout),
 	    "tally", rows);
 }
 
@@ -186,8 +188,9 @@
 	json_t *report = NULL;
 	json_t *sessions;
 
-	for (rollout_t *one = self->all; one != NULL; one = one->hh.next) {
-		if (!rollout_under_way(one))
+	for (rollout_t *one = self->by_service; one != NULL;
+	     one = one->hh.next) {
+		if (!rollout_is_active(one))
 			continue;
 		if (report == NULL)
 			report = json_object();
@@ -197,8 +200,8 @@
 	if (report == NULL)
 		return NULL;
 	report = json_pack("{s:o}", "rollouts", report);
-	sessions =
-	    session_memory_list(&self->served, clock_elapsed(self->clock));
+	sessions = recent_sessions_encode(
+	    &self->local_sessions, clock_elapsed(self->clock));
 	if (sessions != NULL)
 		json_object_set_new(report, "sessions", sessions);
 	return report;
--- a/moortack/relay/rollout_sessions.c
+++ b/moortack/relay/rollout_sessions.c
@@ -4,41 +4,42 @@
 #include "rollouts_priv.h"
 
 void
-rollouts_note_old(rollouts_t *self, uint64_t hash)
+rollouts_record_old_session(rollouts_t *self, uint64_t hash)
 {
-	if (rollout_takes(ROLLOUT_FIRST_SHARE, hash))
-		session_memory_note(
-		    &self->served, hash, clock_elapsed(self->clock));
+	if (rollout_share_includes(ROLLOUT_FIRST_SHARE, hash))
+		recent_sessions_add(
+		    &self->local_sessions, hash, clock_elapsed(self->clock));
 }
 
 bool
-rollouts_session_served(const rollouts_t *self, uint64_t hash)
+rollouts_session_on_old(const rollouts_t *self, uint64_t hash)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
-	return session_memory_has(&self->served, hash, now) ||
-	    session_memory_has(&self->heard, hash, now);
+	return recent_sessions_contain(&self->local_sessions, hash, now) ||
+	    recent_sessions_contain(&self->peer_sessions, hash, now);
 }
 
 void
-rollouts_sessions_row(rollouts_t *self, const row_t *row)
+rollouts_apply_sessions_row(rollouts_t *self, const row_t *row)
 {
 	json_t *list;
 
 	if (row->deleted)
 		return;
 	list = json_loadb(row->value, row->value_len, 0, NULL);
-	session_memory_take(&self->heard, list, clock_elapsed(self->clock));
+	recent_sessions_merge(
+	    &self->peer_sessions, list, clock_elapsed(self->clock));
 	json_decref(list);
 }
 
 char *
-rollouts_sessions(const rollouts_t *self)
+rollouts_encode_sessions(const rollouts_t *self)
 {
 	struct timespec now = clock_elapsed(self->clock);
 	json_t *all = json_array();
-	json_t *served = session_memory_list(&self->served, now);
-	json_t *heard = session_memory_list(&self->heard, now);
+	json_t *served = recent_sessions_encode(&self->local_sessions, now);
+	json_t *heard = recent_sessions_encode(&self->peer_sessions, now);
 	char *text;
 
 	if (served != NULL)
@@ -53,12 +54,12 @@
 }
 
 void
-rollouts_sessions_take(rollouts_t *self)
+rollouts_merge_member_sessions(rollouts_t *self)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
 	for (const member_t *member = self->members->members; member != NULL;
 	     member = member->hh.next)
-		session_memory_take(&self->heard,
+		recent_sessions_merge(&self->peer_sessions,
 		    json_object_get(member->report, "sessions"), now);
 }
--- a/moortack/relay/rollout_state.c
+++ b/moortack/relay/rollout_state.c
@@ -30,7 +30,7 @@
 }
 
 static bool
-state_take(const json_t *value, state_facts_t *facts, err_t *err)
+state_take(const json_t *value, rollout_state_row_t *facts, err_t *err)
 {
 	json_int_t order = json_integer_value(json_object_get(value, "order"));
 
@@ -51,12 +51,12 @@
 }
 
 bool
-rollout_state_decode(const row_t *row, state_facts_t *facts, err_t *err)
+rollout_state_decode(const row_t *row, rollout_state_row_t *facts, err_t *err)
 {
 	json_t *value = json_loadb(row->value, row->value_len, 0, NULL);
 	bool taken;
 
-	*facts = (state_facts_t){0};
+	*facts = (rollout_state_row_t){0};
 	if (!json_is_object(value)) {
 		json_decref(value);
 		return err_set(
@@ -68,15 +68,15 @@
 }
 
 char *
-rollout_state_text(const rollout_t *rollout, rollout_state_t state)
+rollout_state_encode(const rollout_t *rollout, rollout_state_t state)
 {
 	const rollouts_t *self = rollout->owner;
 	json_t *value = json_pack("{s:I, s:s, s:s, s:s, s:I}", "order",
-	    (json_int_t)rollout->order.number, "to", rollout->order.to, "base",
-	    rollout_base(rollout), "state", rollout_state_names[state],
-	    "began_ms",
-	    (json_int_t)(timespec_ms(rollout_began(rollout)) +
-		self->now_offset_ms));
+	    (json_int_t)rollout->order.number, "to", rollout->order.to_version,
+	    "base", rollout_base_version(rollout), "state",
+	    rollout_state_names[state], "began_ms",
+	    (json_int_t)(timespec_ms(rollout_started_at(rollout)) +
+		self->store_clock_offset_ms));
 	char *text = json_dumps(value, JSON_COMPACT);
 
 	json_decref(value);
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -23,7 +23,7 @@
 {
 	rollout_t *rollout;
 
-	HASH_FIND_STR(self->all, service, rollout);
+	HASH_FIND_STR(self->by_service, service, rollout);
 	return rollout;
 }
 
@@ -39,7 +39,7 @@
 		return NULL;
 	rollout->owner = self;
 	strcpy(rollout->order.service, service);
-	HASH_ADD_KEYPTR(hh, self->all, rollout->order.service,
+	HASH_ADD_KEYPTR(hh, self->by_service, rollout->order.service,
 	    strlen(rollout->order.service), rollout);
 	return rollout;
 }
@@ -49,7 +49,7 @@
 state_now(const rollout_t *rollout)
 {
 	if (rollout->state_order != rollout->order.number)
-		return ROLLOUT_NONE;
+		return ROLLOUT_PENDING;
 	return rollout->state;
 }
 
@@ -57,28 +57,29 @@
  * it is of that order and the store's clock is known, or else when it was first
  * seen here. */
 struct timespec
-rollout_began(const rollout_t *rollout)
+rollout_started_at(const rollout_t *rollout)
 {
 	const rollouts_t *self = rollout->owner;
 
 	if (rollout->state_order != rollout->order.number ||
-	    rollout->began_ms <= 0 || !self->now_known)
-		return rollout->seen;
-	return timespec_of_ms(rollout->began_ms - self->now_offset_ms);
+	    rollout->started_ms <= 0 || !self->store_clock_known)
+		return rollout->order_seen_at;
+	return timespec_of_ms(
+	    rollout->started_ms - self->store_clock_offset_ms);
 }
 
-rollout_moment_t
-rollout_moment(const rollout_t *rollout)
+rollout_snapshot_t
+rollout_take_snapshot(const rollout_t *rollout)
 {
 	const rollouts_t *self = rollout->owner;
 
-	return (rollout_moment_t){.state = state_now(rollout),
+	return (rollout_snapshot_t){.state = state_now(rollout),
 	    .elapsed_ms = timespec_ms_between(
-		rollout_began(rollout), clock_elapsed(self->clock)),
+		rollout_started_at(rollout), clock_elapsed(self->clock)),
 	    .duration_ms = rollout->order.duration_ms,
 	    .stopped = rollout->stopped,
-	    .uncertain = row_watch_age_ms(self->orders) > UNCERTAIN_MS ||
-		row_watch_age_ms(self->states) > UNCERTAIN_MS};
+	    .stale = row_watch_age_ms(self->orders_watch) > UNCERTAIN_MS ||
+		row_watch_age_ms(self->states_watch) > UNCERTAIN_MS};
 }
 
 static bool
@@ -90,75 +91,78 @@
 bool
 rollout_prefers_new(rollout_t *rollout, uint64_t hash, bool session)
 {
-	rollout_moment_t moment;
+	rollout_snapshot_t moment;
 	double share;
 
 	if (!ordered(rollout))
 		return false;
-	moment = rollout_moment(rollout);
-	share = rollout_share(&moment);
+	moment = rollout_take_snapshot(rollout);
+	share = rollout_plan_share(&moment);
 	if (share != rollout->share) {
 		event_line(rollout->owner->log, "rollout_share",
 		    "service=%s order=%" PRIu64
 		    " to=%s state=%s share=%.2f elapsed_ms=%" PRId64
 		    " stopped=%d uncertain=%d",
 		    rollout->order.service, rollout->order.number,
-		    rollout->order.to, rollout_state_names[moment.state], share,
-		    moment.elapsed_ms, moment.stopped, moment.uncertain);
+		    rollout->order.to_version,
+		    rollout_state_names[moment.state], share, moment.elapsed_ms,
+		    moment.stopped, moment.stale);
 		rollout->share = share;
 	}
-	if (!session || !rollout_pins(&moment))
-		return rollout_takes(share, hash);
+	if (!session || !rollout_plan_pins_sessions(&moment))
+		return rollout_share_includes(share, hash);
 	/* Served sessions are remembered and reported to the other daemons only
 	 * if the first step takes them; the rest must not move while sessions
 	 * are pinned. */
 	if (share > ROLLOUT_FIRST_SHARE)
 		share = ROLLOUT_FIRST_SHARE;
-	return !rollouts_session_served(rollout->owner, hash) &&
-	    rollout_takes(share, hash);
+	return !rollouts_session_on_old(rollout->owner, hash) &&
+	    rollout_share_includes(share, hash);
 }
 
 bool
-rollout_is_new(const rollout_t *rollout, const endpoint_t *endpoint)
+rollout_is_new_version(const rollout_t *rollout, const endpoint_t *endpoint)
 {
-	return strcmp(rollout->order.to, endpoint->facts.version) == 0;
+	return strcmp(rollout->order.to_version, endpoint->facts.version) == 0;
 }
 
 bool
-rollout_on_trial(const rollout_t *rollout)
+rollout_is_saturating(const rollout_t *rollout)
 {
-	rollout_moment_t moment = rollout_moment(rollout);
+	rollout_snapshot_t moment = rollout_take_snapshot(rollout);
 
-	return ordered(rollout) && rollout_trial(&moment);
+	return ordered(rollout) && rollout_plan_is_saturating(&moment);
 }
 
 bool
-rollout_old_allowed(const rollout_t *rollout)
+rollout_allows_old_version(const rollout_t *rollout)
 {
 	return state_now(rollout) != ROLLOUT_COMPLETED;
 }
 
 const char *
-rollout_base(const rollout_t *rollout)
+rollout_base_version(const rollout_t *rollout)
 {
 	const rollouts_t *self = rollout->owner;
 
 	if (rollout->state_order == 0)
-		return self->first_version != NULL
-		    ? self->first_version(self->relay, rollout->order.service)
+		return self->group_base_version != NULL
+		    ? self->group_base_version(
+			  self->relay, rollout->order.service)
 		    : "";
 	if (rollout->state_order < rollout->order.number &&
 	    rollout->state == ROLLOUT_COMPLETED)
-		return rollout->state_to;
-	return rollout->state_base;
+		return rollout->state_to_version;
+	return rollout->state_base_version;
 }
 
 bool
-rollout_taken_back(const rollout_t *rollout, const endpoint_t *endpoint)
+rollout_is_reverted_version(
+    const rollout_t *rollout, const endpoint_t *endpoint)
 {
 	return rollout->state_order < rollout->order.number &&
 	    rollout->state == ROLLOUT_REVERTED &&
-	    strcmp(rollout->state_to, endpoint->facts.version) == 0;
+	    strcmp(rollout->state_to_version, endpoint->facts.version) == 0;
 }
 
 static void
@@ -166,19 +170,19 @@
 {
 	rollouts_t *self = rollout->owner;
 
-	rollout->before = rollout->order;
+	rollout->previous_order = rollout->order;
 	rollout->order.number = order->number;
-	strcpy(rollout->order.to, order->to);
+	strcpy(rollout->order.to_version, order->to_version);
 	rollout->order.duration_ms = order->duration_ms;
-	rollout->next.number = 0;
-	rollout->seen = clock_elapsed(self->clock);
+	rollout->next_order.number = 0;
+	rollout->order_seen_at = clock_elapsed(self->clock);
 	rollout->stopped = false;
 	rollout->write_after = (struct timespec){0};
-	version_guard_restart(&rollout->guard);
+	canary_analysis_reset(&rollout->canary);
 	event_line(self->log, "rollout_order",
 	    "service=%s order=%" PRIu64 " to=%s base=%s duration_ms=%" PRId64,
-	    order->service, order->number, order->to, rollout_base(rollout),
-	    order->duration_ms);
+	    order->service, order->number, order->to_version,
+	    rollout_base_version(rollout), order->duration_ms);
 }
 
 /* Whether it is known how the order in force ended, or that another daemon
@@ -186,7 +190,7 @@
 static bool
 order_over(const rollout_t *rollout)
 {
-	return !rollout_under_way(rollout) ||
+	return !rollout_is_active(rollout) ||
 	    rollout->state_order > rollout->order.number;
 }
 
@@ -196,16 +200,16 @@
 static bool
 next_is_newest(const rollout_t *rollout)
 {
-	const row_watch_t *states = rollout->owner->states;
+	const row_watch_t *states = rollout->owner->states_watch;
 
 	return states->settled_once &&
-	    timespec_ms_between(rollout->next_seen, states->known) > 0;
+	    timespec_ms_between(rollout->next_order_seen_at, states->known) > 0;
 }
 
 static void
 next_take(rollout_t *rollout)
 {
-	rollout_order_t next = rollout->next;
+	rollout_order_t next = rollout->next_order;
 
 	if (next.number != 0 &&
 	    (order_over(rollout) || next_is_newest(rollout)))
@@ -215,7 +219,7 @@
 static bool
 same_words(const rollout_order_t *a, const rollout_order_t *b)
 {
-	return a->number != 0 && strcmp(a->to, b->to) == 0 &&
+	return a->number != 0 && strcmp(a->to_version, b->to_version) == 0 &&
 	    a->duration_ms == b->duration_ms;
 }
 
@@ -232,41 +236,43 @@
 		if (rollout->state_order == rollout->order.number)
 			rollout->state_order = order->number;
 		rollout->order.number = order->number;
-		rollout->state_spoilt = rollout->state_order != 0;
+		rollout->state_rewrite_needed = rollout->state_order != 0;
 		return true;
 	}
-	return same_words(&rollout->before, order) &&
-	    era_version_number(rollout->before.number) ==
+	return same_words(&rollout->previous_order, order) &&
+	    era_version_number(rollout->previous_order.number) ==
 	    era_version_number(order->number);
 }
 
 void
-rollouts_order(rollouts_t *self, const rollout_order_t *order)
+rollouts_apply_order(rollouts_t *self, const rollout_order_t *order)
 {
 	rollout_t *rollout = rollout_of(self, order->service);
 
 	if (rollout == NULL || order->number <= rollout->order.number ||
-	    order->number <= rollout->next.number ||
+	    order->number <= rollout->next_order.number ||
 	    order_known(rollout, order))
 		return;
 	if (order_over(rollout)) {
 		order_take(rollout, order);
 		return;
 	}
-	rollout->next = *order;
-	rollout->next_seen = clock_elapsed(self->clock);
+	rollout->next_order = *order;
+	rollout->next_order_seen_at = clock_elapsed(self->clock);
 	event_line(self->log, "rollout_next",
 	    "service=%s order=%" PRIu64 " to=%s before=%" PRIu64,
-	    order->service, order->number, order->to, rollout->order.number);
-	if (!self->states->suspended)
-		row_watch_hurry(self->states);
+	    order->service, order->number, order->to_version,
+	    rollout->order.number);
+	if (!self->states_watch->suspended)
+		row_watch_hurry(self->states_watch);
 }
 
 void
-rollouts_store_clock(rollouts_t *self, int64_t now_ms)
+rollouts_set_store_clock(rollouts_t *self, int64_t now_ms)
 {
-	self->now_offset_ms = now_ms - timespec_ms(clock_elapsed(self->clock));
-	self->now_known = true;
+	self->store_clock_offset_ms =
+	    now_ms - timespec_ms(clock_elapsed(self->clock));
+	self->store_clock_known = true;
 }
 
 /* How far a roll-out has come; it never goes back. */
@@ -274,7 +280,7 @@
 progress_of(rollout_state_t state)
 {
 	switch (state) {
-	case ROLLOUT_NONE:
+	case ROLLOUT_PENDING:
 		return 0;
 	case ROLLOUT_IN_PROGRESS:
 		return 1;
@@ -287,45 +293,45 @@
 
 /* An older copy of the store tells of a roll-out what was so before. */
 static bool
-state_steps_back(const rollout_t *rollout, const state_facts_t *facts)
+state_steps_back(const rollout_t *rollout, const rollout_state_row_t *facts)
 {
 	return rollout->state_order != 0 &&
-	    (strcmp(facts->to, rollout->state_to) != 0 ||
+	    (strcmp(facts->to, rollout->state_to_version) != 0 ||
 		progress_of(facts->state) < progress_of(rollout->state));
 }
 
 static void
-state_set(rollout_t *rollout, const state_facts_t *facts)
+state_set(rollout_t *rollout, const rollout_state_row_t *facts)
 {
 	rollout->state_order = facts->order;
-	strcpy(rollout->state_to, facts->to);
-	strcpy(rollout->state_base, facts->base);
+	strcpy(rollout->state_to_version, facts->to);
+	strcpy(rollout->state_base_version, facts->base);
 	rollout->state = facts->state;
-	rollout->began_ms = facts->began_ms;
-	rollout->state_spoilt = false;
+	rollout->started_ms = facts->began_ms;
+	rollout->state_rewrite_needed = false;
 }
 
 bool
-rollouts_row(rollouts_t *self, const row_t *row, err_t *err)
+rollouts_apply_state_row(rollouts_t *self, const row_t *row, err_t *err)
 {
 	rollout_t *rollout =
 	    rollout_of(self, row->key + strlen(ROLLOUT_PREFIX));
 	uint64_t era = era_version_era(row->version);
-	state_facts_t facts;
+	rollout_state_row_t facts;
 	bool restored;
 
 	if (rollout == NULL)
 		return err_set(err, ERR_NAME, "the service's name is too long");
-	if (row->version <= rollout->state_version)
+	if (row->version <= rollout->stored_version)
 		return true;
-	restored = era > era_version_era(rollout->state_version);
-	rollout->state_version = row->version;
+	restored = era > era_version_era(rollout->stored_version);
+	rollout->stored_version = row->version;
 	if (!rollout->stopped)
 		rollout->write_after = (struct timespec){0};
 	/* What is no state leaves the known one, which is written again. */
-	rollout->state_spoilt = true;
+	rollout->state_rewrite_needed = true;
 	if (row->deleted) {
-		rollout->state_version = 0;
+		rollout->stored_version = 0;
 		return true;
 	}
 	if (!rollout_state_decode(row, &facts, err))
@@ -358,12 +364,12 @@
 	 * lost answer is settled the same way. */
 	rollout->write_after =
 	    timespec_after_ms(clock_elapsed(self->clock), RETRY_MS);
-	if (!self->states->suspended)
-		row_watch_hurry(self->states);
+	if (!self->states_watch->suspended)
+		row_watch_hurry(self->states_watch);
 	event_line(self->log, "rollout_write",
 	    "service=%s order=%" PRIu64 " state=%s result=%d",
 	    rollout->order.service, rollout->order.number,
-	    rollout_state_names[rollout->wanted], (int)reply->result);
+	    rollout_state_names[rollout->write_state], (int)reply->result);
 }
 
 /* Write the state for the daemons and for the operator in one transaction. */
@@ -373,22 +379,22 @@
 	rollouts_t *self = rollout->owner;
 	char key[sizeof(ROLLOUT_PREFIX) + ENDPOINT_NAME_SIZE];
 	char *told_table = NULL, *told_key = NULL, *told = NULL;
-	char *own = rollout_state_text(rollout, state);
+	char *own = rollout_state_encode(rollout, state);
 	row_change_t expected = {.table = MEMBER_TABLE,
 	    .key = key,
-	    .expected = rollout->state_version};
+	    .expected = rollout->stored_version};
 	row_change_t changes[2];
 
 	snprintf(
 	    key, sizeof(key), "%s%s", ROLLOUT_PREFIX, rollout->order.service);
 	if (own != NULL &&
-	    self->dialect->tell(
+	    self->status_encoder->encode(
 		&rollout->order, state, &told_table, &told_key, &told)) {
 		changes[0] = (row_change_t){
 		    .table = MEMBER_TABLE, .key = key, .value = own};
 		changes[1] = (row_change_t){
 		    .table = told_table, .key = told_key, .value = told};
-		rollout->wanted = state;
+		rollout->write_state = state;
 		rollout->writing =
 		    row_store_write(self->store, ROW_FOR_STATE, &expected, 1,
 			changes, 2, WRITE_TIMEOUT_MS, state_written, rollout);
@@ -401,16 +407,16 @@
 
 /* The state that the store ought to have, or the one that it has. */
 static rollout_state_t
-state_wanted(rollout_t *rollout, const rollout_moment_t *moment)
+state_wanted(rollout_t *rollout, const rollout_snapshot_t *moment)
 {
-	if (moment->state == ROLLOUT_NONE)
+	if (moment->state == ROLLOUT_PENDING)
 		return rollout->stopped ? ROLLOUT_REVERTED
 					: ROLLOUT_IN_PROGRESS;
 	if (moment->state != ROLLOUT_IN_PROGRESS)
 		return moment->state;
 	if (rollout->stopped)
 		return ROLLOUT_REVERTED;
-	if (rollout_may_complete(moment, rollout_settled(rollout)))
+	if (rollout_plan_may_complete(moment, rollout_is_drained(rollout)))
 		return ROLLOUT_COMPLETED;
 	return ROLLOUT_IN_PROGRESS;
 }
@@ -420,18 +426,18 @@
 {
 	rollouts_t *self = rollout->owner;
 	struct timespec now = clock_elapsed(self->clock);
-	rollout_moment_t moment = rollout_moment(rollout);
+	rollout_snapshot_t moment = rollout_take_snapshot(rollout);
 	rollout_state_t wanted;
 
 	if (moment.state == ROLLOUT_IN_PROGRESS && !rollout->stopped &&
-	    rollout_found_bad(rollout)) {
+	    rollout_new_version_is_bad(rollout)) {
 		rollout->stopped = true;
 		moment.stopped = true;
 		rollout->write_after = now;
 	}
 	wanted = state_wanted(rollout, &moment);
 	if (rollout->writing ||
-	    (wanted == moment.state && !rollout->state_spoilt))
+	    (wanted == moment.state && !rollout->state_rewrite_needed))
 		return;
 	/* Others took up a later order, which is not known here yet: its state
 	 * stays. */
@@ -447,20 +453,20 @@
 }
 
 bool
-rollout_under_way(const rollout_t *rollout)
+rollout_is_active(const rollout_t *rollout)
 {
 	rollout_state_t state = state_now(rollout);
 
 	return ordered(rollout) &&
-	    (state == ROLLOUT_NONE || state == ROLLOUT_IN_PROGRESS);
+	    (state == ROLLOUT_PENDING || state == ROLLOUT_IN_PROGRESS);
 }
 
 bool
-rollouts_active(const rollouts_t *self)
+rollouts_any_active(const rollouts_t *self)
 {
-	for (const rollout_t *one = self->all; one != NULL;
+	for (const rollout_t *one = self->by_service; one != NULL;
 	     one = one->hh.next) {
-		if (rollout_under_way(one))
+		if (rollout_is_active(one))
 			return true;
 	}
 	return false;
@@ -473,9 +479,10 @@
 
 	(void)fd;
 	(void)what;
-	if (rollouts_active(self))
-		rollouts_sessions_take(self);
-	for (rollout_t *one = self->all; one != NULL; one = one->hh.next) {
+	if (rollouts_any_active(self))
+		rollouts_merge_member_sessions(self);
+	for (rollout_t *one = self->by_service; one != NULL;
+	     one = one->hh.next) {
 		next_take(one);
 		if (ordered(one))
 			rollout_step(one);
@@ -496,12 +503,12 @@
 {
 	rollout_t *rollout, *next;
 
-	HASH_ITER(hh, self->all, rollout, next)
+	HASH_ITER(hh, self->by_service, rollout, next)
 	{
-		HASH_DEL(self->all, rollout);
+		HASH_DEL(self->by_service, rollout);
 		free(rollout);
 	}
-	session_memory_finish(&self->served);
-	session_memory_finish(&self->heard);
+	recent_sessions_finish(&self->local_sessions);
+	recent_sessions_finish(&self->peer_sessions);
 	event_free(self->timer);
 }
--- a/moortack/relay/rollouts_priv.h
+++ b/moortack/relay/rollouts_priv.h
@@ -13,35 +13,35 @@
 extern const char *const rollout_state_names[];
 
 /** What the row of a roll-out's state says. */
-typedef struct state_facts {
+typedef struct rollout_state_row {
 	uint64_t order; /**< that the state is of */
 	char to[ENDPOINT_NAME_SIZE];
 	char base[ENDPOINT_NAME_SIZE]; /**< version that it replaces; "": not
 					  known */
 	rollout_state_t state;
 	int64_t began_ms; /**< by the store's clock; 0: not known */
-} state_facts_t;
+} rollout_state_row_t;
 
 /** Read such a row, not a deleted one; false fills the error. */
-bool rollout_state_decode(const row_t *, state_facts_t *, err_t *);
+bool rollout_state_decode(const row_t *, rollout_state_row_t *, err_t *);
 /** The row's value for a state, to be freed, or NULL. */
-char *rollout_state_text(const rollout_t *, rollout_state_t);
+char *rollout_state_encode(const rollout_t *, rollout_state_t);
 /** When the order in force began, by this daemon's clock. */
-struct timespec rollout_began(const rollout_t *);
+struct timespec rollout_started_at(const rollout_t *);
 
 /** What the share depends on, now. */
-rollout_moment_t rollout_moment(const rollout_t *);
+rollout_snapshot_t rollout_take_snapshot(const rollout_t *);
 
 /** Whether the answers counted by all daemons show the new version as bad. */
-bool rollout_found_bad(rollout_t *);
+bool rollout_new_version_is_bad(rollout_t *);
 
 /** Whether every daemon sends all to the new version and has nothing on the
  * old one. */
-bool rollout_settled(const rollout_t *);
+bool rollout_is_drained(const rollout_t *);
 
 /** Whether a session with this hash was served by an old version of late. */
-bool rollouts_session_served(const rollouts_t *, uint64_t hash);
+bool rollouts_session_on_old(const rollouts_t *, uint64_t hash);
 /** Take the sessions that other daemons report. */
-void rollouts_sessions_take(rollouts_t *);
+void rollouts_merge_member_sessions(rollouts_t *);
 
 #endif
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -64,7 +64,7 @@
 {
 	static const caller_dialect_t callers;
 	static const endpoint_dialect_t endpoints;
-	static const rollout_dialect_t rollouts;
+	static const rollout_status_encoder_t rollouts;
 	relay_node_settings_t settings = {.listen = {"127.0.0.1", 0},
 	    .zone = "a",
 	    .old_ms = 2400,
--- a/test/fuzz/rollouts_fuzz.c
+++ b/test/fuzz/rollouts_fuzz.c
@@ -171,7 +171,7 @@
 	return true;
 }
 
-static const rollout_dialect_t dialect = {state_tell};
+static const rollout_status_encoder_t dialect = {state_tell};
 
 /* Daemons. --------------------------------------------------------------------
  */
@@ -203,18 +203,19 @@
 	FUZZ_CHECK(offsetof(daemon_t, rollouts) == 0);
 	daemon->rollouts = (rollouts_t){.store = &world.store,
 	    .clock = &world.clock.source,
-	    .dialect = &dialect,
+	    .status_encoder = &dialect,
 	    .members = &daemon->members,
-	    .orders = &daemon->orders,
-	    .states = &daemon->states,
+	    .orders_watch = &daemon->orders,
+	    .states_watch = &daemon->states,
 	    .log = &daemon->log,
-	    .on_old = on_old,
-	    .first_version = first_version};
-	session_memory_init(&daemon->rollouts.served, SESSION_MS);
-	session_memory_init(&daemon->rollouts.heard, SESSION_MS);
+	    .old_in_flight = on_old,
+	    .group_base_version = first_version};
+	recent_sessions_init(&daemon->rollouts.local_sessions, SESSION_MS);
+	recent_sessions_init(&daemon->rollouts.peer_sessions, SESSION_MS);
 	memset(daemon->old_served_at, 0, sizeof(daemon->old_served_at));
 	FUZZ_CHECK(rollouts_init(&daemon->rollouts, world.base));
-	rollouts_store_clock(&daemon->rollouts, timespec_ms(world.clock.now));
+	rollouts_set_store_clock(
+	    &daemon->rollouts, timespec_ms(world.clock.now));
 }
 
 static void
@@ -229,9 +230,9 @@
 	if (world.orders_len == 0)
 		return;
 	order.number = world.orders[world.orders_len - 1].number;
-	version_name(world.orders_len, order.to);
+	version_name(world.orders_len, order.to_version);
 	daemon->known_order = order.number;
-	rollouts_order(&daemon->rollouts, &order);
+	rollouts_apply_order(&daemon->rollouts, &order);
 }
 
 static void
@@ -249,7 +250,7 @@
 	if (world.state_version == 0)
 		return;
 	daemon->known_state = world.state_version;
-	rollouts_row(&daemon->rollouts, &row, NULL);
+	rollouts_apply_state_row(&daemon->rollouts, &row, NULL);
 }
 
 static void
@@ -313,27 +314,29 @@
 	struct timespec served_at = daemon->old_served_at[hash_index];
 	bool served = served_at.tv_sec != 0 &&
 	    timespec_ms_between(served_at, now) < SESSION_MS;
-	rollout_moment_t moment;
+	rollout_snapshot_t moment;
 	bool fresh;
 
 	/* A daemon that has not read the states yet takes no requests. */
 	if (rollout == NULL || rollout->order.number == 0 ||
 	    !daemon->states.settled_once)
 		return;
-	moment = (rollout_moment_t){
+	moment = (rollout_snapshot_t){
 	    .state = rollout->state_order == rollout->order.number
 		? rollout->state
-		: ROLLOUT_NONE,
-	    .elapsed_ms = timespec_ms_between(rollout->seen, world.clock.now),
+		: ROLLOUT_PENDING,
+	    .elapsed_ms =
+		timespec_ms_between(rollout->order_seen_at, world.clock.now),
 	    .duration_ms = DURATION_MS};
 	fresh = rollout_prefers_new(rollout, hash, session);
-	FUZZ_CHECK(!fresh || !session || !served || !rollout_pins(&moment));
-	FUZZ_CHECK(!is_over(
-	    daemon, fresh ? rollout->order.to : rollout_base(rollout)));
+	FUZZ_CHECK(!fresh || !session || !served ||
+	    !rollout_plan_pins_sessions(&moment));
+	FUZZ_CHECK(!is_over(daemon,
+	    fresh ? rollout->order.to_version : rollout_base_version(rollout)));
 	if (!session || fresh)
 		return;
 	daemon->old_served_at[hash_index] = now;
-	rollouts_note_old(&daemon->rollouts, hash);
+	rollouts_record_old_session(&daemon->rollouts, hash);
 }
 
 /* Events. ---------------------------------------------------------------------
--- a/test/platform/decoders_test.c
+++ b/test/platform/decoders_test.c
@@ -408,7 +408,7 @@
 	assert_false(order_row_decode(bad, strlen(bad), 9, &order, &err));
 	assert_non_null(strstr(err.detail, "duration_s"));
 	assert_false(order_row_decode("[]", 2, 9, &order, &err));
-	assert_true(platform_rollout_dialect.tell(
+	assert_true(platform_rollout_dialect.encode(
 	    &order, ROLLOUT_REVERTED, &table, &key, &value));
 	assert_string_equal(table, "status");
 	assert_string_equal(key, "rollout/s1");
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -57,7 +57,7 @@
 {
 	static const caller_dialect_t callers;
 	static const endpoint_dialect_t endpoints;
-	static const rollout_dialect_t rollouts;
+	static const rollout_status_encoder_t rollouts;
 	relay_node_settings_t settings = {.listen = {"127.0.0.1", 0},
 	    .name = "10.0.0.99:80",
 	    .zone = "a",
@@ -379,7 +379,7 @@
 static void
 same_rollouts(const relay_node_t *a, const relay_node_t *b)
 {
-	for (const rollout_t *one = a->rollouts.all; one != NULL;
+	for (const rollout_t *one = a->rollouts.by_service; one != NULL;
 	     one = one->hh.next) {
 		const rollout_t *other =
 		    rollouts_find(&b->rollouts, one->order.service);
--- a/test/support/node_settings.h
+++ b/test/support/node_settings.h
@@ -24,7 +24,7 @@
 {
 	static const caller_dialect_t callers;
 	static const endpoint_dialect_t endpoints;
-	static const rollout_dialect_t rollouts;
+	static const rollout_status_encoder_t rollouts;
 	const relay_ports_t ports = {base, clock, rng, store, &told_sources,
 	    &callers, &endpoints, &rollouts};
 	err_t err;
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -200,19 +200,19 @@
 	    .settled_once = true,
 	    .known = chooser->clock.now};
 	chooser->rollouts = (rollouts_t){.clock = &chooser->clock.source,
-	    .orders = watch,
-	    .states = watch,
+	    .orders_watch = watch,
+	    .states_watch = watch,
 	    .log = &quiet};
 	rollout = (rollout_t){.owner = &chooser->rollouts,
 	    .order = {.service = "lm",
-		.to = "v2",
+		.to_version = "v2",
 		.number = 5,
 		.duration_ms = ORDER_MS},
 	    .state = ROLLOUT_IN_PROGRESS,
 	    .state_order = 5,
-	    .seen = timespec_after_ms(
+	    .order_seen_at = timespec_after_ms(
 		chooser->clock.now, -(int64_t)(part * ORDER_MS))};
-	HASH_ADD_KEYPTR(hh, chooser->rollouts.all, rollout.order.service,
+	HASH_ADD_KEYPTR(hh, chooser->rollouts.by_service, rollout.order.service,
 	    strlen(rollout.order.service), &rollout);
 	return &rollout;
 }
@@ -232,7 +232,7 @@
 	group->in_flight_mean = under_way;
 	one->relay.daemons_most = 1;
 	len = weighed(one, 0);
-	HASH_CLEAR(hh, one->rollouts.all);
+	HASH_CLEAR(hh, one->rollouts.by_service);
 	chooser_end(one);
 	return len;
 }
--- a/test/unit/relay_decisions_test.c
+++ b/test/unit/relay_decisions_test.c
@@ -12,24 +12,24 @@
 #include <string.h>
 
 #include "common/clock_source.h"
+#include "moortack/relay/canary_analysis.h"
 #include "moortack/relay/event_scan.h"
 #include "moortack/relay/first_try.h"
 #include "moortack/relay/model_choice.h"
-#include "moortack/relay/model_record.h"
+#include "moortack/relay/model_stats.h"
 #include "moortack/relay/prefill_rate.h"
+#include "moortack/relay/recent_sessions.h"
 #include "moortack/relay/retry_share.h"
 #include "moortack/relay/rollout_plan.h"
-#include "moortack/relay/session_memory.h"
-#include "moortack/relay/version_guard.h"
 
 /* Three models, of which the largest takes long to begin. */
-static model_moment_t
+static model_choice_input_t
 doubtful_moment(double largest_ms)
 {
-	return (model_moment_t){.models = 3,
+	return (model_choice_input_t){.models = 3,
 	    .confidence = 20,
-	    .repeat_left = true,
-	    .left_ms = 1000,
+	    .retry_allowed = true,
+	    .remaining_ms = 1000,
 	    .options = {{0.02, 10, 1, 1}, {0.1, largest_ms / 4, 0.3, 1},
 		{0.4, largest_ms, 1, 1}}};
 }
@@ -37,26 +37,27 @@
 static void
 a_doubtful_answer_goes_to_a_larger_model(void **state)
 {
-	model_moment_t moment = doubtful_moment(100);
+	model_choice_input_t moment = doubtful_moment(100);
 
 	(void)state;
-	assert_int_equal(model_first(3), 0);
-	assert_int_equal(model_next(&moment), 2);
-	assert_false(model_is_sure(moment.confidence));
+	assert_int_equal(model_choice_first(3), 0);
+	assert_int_equal(model_choice_next(&moment), 2);
+	assert_false(model_choice_is_final(moment.confidence));
 	moment.confidence = 90;
-	assert_true(model_is_sure(moment.confidence));
-	assert_int_equal(model_next(&moment), 0);
+	assert_true(model_choice_is_final(moment.confidence));
+	assert_int_equal(model_choice_next(&moment), 0);
 	moment.confidence = -1;
-	assert_int_equal(model_next(&moment), 0);
+	assert_int_equal(model_choice_next(&moment), 0);
 	moment.confidence = 45;
-	assert_int_equal(model_next(&moment), 2);
-	moment.options[2].on_time = 0.4;
-	assert_int_equal(model_next(&moment), 0);
+	assert_int_equal(model_choice_next(&moment), 2);
+	moment.options[2].on_time_rate = 0.4;
+	assert_int_equal(model_choice_next(&moment), 0);
 	moment = doubtful_moment(100);
-	moment.repeat_left = false;
-	assert_int_equal(model_next(&moment), 0);
-	moment = (model_moment_t){.model = 2, .models = 3, .repeat_left = true};
-	assert_int_equal(model_next(&moment), 2);
+	moment.retry_allowed = false;
+	assert_int_equal(model_choice_next(&moment), 0);
+	moment = (model_choice_input_t){
+	    .model = 2, .models = 3, .retry_allowed = true};
+	assert_int_equal(model_choice_next(&moment), 2);
 }
 
 /* A prompt that the largest model cannot read in time is not worth its cost;
@@ -64,18 +65,18 @@
 static void
 no_larger_model_is_asked_that_would_be_late(void **state)
 {
-	model_moment_t moment = doubtful_moment(2000);
+	model_choice_input_t moment = doubtful_moment(2000);
 
 	(void)state;
-	assert_int_equal(model_next(&moment), 1);
-	moment.options[1].good = 0.05;
-	assert_int_equal(model_next(&moment), 0);
+	assert_int_equal(model_choice_next(&moment), 1);
+	moment.options[1].good_probability = 0.05;
+	assert_int_equal(model_choice_next(&moment), 0);
 	moment = doubtful_moment(100);
-	moment.left_ms = -1;
-	assert_int_equal(model_next(&moment), 0);
+	moment.remaining_ms = -1;
+	assert_int_equal(model_choice_next(&moment), 0);
 	moment = doubtful_moment(-1);
-	moment.options[1].first_ms = -1;
-	assert_int_equal(model_next(&moment), 2);
+	moment.options[1].first_byte_ms = -1;
+	assert_int_equal(model_choice_next(&moment), 2);
 }
 
 /* The smallest model's estimate tells how good a larger one's answer will be,
@@ -83,37 +84,39 @@
 static void
 a_larger_models_gain_is_learned(void **state)
 {
-	model_record_t record = {0};
+	model_stats_t record = {0};
 
 	(void)state;
 	/* Before: tried where the smallest model was doubtful, not bad. */
-	assert_true(model_record_good(&record, 45, false) > 0.7);
-	assert_true(model_record_good(&record, 15, false) < 0.1);
-	assert_true(model_record_good(&record, 15, true) > 0.9);
+	assert_true(model_stats_good_probability(&record, 45, false) > 0.7);
+	assert_true(model_stats_good_probability(&record, 15, false) < 0.1);
+	assert_true(model_stats_good_probability(&record, 15, true) > 0.9);
 	for (int smallest = 30; smallest < 50; smallest++)
-		model_record_judge(&record, smallest, smallest + 22, false);
-	assert_true(model_record_good(&record, 40, false) > 0.9);
-	assert_true(model_record_good(&record, 15, false) < 0.1);
+		model_stats_add_confidence(
+		    &record, smallest, smallest + 22, false);
+	assert_true(model_stats_good_probability(&record, 40, false) > 0.9);
+	assert_true(model_stats_good_probability(&record, 15, false) < 0.1);
 	/* A version that is worse shows. */
 	for (int smallest = 30; smallest < 70; smallest++)
-		model_record_judge(&record, smallest, smallest + 2, false);
-	assert_true(model_record_good(&record, 40, false) < 0.3);
+		model_stats_add_confidence(
+		    &record, smallest, smallest + 2, false);
+	assert_true(model_stats_good_probability(&record, 40, false) < 0.3);
 }
 
 /* An estimate at the end of its range hides how bad the answer was. */
 static void
 the_lowest_estimate_is_judged_by_itself(void **state)
 {
-	model_record_t record = {0};
+	model_stats_t record = {0};
 
 	(void)state;
-	assert_true(model_record_good(&record, 0, true) > 0.9);
+	assert_true(model_stats_good_probability(&record, 0, true) > 0.9);
 	for (int i = 0; i < 60; i++)
-		model_record_judge(&record, 0, 45, true);
-	assert_true(model_record_good(&record, 0, true) < 0.35);
-	assert_true(model_record_good(&record, 30, true) > 0.9);
-	model_record_judge(&record, 40, 100, true);
-	assert_true(model_record_good(&record, 30, true) > 0.9);
+		model_stats_add_confidence(&record, 0, 45, true);
+	assert_true(model_stats_good_probability(&record, 0, true) < 0.35);
+	assert_true(model_stats_good_probability(&record, 30, true) > 0.9);
+	model_stats_add_confidence(&record, 40, 100, true);
+	assert_true(model_stats_good_probability(&record, 30, true) > 0.9);
 }
 
 /* Callers of a route that wait alike: who waits less has tried before. */
@@ -192,16 +195,16 @@
 static void
 late_answers_lower_the_record(void **state)
 {
-	model_record_t record = {0};
+	model_stats_t record = {0};
 
 	(void)state;
-	assert_true(model_record_on_time(&record) == 1);
+	assert_true(model_stats_on_time_probability(&record) == 1);
 	for (int i = 0; i < 40; i++)
-		model_record_take(&record, false);
-	assert_true(model_record_on_time(&record) < 0.1);
+		model_stats_add_start(&record, false);
+	assert_true(model_stats_on_time_probability(&record) < 0.1);
 	for (int i = 0; i < 60; i++)
-		model_record_take(&record, true);
-	assert_true(model_record_on_time(&record) > 0.9);
+		model_stats_add_start(&record, true);
+	assert_true(model_stats_on_time_probability(&record) > 0.9);
 }
 
 static void
@@ -229,73 +232,74 @@
 static void
 a_rollout_grows_only_late_and_only_when_certain(void **state)
 {
-	rollout_moment_t moment = {
+	rollout_snapshot_t moment = {
 	    .state = ROLLOUT_IN_PROGRESS, .duration_ms = 20000};
 
 	(void)state;
-	assert_true(rollout_share(&moment) == 0);
+	assert_true(rollout_plan_share(&moment) == 0);
 	moment.elapsed_ms = 3000;
-	assert_true(rollout_share(&moment) == ROLLOUT_FIRST_SHARE);
-	assert_true(rollout_pins(&moment));
+	assert_true(rollout_plan_share(&moment) == ROLLOUT_FIRST_SHARE);
+	assert_true(rollout_plan_pins_sessions(&moment));
 	moment.elapsed_ms = 16000;
-	assert_true(rollout_share(&moment) == 1.0);
-	assert_true(rollout_may_complete(&moment, true));
-	assert_false(rollout_may_complete(&moment, false));
-	moment.uncertain = true;
-	assert_true(rollout_share(&moment) == ROLLOUT_FIRST_SHARE);
-	assert_false(rollout_may_complete(&moment, true));
-	moment.uncertain = false;
+	assert_true(rollout_plan_share(&moment) == 1.0);
+	assert_true(rollout_plan_may_complete(&moment, true));
+	assert_false(rollout_plan_may_complete(&moment, false));
+	moment.stale = true;
+	assert_true(rollout_plan_share(&moment) == ROLLOUT_FIRST_SHARE);
+	assert_false(rollout_plan_may_complete(&moment, true));
+	moment.stale = false;
 	moment.stopped = true;
-	assert_true(rollout_share(&moment) == 0);
-	assert_false(rollout_may_complete(&moment, true));
+	assert_true(rollout_plan_share(&moment) == 0);
+	assert_false(rollout_plan_may_complete(&moment, true));
 	moment.state = ROLLOUT_REVERTED;
-	assert_true(rollout_share(&moment) == 0);
+	assert_true(rollout_plan_share(&moment) == 0);
 	moment.state = ROLLOUT_COMPLETED;
-	assert_true(rollout_share(&moment) == 1.0);
+	assert_true(rollout_plan_share(&moment) == 1.0);
 }
 
 /* All steps before the last expose less than the users' bound of 0.15. */
 static void
 a_rollout_exposes_little_before_its_last_step(void **state)
 {
-	rollout_moment_t moment = {
+	rollout_snapshot_t moment = {
 	    .state = ROLLOUT_IN_PROGRESS, .duration_ms = 10000};
 	double exposed = 0;
 
 	(void)state;
-	for (moment.elapsed_ms = 0; rollout_share(&moment) < 1.0;
+	for (moment.elapsed_ms = 0; rollout_plan_share(&moment) < 1.0;
 	     moment.elapsed_ms += 10)
-		exposed += rollout_share(&moment) * 10 / 10000;
+		exposed += rollout_plan_share(&moment) * 10 / 10000;
 	assert_true(exposed < 0.08);
 }
 
 static void
-answers_take(version_guard_t *guard, bool fresh, bool failed, int count)
+answers_take(canary_analysis_t *guard, bool fresh, bool failed, int count)
 {
-	const guard_answer_t answer = {.route = 1,
-	    .sign = failed ? GUARD_FAILED : GUARD_BEGUN,
-	    .fresh = fresh,
+	const canary_observation_t answer = {.route = 1,
+	    .signal = failed ? CANARY_FAILED : CANARY_FIRST_BYTE,
+	    .is_new = fresh,
 	    .ms = 20};
 
 	for (int i = 0; i < count; i++)
-		version_guard_take(guard, &answer, (struct timespec){100, 0});
+		canary_analysis_observe(
+		    guard, &answer, (struct timespec){100, 0});
 }
 
 static bool
-guard_bad(version_guard_t *guard)
+guard_bad(canary_analysis_t *guard)
 {
-	guard_tally_t tally;
+	canary_tally_t tally;
 
 	assert_int_equal(
-	    version_guard_tally(guard, (struct timespec){100, 0}, &tally, 1),
+	    canary_analysis_tally(guard, (struct timespec){100, 0}, &tally, 1),
 	    1);
-	return version_guard_bad(&tally);
+	return canary_tally_is_bad(&tally);
 }
 
 static void
 the_guard_tells_worse_from_as_bad_as_before(void **state)
 {
-	version_guard_t guard = {0};
+	canary_analysis_t guard = {0};
 
 	(void)state;
 	answers_take(&guard, false, false, 86);
@@ -305,28 +309,28 @@
 	assert_false(guard_bad(&guard));
 	answers_take(&guard, true, true, 12);
 	assert_true(guard_bad(&guard));
-	version_guard_restart(&guard);
+	canary_analysis_reset(&guard);
 	assert_false(guard_bad(&guard));
 }
 
 static void
 a_slow_version_is_bad_and_a_burst_of_late_answers_is_not(void **state)
 {
-	version_guard_t guard = {0};
-	guard_answer_t answer = {
-	    .sign = GUARD_BEGUN, .route = 1, .stream = true, .ms = 60};
+	canary_analysis_t guard = {0};
+	canary_observation_t answer = {
+	    .signal = CANARY_FIRST_BYTE, .route = 1, .stream = true, .ms = 60};
 	const struct timespec now = {100, 0};
 
 	(void)state;
 	for (int i = 0; i < 100; i++)
-		version_guard_take(&guard, &answer, now);
-	answer.fresh = true;
+		canary_analysis_observe(&guard, &answer, now);
+	answer.is_new = true;
 	answer.ms = 900;
 	for (int i = 0; i < 9; i++)
-		version_guard_take(&guard, &answer, now);
+		canary_analysis_observe(&guard, &answer, now);
 	assert_false(guard_bad(&guard));
 	for (int i = 0; i < 20; i++)
-		version_guard_take(&guard, &answer, now);
+		canary_analysis_observe(&guard, &answer, now);
 	assert_true(guard_bad(&guard));
 }
 
@@ -334,24 +338,24 @@
 static void
 a_version_that_drags_is_bad_before_its_answers_end(void **state)
 {
-	version_guard_t guard = {0};
-	guard_answer_t answer = {
-	    .sign = GUARD_PACED, .route = 1, .stream = true, .ms = 20};
+	canary_analysis_t guard = {0};
+	canary_observation_t answer = {
+	    .signal = CANARY_EVENT_GAP, .route = 1, .stream = true, .ms = 20};
 	const struct timespec now = {100, 0};
 
 	(void)state;
 	for (int i = 0; i < 100; i++)
-		version_guard_take(&guard, &answer, now);
-	answer.fresh = true;
+		canary_analysis_observe(&guard, &answer, now);
+	answer.is_new = true;
 	for (int i = 0; i < 6; i++) {
 		answer.ms = 20;
-		version_guard_take(&guard, &answer, now);
+		canary_analysis_observe(&guard, &answer, now);
 		answer.ms = 160;
-		version_guard_take(&guard, &answer, now);
+		canary_analysis_observe(&guard, &answer, now);
 		assert_false(guard_bad(&guard));
 	}
 	for (int i = 0; i < 6; i++)
-		version_guard_take(&guard, &answer, now);
+		canary_analysis_observe(&guard, &answer, now);
 	assert_true(guard_bad(&guard));
 }
 
@@ -360,51 +364,52 @@
 static void
 an_answer_that_is_overdue_counts_as_late(void **state)
 {
-	version_guard_t guard = {0};
-	guard_answer_t answer = {.sign = GUARD_BEGUN, .route = 1, .ms = 50};
+	canary_analysis_t guard = {0};
+	canary_observation_t answer = {
+	    .signal = CANARY_FIRST_BYTE, .route = 1, .ms = 50};
 	const struct timespec now = {100, 0};
-	guard_tally_t tally;
+	canary_tally_t tally;
 
 	(void)state;
 	for (int i = 0; i < 20; i++)
-		version_guard_take(&guard, &answer, now);
-	answer.fresh = true;
-	answer.sign = GUARD_OVERDUE;
+		canary_analysis_observe(&guard, &answer, now);
+	answer.is_new = true;
+	answer.signal = CANARY_OVERDUE;
 	answer.ms = 150;
-	assert_false(version_guard_take(&guard, &answer, now));
+	assert_false(canary_analysis_observe(&guard, &answer, now));
 	answer.ms = 400;
-	assert_true(version_guard_take(&guard, &answer, now));
-	answer.sign = GUARD_FAILED;
+	assert_true(canary_analysis_observe(&guard, &answer, now));
+	answer.signal = CANARY_FAILED;
 	answer.counted = true;
-	version_guard_take(&guard, &answer, now);
-	version_guard_tally(&guard, now, &tally, 1);
-	assert_int_equal(tally.fresh.seen, 1);
-	assert_int_equal(tally.fresh.slow, 1);
-	assert_int_equal(tally.fresh.failed, 1);
+	canary_analysis_observe(&guard, &answer, now);
+	canary_analysis_tally(&guard, now, &tally, 1);
+	assert_int_equal(tally.new_counts.responses, 1);
+	assert_int_equal(tally.new_counts.late, 1);
+	assert_int_equal(tally.new_counts.failed, 1);
 }
 
 static void
 a_served_session_is_remembered_for_its_time(void **state)
 {
-	session_memory_t memory = {.window_ms = 5000};
-	session_memory_t other = {.window_ms = 5000};
+	recent_sessions_t memory = {.window_ms = 5000};
+	recent_sessions_t other = {.window_ms = 5000};
 	struct timespec now = {100, 0};
 	json_t *list;
 
 	(void)state;
-	session_memory_note(&memory, 77, now);
+	recent_sessions_add(&memory, 77, now);
 	now.tv_sec += 4;
-	assert_true(session_memory_has(&memory, 77, now));
-	assert_false(session_memory_has(&memory, 78, now));
-	list = session_memory_list(&memory, now);
-	session_memory_take(&other, list, now);
+	assert_true(recent_sessions_contain(&memory, 77, now));
+	assert_false(recent_sessions_contain(&memory, 78, now));
+	list = recent_sessions_encode(&memory, now);
+	recent_sessions_merge(&other, list, now);
 	json_decref(list);
-	assert_true(session_memory_has(&other, 77, now));
+	assert_true(recent_sessions_contain(&other, 77, now));
 	now.tv_sec += 2;
-	assert_false(session_memory_has(&memory, 77, now));
-	assert_null(session_memory_list(&memory, now));
-	session_memory_finish(&memory);
-	session_memory_finish(&other);
+	assert_false(recent_sessions_contain(&memory, 77, now));
+	assert_null(recent_sessions_encode(&memory, now));
+	recent_sessions_finish(&memory);
+	recent_sessions_finish(&other);
 }
 
 /* A full memory evicts no entry within the window. When it cannot store another
@@ -412,23 +417,23 @@
 static void
 a_full_session_memory_evicts_no_session(void **state)
 {
-	session_memory_t memory;
+	recent_sessions_t memory;
 	struct timespec now = {100, 0};
 
 	(void)state;
-	session_memory_init(&memory, 5000);
-	for (uint64_t i = 1; i <= SESSION_MEMORY_MAX; i++)
-		session_memory_note(&memory, i, now);
-	for (uint64_t i = 1; i <= SESSION_MEMORY_MAX; i++)
-		assert_true(session_memory_has(&memory, i, now));
-	assert_false(session_memory_has(&memory, UINT64_MAX, now));
-	session_memory_note(&memory, SESSION_MEMORY_MAX + 1, now);
-	assert_true(session_memory_has(&memory, UINT64_MAX, now));
+	recent_sessions_init(&memory, 5000);
+	for (uint64_t i = 1; i <= RECENT_SESSIONS_MAX; i++)
+		recent_sessions_add(&memory, i, now);
+	for (uint64_t i = 1; i <= RECENT_SESSIONS_MAX; i++)
+		assert_true(recent_sessions_contain(&memory, i, now));
+	assert_false(recent_sessions_contain(&memory, UINT64_MAX, now));
+	recent_sessions_add(&memory, RECENT_SESSIONS_MAX + 1, now);
+	assert_true(recent_sessions_contain(&memory, UINT64_MAX, now));
 	now.tv_sec += 5;
-	session_memory_note(&memory, UINT64_MAX, now);
+	recent_sessions_add(&memory, UINT64_MAX, now);
 	assert_int_equal(HASH_COUNT(memory.sessions), 1);
-	assert_false(session_memory_has(&memory, 1, now));
-	session_memory_finish(&memory);
+	assert_false(recent_sessions_contain(&memory, 1, now));
+	recent_sessions_finish(&memory);
 }
 
 static void
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -132,7 +132,7 @@
 	static relay_node_t node;
 	static const caller_dialect_t callers;
 	static const endpoint_dialect_t endpoints;
-	static const rollout_dialect_t rollouts;
+	static const rollout_status_encoder_t rollouts;
 	struct timeval limit = {1, 0};
 	clock_source_t clock;
 	rng_t rng;
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -29,9 +29,9 @@
 static void
 rollouts_forget(rollouts_t *rollouts)
 {
-	rollout_t *one = rollouts->all;
+	rollout_t *one = rollouts->by_service;
 
-	HASH_DEL(rollouts->all, one);
+	HASH_DEL(rollouts->by_service, one);
 	free(one);
 }
 
@@ -47,13 +47,13 @@
 {
 	static char text[128];
 	rollout_order_t order = {
-	    .service = "s", .to = "v2", .duration_ms = DURATION_MS};
+	    .service = "s", .to_version = "v2", .duration_ms = DURATION_MS};
 	row_t row = {.key = ROLLOUT_PREFIX "s", .value = text, .version = 9};
 
 	switch (news) {
 	case NEWS_ORDER:
 		order.number = ORDER;
-		rollouts_order(rollouts, &order);
+		rollouts_apply_order(rollouts, &order);
 		break;
 	case NEWS_STATE:
 		snprintf(text, sizeof(text),
@@ -61,10 +61,10 @@
 		    "\"state\":\"in_progress\",\"began_ms\":%d}",
 		    ORDER, STORE_NOW_MS - ELAPSED_MS);
 		row.value_len = strlen(text);
-		rollouts_row(rollouts, &row, NULL);
+		rollouts_apply_state_row(rollouts, &row, NULL);
 		break;
 	case NEWS_CLOCK:
-		rollouts_store_clock(rollouts, STORE_NOW_MS);
+		rollouts_set_store_clock(rollouts, STORE_NOW_MS);
 		break;
 	}
 }
@@ -79,8 +79,8 @@
 	membership_t members = {0};
 	rollouts_t rollouts = {.clock = &clock.source,
 	    .members = &members,
-	    .orders = &watch,
-	    .states = &watch,
+	    .orders_watch = &watch,
+	    .states_watch = &watch,
 	    .log = &log};
 	int share = 0;
 
@@ -139,7 +139,7 @@
 	    "{\"order\":%d,\"to\":\"%s\",\"base\":\"%s\",\"state\":\"%s\","
 	    "\"began_ms\":%d}",
 	    order, to, base, state, STORE_NOW_MS);
-	rollouts_row(&told->rollouts, &row, NULL);
+	rollouts_apply_state_row(&told->rollouts, &row, NULL);
 }
 
 static void
@@ -148,8 +148,8 @@
 	rollout_order_t order = {
 	    .service = "s", .duration_ms = DURATION_MS, .number = number};
 
-	strcpy(order.to, to);
-	rollouts_order(&told->rollouts, &order);
+	strcpy(order.to_version, to);
+	rollouts_apply_order(&told->rollouts, &order);
 }
 
 static void
@@ -161,16 +161,16 @@
 	    (row_watch_t){.clock = &told->clock.source, .suspended = true};
 	told->rollouts = (rollouts_t){.clock = &told->clock.source,
 	    .members = &told->members,
-	    .orders = &told->watch,
-	    .states = &told->watch,
+	    .orders_watch = &told->watch,
+	    .states_watch = &told->watch,
 	    .log = &told->log,
-	    .first_version = first_version};
+	    .group_base_version = first_version};
 	event_log_init(&told->log, &told->clock.source, 1);
 	row_watch_vouch(&told->watch, 1, told->clock.now);
-	rollouts_store_clock(&told->rollouts, STORE_NOW_MS);
+	rollouts_set_store_clock(&told->rollouts, STORE_NOW_MS);
 	order_told(told, ORDER, "v2");
 	told->rollout = rollouts_find(&told->rollouts, "s");
-	assert_string_equal(rollout_base(told->rollout), "v1");
+	assert_string_equal(rollout_base_version(told->rollout), "v1");
 	state_told(told, ORDER, "v2", "v1", "in_progress", 9);
 }
 
@@ -188,7 +188,7 @@
 	endpoint_t endpoint = {0};
 
 	strcpy(endpoint.facts.version, version);
-	return rollout_taken_back(told->rollout, &endpoint);
+	return rollout_is_reverted_version(told->rollout, &endpoint);
 }
 
 /* What the next order replaces depends on how the one before ended, whichever
@@ -212,13 +212,13 @@
 				order_told(&told, NEXT, "v3");
 			assert_int_equal(told.rollout->order.number, NEXT);
 			assert_string_equal(
-			    rollout_base(told.rollout), bases[end]);
+			    rollout_base_version(told.rollout), bases[end]);
 			assert_int_equal(is_taken_back(&told, "v2"), end == 0);
 			/* Another daemon's word on it is the same. */
 			state_told(
 			    &told, NEXT, "v3", bases[end], "in_progress", 15);
 			assert_string_equal(
-			    rollout_base(told.rollout), bases[end]);
+			    rollout_base_version(told.rollout), bases[end]);
 			rollouts_forget(&told.rollouts);
 		}
 	}
@@ -242,7 +242,7 @@
 	row_watch_vouch(&told.watch, 14, told.clock.now);
 	state_told(&told, ORDER, "v2", "v1", "in_progress", 14);
 	assert_int_equal(told.rollout->order.number, NEXT);
-	assert_string_equal(rollout_base(told.rollout), "v1");
+	assert_string_equal(rollout_base_version(told.rollout), "v1");
 	rollouts_forget(&told.rollouts);
 }
 
@@ -281,7 +281,7 @@
 the_state_of_a_later_order_stays(void **state)
 {
 	static const row_store_ops_t refusing = {NULL, NULL, write_refuse};
-	static const rollout_dialect_t dialect = {tell_nothing};
+	static const rollout_status_encoder_t dialect = {tell_nothing};
 	row_store_t store = {.ops = &refusing};
 	struct event_base *base = event_base_new();
 	first_order_t told;
@@ -289,7 +289,7 @@
 	(void)state;
 	first_order_init(&told);
 	told.rollouts.store = &store;
-	told.rollouts.dialect = &dialect;
+	told.rollouts.status_encoder = &dialect;
 	assert_true(rollouts_init(&told.rollouts, base));
 	state_told(&told, NEXT, "v3", "v2", "in_progress", 12);
 	for (int i = 0; i < 20; i++) {
@@ -313,7 +313,7 @@
 	order_told(&told, NEXT, "v3");
 	told.rollout = rollouts_find(&told.rollouts, "s");
 	state_told(&told, ORDER, "v2", "v0", "reverted", 12);
-	assert_string_equal(rollout_base(told.rollout), "v0");
+	assert_string_equal(rollout_base_version(told.rollout), "v0");
 	assert_true(is_taken_back(&told, "v2"));
 	rollouts_forget(&told.rollouts);
 }
@@ -347,16 +347,16 @@
 	(void)state;
 	first_order_init(&told);
 	rollout = rollouts_find(&told.rollouts, "s");
-	told.rollouts.on_old = none_on_old;
+	told.rollouts.old_in_flight = none_on_old;
 	told.members.clock = &told.clock.source;
 	reporting_daemon(&member, &told.members);
-	assert_true(rollout_found_bad(rollout));
-	assert_false(rollout_settled(rollout));
+	assert_true(rollout_new_version_is_bad(rollout));
+	assert_false(rollout_is_drained(rollout));
 	life_set_silent(&member.life, true, told.clock.now);
-	assert_true(rollout_found_bad(rollout));
+	assert_true(rollout_new_version_is_bad(rollout));
 	told.clock.now = timespec_after_ms(told.clock.now, GONE_MS);
-	assert_false(rollout_found_bad(rollout));
-	assert_true(rollout_settled(rollout));
+	assert_false(rollout_new_version_is_bad(rollout));
+	assert_true(rollout_is_drained(rollout));
 	HASH_DEL(told.members.members, &member);
 	json_decref(member.report);
 	rollouts_forget(&told.rollouts);
@@ -385,15 +385,15 @@
 		copy_told(&told, order_first, "in_progress");
 		assert_int_equal(
 		    told.rollout->order.number, era_version_of(1, ORDER));
-		assert_false(rollout_under_way(told.rollout));
+		assert_false(rollout_is_active(told.rollout));
 		assert_int_equal(told.rollout->state, ROLLOUT_REVERTED);
 		/* It is to be written again. */
-		assert_true(told.rollout->state_spoilt);
+		assert_true(told.rollout->state_rewrite_needed);
 		/* The operator gives a new one. */
 		order_told(&told, era_version_of(1, NEXT), "v3");
-		assert_true(rollout_under_way(told.rollout));
-		assert_string_equal(told.rollout->order.to, "v3");
-		assert_string_equal(rollout_base(told.rollout), "v1");
+		assert_true(rollout_is_active(told.rollout));
+		assert_string_equal(told.rollout->order.to_version, "v3");
+		assert_string_equal(rollout_base_version(told.rollout), "v1");
 		rollouts_forget(&told.rollouts);
 	}
 }
@@ -409,15 +409,15 @@
 	order_told(&told, NEXT, "v3");
 	state_told(&told, NEXT, "v3", "v2", "in_progress", 15);
 	copy_told(&told, true, "completed");
-	assert_string_equal(told.rollout->order.to, "v3");
-	assert_true(rollout_under_way(told.rollout));
-	assert_string_equal(rollout_base(told.rollout), "v2");
+	assert_string_equal(told.rollout->order.to_version, "v3");
+	assert_true(rollout_is_active(told.rollout));
+	assert_string_equal(rollout_base_version(told.rollout), "v2");
 	/* Written again, with a version that v2's order once had. */
 	order_told(&told, era_version_of(1, ORDER + 1), "v3");
 	assert_int_equal(
 	    told.rollout->order.number, era_version_of(1, ORDER + 1));
-	assert_true(rollout_under_way(told.rollout));
-	assert_int_equal(told.rollout->began_ms, STORE_NOW_MS);
+	assert_true(rollout_is_active(told.rollout));
+	assert_int_equal(told.rollout->started_ms, STORE_NOW_MS);
 	rollouts_forget(&told.rollouts);
 }
 
@@ -431,7 +431,7 @@
 	rollouts_forget(&told.rollouts);
 	copy_told(&told, true, "completed");
 	told.rollout = rollouts_find(&told.rollouts, "s");
-	assert_false(rollout_under_way(told.rollout));
+	assert_false(rollout_is_active(told.rollout));
 	rollouts_forget(&told.rollouts);
 }
 
