--- a/include/moortack/relay/rollouts.h
+++ b/include/moortack/relay/rollouts.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The roll-outs of services: orders of the operator, the state that all daemons
- * agree on through one row each, and what this daemon may send where.
+ * The roll-outs of services. The operator orders them; all daemons agree on the
+ * state of each through one row in the store; and each daemon decides which of
+ * its requests go to the new version.
  */
 #ifndef MOORTACK_RELAY_ROLLOUTS_H
 #define MOORTACK_RELAY_ROLLOUTS_H
@@ -17,57 +18,63 @@
 #include "moortack/replication/membership.h"
 #include "moortack/replication/row_store.h"
 
+/** Prefix of the keys of rows that hold a roll-out's state; the service's name
+ * follows. */
 #define ROLLOUT_PREFIX "rollout/"
-/** Keys of rows that pass on which sessions stay, with the name of the daemon
- * that reads the store; not in the store. Each has its own row, since the
- * versions of two of them can't be compared. */
+/** Prefix of the keys of rows that name the sessions that stay on the old
+ * version. The name of the daemon that publishes the row follows: the one that
+ * reads the store. The rows are passed on between daemons and are not in the
+ * store. Each daemon has a row of its own, since the versions of rows from two
+ * daemons can't be compared. */
 #define ROLLOUT_SESSIONS_PREFIX "sessions/"
 
-/** What the operator ordered for a service. */
+/** An order of the operator to roll out a version of a service. */
 typedef struct rollout_order {
 	char service[ENDPOINT_NAME_SIZE];
-	char to_version[ENDPOINT_NAME_SIZE]; /**< a version */
+	char to_version[ENDPOINT_NAME_SIZE];
 	int64_t duration_ms;
-	uint64_t number; /**< grows with each order */
+	uint64_t number; /**< version of its row, so it grows with each order;
+			    0: no order */
 } rollout_order_t;
 
-/** Where and how the operator reads a roll-out's state. */
+/** Encodes the state of a roll-out for the operator. */
 typedef struct rollout_status_encoder {
-	/** Fill the row that tells it; texts are freed by the caller. */
+	/** Fill the row to write; the caller frees the texts. */
 	bool (*encode)(const rollout_order_t *, rollout_state_t, char **table,
 	    char **key, char **value);
 } rollout_status_encoder_t;
 
 typedef struct rollouts rollouts_t;
 
-/** One service's roll-out. */
+/** The roll-out of one service. */
 typedef struct rollout {
 	rollouts_t *owner;
-	rollout_order_t order;
-	/** An order that came while the one before had not ended: it is taken
-	 * up once it is known how that one ends. Number 0: none. */
+	rollout_order_t order; /**< the order in force */
+	/** An order that came before the order in force had ended. It takes
+	 * effect once it is known how that one ended. Number 0: none. */
 	rollout_order_t next_order;
 	struct timespec next_order_seen_at;
-	rollout_order_t
-	    previous_order; /**< the order that this one took over from */
-	struct timespec order_seen_at; /**< the order, by this daemon's clock */
-	rollout_state_t state;	       /**< as the store has it */
-	uint64_t state_order;	       /**< order that the state is of */
-	char state_to_version[ENDPOINT_NAME_SIZE]; /**< version of that order */
-	char state_base_version[ENDPOINT_NAME_SIZE]; /**< which it replaces; "":
-						not known */
-	int64_t started_ms; /**< that order, by the store's clock; 0: unknown */
+	rollout_order_t previous_order; /**< replaced by the order in force */
+	struct timespec order_seen_at;	/**< by this daemon's clock */
+	/* The last state read from the store. */
+	rollout_state_t state;
+	uint64_t state_order; /**< number of its order; 0: no state read */
+	char state_to_version[ENDPOINT_NAME_SIZE];   /**< of that order */
+	char state_base_version[ENDPOINT_NAME_SIZE]; /**< that it replaces; "":
+							not known */
+	int64_t started_ms; /**< start of that order by the store's clock; 0:
+			       not known */
 	uint64_t stored_version;   /**< of the state's row; 0: none */
-	bool state_rewrite_needed; /**< its row is gone, or is no state: others
-				    * wrote it
-				    */
-	bool stopped;		   /**< found bad here */
-	bool writing;
-	struct timespec write_after;
-	rollout_state_t write_state;
+	bool state_rewrite_needed; /**< the row in the store was deleted, or
+				      holds no valid or no current state */
+	bool stopped; /**< this daemon found the new version to be bad */
+	bool writing; /**< a write of the state is in flight */
+	struct timespec write_after; /**< no write before; 0: not set */
+	rollout_state_t write_state; /**< that the last write stores */
 	bool deadline_told;
 	canary_analysis_t canary;
-	double share; /**< when last logged */
+	double share; /**< of the requests, for the new version, as of the last
+			 rollout_prefers_new() */
 	UT_hash_handle hh;
 } rollout_t;
 
@@ -76,18 +83,19 @@
 	const clock_source_t *clock;
 	const rollout_status_encoder_t *status_encoder;
 	membership_t *members;
-	const row_watch_t *orders_watch; /**< how old the orders are */
-	row_watch_t *states_watch;	 /**< and the states */
+	const row_watch_t *orders_watch; /**< tells the age of the orders */
+	row_watch_t *states_watch;	 /**< tells the age of the states */
 	event_log_t *log;
 	rollout_t *by_service;
 	struct event *timer;
-	int64_t store_clock_offset_ms; /**< store's clock less this one's */
+	int64_t store_clock_offset_ms; /**< store's clock minus this daemon's */
 	bool store_clock_known;
-	recent_sessions_t
-	    local_sessions; /**< by an old version, by this daemon */
-	recent_sessions_t peer_sessions; /**< by others, as they told */
-	/** Requests of this daemon that endpoints without the order's version
-	 * are at work on; the argument is relay. */
+	/** Sessions that an old version served recently, at this daemon. */
+	recent_sessions_t local_sessions;
+	/** The same at other daemons, as they report. */
+	recent_sessions_t peer_sessions;
+	/** Requests of this daemon that are in flight at endpoints of other
+	 * versions than the order's. The argument is @p relay. */
 	uint32_t (*old_in_flight)(const void *relay, const rollout_t *);
 	/** The version of a service before any order; "": not known. */
 	const char *(*group_base_version)(
@@ -95,45 +103,54 @@
 	const void *relay;
 };
 
+/** Start the timer that advances the roll-outs. The other fields are set by the
+ * caller. @return false: out of memory */
 bool rollouts_init(rollouts_t *, struct event_base *);
 void rollouts_finish(rollouts_t *);
 
-/** Take an order. */
+/** Apply an order. It is ignored if it is not newer than the known ones. */
 void rollouts_apply_order(rollouts_t *, const rollout_order_t *);
-/** A row of the system's table whose key begins with ROLLOUT_PREFIX.
- * @return false: it tells no state; fills the error */
+/** Apply a row of the system's table whose key begins with ROLLOUT_PREFIX.
+ * @return false: it holds no valid state; fills the error */
 bool rollouts_apply_state_row(rollouts_t *, const row_t *, err_t *);
-/** The store's steady clock, as it came with an answer. */
+/** Set the store's steady clock, as received with a response. */
 void rollouts_set_store_clock(rollouts_t *, int64_t now_ms);
 
+/** @return NULL: nothing is known of a roll-out of the service */
 rollout_t *rollouts_find(const rollouts_t *, const char *service);
 
-/** Whether a request with this hash is to go to the new version.
- * @param session the hash is of a session */
+/** Whether a request with this hash should go to the new version.
+ * @param session the hash is that of a session */
 bool rollout_prefers_new(rollout_t *, uint64_t hash, bool session);
-/** A session's request goes to an old version, or to one that is not being
- * replaced: a roll-out to come leaves it there. */
+/** Record that a session's request goes to an old version, or to a version that
+ * no roll-out replaces yet: the next roll-out leaves the session there.
+ * Sessions outside the share of the first step are not recorded; they don't
+ * move while sessions are pinned. */
 void rollouts_record_old_session(rollouts_t *, uint64_t hash);
-/** Sessions that others served; a row of ROLLOUT_SESSIONS_PREFIX. */
+/** Apply a row whose key begins with ROLLOUT_SESSIONS_PREFIX: sessions that
+ * other daemons served. */
 void rollouts_apply_sessions_row(rollouts_t *, const row_t *);
-/** The value of that row for others, or NULL; to be freed. */
+/** The value of such a row for other daemons, or NULL; to be freed. */
 char *rollouts_encode_sessions(const rollouts_t *);
 /** The version that the order in force replaces; "": not known. */
 const char *rollout_base_version(const rollout_t *);
-/** Whether the endpoint's version was taken back in the roll-out before. */
+/** Whether the previous roll-out was of the endpoint's version and was
+ * reverted. */
 bool rollout_is_reverted_version(const rollout_t *, const endpoint_t *);
-/** Whether the endpoint is of the new version. */
+/** Whether the endpoint has the new version. */
 bool rollout_is_new_version(const rollout_t *, const endpoint_t *);
-/** Whether it is ordered and has not ended. */
+/** Whether a roll-out is ordered and has not ended. */
 bool rollout_is_active(const rollout_t *);
-/** Whether its first endpoints are being filled. */
+/** Whether the new version's requests are concentrated on few endpoints; see
+ * rollout_plan_is_saturating(). */
 bool rollout_is_saturating(const rollout_t *);
-/** Whether the old version may be used. */
+/** Whether requests may go to the old version. */
 bool rollout_allows_old_version(const rollout_t *);
 
-/** What this daemon reports to the others; a new reference or NULL. */
+/** This daemon's report to the others; a new reference, or NULL if no roll-out
+ * is active. */
 json_t *rollouts_report(rollouts_t *);
-/** Whether any is under way. */
+/** Whether any roll-out is active. */
 bool rollouts_any_active(const rollouts_t *);
 
 #endif
--- a/moortack/relay/rollout_report.c
+++ b/moortack/relay/rollout_report.c
@@ -4,12 +4,16 @@
 
 #include "rollouts_priv.h"
 
-/* Numbers of a count in a report. */
-#define COUNT_FIELDS 5
+/* Numbers that canary_counts_t has in a report. */
+#define COUNTS_FIELDS 5
+/* Routes of all daemons together. */
 #define SUM_ROUTES_MAX 32
 
+/* The member's report on the roll-out of a service, or NULL if it has none on
+ * this order. */
 static json_t *
-report_of(const member_t *member, const char *service, uint64_t order)
+member_rollout_report(
+    const member_t *member, const char *service, uint64_t order)
 {
 	json_t *report = json_object_get(
 	    json_object_get(member->report, "rollouts"), service);
@@ -21,43 +25,43 @@
 }
 
 static uint32_t
-number_at(const json_t *row, size_t at)
+array_u32(const json_t *row, size_t at)
 {
 	return (uint32_t)json_integer_value(json_array_get(row, at));
 }
 
 static canary_counts_t
-count_read(const json_t *row, size_t at)
+counts_decode(const json_t *row, size_t at)
 {
-	return (canary_counts_t){.responses = number_at(row, at),
-	    .failed = number_at(row, at + 1),
-	    .late = number_at(row, at + 2),
-	    .gaps_measured = number_at(row, at + 3),
-	    .gaps_slow = number_at(row, at + 4)};
+	return (canary_counts_t){.responses = array_u32(row, at),
+	    .failed = array_u32(row, at + 1),
+	    .late = array_u32(row, at + 2),
+	    .gaps_measured = array_u32(row, at + 3),
+	    .gaps_slow = array_u32(row, at + 4)};
 }
 
 static void
-tally_read(const json_t *row, canary_tally_t *tally)
+tally_decode(const json_t *row, canary_tally_t *tally)
 {
 	const char *route = json_string_value(json_array_get(row, 0));
 
 	*tally = (canary_tally_t){
 	    .route = route != NULL ? strtoull(route, NULL, 16) : 0,
-	    .new_counts = count_read(row, 1),
-	    .old_counts = count_read(row, 1 + COUNT_FIELDS)};
+	    .new_counts = counts_decode(row, 1),
+	    .old_counts = counts_decode(row, 1 + COUNTS_FIELDS)};
 }
 
 static void
-members_add(const rollout_t *rollout, canary_tally_t *sums, size_t *len)
+member_tallies_add(const rollout_t *rollout, canary_tally_t *sums, size_t *len)
 {
 	const membership_t *members = rollout->owner->members;
 
 	for (const member_t *member = members->members; member != NULL;
 	     member = member->hh.next) {
-		json_t *rows =
-		    json_object_get(report_of(member, rollout->order.service,
-					rollout->order.number),
-			"tally");
+		json_t *rows = json_object_get(
+		    member_rollout_report(
+			member, rollout->order.service, rollout->order.number),
+		    "tally");
 		size_t i;
 		json_t *row;
 
@@ -67,14 +71,14 @@
 		{
 			canary_tally_t tally;
 
-			tally_read(row, &tally);
+			tally_decode(row, &tally);
 			canary_tally_add(sums, len, SUM_ROUTES_MAX, &tally);
 		}
 	}
 }
 
 static void
-bad_log(const rollout_t *rollout, const canary_tally_t *tally)
+bad_version_log(const rollout_t *rollout, const canary_tally_t *tally)
 {
 	event_line(rollout->owner->log, "rollout_bad",
 	    "service=%s order=%" PRIu64 " route=%016" PRIx64
@@ -88,9 +92,11 @@
 	    tally->old_counts.gaps_measured, tally->old_counts.gaps_slow);
 }
 
-/* All routes together show what no single one does yet. */
+/* The routes are also compared together, which can show a difference before any
+ * single route has enough responses to. */
 static bool
-tallies_bad(const rollout_t *rollout, const canary_tally_t *sums, size_t len)
+tallies_are_bad(
+    const rollout_t *rollout, const canary_tally_t *sums, size_t len)
 {
 	canary_tally_t all = {0};
 
@@ -98,13 +104,13 @@
 		canary_counts_add(&all.new_counts, &sums[i].new_counts);
 		canary_counts_add(&all.old_counts, &sums[i].old_counts);
 		if (canary_tally_is_bad(&sums[i])) {
-			bad_log(rollout, &sums[i]);
+			bad_version_log(rollout, &sums[i]);
 			return true;
 		}
 	}
 	if (!canary_tally_is_bad(&all))
 		return false;
-	bad_log(rollout, &all);
+	bad_version_log(rollout, &all);
 	return true;
 }
 
@@ -115,11 +121,10 @@
 	size_t len = canary_analysis_tally(&rollout->canary,
 	    clock_elapsed(rollout->owner->clock), sums, SUM_ROUTES_MAX);
 
-	members_add(rollout, sums, &len);
-	return tallies_bad(rollout, sums, len);
+	member_tallies_add(rollout, sums, &len);
+	return tallies_are_bad(rollout, sums, len);
 }
 
-/* Every daemon sends all to the new version and has nothing on the old. */
 bool
 rollout_is_drained(const rollout_t *rollout)
 {
@@ -129,7 +134,7 @@
 		return false;
 	for (const member_t *member = members->members; member != NULL;
 	     member = member->hh.next) {
-		const json_t *report = report_of(
+		const json_t *report = member_rollout_report(
 		    member, rollout->order.service, rollout->order.number);
 
 		if (!membership_alive(members, member))
@@ -142,42 +147,43 @@
 }
 
 static void
-count_write(json_t *row, const canary_counts_t *count)
+counts_encode(json_t *row, const canary_counts_t *counts)
 {
-	const uint32_t numbers[COUNT_FIELDS] = {count->responses, count->failed,
-	    count->late, count->gaps_measured, count->gaps_slow};
+	const uint32_t numbers[COUNTS_FIELDS] = {counts->responses,
+	    counts->failed, counts->late, counts->gaps_measured,
+	    counts->gaps_slow};
 
-	for (size_t i = 0; i < COUNT_FIELDS; i++)
+	for (size_t i = 0; i < COUNTS_FIELDS; i++)
 		json_array_append_new(row, json_integer(numbers[i]));
 }
 
 static json_t *
-tally_row(const canary_tally_t *tally)
+tally_encode(const canary_tally_t *tally)
 {
 	char route[17];
 	json_t *row;
 
 	snprintf(route, sizeof(route), "%016" PRIx64, tally->route);
 	row = json_pack("[s]", route);
-	count_write(row, &tally->new_counts);
-	count_write(row, &tally->old_counts);
+	counts_encode(row, &tally->new_counts);
+	counts_encode(row, &tally->old_counts);
 	return row;
 }
 
 static json_t *
-rollout_report(rollout_t *rollout)
+rollout_report_encode(rollout_t *rollout)
 {
 	canary_tally_t tallies[CANARY_ROUTES_MAX];
 	size_t len = canary_analysis_tally(&rollout->canary,
 	    clock_elapsed(rollout->owner->clock), tallies, CANARY_ROUTES_MAX);
-	rollout_snapshot_t moment = rollout_take_snapshot(rollout);
+	rollout_snapshot_t snapshot = rollout_take_snapshot(rollout);
 	json_t *rows = json_array();
 
 	for (size_t i = 0; i < len; i++)
-		json_array_append_new(rows, tally_row(&tallies[i]));
+		json_array_append_new(rows, tally_encode(&tallies[i]));
 	return json_pack("{s:I, s:f, s:i, s:o}", "order",
 	    (json_int_t)rollout->order.number, "share",
-	    rollout_plan_share(&moment), "old",
+	    rollout_plan_share(&snapshot), "old",
 	    (int)rollout->owner->old_in_flight(rollout->owner->relay, rollout),
 	    "tally", rows);
 }
@@ -188,14 +194,14 @@
 	json_t *report = NULL;
 	json_t *sessions;
 
-	for (rollout_t *one = self->by_service; one != NULL;
-	     one = one->hh.next) {
-		if (!rollout_is_active(one))
+	for (rollout_t *rollout = self->by_service; rollout != NULL;
+	     rollout = rollout->hh.next) {
+		if (!rollout_is_active(rollout))
 			continue;
 		if (report == NULL)
 			report = json_object();
-		json_object_set_new(
-		    report, one->order.service, rollout_report(one));
+		json_object_set_new(report, rollout->order.service,
+		    rollout_report_encode(rollout));
 	}
 	if (report == NULL)
 		return NULL;
--- a/moortack/relay/rollout_state.c
+++ b/moortack/relay/rollout_state.c
@@ -6,7 +6,7 @@
     "none", "in_progress", "completed", "reverted"};
 
 static bool
-state_named(const char *name, rollout_state_t *state)
+state_from_name(const char *name, rollout_state_t *state)
 {
 	for (size_t i = 0; name != NULL && i < 4; i++) {
 		if (strcmp(rollout_state_names[i], name) != 0)
@@ -18,53 +18,53 @@
 }
 
 static bool
-version_read(const json_t *value, const char *field, char *out, err_t *err)
+version_decode(const json_t *value, const char *field, char *out, err_t *err)
 {
 	const char *version = json_string_value(json_object_get(value, field));
 
 	if (version == NULL || strlen(version) >= ENDPOINT_NAME_SIZE)
 		return err_set(err, ERR_BAD_REQUEST,
-		    "%s is missing, no text or too long", field);
+		    "%s is missing, not a string or too long", field);
 	strcpy(out, version);
 	return true;
 }
 
 static bool
-state_take(const json_t *value, rollout_state_row_t *facts, err_t *err)
+content_decode(const json_t *value, rollout_state_row_t *content, err_t *err)
 {
 	json_int_t order = json_integer_value(json_object_get(value, "order"));
 
 	if (order <= 0)
 		return err_set(
 		    err, ERR_BAD_REQUEST, "order is missing or out of range");
-	facts->order = (uint64_t)order;
-	facts->began_ms =
+	content->order = (uint64_t)order;
+	content->started_ms =
 	    json_integer_value(json_object_get(value, "began_ms"));
-	if (!version_read(value, "to", facts->to, err) ||
-	    !version_read(value, "base", facts->base, err))
+	if (!version_decode(value, "to", content->to_version, err) ||
+	    !version_decode(value, "base", content->base_version, err))
 		return false;
-	if (!state_named(json_string_value(json_object_get(value, "state")),
-		&facts->state))
+	if (!state_from_name(json_string_value(json_object_get(value, "state")),
+		&content->state))
 		return err_set(
 		    err, ERR_BAD_REQUEST, "state is missing or unknown");
 	return true;
 }
 
 bool
-rollout_state_decode(const row_t *row, rollout_state_row_t *facts, err_t *err)
+rollout_state_decode(const row_t *row, rollout_state_row_t *content, err_t *err)
 {
 	json_t *value = json_loadb(row->value, row->value_len, 0, NULL);
-	bool taken;
+	bool decoded;
 
-	*facts = (rollout_state_row_t){0};
+	*content = (rollout_state_row_t){0};
 	if (!json_is_object(value)) {
 		json_decref(value);
 		return err_set(
-		    err, ERR_UNREADABLE, "the row is no JSON object");
+		    err, ERR_UNREADABLE, "the row is not a JSON object");
 	}
-	taken = state_take(value, facts, err);
+	decoded = content_decode(value, content, err);
 	json_decref(value);
-	return taken;
+	return decoded;
 }
 
 char *
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -4,19 +4,17 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include <xxhash.h>
 
 #include "moortack/replication/era_version.h"
 
 #define TICK_US 200000
 #define WRITE_TIMEOUT_MS 1500
-/* The first in the order of members acts at once, each later one waits. */
+/* Each member writes this much later than the one ranked before it. */
 #define RANK_DELAY_MS 400
-#define RETRY_MS 500
-/* Orders and states older than this let no share grow: what is asked for by
- * long questions is up to two of them old. */
-#define UNCERTAIN_MS 3400
-#define MS_PER_SEC 1000
+#define RETRY_DELAY_MS 500
+/* Orders and states older than this are stale, and no share grows then. With
+ * long polling they are up to two polls old. */
+#define STALE_MS 3400
 
 rollout_t *
 rollouts_find(const rollouts_t *self, const char *service)
@@ -28,7 +26,7 @@
 }
 
 static rollout_t *
-rollout_of(rollouts_t *self, const char *service)
+rollout_find_or_add(rollouts_t *self, const char *service)
 {
 	rollout_t *rollout = rollouts_find(self, service);
 
@@ -44,18 +42,15 @@
 	return rollout;
 }
 
-/* The state that holds for the order in force. */
+/* The state of the order in force. */
 static rollout_state_t
-state_now(const rollout_t *rollout)
+current_state(const rollout_t *rollout)
 {
 	if (rollout->state_order != rollout->order.number)
 		return ROLLOUT_PENDING;
 	return rollout->state;
 }
 
-/* When the order in force began, by this daemon's clock: as the state says, if
- * it is of that order and the store's clock is known, or else when it was first
- * seen here. */
 struct timespec
 rollout_started_at(const rollout_t *rollout)
 {
@@ -73,17 +68,17 @@
 {
 	const rollouts_t *self = rollout->owner;
 
-	return (rollout_snapshot_t){.state = state_now(rollout),
+	return (rollout_snapshot_t){.state = current_state(rollout),
 	    .elapsed_ms = timespec_ms_between(
 		rollout_started_at(rollout), clock_elapsed(self->clock)),
 	    .duration_ms = rollout->order.duration_ms,
 	    .stopped = rollout->stopped,
-	    .stale = row_watch_age_ms(self->orders_watch) > UNCERTAIN_MS ||
-		row_watch_age_ms(self->states_watch) > UNCERTAIN_MS};
+	    .stale = row_watch_age_ms(self->orders_watch) > STALE_MS ||
+		row_watch_age_ms(self->states_watch) > STALE_MS};
 }
 
 static bool
-ordered(const rollout_t *rollout)
+has_order(const rollout_t *rollout)
 {
 	return rollout != NULL && rollout->order.number != 0;
 }
@@ -91,13 +86,13 @@
 bool
 rollout_prefers_new(rollout_t *rollout, uint64_t hash, bool session)
 {
-	rollout_snapshot_t moment;
+	rollout_snapshot_t snapshot;
 	double share;
 
-	if (!ordered(rollout))
+	if (!has_order(rollout))
 		return false;
-	moment = rollout_take_snapshot(rollout);
-	share = rollout_plan_share(&moment);
+	snapshot = rollout_take_snapshot(rollout);
+	share = rollout_plan_share(&snapshot);
 	if (share != rollout->share) {
 		event_line(rollout->owner->log, "rollout_share",
 		    "service=%s order=%" PRIu64
@@ -105,15 +100,14 @@
 		    " stopped=%d uncertain=%d",
 		    rollout->order.service, rollout->order.number,
 		    rollout->order.to_version,
-		    rollout_state_names[moment.state], share, moment.elapsed_ms,
-		    moment.stopped, moment.stale);
+		    rollout_state_names[snapshot.state], share,
+		    snapshot.elapsed_ms, snapshot.stopped, snapshot.stale);
 		rollout->share = share;
 	}
-	if (!session || !rollout_plan_pins_sessions(&moment))
+	if (!session || !rollout_plan_pins_sessions(&snapshot))
 		return rollout_share_includes(share, hash);
-	/* Served sessions are remembered and reported to the other daemons only
-	 * if the first step takes them; the rest must not move while sessions
-	 * are pinned. */
+	/* Only sessions in the first step's share are recorded and reported to
+	 * others, so the rest must not move while sessions are pinned. */
 	if (share > ROLLOUT_FIRST_SHARE)
 		share = ROLLOUT_FIRST_SHARE;
 	return !rollouts_session_on_old(rollout->owner, hash) &&
@@ -129,15 +123,15 @@
 bool
 rollout_is_saturating(const rollout_t *rollout)
 {
-	rollout_snapshot_t moment = rollout_take_snapshot(rollout);
+	rollout_snapshot_t snapshot = rollout_take_snapshot(rollout);
 
-	return ordered(rollout) && rollout_plan_is_saturating(&moment);
+	return has_order(rollout) && rollout_plan_is_saturating(&snapshot);
 }
 
 bool
 rollout_allows_old_version(const rollout_t *rollout)
 {
-	return state_now(rollout) != ROLLOUT_COMPLETED;
+	return current_state(rollout) != ROLLOUT_COMPLETED;
 }
 
 const char *
@@ -166,7 +160,7 @@
 }
 
 static void
-order_take(rollout_t *rollout, const rollout_order_t *order)
+order_put_in_force(rollout_t *rollout, const rollout_order_t *order)
 {
 	rollouts_t *self = rollout->owner;
 
@@ -185,20 +179,19 @@
 	    rollout_base_version(rollout), order->duration_ms);
 }
 
-/* Whether it is known how the order in force ended, or that another daemon
- * took up the next one. */
+/* Whether the end of the order in force, or a later order's start, is known. */
 static bool
-order_over(const rollout_t *rollout)
+order_has_ended(const rollout_t *rollout)
 {
 	return !rollout_is_active(rollout) ||
 	    rollout->state_order > rollout->order.number;
 }
 
-/* Whether the states are known as of a moment at which the next order was
- * there: the operator reads the end of an order before it gives the next one,
- * or else replaces one that has not ended. */
+/* Whether the states were read after the next order was seen. They would show
+ * the end of the order in force if the operator had waited for it; without one,
+ * the operator replaced an order that has not ended. */
 static bool
-next_is_newest(const rollout_t *rollout)
+states_newer_than_next(const rollout_t *rollout)
 {
 	const row_watch_t *states = rollout->owner->states_watch;
 
@@ -207,39 +200,40 @@
 }
 
 static void
-next_take(rollout_t *rollout)
+next_order_apply(rollout_t *rollout)
 {
-	rollout_order_t next = rollout->next_order;
+	rollout_order_t next_order = rollout->next_order;
 
-	if (next.number != 0 &&
-	    (order_over(rollout) || next_is_newest(rollout)))
-		order_take(rollout, &next);
+	if (next_order.number != 0 &&
+	    (order_has_ended(rollout) || states_newer_than_next(rollout)))
+		order_put_in_force(rollout, &next_order);
 }
 
 static bool
-same_words(const rollout_order_t *a, const rollout_order_t *b)
+order_equals(const rollout_order_t *a, const rollout_order_t *b)
 {
 	return a->number != 0 && strcmp(a->to_version, b->to_version) == 0 &&
 	    a->duration_ms == b->duration_ms;
 }
 
-/* The store came back from an older copy: the order that is known is not given
- * again when it is read, or written, anew, nor is the one before it.
- * @return whether it is one of these */
+/* After the store was restored from an older copy, known orders come back with
+ * new numbers, read from the copy or written to it again. The order in force
+ * takes over its new number instead of starting anew.
+ * @return whether the order is the one in force or the one before it */
 static bool
-order_known(rollout_t *rollout, const rollout_order_t *order)
+order_is_known(rollout_t *rollout, const rollout_order_t *order)
 {
 	if (era_version_era(order->number) <=
 	    era_version_era(rollout->order.number))
 		return false;
-	if (same_words(&rollout->order, order)) {
+	if (order_equals(&rollout->order, order)) {
 		if (rollout->state_order == rollout->order.number)
 			rollout->state_order = order->number;
 		rollout->order.number = order->number;
 		rollout->state_rewrite_needed = rollout->state_order != 0;
 		return true;
 	}
-	return same_words(&rollout->previous_order, order) &&
+	return order_equals(&rollout->previous_order, order) &&
 	    era_version_number(rollout->previous_order.number) ==
 	    era_version_number(order->number);
 }
@@ -247,14 +241,14 @@
 void
 rollouts_apply_order(rollouts_t *self, const rollout_order_t *order)
 {
-	rollout_t *rollout = rollout_of(self, order->service);
+	rollout_t *rollout = rollout_find_or_add(self, order->service);
 
 	if (rollout == NULL || order->number <= rollout->order.number ||
 	    order->number <= rollout->next_order.number ||
-	    order_known(rollout, order))
+	    order_is_known(rollout, order))
 		return;
-	if (order_over(rollout)) {
-		order_take(rollout, order);
+	if (order_has_ended(rollout)) {
+		order_put_in_force(rollout, order);
 		return;
 	}
 	rollout->next_order = *order;
@@ -275,9 +269,9 @@
 	self->store_clock_known = true;
 }
 
-/* How far a roll-out has come; it never goes back. */
+/* The progress of a roll-out, which never decreases. */
 static int
-progress_of(rollout_state_t state)
+state_progress(rollout_state_t state)
 {
 	switch (state) {
 	case ROLLOUT_PENDING:
@@ -291,23 +285,23 @@
 	return 2;
 }
 
-/* An older copy of the store tells of a roll-out what was so before. */
+/* Whether a row of an older copy of the store holds an earlier state. */
 static bool
-state_steps_back(const rollout_t *rollout, const rollout_state_row_t *facts)
+state_is_earlier(const rollout_t *rollout, const rollout_state_row_t *row)
 {
 	return rollout->state_order != 0 &&
-	    (strcmp(facts->to, rollout->state_to_version) != 0 ||
-		progress_of(facts->state) < progress_of(rollout->state));
+	    (strcmp(row->to_version, rollout->state_to_version) != 0 ||
+		state_progress(row->state) < state_progress(rollout->state));
 }
 
 static void
-state_set(rollout_t *rollout, const rollout_state_row_t *facts)
+state_set(rollout_t *rollout, const rollout_state_row_t *row)
 {
-	rollout->state_order = facts->order;
-	strcpy(rollout->state_to_version, facts->to);
-	strcpy(rollout->state_base_version, facts->base);
-	rollout->state = facts->state;
-	rollout->started_ms = facts->began_ms;
+	rollout->state_order = row->order;
+	strcpy(rollout->state_to_version, row->to_version);
+	strcpy(rollout->state_base_version, row->base_version);
+	rollout->state = row->state;
+	rollout->started_ms = row->started_ms;
 	rollout->state_rewrite_needed = false;
 }
 
@@ -315,9 +309,9 @@
 rollouts_apply_state_row(rollouts_t *self, const row_t *row, err_t *err)
 {
 	rollout_t *rollout =
-	    rollout_of(self, row->key + strlen(ROLLOUT_PREFIX));
+	    rollout_find_or_add(self, row->key + strlen(ROLLOUT_PREFIX));
 	uint64_t era = era_version_era(row->version);
-	rollout_state_row_t facts;
+	rollout_state_row_t content;
 	bool restored;
 
 	if (rollout == NULL)
@@ -328,42 +322,41 @@
 	rollout->stored_version = row->version;
 	if (!rollout->stopped)
 		rollout->write_after = (struct timespec){0};
-	/* What is no state leaves the known one, which is written again. */
+	/* A deleted or invalid row is overwritten with the known state. */
 	rollout->state_rewrite_needed = true;
 	if (row->deleted) {
 		rollout->stored_version = 0;
 		return true;
 	}
-	if (!rollout_state_decode(row, &facts, err))
+	if (!rollout_state_decode(row, &content, err))
 		return false;
-	/* Orders are named by the versions of their rows, which are given out
-	 * again with these. */
-	if (era_version_era(facts.order) < era) {
-		if (restored && state_steps_back(rollout, &facts))
+	/* The row of the order got a later era when the store was restored. */
+	if (era_version_era(content.order) < era) {
+		if (restored && state_is_earlier(rollout, &content))
 			return true;
-		facts.order =
-		    era_version_of(era, era_version_number(facts.order));
+		content.order =
+		    era_version_of(era, era_version_number(content.order));
 	}
-	state_set(rollout, &facts);
+	state_set(rollout, &content);
 	event_line(self->log, "rollout_state",
 	    "service=%s order=%" PRIu64 " state=%s version=%" PRIu64,
 	    rollout->order.service, rollout->state_order,
 	    rollout_state_names[rollout->state], row->version);
-	next_take(rollout);
+	next_order_apply(rollout);
 	return true;
 }
 
 static void
-state_written(void *arg, const row_reply_t *reply)
+on_state_written(void *arg, const row_reply_t *reply)
 {
 	rollout_t *rollout = arg;
 	rollouts_t *self = rollout->owner;
 
 	rollout->writing = false;
-	/* The state is taken over when its row is read, whoever wrote it; a
-	 * lost answer is settled the same way. */
+	/* The state is applied when its row is read, whichever daemon wrote it.
+	 * That also resolves a write whose result is unknown. */
 	rollout->write_after =
-	    timespec_after_ms(clock_elapsed(self->clock), RETRY_MS);
+	    timespec_after_ms(clock_elapsed(self->clock), RETRY_DELAY_MS);
 	if (!self->states_watch->suspended)
 		row_watch_hurry(self->states_watch);
 	event_line(self->log, "rollout_write",
@@ -378,8 +371,8 @@
 {
 	rollouts_t *self = rollout->owner;
 	char key[sizeof(ROLLOUT_PREFIX) + ENDPOINT_NAME_SIZE];
-	char *told_table = NULL, *told_key = NULL, *told = NULL;
-	char *own = rollout_state_encode(rollout, state);
+	char *status_table = NULL, *status_key = NULL, *status = NULL;
+	char *value = rollout_state_encode(rollout, state);
 	row_change_t expected = {.table = MEMBER_TABLE,
 	    .key = key,
 	    .expected = rollout->stored_version};
@@ -387,36 +380,36 @@
 
 	snprintf(
 	    key, sizeof(key), "%s%s", ROLLOUT_PREFIX, rollout->order.service);
-	if (own != NULL &&
+	if (value != NULL &&
 	    self->status_encoder->encode(
-		&rollout->order, state, &told_table, &told_key, &told)) {
+		&rollout->order, state, &status_table, &status_key, &status)) {
 		changes[0] = (row_change_t){
-		    .table = MEMBER_TABLE, .key = key, .value = own};
+		    .table = MEMBER_TABLE, .key = key, .value = value};
 		changes[1] = (row_change_t){
-		    .table = told_table, .key = told_key, .value = told};
+		    .table = status_table, .key = status_key, .value = status};
 		rollout->write_state = state;
-		rollout->writing =
-		    row_store_write(self->store, ROW_FOR_STATE, &expected, 1,
-			changes, 2, WRITE_TIMEOUT_MS, state_written, rollout);
+		rollout->writing = row_store_write(self->store, ROW_FOR_STATE,
+		    &expected, 1, changes, 2, WRITE_TIMEOUT_MS,
+		    on_state_written, rollout);
 	}
-	free(told_table);
-	free(told_key);
-	free(told);
-	free(own);
+	free(status_table);
+	free(status_key);
+	free(status);
+	free(value);
 }
 
-/* The state that the store ought to have, or the one that it has. */
+/* The state that the store should have, which may be the one that it has. */
 static rollout_state_t
-state_wanted(rollout_t *rollout, const rollout_snapshot_t *moment)
+target_state(rollout_t *rollout, const rollout_snapshot_t *snapshot)
 {
-	if (moment->state == ROLLOUT_PENDING)
+	if (snapshot->state == ROLLOUT_PENDING)
 		return rollout->stopped ? ROLLOUT_REVERTED
 					: ROLLOUT_IN_PROGRESS;
-	if (moment->state != ROLLOUT_IN_PROGRESS)
-		return moment->state;
+	if (snapshot->state != ROLLOUT_IN_PROGRESS)
+		return snapshot->state;
 	if (rollout->stopped)
 		return ROLLOUT_REVERTED;
-	if (rollout_plan_may_complete(moment, rollout_is_drained(rollout)))
+	if (rollout_plan_may_complete(snapshot, rollout_is_drained(rollout)))
 		return ROLLOUT_COMPLETED;
 	return ROLLOUT_IN_PROGRESS;
 }
@@ -426,21 +419,21 @@
 {
 	rollouts_t *self = rollout->owner;
 	struct timespec now = clock_elapsed(self->clock);
-	rollout_snapshot_t moment = rollout_take_snapshot(rollout);
-	rollout_state_t wanted;
+	rollout_snapshot_t snapshot = rollout_take_snapshot(rollout);
+	rollout_state_t target;
 
-	if (moment.state == ROLLOUT_IN_PROGRESS && !rollout->stopped &&
+	if (snapshot.state == ROLLOUT_IN_PROGRESS && !rollout->stopped &&
 	    rollout_new_version_is_bad(rollout)) {
 		rollout->stopped = true;
-		moment.stopped = true;
+		snapshot.stopped = true;
 		rollout->write_after = now;
 	}
-	wanted = state_wanted(rollout, &moment);
+	target = target_state(rollout, &snapshot);
 	if (rollout->writing ||
-	    (wanted == moment.state && !rollout->state_rewrite_needed))
+	    (target == snapshot.state && !rollout->state_rewrite_needed))
 		return;
-	/* Others took up a later order, which is not known here yet: its state
-	 * stays. */
+	/* Other daemons have put a later order in force that isn't known here
+	 * yet: its state must not be overwritten. */
 	if (rollout->state_order > rollout->order.number)
 		return;
 	if (rollout->write_after.tv_sec == 0) {
@@ -449,24 +442,24 @@
 	}
 	if (timespec_ms_between(rollout->write_after, now) < 0)
 		return;
-	state_write(rollout, wanted);
+	state_write(rollout, target);
 }
 
 bool
 rollout_is_active(const rollout_t *rollout)
 {
-	rollout_state_t state = state_now(rollout);
+	rollout_state_t state = current_state(rollout);
 
-	return ordered(rollout) &&
+	return has_order(rollout) &&
 	    (state == ROLLOUT_PENDING || state == ROLLOUT_IN_PROGRESS);
 }
 
 bool
 rollouts_any_active(const rollouts_t *self)
 {
-	for (const rollout_t *one = self->by_service; one != NULL;
-	     one = one->hh.next) {
-		if (rollout_is_active(one))
+	for (const rollout_t *rollout = self->by_service; rollout != NULL;
+	     rollout = rollout->hh.next) {
+		if (rollout_is_active(rollout))
 			return true;
 	}
 	return false;
@@ -481,11 +474,11 @@
 	(void)what;
 	if (rollouts_any_active(self))
 		rollouts_merge_member_sessions(self);
-	for (rollout_t *one = self->by_service; one != NULL;
-	     one = one->hh.next) {
-		next_take(one);
-		if (ordered(one))
-			rollout_step(one);
+	for (rollout_t *rollout = self->by_service; rollout != NULL;
+	     rollout = rollout->hh.next) {
+		next_order_apply(rollout);
+		if (has_order(rollout))
+			rollout_step(rollout);
 	}
 }
 
--- a/moortack/relay/rollouts_priv.h
+++ b/moortack/relay/rollouts_priv.h
@@ -1,47 +1,54 @@
 /**
  * @file
- * What the files of roll-outs share: rollouts.c keeps orders and states,
- * rollout_state.c reads and writes the rows of states, rollout_report.c counts
- * what all daemons report.
+ * Internals of the roll-outs: rollouts.c keeps orders and states,
+ * rollout_state.c encodes and decodes the rows of states, rollout_report.c
+ * evaluates the reports of all daemons, rollout_sessions.c keeps the sessions
+ * that stay on an old version.
  */
 #ifndef MOORTACK_RELAY_ROLLOUTS_PRIV_H
 #define MOORTACK_RELAY_ROLLOUTS_PRIV_H
 
 #include "moortack/relay/rollouts.h"
 
-/** By rollout_state_t, as in the rows. */
+/** Names of the states in the rows, indexed by rollout_state_t. */
 extern const char *const rollout_state_names[];
 
-/** What the row of a roll-out's state says. */
+/** The content of a row that holds a roll-out's state. */
 typedef struct rollout_state_row {
-	uint64_t order; /**< that the state is of */
-	char to[ENDPOINT_NAME_SIZE];
-	char base[ENDPOINT_NAME_SIZE]; /**< version that it replaces; "": not
-					  known */
+	uint64_t order; /**< number of the order that the state is of */
+	char to_version[ENDPOINT_NAME_SIZE];
+	char base_version[ENDPOINT_NAME_SIZE]; /**< that it replaces; "": not
+						  known */
 	rollout_state_t state;
-	int64_t began_ms; /**< by the store's clock; 0: not known */
+	int64_t started_ms; /**< by the store's clock; 0: not known */
 } rollout_state_row_t;
 
-/** Read such a row, not a deleted one; false fills the error. */
+/** Decode such a row, which isn't deleted.
+ * @return false: it holds no valid state; fills the error */
 bool rollout_state_decode(const row_t *, rollout_state_row_t *, err_t *);
-/** The row's value for a state, to be freed, or NULL. */
+/** Encode a state as the row's value.
+ * @return to be freed; NULL: out of memory */
 char *rollout_state_encode(const rollout_t *, rollout_state_t);
-/** When the order in force began, by this daemon's clock. */
+/** When the order in force started, by this daemon's clock: as the stored state
+ * says, if that is of this order and the store's clock is known; else when this
+ * daemon first saw the order. */
 struct timespec rollout_started_at(const rollout_t *);
 
 /** What the share depends on, now. */
 rollout_snapshot_t rollout_take_snapshot(const rollout_t *);
 
-/** Whether the answers counted by all daemons show the new version as bad. */
+/** Whether the responses counted by all daemons show that the new version is
+ * bad. */
 bool rollout_new_version_is_bad(rollout_t *);
 
-/** Whether every daemon sends all to the new version and has nothing on the
- * old one. */
+/** Whether every daemon sends all requests to the new version and has none in
+ * flight on the old one. */
 bool rollout_is_drained(const rollout_t *);
 
-/** Whether a session with this hash was served by an old version of late. */
+/** Whether an old version served a session with this hash recently, at any
+ * daemon. */
 bool rollouts_session_on_old(const rollouts_t *, uint64_t hash);
-/** Take the sessions that other daemons report. */
+/** Add the sessions that other daemons report. */
 void rollouts_merge_member_sessions(rollouts_t *);
 
 #endif
