--- a/include/moortack/relay/canary_analysis.h
+++ b/include/moortack/relay/canary_analysis.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Compares the answers of a service's new version with those of the old one,
- * for each route, over a sliding window: a pure decision.
+ * Canary analysis during a roll-out: compares the responses of a service's new
+ * version with those of the old one, for each route, over a sliding window.
+ * Performs no I/O and reads no clock.
  */
 #ifndef MOORTACK_RELAY_CANARY_ANALYSIS_H
 #define MOORTACK_RELAY_CANARY_ANALYSIS_H
@@ -12,39 +13,45 @@
 #include <time.h>
 
 #define CANARY_ROUTES_MAX 12
-/** Seconds of the window: with a twentieth of 26 requests a second, which one
- * of the users' sheets has, 15 answers of the new version come in it. */
+/** Slices of the window, of 1 s each. One of the users' workloads has 26
+ * requests a second; a twentieth of them is 15 responses of the new version in
+ * a window. */
 #define CANARY_SLICES 12
 #define CANARY_LATENCIES_MAX 96
 
-/** Answers of one version on one route. */
+/** Responses of one version on one route. */
 typedef struct canary_counts {
 	uint32_t responses;
 	uint32_t failed;
-	uint32_t late;		/**< begun several times later than usual */
-	uint32_t gaps_measured; /**< of whose events the pace is known */
-	uint32_t gaps_slow; /**< of these, several times slower than usual */
+	/** Responses whose first byte was several times later than usual. */
+	uint32_t late;
+	/** Responses whose gap between events is known. */
+	uint32_t gaps_measured;
+	/** Of these, responses whose gap is several times longer than usual. */
+	uint32_t gaps_slow;
 } canary_counts_t;
 
-/** What is counted of one route, here or by all daemons together. */
+/** The counts of one route, of this daemon or summed over all daemons. */
 typedef struct canary_tally {
 	uint64_t route;		    /**< hash of its name */
 	canary_counts_t new_counts; /**< of the new version */
 	canary_counts_t old_counts; /**< of the old one */
 } canary_tally_t;
 
-/** How long something of one route and model usually takes. */
+/** The usual latency of one route and model, until the first byte or between
+ * events. */
 typedef struct canary_latency {
 	uint64_t key;
-	double log_mean; /**< of milliseconds */
+	double log_mean; /**< mean of the logarithms of milliseconds */
 	uint32_t samples;
 } canary_latency_t;
 
+/** The counts of one route in the window. */
 typedef struct canary_route {
-	uint64_t route;
+	uint64_t route; /**< hash of its name */
 	canary_counts_t new_slices[CANARY_SLICES];
 	canary_counts_t old_slices[CANARY_SLICES];
-	int64_t last_slice;
+	int64_t last_slice; /**< number of the newest slice */
 } canary_route_t;
 
 typedef struct canary_analysis {
@@ -54,44 +61,46 @@
 	size_t latencies_len;
 } canary_analysis_t;
 
-/** What an answer has shown. */
+/** What was observed of a response. */
 typedef enum canary_signal {
 	CANARY_FIRST_BYTE, /**< its first byte came */
-	CANARY_OVERDUE,	   /**< it has not come yet */
-	CANARY_EVENT_GAP,  /**< its events come */
+	CANARY_OVERDUE,	   /**< its first byte has not come yet */
+	CANARY_EVENT_GAP,  /**< the time between its events is known */
 	CANARY_FAILED,
 } canary_signal_t;
 
-/** One sign of an answer. */
+/** One observation of a response. */
 typedef struct canary_observation {
 	canary_signal_t signal;
-	uint64_t route;
+	uint64_t route; /**< hash of its name */
 	uint64_t model; /**< hash of the model's name; 0: none */
-	bool is_new;	/**< of the new version */
-	bool stream;	/**< of events */
-	bool counted;	/**< a sign of it was taken before */
-	double ms;	/**< until its first byte, or between its events */
+	bool is_new;	/**< the response is of the new version */
+	bool stream;	/**< it is a stream of events */
+	bool counted;	/**< an earlier signal of it was counted */
+	double ms;	/**< until its first byte, or mean between its events */
 } canary_observation_t;
 
-/** Forget the new version's answers: another order came. */
+/** Discard the counts of the new version, for another order. */
 void canary_analysis_reset(canary_analysis_t *);
 
-/** @return whether it was counted: an answer that is overdue counts only once
- * it is several times later than usual */
+/** Count an observation.
+ * @return whether it was counted: an overdue response is counted only once it
+ * is several times later than usual */
 bool canary_analysis_observe(
     canary_analysis_t *, const canary_observation_t *, struct timespec now);
 
-/** Counts of the window. @return how many rows were filled */
+/** Sum up the window for each route.
+ * @return the number of entries written to @p out */
 size_t canary_analysis_tally(
     canary_analysis_t *, struct timespec now, canary_tally_t *out, size_t cap);
 
-/** Whether a route's answers show that the new version is worse. */
+/** Whether the counts show that the new version is worse than the old one. */
 bool canary_tally_is_bad(const canary_tally_t *);
 
 /** Add the counts of @p more to @p sum. */
 void canary_counts_add(canary_counts_t *sum, const canary_counts_t *more);
 
-/** Add a tally to those of the same route. */
+/** Add a tally to the entry of its route; dropped if @p sums is full. */
 void canary_tally_add(
     canary_tally_t *sums, size_t *len, size_t cap, const canary_tally_t *);
 
--- a/moortack/relay/canary_analysis.c
+++ b/moortack/relay/canary_analysis.c
@@ -6,56 +6,61 @@
 #include "common/clock_source.h"
 
 #define SLICE_MS 1000
-/* A first byte or a pause between events this many times longer than usual is
- * bad. A slow version is several times slower; the first event of a stream
- * depends on the prompt, on what is cached and on what waits before it, so that
- * it has to be far off; pauses do little. */
-#define SLOW_FIRST_FACTOR 6.0
-#define SLOW_FIRST_MIN_MS 150.0 /* more than usual, at least */
-#define SLOW_EVENT_FACTOR 10.0
-#define SLOW_EVENT_MIN_MS 400.0
+/* A latency is slow if it is longer than the usual one times the factor, and
+ * than the usual one plus the minimum. A slow version is several times slower.
+ * The first event of a stream also depends on the prompt, on what is cached and
+ * on the queue, so its bounds are wide; gaps between events depend little on
+ * these. */
+#define SLOW_FIRST_BYTE_FACTOR 6.0
+#define SLOW_FIRST_BYTE_MIN_MS 150.0
+#define SLOW_FIRST_EVENT_FACTOR 10.0
+#define SLOW_FIRST_EVENT_MIN_MS 400.0
 #define SLOW_GAP_FACTOR 3.0
 #define SLOW_GAP_MIN_MS 3.0
-/* Tells the two paces of a route and model apart. */
+/* Distinguishes the key of the gap between events from that of the first byte
+ * of the same route and model. */
 #define GAP_KEY 0x9e3779b97f4a7c15ULL
-#define PACE_SEEN_MIN 8
-#define PACE_WEIGHT 0.05
-/** A test of "worse by a step" against "as the old version", by the ratio of
- * their likelihoods. */
-typedef struct guard_test {
-	double rate_min;  /**< the old version's rate is taken as no less */
-	double step_min;  /**< the new one's is worse by this, at least */
-	uint32_t bad_min; /**< answers, at least */
-	double limit;	  /**< of the logarithm of the ratio */
-} guard_test_t;
-
-/* Failures are independent of each other; answers that begin late are not,
- * since one long prompt delays all that wait behind it, so that more of them
- * are asked for. A pace that is several times slower is mostly the endpoint's
- * own, but in a rush a tenth of the old version's answers drag, too, and late
- * in a roll-out there are few of these to compare with: with a least rate of
- * 0.03 and 5 answers 4 of 36 good versions were taken back under load, with
- * these none was for its pace. */
-static const guard_test_t test_failed = {0.01, 0.15, 3, 5.0};
-static const guard_test_t test_slow = {0.05, 0.15, 10, 14.0};
-static const guard_test_t test_dragged = {0.10, 0.20, 6, 9.0};
-
+#define LATENCY_SAMPLES_MIN 8
+#define LATENCY_WEIGHT 0.05
+/** A likelihood ratio test of the hypothesis that the new version is worse by a
+ * step against the hypothesis that it is as good as the old version. */
+typedef struct ratio_test {
+	double rate_min;      /**< lowest rate assumed of the old version */
+	double step_min;      /**< least difference of the new version's rate */
+	uint32_t bad_min;     /**< least number of bad responses */
+	double log_ratio_min; /**< logarithm of the ratio from which the new
+				 version is worse */
+} ratio_test_t;
+
+/* Failures are independent of each other. Late responses are not, since one
+ * long prompt delays all that are queued behind it; so more of them are needed.
+ * Gaps that are several times longer are mostly due to the endpoint itself, but
+ * under peak load a tenth of the old version's responses have them too, and
+ * late in a roll-out there are few of these to compare with. With a lowest rate
+ * of 0.03 and 5 responses, 4 of 36 good versions were reverted under load; with
+ * these values none was for its gaps. */
+static const ratio_test_t test_failed = {0.01, 0.15, 3, 5.0};
+static const ratio_test_t test_late = {0.05, 0.15, 10, 14.0};
+static const ratio_test_t test_gaps = {0.10, 0.20, 6, 9.0};
+
+/* A worse version has the old one's rate times this factor, or plus the test's
+ * step if that is more. */
 #define STEP_FACTOR 3.0
 #define RATE_MAX 0.95
 
 void
-canary_analysis_reset(canary_analysis_t *guard)
+canary_analysis_reset(canary_analysis_t *analysis)
 {
-	for (size_t i = 0; i < guard->routes_len; i++)
-		memset(guard->routes[i].new_slices, 0,
-		    sizeof(guard->routes[i].new_slices));
+	for (size_t i = 0; i < analysis->routes_len; i++)
+		memset(analysis->routes[i].new_slices, 0,
+		    sizeof(analysis->routes[i].new_slices));
 }
 
 static void
-row_slide(canary_route_t *row, struct timespec now)
+route_advance(canary_route_t *entry, struct timespec now)
 {
 	int64_t slice = timespec_ms(now) / SLICE_MS;
-	int64_t steps = slice - row->last_slice;
+	int64_t steps = slice - entry->last_slice;
 
 	if (steps <= 0)
 		return;
@@ -64,156 +69,167 @@
 	for (int64_t i = 0; i < steps; i++) {
 		size_t at = (size_t)((slice - i) % CANARY_SLICES);
 
-		row->new_slices[at] = (canary_counts_t){0};
-		row->old_slices[at] = (canary_counts_t){0};
+		entry->new_slices[at] = (canary_counts_t){0};
+		entry->old_slices[at] = (canary_counts_t){0};
 	}
-	row->last_slice = slice;
+	entry->last_slice = slice;
 }
 
 static canary_route_t *
-row_of(canary_analysis_t *guard, uint64_t route)
+route_find_or_add(canary_analysis_t *analysis, uint64_t route)
 {
-	for (size_t i = 0; i < guard->routes_len; i++) {
-		if (guard->routes[i].route == route)
-			return &guard->routes[i];
+	for (size_t i = 0; i < analysis->routes_len; i++) {
+		if (analysis->routes[i].route == route)
+			return &analysis->routes[i];
 	}
-	if (guard->routes_len == CANARY_ROUTES_MAX)
+	if (analysis->routes_len == CANARY_ROUTES_MAX)
 		return NULL;
-	guard->routes[guard->routes_len] = (canary_route_t){.route = route};
-	return &guard->routes[guard->routes_len++];
+	analysis->routes[analysis->routes_len] =
+	    (canary_route_t){.route = route};
+	return &analysis->routes[analysis->routes_len++];
 }
 
 static canary_latency_t *
-pace_of(canary_analysis_t *guard, uint64_t key)
+latency_find_or_add(canary_analysis_t *analysis, uint64_t key)
 {
-	for (size_t i = 0; i < guard->latencies_len; i++) {
-		if (guard->latencies[i].key == key)
-			return &guard->latencies[i];
+	for (size_t i = 0; i < analysis->latencies_len; i++) {
+		if (analysis->latencies[i].key == key)
+			return &analysis->latencies[i];
 	}
-	if (guard->latencies_len == CANARY_LATENCIES_MAX)
+	if (analysis->latencies_len == CANARY_LATENCIES_MAX)
 		return NULL;
-	guard->latencies[guard->latencies_len] = (canary_latency_t){.key = key};
-	return &guard->latencies[guard->latencies_len++];
+	analysis->latencies[analysis->latencies_len] =
+	    (canary_latency_t){.key = key};
+	return &analysis->latencies[analysis->latencies_len++];
 }
 
-/** What counts as slow. */
+/** From when on a latency is slow. */
 typedef struct slow_bound {
 	double factor;
-	double least_ms; /**< beyond what is usual */
+	double min_ms; /**< above the usual latency */
 } slow_bound_t;
 
-static const slow_bound_t slow_first = {SLOW_FIRST_FACTOR, SLOW_FIRST_MIN_MS};
-static const slow_bound_t slow_event = {SLOW_EVENT_FACTOR, SLOW_EVENT_MIN_MS};
+static const slow_bound_t slow_first_byte = {
+    SLOW_FIRST_BYTE_FACTOR, SLOW_FIRST_BYTE_MIN_MS};
+static const slow_bound_t slow_first_event = {
+    SLOW_FIRST_EVENT_FACTOR, SLOW_FIRST_EVENT_MIN_MS};
 static const slow_bound_t slow_gap = {SLOW_GAP_FACTOR, SLOW_GAP_MIN_MS};
 
-/** A time of an answer, and what is usual for it. */
-typedef struct timed {
-	canary_latency_t *pace; /**< NULL: not known */
+/** A measured latency and what it is compared with. */
+typedef struct measurement {
+	canary_latency_t *latency; /**< the usual one; NULL: not known */
 	const slow_bound_t *bound;
 	double ms;
-} timed_t;
+} measurement_t;
 
-static timed_t
-first_of(canary_analysis_t *guard, const canary_observation_t *answer)
+static measurement_t
+first_byte_measure(
+    canary_analysis_t *analysis, const canary_observation_t *observation)
 {
-	return (timed_t){pace_of(guard, answer->route ^ answer->model),
-	    answer->stream ? &slow_event : &slow_first, answer->ms};
+	return (measurement_t){latency_find_or_add(analysis,
+				   observation->route ^ observation->model),
+	    observation->stream ? &slow_first_event : &slow_first_byte,
+	    observation->ms};
 }
 
-static timed_t
-gap_of(canary_analysis_t *guard, const canary_observation_t *answer)
+static measurement_t
+gap_measure(
+    canary_analysis_t *analysis, const canary_observation_t *observation)
 {
-	return (timed_t){
-	    pace_of(guard, answer->route ^ answer->model ^ GAP_KEY), &slow_gap,
-	    answer->ms};
+	return (measurement_t){
+	    latency_find_or_add(
+		analysis, observation->route ^ observation->model ^ GAP_KEY),
+	    &slow_gap, observation->ms};
 }
 
 static bool
-is_slow(const timed_t *timed)
+measurement_is_slow(const measurement_t *measurement)
 {
-	const canary_latency_t *pace = timed->pace;
-	double usual = pace != NULL ? exp(pace->log_mean) : 0;
+	const canary_latency_t *latency = measurement->latency;
+	double usual = latency != NULL ? exp(latency->log_mean) : 0;
 
-	return pace != NULL && pace->samples >= PACE_SEEN_MIN &&
-	    timed->ms > timed->bound->factor * usual &&
-	    timed->ms > usual + timed->bound->least_ms;
+	return latency != NULL && latency->samples >= LATENCY_SAMPLES_MIN &&
+	    measurement->ms > measurement->bound->factor * usual &&
+	    measurement->ms > usual + measurement->bound->min_ms;
 }
 
-/* The old version's answers set the pace. */
+/* The usual latency is learned from the old version only. */
 static void
-pace_learn(const timed_t *timed, bool fresh)
+latency_learn(const measurement_t *measurement, bool is_new)
 {
-	canary_latency_t *pace = timed->pace;
+	canary_latency_t *latency = measurement->latency;
 	double weight;
 
-	if (pace == NULL || fresh)
+	if (latency == NULL || is_new)
 		return;
-	weight = pace->samples < PACE_SEEN_MIN ? 1.0 / (pace->samples + 1)
-					       : PACE_WEIGHT;
-	pace->log_mean += weight * (log(fmax(timed->ms, 1)) - pace->log_mean);
-	pace->samples++;
+	weight = latency->samples < LATENCY_SAMPLES_MIN
+	    ? 1.0 / (latency->samples + 1)
+	    : LATENCY_WEIGHT;
+	latency->log_mean +=
+	    weight * (log(fmax(measurement->ms, 1)) - latency->log_mean);
+	latency->samples++;
 }
 
 static void
-begun_count(canary_analysis_t *guard, const canary_observation_t *answer,
-    canary_counts_t *count)
+first_byte_count(canary_analysis_t *analysis,
+    const canary_observation_t *observation, canary_counts_t *counts)
 {
-	timed_t timed = first_of(guard, answer);
+	measurement_t measurement = first_byte_measure(analysis, observation);
 
-	count->responses++;
-	count->late += is_slow(&timed);
-	pace_learn(&timed, answer->is_new);
+	counts->responses++;
+	counts->late += measurement_is_slow(&measurement);
+	latency_learn(&measurement, observation->is_new);
 }
 
 static bool
-overdue_count(canary_analysis_t *guard, const canary_observation_t *answer,
-    canary_counts_t *count)
+overdue_count(canary_analysis_t *analysis,
+    const canary_observation_t *observation, canary_counts_t *counts)
 {
-	timed_t timed = first_of(guard, answer);
+	measurement_t measurement = first_byte_measure(analysis, observation);
 
-	if (!is_slow(&timed))
+	if (!measurement_is_slow(&measurement))
 		return false;
-	count->responses++;
-	count->late++;
+	counts->responses++;
+	counts->late++;
 	return true;
 }
 
 static void
-paced_count(canary_analysis_t *guard, const canary_observation_t *answer,
-    canary_counts_t *count)
+gap_count(canary_analysis_t *analysis, const canary_observation_t *observation,
+    canary_counts_t *counts)
 {
-	timed_t timed = gap_of(guard, answer);
+	measurement_t measurement = gap_measure(analysis, observation);
 
-	count->gaps_measured++;
-	count->gaps_slow += is_slow(&timed);
-	pace_learn(&timed, answer->is_new);
+	counts->gaps_measured++;
+	counts->gaps_slow += measurement_is_slow(&measurement);
+	latency_learn(&measurement, observation->is_new);
 }
 
 bool
-canary_analysis_observe(canary_analysis_t *guard,
-    const canary_observation_t *answer, struct timespec now)
+canary_analysis_observe(canary_analysis_t *analysis,
+    const canary_observation_t *observation, struct timespec now)
 {
-	canary_route_t *row = row_of(guard, answer->route);
-	canary_counts_t *count;
+	canary_route_t *entry = route_find_or_add(analysis, observation->route);
+	canary_counts_t *counts;
 
-	if (row == NULL)
+	if (entry == NULL)
 		return false;
-	row_slide(row, now);
-	count = answer->is_new
-	    ? &row->new_slices[row->last_slice % CANARY_SLICES]
-	    : &row->old_slices[row->last_slice % CANARY_SLICES];
-	switch (answer->signal) {
+	route_advance(entry, now);
+	counts = observation->is_new
+	    ? &entry->new_slices[entry->last_slice % CANARY_SLICES]
+	    : &entry->old_slices[entry->last_slice % CANARY_SLICES];
+	switch (observation->signal) {
 	case CANARY_FIRST_BYTE:
-		begun_count(guard, answer, count);
+		first_byte_count(analysis, observation, counts);
 		break;
 	case CANARY_OVERDUE:
-		return overdue_count(guard, answer, count);
+		return overdue_count(analysis, observation, counts);
 	case CANARY_EVENT_GAP:
-		paced_count(guard, answer, count);
+		gap_count(analysis, observation, counts);
 		break;
 	case CANARY_FAILED:
-		count->responses += !answer->counted;
-		count->failed++;
+		counts->responses += !observation->counted;
+		counts->failed++;
 		break;
 	}
 	return true;
@@ -240,48 +256,52 @@
 }
 
 size_t
-canary_analysis_tally(canary_analysis_t *guard, struct timespec now,
+canary_analysis_tally(canary_analysis_t *analysis, struct timespec now,
     canary_tally_t *out, size_t cap)
 {
 	size_t len = 0;
 
-	for (size_t i = 0; i < guard->routes_len && len < cap; i++) {
-		canary_route_t *row = &guard->routes[i];
+	for (size_t i = 0; i < analysis->routes_len && len < cap; i++) {
+		canary_route_t *entry = &analysis->routes[i];
 
-		row_slide(row, now);
-		out[len++] = (canary_tally_t){.route = row->route,
-		    .new_counts = counts_sum(row->new_slices),
-		    .old_counts = counts_sum(row->old_slices)};
+		route_advance(entry, now);
+		out[len++] = (canary_tally_t){.route = entry->route,
+		    .new_counts = counts_sum(entry->new_slices),
+		    .old_counts = counts_sum(entry->old_slices)};
 	}
 	return len;
 }
 
 static bool
-test_worse(const guard_test_t *test, uint32_t bad, uint32_t seen,
-    uint32_t base_bad, uint32_t base_seen)
+test_shows_worse(const ratio_test_t *test, uint32_t bad, uint32_t responses,
+    uint32_t old_bad, uint32_t old_responses)
 {
-	double p0 = fmax((base_bad + 0.2) / (base_seen + 5.0), test->rate_min);
+	double p0 =
+	    fmax((old_bad + 0.2) / (old_responses + 5.0), test->rate_min);
 	double p1 = fmin(RATE_MAX, fmax(STEP_FACTOR * p0, p0 + test->step_min));
-	double good = (double)seen - bad;
+	double good = (double)responses - bad;
 
 	if (bad < test->bad_min || p0 >= p1)
 		return false;
 	return bad * log(p1 / p0) + good * log((1 - p1) / (1 - p0)) >
-	    test->limit;
+	    test->log_ratio_min;
 }
 
 bool
 canary_tally_is_bad(const canary_tally_t *tally)
 {
-	const canary_counts_t *fresh = &tally->new_counts;
-	const canary_counts_t *base = &tally->old_counts;
-
-	return test_worse(&test_failed, fresh->failed, fresh->responses,
-		   base->failed, base->responses) ||
-	    test_worse(&test_slow, fresh->late, fresh->responses, base->late,
-		base->responses) ||
-	    test_worse(&test_dragged, fresh->gaps_slow, fresh->gaps_measured,
-		base->gaps_slow, base->gaps_measured);
+	const canary_counts_t *new_counts = &tally->new_counts;
+	const canary_counts_t *old_counts = &tally->old_counts;
+
+	return test_shows_worse(&test_failed, new_counts->failed,
+		   new_counts->responses, old_counts->failed,
+		   old_counts->responses) ||
+	    test_shows_worse(&test_late, new_counts->late,
+		new_counts->responses, old_counts->late,
+		old_counts->responses) ||
+	    test_shows_worse(&test_gaps, new_counts->gaps_slow,
+		new_counts->gaps_measured, old_counts->gaps_slow,
+		old_counts->gaps_measured);
 }
 
 void
--- a/moortack/relay/relay_canary.c
+++ b/moortack/relay/relay_canary.c
@@ -4,18 +4,20 @@
 
 #include "relay_request.h"
 
-/* Events after which an answer's pace is told, while it goes on: a version that
- * is several times slower would else be found out by the end of its answers,
- * which come as much later, or never. */
-#define PACED_EVENTS 5
-/* Of shorter answers, events from which a pace is taken. */
-#define PACED_EVENTS_MIN 4
+/* Events after which the gap between the events of a response is reported,
+ * while the response goes on. A version that is several times slower would
+ * otherwise be noticed only at the end of its responses, which comes as much
+ * later or never. */
+#define GAP_EVENTS 5
+/* Events from which a gap is reported at the end of a shorter response. */
+#define GAP_EVENTS_MIN 4
 #define US_PER_MS 1000.0
-/* An endpoint that answers within this time of a broken answer is alive, and
- * its version is to blame; one that does not has died, or can't be reached. */
-#define SUSPECT_MS 2500
+/* If an endpoint responds within this time after a response was truncated or
+ * never came, it is alive, and the failure is attributed to its version.
+ * Otherwise it is down or can't be reached. */
+#define DEFERRED_FAILURE_MAX_MS 2500
 
-/* Mean time between events of the attempt. */
+/* Mean time between the events of the attempt. */
 static double
 event_gap_ms(const relay_request_t *req)
 {
@@ -25,9 +27,9 @@
 	return (double)us / US_PER_MS / (req->events - 1);
 }
 
-/* The roll-out whose guard is told of the attempt, or NULL. */
+/* The roll-out whose analysis the attempt is reported to, or NULL. */
 static rollout_t *
-guarded(const relay_request_t *req)
+rollout_of_attempt(const relay_request_t *req)
 {
 	rollout_t *rollout = rollouts_find(req->relay->rollouts, req->service);
 
@@ -38,11 +40,11 @@
 }
 
 static canary_observation_t
-sign_of(const relay_request_t *req, canary_signal_t sign, double ms)
+observation_make(const relay_request_t *req, canary_signal_t signal, double ms)
 {
 	const attempt_t *attempt = &req->attempt;
 
-	return (canary_observation_t){.signal = sign,
+	return (canary_observation_t){.signal = signal,
 	    .route = XXH3_64bits(req->route->name, strlen(req->route->name)),
 	    .model = attempt->model != NULL
 		? XXH3_64bits(attempt->model, strlen(attempt->model))
@@ -53,25 +55,26 @@
 	    .ms = ms};
 }
 
-/* Answers of endpoints that are being filled are late, whatever their version:
- * with their times counted, 7 of 18 good versions were taken back on large
- * sheets. They still fail by their version alone. */
+/* While the new version's requests are concentrated on few endpoints, responses
+ * of these are late whatever their version. With these latencies counted, 7 of
+ * 18 good versions were reverted on the larger of the users' workloads.
+ * Failures are still due to the version alone, so they are counted. */
 static bool
-tells(const relay_request_t *req, canary_signal_t sign)
+signal_counts(const relay_request_t *req, canary_signal_t signal)
 {
-	return sign == CANARY_FAILED || !req->attempt.is_new ||
+	return signal == CANARY_FAILED || !req->attempt.is_new ||
 	    !req->attempt.on_trial;
 }
 
 static void
-sign_tell(relay_request_t *req, canary_signal_t sign, double ms)
+signal_report(relay_request_t *req, canary_signal_t signal, double ms)
 {
-	rollout_t *rollout = guarded(req);
-	canary_observation_t answer = sign_of(req, sign, ms);
+	rollout_t *rollout = rollout_of_attempt(req);
+	canary_observation_t observation = observation_make(req, signal, ms);
 
-	if (rollout != NULL && tells(req, sign) &&
-	    canary_analysis_observe(
-		&rollout->canary, &answer, clock_elapsed(req->relay->clock)))
+	if (rollout != NULL && signal_counts(req, signal) &&
+	    canary_analysis_observe(&rollout->canary, &observation,
+		clock_elapsed(req->relay->clock)))
 		req->attempt.counted = true;
 }
 
@@ -89,16 +92,17 @@
 	for (size_t i = 0; i < endpoint->suspected_len; i++) {
 		const suspected_failure_t *failure = &endpoint->suspected[i];
 
-		if (timespec_ms_between(failure->at, now) < SUSPECT_MS)
+		if (timespec_ms_between(failure->at, now) <
+		    DEFERRED_FAILURE_MAX_MS)
 			canary_analysis_observe(
 			    &rollout->canary, &failure->answer, now);
 	}
 	endpoint->suspected_len = 0;
 }
 
-/* What stood before the prompt is not the version's doing. */
+/* Time spent in the endpoint's queue is not due to its version. */
 static double
-beyond_wait(const relay_request_t *req, double ms)
+without_queue_wait(const relay_request_t *req, double ms)
 {
 	return fmax(ms - req->attempt.place.wait_ms, 0);
 }
@@ -107,36 +111,36 @@
 relay_canary_first_byte(relay_request_t *req)
 {
 	if (!req->attempt.counted)
-		sign_tell(req, CANARY_FIRST_BYTE,
-		    beyond_wait(req, req->attempt.first_ms));
+		signal_report(req, CANARY_FIRST_BYTE,
+		    without_queue_wait(req, req->attempt.first_ms));
 }
 
 static void
-paced_tell(relay_request_t *req)
+gap_report(relay_request_t *req)
 {
 	req->attempt.paced = true;
-	sign_tell(req, CANARY_EVENT_GAP, event_gap_ms(req));
+	signal_report(req, CANARY_EVENT_GAP, event_gap_ms(req));
 }
 
 void
 relay_canary_event(relay_request_t *req)
 {
-	if (!req->attempt.paced && req->events == PACED_EVENTS)
-		paced_tell(req);
+	if (!req->attempt.paced && req->events == GAP_EVENTS)
+		gap_report(req);
 }
 
 void
 relay_canary_completed(relay_request_t *req)
 {
 	relay_canary_first_byte(req);
-	if (!req->attempt.paced && req->events >= PACED_EVENTS_MIN)
-		paced_tell(req);
+	if (!req->attempt.paced && req->events >= GAP_EVENTS_MIN)
+		gap_report(req);
 }
 
 void
 relay_canary_failed(relay_request_t *req)
 {
-	sign_tell(req, CANARY_FAILED, 0);
+	signal_report(req, CANARY_FAILED, 0);
 }
 
 void
@@ -144,12 +148,12 @@
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
 
-	if (guarded(req) == NULL ||
+	if (rollout_of_attempt(req) == NULL ||
 	    endpoint->suspected_len == ENDPOINT_SUSPECTED_MAX)
 		return;
-	endpoint->suspected[endpoint->suspected_len++] =
-	    (suspected_failure_t){.answer = sign_of(req, CANARY_FAILED, 0),
-		.at = clock_elapsed(req->relay->clock)};
+	endpoint->suspected[endpoint->suspected_len++] = (suspected_failure_t){
+	    .answer = observation_make(req, CANARY_FAILED, 0),
+	    .at = clock_elapsed(req->relay->clock)};
 }
 
 void
@@ -163,8 +167,8 @@
 
 		if (attempt->endpoint != NULL && attempt->sent &&
 		    !attempt->headed && !attempt->counted)
-			sign_tell(req, CANARY_OVERDUE,
-			    beyond_wait(req,
+			signal_report(req, CANARY_OVERDUE,
+			    without_queue_wait(req,
 				(double)timespec_ms_between(
 				    attempt->sent_at, now)));
 	}
