--- a/include/moortack/relay/model_stats.h
+++ b/include/moortack/relay/model_stats.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * What is known of a model by its answers: whether they began in time, and how
- * good they are where a smaller model's was doubtful. Pure, fading estimates.
+ * Running estimates for a model, learned from its responses: how often they
+ * start in time, and how good they are where a smaller model's was doubtful.
+ * Newer responses weigh more. Performs no I/O and reads no clock.
  */
 #ifndef MOORTACK_RELAY_MODEL_STATS_H
 #define MOORTACK_RELAY_MODEL_STATS_H
@@ -9,32 +10,38 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Of one model; all zero before its first answer. */
+/** Estimates for one model; all zero before its first response. */
 typedef struct model_stats {
-	double on_time_rate;	  /**< part of them that began in time */
-	uint32_t on_time_samples; /**< of these */
-	double good_rate; /**< part that was good enough, where the smallest
-			model's estimate was the lowest there is */
-	uint32_t good_samples;	/**< of these */
-	double confidence_gain; /**< its estimate less the smallest model's */
-	uint32_t gain_samples;	/**< of these */
+	double on_time_rate; /**< part of its responses that started in time */
+	uint32_t on_time_samples;
+	double good_rate; /**< part of its responses that was good enough where
+			     the smallest model's confidence was 0 */
+	uint32_t good_samples;
+	double confidence_gain; /**< its confidence minus the smallest model's
+				   for the same request */
+	uint32_t gain_samples;
 } model_stats_t;
 
-/** How likely an answer with this estimate is good enough. */
+/** The probability that a response with this confidence is good enough.
+ * @param confidence 0 to 100 */
 double model_good_probability(int confidence);
 
-/** An answer of the model began in time, or is late. */
+/** Add whether a response of the model started in time. */
 void model_stats_add_start(model_stats_t *, bool on_time);
-/** An answer of the model came with this estimate.
- * @param smallest estimate of the smallest model's answer to the same request
- * @param largest of all models */
+/** Add the confidence of a response of the model.
+ * @param smallest confidence of the smallest model's response to the same
+ * request; negative: not known, nothing is added
+ * @param confidence 0 to 100; negative: not reported, nothing is added
+ * @param largest the model is the largest of the route */
 void model_stats_add_confidence(
     model_stats_t *, int smallest, int confidence, bool largest);
 
-/** How likely the next one is in time. */
+/** The probability that the next response starts in time. */
 double model_stats_on_time_probability(const model_stats_t *);
-/** How likely the model's answer is good enough, where the smallest model's
- * has this estimate. */
+/** The probability that the model's response is good enough.
+ * @param smallest confidence of the smallest model's response to the request;
+ * negative, not known, counts as 0
+ * @param largest the model is the largest of the route */
 double
 model_stats_good_probability(const model_stats_t *, int smallest, bool largest);
 
--- a/moortack/relay/model_choice.c
+++ b/moortack/relay/model_choice.c
@@ -2,20 +2,22 @@
 
 #include "moortack/relay/model_stats.h"
 
-/* Parts of an answer's worth: what a late one earns, and what the largest
- * model costs, its own price and the time that it takes from others. Tried on
- * the users' sites, eight runs each: 0.12 and 0.22 cost more than they gave on
- * days of high load, and gave nothing on calm ones. */
-#define LATE_WORTH 0.15
+/* As parts of the value of a good response: the value of a late one, and the
+ * cost of the largest model, which is its own price and the time that it takes
+ * from other requests. Tried on the users' sites with eight runs each: costs of
+ * 0.12 and 0.22 made larger models cost more than they gained on days of high
+ * load, and gained nothing on calm days. */
+#define LATE_VALUE 0.15
 #define LARGEST_COST 0.45
-/* An answer that is this likely good is kept: a larger model, which costs more
- * than the rest, can't be worth it. Spares two searches for an endpoint for a
- * third of all streams. */
-#define GOOD_SURE 0.99
-/* An answer that is expected within this part of the time left is in time, and
- * one that is expected after that part is not. */
-#define TIME_SURE 0.7
-#define TIME_HOPELESS 1.3
+/* A response that is good with this probability is accepted: the cost of a
+ * larger model exceeds what could be gained. This saves two endpoint lookups
+ * for a third of all streams. */
+#define GOOD_FINAL 0.99
+/* A response that is expected within the first part of the remaining time is in
+ * time, and one that is expected after the second part is late. */
+#define IN_TIME_PART 0.7
+#define LATE_PART 1.3
+
 size_t
 model_choice_first(size_t models)
 {
@@ -23,60 +25,62 @@
 	return 0;
 }
 
-/* How likely an answer of the model begins before it is late. */
+/* The probability that a response of the model starts in time. */
 static double
-in_time(const model_option_t *option, double left_ms)
+in_time_probability(const model_option_t *option, double remaining_ms)
 {
 	double part;
 
-	if (left_ms <= 0)
+	if (remaining_ms <= 0)
 		return 0;
 	if (option->first_byte_ms < 0)
 		return option->on_time_rate;
-	part = option->first_byte_ms / left_ms;
-	if (part <= TIME_SURE)
+	part = option->first_byte_ms / remaining_ms;
+	if (part <= IN_TIME_PART)
 		return option->on_time_rate;
-	if (part >= TIME_HOPELESS)
+	if (part >= LATE_PART)
 		return 0;
-	return option->on_time_rate * (TIME_HOPELESS - part) /
-	    (TIME_HOPELESS - TIME_SURE);
+	return option->on_time_rate * (LATE_PART - part) /
+	    (LATE_PART - IN_TIME_PART);
 }
 
-/* Worth of the model's answer less its cost, as a part of a whole answer's. */
+/* The value of the model's response minus its cost, as a part of the value of a
+ * good response in time. */
 static double
-worth_of(const model_choice_input_t *moment, size_t model)
+option_value(const model_choice_input_t *input, size_t model)
 {
-	const model_option_t *option = &moment->options[model];
-	double most = moment->options[moment->models - 1].cost;
-	double cost = most > 0 ? option->cost / most : 1;
-	double time = in_time(option, moment->remaining_ms);
+	const model_option_t *option = &input->options[model];
+	double max_cost = input->options[input->models - 1].cost;
+	double cost = max_cost > 0 ? option->cost / max_cost : 1;
+	double in_time = in_time_probability(option, input->remaining_ms);
 
-	return option->good_probability * (time + (1 - time) * LATE_WORTH) -
+	return option->good_probability *
+	    (in_time + (1 - in_time) * LATE_VALUE) -
 	    LARGEST_COST * cost;
 }
 
 bool
 model_choice_is_final(int confidence)
 {
-	return model_good_probability(confidence) >= GOOD_SURE;
+	return model_good_probability(confidence) >= GOOD_FINAL;
 }
 
 size_t
-model_choice_next(const model_choice_input_t *moment)
+model_choice_next(const model_choice_input_t *input)
 {
-	double best_worth;
-	size_t best = moment->model;
+	double best_value;
+	size_t best = input->model;
 
-	if (moment->model + 1 >= moment->models || !moment->retry_allowed ||
-	    moment->confidence < 0)
-		return moment->model;
-	best_worth = model_good_probability(moment->confidence);
-	for (size_t i = moment->model + 1; i < moment->models; i++) {
-		double worth = worth_of(moment, i);
+	if (input->model + 1 >= input->models || !input->retry_allowed ||
+	    input->confidence < 0)
+		return input->model;
+	best_value = model_good_probability(input->confidence);
+	for (size_t i = input->model + 1; i < input->models; i++) {
+		double value = option_value(input, i);
 
-		if (worth > best_worth) {
+		if (value > best_value) {
 			best = i;
-			best_worth = worth;
+			best_value = value;
 		}
 	}
 	return best;
--- a/moortack/relay/relay_model.c
+++ b/moortack/relay/relay_model.c
@@ -6,20 +6,20 @@
 relay_model_t *
 relay_model_known(const relay_request_t *req, const char *name)
 {
-	relay_budget_t *counts = relay_counts(req->relay, req->service);
+	relay_budget_t *state = relay_counts(req->relay, req->service);
 	uint64_t hash = XXH3_64bits(name, strlen(name));
 	relay_model_t *model;
 
-	/* Names that callers bring are not to fill the table. */
-	if (counts == NULL || !req->arrival.any_model)
+	/* Names sent by callers must not fill the table. */
+	if (state == NULL || !req->arrival.any_model)
 		return NULL;
-	for (size_t i = 0; i < counts->models_len; i++) {
-		if (counts->models[i].name == hash)
-			return &counts->models[i];
+	for (size_t i = 0; i < state->models_len; i++) {
+		if (state->models[i].name == hash)
+			return &state->models[i];
 	}
-	if (counts->models_len == MODELS_MAX)
+	if (state->models_len == MODELS_MAX)
 		return NULL;
-	model = &counts->models[counts->models_len++];
+	model = &state->models[state->models_len++];
 	*model = (relay_model_t){.name = hash};
 	return model;
 }
@@ -34,9 +34,9 @@
 	return req->arrival.model != NULL ? req->arrival.model : "";
 }
 
-/* Until the answer is late; negative: it is. */
+/* Time until the response is late; negative if it is late already. */
 static double
-objective_left_ms(const relay_request_t *req)
+objective_remaining_ms(const relay_request_t *req)
 {
 	return (double)req->route->objective_ms - request_tried_ms(req);
 }
@@ -48,7 +48,7 @@
 
 	if (!req->arrival.any_model || route->models_len == 0)
 		return NULL;
-	/* An answer that goes on keeps its model. */
+	/* A response that has started keeps its model. */
 	if (req->model != NULL && req->begun)
 		return req->model;
 	if (!req->model_chosen) {
@@ -63,13 +63,13 @@
 bool
 relay_model_carry(relay_request_t *req, const relay_route_t *route)
 {
-	const char *named = req->model;
+	const char *old_name = req->model;
 
-	if (named == NULL)
+	if (old_name == NULL)
 		return true;
 	req->model = NULL;
 	for (size_t i = 0; i < route->models_len; i++) {
-		if (strcmp(route->models[i].name, named) != 0)
+		if (strcmp(route->models[i].name, old_name) != 0)
 			continue;
 		req->model = route->models[i].name;
 		req->model_index = i;
@@ -77,9 +77,9 @@
 	return req->model != NULL || !req->begun;
 }
 
-/* Answers that are late already, though they have not begun. */
+/* Record responses that are late already, though they have not started. */
 static void
-late_note(relay_t *relay)
+late_responses_record(relay_t *relay)
 {
 	for (relay_request_t *req = relay->first; req != NULL;
 	     req = req->next) {
@@ -87,7 +87,7 @@
 		relay_model_t *model;
 
 		if (!attempt->sent || attempt->headed || attempt->late_told ||
-		    attempt->model == NULL || objective_left_ms(req) >= 0)
+		    attempt->model == NULL || objective_remaining_ms(req) >= 0)
 			continue;
 		attempt->late_told = true;
 		model = relay_model_known(req, attempt->model);
@@ -97,7 +97,7 @@
 }
 
 static void
-head_note(relay_request_t *req)
+head_record(relay_request_t *req)
 {
 	attempt_t *attempt = &req->attempt;
 	bool largest = req->model_index + 1 == req->route->models_len;
@@ -111,7 +111,7 @@
 		: 0);
 	if (!attempt->late_told)
 		model_stats_add_start(
-		    &model->record, objective_left_ms(req) >= 0);
+		    &model->record, objective_remaining_ms(req) >= 0);
 	if (req->model_index == 0)
 		req->smallest_estimate = req->confidence;
 	else
@@ -132,7 +132,8 @@
 		return;
 	waited_ms = (double)timespec_ms_between(
 	    attempt->sent_at, clock_elapsed(req->relay->clock));
-	/* Only a wait that is longer than expected says something. */
+	/* The response had not started when the attempt ended. The time waited
+	 * says something only if it is longer than expected. */
 	waited_ms -= attempt->place.wait_ms;
 	if (waited_ms > prefill_rate_ms(&model->pace, attempt->place.unread))
 		prefill_rate_take(
@@ -142,8 +143,8 @@
 static void
 option_fill(relay_request_t *req, size_t index, model_option_t *option)
 {
-	const route_model_t *named = &req->route->models[index];
-	const relay_model_t *model = relay_model_known(req, named->name);
+	const route_model_t *route_model = &req->route->models[index];
+	const relay_model_t *model = relay_model_known(req, route_model->name);
 	bool largest = index + 1 == req->route->models_len;
 	static const relay_model_t unknown;
 	placement_t place;
@@ -151,7 +152,7 @@
 
 	if (model == NULL)
 		model = &unknown;
-	*option = (model_option_t){.cost = named->cost,
+	*option = (model_option_t){.cost = route_model->cost,
 	    .good_probability = model_stats_good_probability(
 		&model->record, req->smallest_estimate, largest),
 	    .on_time_rate = model_stats_on_time_probability(&model->record),
@@ -164,23 +165,23 @@
 relay_model_judge(relay_request_t *req)
 {
 	const relay_route_t *route = req->route;
-	model_choice_input_t moment = {.model = req->model_index,
+	model_choice_input_t input = {.model = req->model_index,
 	    .models = route->models_len,
 	    .confidence = req->confidence,
-	    .remaining_ms = objective_left_ms(req)};
+	    .remaining_ms = objective_remaining_ms(req)};
 	size_t next;
 
 	if (!req->arrival.any_model || route->models_len == 0)
 		return;
-	head_note(req);
-	late_note(req->relay);
+	head_record(req);
+	late_responses_record(req->relay);
 	if (model_choice_is_final(req->confidence))
 		return;
-	moment.retry_allowed = req->sends < route->attempts &&
+	input.retry_allowed = req->sends < route->attempts &&
 	    relay_repeat_plenty(req->relay, req->service);
-	for (size_t i = moment.model + 1; i < moment.models; i++)
-		option_fill(req, i, &moment.options[i]);
-	next = model_choice_next(&moment);
+	for (size_t i = input.model + 1; i < input.models; i++)
+		option_fill(req, i, &input.options[i]);
+	next = model_choice_next(&input);
 	if (next == req->model_index)
 		return;
 	req->model_index = next;
