--- a/moortack/relay/recent_sessions.c
+++ b/moortack/relay/recent_sessions.c
@@ -9,94 +9,94 @@
 #define HASH_TEXT_SIZE 17
 
 void
-recent_sessions_init(recent_sessions_t *memory, int64_t window_ms)
+recent_sessions_init(recent_sessions_t *recent, int64_t window_ms)
 {
-	*memory = (recent_sessions_t){.window_ms = window_ms};
+	*recent = (recent_sessions_t){.window_ms = window_ms};
 }
 
 static void
-session_free(recent_sessions_t *memory, recent_session_t *session)
+session_free(recent_sessions_t *recent, recent_session_t *session)
 {
-	HASH_DEL(memory->sessions, session);
+	HASH_DEL(recent->sessions, session);
 	free(session);
 }
 
 void
-recent_sessions_finish(recent_sessions_t *memory)
+recent_sessions_finish(recent_sessions_t *recent)
 {
 	recent_session_t *session, *next;
 
-	HASH_ITER(hh, memory->sessions, session, next)
-	session_free(memory, session);
+	HASH_ITER(hh, recent->sessions, session, next)
+	session_free(recent, session);
 }
 
 static bool
 is_recent(
-    const recent_sessions_t *memory, struct timespec at, struct timespec now)
+    const recent_sessions_t *recent, struct timespec at, struct timespec now)
 {
 	return at.tv_sec != 0 &&
-	    timespec_ms_between(at, now) < memory->window_ms;
+	    timespec_ms_between(at, now) < recent->window_ms;
 }
 
 static void
-sessions_expire(recent_sessions_t *memory, struct timespec now)
+sessions_expire(recent_sessions_t *recent, struct timespec now)
 {
-	while (memory->sessions != NULL &&
-	    !is_recent(memory, memory->sessions->served_at, now))
-		session_free(memory, memory->sessions);
+	while (recent->sessions != NULL &&
+	    !is_recent(recent, recent->sessions->served_at, now))
+		session_free(recent, recent->sessions);
 }
 
 static recent_session_t *
-session_find(const recent_sessions_t *memory, uint64_t hash)
+session_find(const recent_sessions_t *recent, uint64_t hash)
 {
 	recent_session_t *session;
 
-	HASH_FIND(hh, memory->sessions, &hash, sizeof(hash), session);
+	HASH_FIND(hh, recent->sessions, &hash, sizeof(hash), session);
 	return session;
 }
 
 void
 recent_sessions_add(
-    recent_sessions_t *memory, uint64_t hash, struct timespec now)
+    recent_sessions_t *recent, uint64_t hash, struct timespec now)
 {
-	recent_session_t *session = session_find(memory, hash);
+	recent_session_t *session = session_find(recent, hash);
 
 	if (session != NULL)
 		/* Adding it again moves it to the end of the list. */
-		HASH_DEL(memory->sessions, session);
-	sessions_expire(memory, now);
+		HASH_DEL(recent->sessions, session);
+	sessions_expire(recent, now);
 	if (session == NULL &&
-	    HASH_COUNT(memory->sessions) < RECENT_SESSIONS_MAX)
+	    HASH_COUNT(recent->sessions) < RECENT_SESSIONS_MAX)
 		session = calloc(1, sizeof(*session));
 	if (session == NULL) {
-		memory->dropped_at = now;
+		recent->dropped_at = now;
 		return;
 	}
 	session->hash = hash;
 	session->served_at = now;
-	HASH_ADD(hh, memory->sessions, hash, sizeof(session->hash), session);
+	HASH_ADD(hh, recent->sessions, hash, sizeof(session->hash), session);
 }
 
 bool
 recent_sessions_contain(
-    const recent_sessions_t *memory, uint64_t hash, struct timespec now)
+    const recent_sessions_t *recent, uint64_t hash, struct timespec now)
 {
-	const recent_session_t *session = session_find(memory, hash);
+	const recent_session_t *session = session_find(recent, hash);
 
-	return is_recent(memory, memory->dropped_at, now) ||
-	    (session != NULL && is_recent(memory, session->served_at, now));
+	return is_recent(recent, recent->dropped_at, now) ||
+	    (session != NULL && is_recent(recent, session->served_at, now));
 }
 
 json_t *
-recent_sessions_encode(const recent_sessions_t *memory, struct timespec now)
+recent_sessions_encode(const recent_sessions_t *recent, struct timespec now)
 {
 	json_t *list = NULL;
 
-	for (const recent_session_t *session = memory->sessions;
+	for (const recent_session_t *session = recent->sessions;
 	     session != NULL; session = session->hh.next) {
 		char text[HASH_TEXT_SIZE];
 
-		if (!is_recent(memory, session->served_at, now))
+		if (!is_recent(recent, session->served_at, now))
 			continue;
 		if (list == NULL)
 			list = json_array();
@@ -108,7 +108,7 @@
 
 void
 recent_sessions_merge(
-    recent_sessions_t *memory, const json_t *list, struct timespec now)
+    recent_sessions_t *recent, const json_t *list, struct timespec now)
 {
 	size_t i;
 	const json_t *text;
@@ -116,7 +116,7 @@
 	json_array_foreach(list, i, text)
 	{
 		if (json_is_string(text))
-			recent_sessions_add(memory,
+			recent_sessions_add(recent,
 			    strtoull(json_string_value(text), NULL, 16), now);
 	}
 }
