--- a/test/fuzz/rollouts_fuzz.c
+++ b/test/fuzz/rollouts_fuzz.c
@@ -1,15 +1,17 @@
 /**
  * @file
- * Roll-outs that follow each other, at daemons that learn of orders and states
- * in any order, start again, and write over a store that is away at times or
- * loses its answers.
+ * Successive roll-outs at daemons that receive orders and states in any
+ * sequence, restart, and write to a store that is unavailable at times or
+ * loses its responses.
  *
- * The oracle is the operator: it orders a version after the last one has ended,
- * and knows which versions are bad. Nothing goes to a version that was taken
- * back, nor to one that was replaced, at a daemon that knows of that or of a
- * later order; a session that the old version served stays there in the first
- * half; no good version is taken back, an end is the last word on an order, and
- * once all is calm the last order has ended.
+ * The oracle is the operator, who orders a version after the last roll-out has
+ * ended and knows which versions are bad. Checked are:
+ * - a daemon that knows that a version was reverted or replaced, or knows a
+ *   later order, sends no request to that version;
+ * - a session of the old version stays there while sessions are pinned;
+ * - no good version is reverted;
+ * - an order that has ended doesn't change its state any more;
+ * - once no more faults are injected, the last order ends.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -27,15 +29,15 @@
 #define SESSION_MS 5000
 #define TICK_MS 200
 #define TIME_STEP_MS 250
-#define CALM_MS 40000
+#define SETTLE_MS 40000
 #define SERVICE "s"
 
-/** What became of an order, as the store has it. */
-typedef struct fate {
-	bool bad; /**< its version, as the operator knows */
+/** The state of an order in the store. */
+typedef struct order_record {
+	bool bad; /**< its version is bad */
 	uint64_t number;
 	rollout_state_t state;
-} fate_t;
+} order_record_t;
 
 /* Number of distinct request hashes, evenly spaced. */
 #define HASHES 256
@@ -46,10 +48,10 @@
 	row_watch_t states;
 	membership_t members;
 	event_log_t log;
-	uint64_t known_order; /**< newest number read */
-	uint64_t known_state; /**< newest version of the state's row read */
-	uint64_t read_at;     /**< the store's version at that reading */
-	row_done_t done;      /**< an answer to a write on its way */
+	uint64_t known_order; /**< highest order number read */
+	uint64_t known_state; /**< highest version of the state's row read */
+	uint64_t read_at;     /**< the store's version at that read */
+	row_done_t done;      /**< callback of a write in flight; NULL: none */
 	void *done_arg;
 	row_result_t result;
 	/** When the old version last served each session, by hash index. */
@@ -60,10 +62,10 @@
 	manual_clock_t clock;
 	struct event_base *base;
 	row_store_t store;
-	bool away;
-	bool loses; /**< answers of writes */
+	bool unavailable;
+	bool loses_responses; /**< responses to writes are lost */
 	uint64_t version;
-	fate_t
+	order_record_t
 	    orders[ORDERS_MAX]; /**< the version of orders[i] is "v<i + 1>" */
 	size_t orders_len;
 	uint64_t state_version;
@@ -80,15 +82,15 @@
 	snprintf(name, 8, "v%zu", at);
 }
 
-/* The place of a version's order, or -1: it is the first of all. */
+/* The index of a version's order; -1 for the version before any order. */
 static int
-order_of(const char *version)
+order_index(const char *version)
 {
 	return version[1] - '0' - 1;
 }
 
-static fate_t *
-fate_numbered(uint64_t number)
+static order_record_t *
+order_find(uint64_t number)
 {
 	for (size_t i = 0; i < world.orders_len; i++) {
 		if (world.orders[i].number == number)
@@ -101,7 +103,7 @@
  */
 
 static rollout_state_t
-state_of(const char *text)
+state_parse(const char *text)
 {
 	if (strstr(text, "\"completed\"") != NULL)
 		return ROLLOUT_COMPLETED;
@@ -113,19 +115,19 @@
 state_put(const row_change_t *change)
 {
 	json_t *value = json_loads(change->value, 0, NULL);
-	fate_t *fate = fate_numbered(
+	order_record_t *record = order_find(
 	    (uint64_t)json_integer_value(json_object_get(value, "order")));
-	rollout_state_t state = state_of(change->value);
+	rollout_state_t state = state_parse(change->value);
 
 	json_decref(value);
-	FUZZ_CHECK(fate != NULL);
-	/* An end is the last word on an order. */
-	FUZZ_CHECK(fate->state != ROLLOUT_COMPLETED &&
-	    fate->state != ROLLOUT_REVERTED);
-	FUZZ_CHECK(state != ROLLOUT_REVERTED || fate->bad);
-	FUZZ_CHECK(fate->number >= world.state_order);
-	fate->state = state;
-	world.state_order = fate->number;
+	FUZZ_CHECK(record != NULL);
+	/* The state doesn't change after the end. */
+	FUZZ_CHECK(record->state != ROLLOUT_COMPLETED &&
+	    record->state != ROLLOUT_REVERTED);
+	FUZZ_CHECK(state != ROLLOUT_REVERTED || record->bad);
+	FUZZ_CHECK(record->number >= world.state_order);
+	record->state = state;
+	world.state_order = record->number;
 	world.state_version = ++world.version;
 	snprintf(
 	    world.state_text, sizeof(world.state_text), "%s", change->value);
@@ -146,13 +148,13 @@
 	writer->done = done;
 	writer->done_arg = arg;
 	writer->result = ROW_LOST;
-	if (world.away)
+	if (world.unavailable)
 		return true;
 	writer->result = ROW_CONFLICT;
 	if (expected->expected != world.state_version)
 		return true;
 	state_put(changes);
-	writer->result = world.loses ? ROW_LOST : ROW_OK;
+	writer->result = world.loses_responses ? ROW_LOST : ROW_OK;
 	return true;
 }
 
@@ -160,7 +162,7 @@
     silent_read, silent_feed, state_write};
 
 static bool
-state_tell(const rollout_order_t *order, rollout_state_t state, char **table,
+status_encode(const rollout_order_t *order, rollout_state_t state, char **table,
     char **key, char **value)
 {
 	(void)order;
@@ -171,7 +173,7 @@
 	return true;
 }
 
-static const rollout_status_encoder_t dialect = {state_tell};
+static const rollout_status_encoder_t encoder = {status_encode};
 
 /* Daemons. --------------------------------------------------------------------
  */
@@ -203,7 +205,7 @@
 	FUZZ_CHECK(offsetof(daemon_t, rollouts) == 0);
 	daemon->rollouts = (rollouts_t){.store = &world.store,
 	    .clock = &world.clock.source,
-	    .status_encoder = &dialect,
+	    .status_encoder = &encoder,
 	    .members = &daemon->members,
 	    .orders_watch = &daemon->orders,
 	    .states_watch = &daemon->states,
@@ -224,7 +226,7 @@
 	rollout_order_t order = {
 	    .service = SERVICE, .duration_ms = DURATION_MS};
 
-	if (world.away)
+	if (world.unavailable)
 		return;
 	row_watch_vouch(&daemon->orders, 1, world.clock.now);
 	if (world.orders_len == 0)
@@ -243,7 +245,7 @@
 	    .value_len = strlen(world.state_text),
 	    .version = world.state_version};
 
-	if (world.away)
+	if (world.unavailable)
 		return;
 	row_watch_vouch(&daemon->states, 1, world.clock.now);
 	daemon->read_at = world.version;
@@ -266,40 +268,40 @@
 	event_base_loop(world.base, EVLOOP_NONBLOCK);
 }
 
-/* The answers of a bad version tell. */
+/* The responses of a bad version show that it is bad. */
 static void
-find_bad(daemon_t *daemon)
+bad_version_detect(daemon_t *daemon)
 {
 	rollout_t *rollout = rollouts_find(&daemon->rollouts, SERVICE);
-	const fate_t *fate =
-	    rollout != NULL ? fate_numbered(rollout->order.number) : NULL;
+	const order_record_t *record =
+	    rollout != NULL ? order_find(rollout->order.number) : NULL;
 
-	if (fate != NULL && fate->bad && rollout->share > 0)
+	if (record != NULL && record->bad && rollout->share > 0)
 		rollout->stopped = true;
 }
 
-/* A version that requests may not go to: taken back, or replaced by one that
- * was completed, before an order that the daemon knows, or as the state that it
- * read says. */
+/* Whether no request may go to a version: it was reverted, or replaced by one
+ * whose roll-out completed, and the daemon has read that state, or has read the
+ * states after a later order that it knows. */
 static bool
-is_over(const daemon_t *daemon, const char *version)
+is_forbidden(const daemon_t *daemon, const char *version)
 {
 	const rollout_t *rollout =
 	    rollouts_find((rollouts_t *)(uintptr_t)&daemon->rollouts, SERVICE);
-	int at = order_of(version);
+	int at = order_index(version);
 
 	for (size_t i = 0; i < world.orders_len; i++) {
-		const fate_t *fate = &world.orders[i];
-		bool known = (rollout->order.number > fate->number &&
+		const order_record_t *record = &world.orders[i];
+		bool known = (rollout->order.number > record->number &&
 				 daemon->read_at >= rollout->order.number) ||
 		    (daemon->known_state == world.state_version &&
-			rollout->order.number >= fate->number);
+			rollout->order.number >= record->number);
 
 		if (!known)
 			continue;
-		if (fate->state == ROLLOUT_REVERTED && at == (int)i)
+		if (record->state == ROLLOUT_REVERTED && at == (int)i)
 			return true;
-		if (fate->state == ROLLOUT_COMPLETED && at < (int)i)
+		if (record->state == ROLLOUT_COMPLETED && at < (int)i)
 			return true;
 	}
 	return false;
@@ -314,26 +316,27 @@
 	struct timespec served_at = daemon->old_served_at[hash_index];
 	bool served = served_at.tv_sec != 0 &&
 	    timespec_ms_between(served_at, now) < SESSION_MS;
-	rollout_snapshot_t moment;
-	bool fresh;
+	rollout_snapshot_t snapshot;
+	bool prefers_new;
 
-	/* A daemon that has not read the states yet takes no requests. */
+	/* A daemon that has not read the states yet accepts no requests. */
 	if (rollout == NULL || rollout->order.number == 0 ||
 	    !daemon->states.settled_once)
 		return;
-	moment = (rollout_snapshot_t){
+	snapshot = (rollout_snapshot_t){
 	    .state = rollout->state_order == rollout->order.number
 		? rollout->state
 		: ROLLOUT_PENDING,
 	    .elapsed_ms =
 		timespec_ms_between(rollout->order_seen_at, world.clock.now),
 	    .duration_ms = DURATION_MS};
-	fresh = rollout_prefers_new(rollout, hash, session);
-	FUZZ_CHECK(!fresh || !session || !served ||
-	    !rollout_plan_pins_sessions(&moment));
-	FUZZ_CHECK(!is_over(daemon,
-	    fresh ? rollout->order.to_version : rollout_base_version(rollout)));
-	if (!session || fresh)
+	prefers_new = rollout_prefers_new(rollout, hash, session);
+	FUZZ_CHECK(!prefers_new || !session || !served ||
+	    !rollout_plan_pins_sessions(&snapshot));
+	FUZZ_CHECK(!is_forbidden(daemon,
+	    prefers_new ? rollout->order.to_version
+			: rollout_base_version(rollout)));
+	if (!session || prefers_new)
 		return;
 	daemon->old_served_at[hash_index] = now;
 	rollouts_record_old_session(&daemon->rollouts, hash);
@@ -343,16 +346,16 @@
  */
 
 static void
-order_next(bool bad)
+order_add(bool bad)
 {
 	if (world.orders_len == ORDERS_MAX)
 		return;
 	world.orders[world.orders_len++] =
-	    (fate_t){.bad = bad, .number = ++world.version};
+	    (order_record_t){.bad = bad, .number = ++world.version};
 }
 
 static bool
-last_ended(void)
+last_order_ended(void)
 {
 	rollout_state_t state;
 
@@ -363,7 +366,7 @@
 }
 
 static void
-pass(int64_t ms)
+time_pass(int64_t ms)
 {
 	for (int64_t past = 0; past < ms; past += TICK_MS) {
 		world.clock.now = timespec_after_ms(world.clock.now, TICK_MS);
@@ -379,8 +382,8 @@
 
 	switch (input_below(input, 10)) {
 	case 0:
-		if (last_ended())
-			order_next(input_below(input, 2) == 0);
+		if (last_order_ended())
+			order_add(input_below(input, 2) == 0);
 		break;
 	case 1:
 	case 2:
@@ -391,18 +394,18 @@
 		states_read(daemon);
 		break;
 	case 5:
-		pass(TIME_STEP_MS * (int64_t)input_below(input, 24));
+		time_pass(TIME_STEP_MS * (int64_t)input_below(input, 24));
 		break;
 	case 6:
-		find_bad(daemon);
+		bad_version_detect(daemon);
 		break;
 	case 7:
 		rollouts_finish(&daemon->rollouts);
 		daemon_start(daemon);
 		break;
 	case 8:
-		world.away = !world.away;
-		world.loses = !world.loses;
+		world.unavailable = !world.unavailable;
+		world.loses_responses = !world.loses_responses;
 		break;
 	default:
 		request(daemon, input_below(input, HASHES),
@@ -412,21 +415,21 @@
 }
 
 static void
-calm(void)
+settle(void)
 {
-	world.away = false;
-	world.loses = false;
-	for (int64_t past = 0; past < CALM_MS; past += TICK_MS) {
+	world.unavailable = false;
+	world.loses_responses = false;
+	for (int64_t past = 0; past < SETTLE_MS; past += TICK_MS) {
 		for (size_t i = 0; i < DAEMONS; i++) {
 			orders_read(&world.daemons[i]);
 			states_read(&world.daemons[i]);
-			find_bad(&world.daemons[i]);
+			bad_version_detect(&world.daemons[i]);
 			for (uint32_t n = 0; n < HASHES; n += 16)
 				request(&world.daemons[i], n, false);
 		}
-		pass(TICK_MS);
+		time_pass(TICK_MS);
 	}
-	FUZZ_CHECK(last_ended());
+	FUZZ_CHECK(last_order_ended());
 }
 
 int
@@ -443,7 +446,7 @@
 		daemon_start(&world.daemons[i]);
 	for (size_t i = 0; i < STEPS_MAX && !input_over(&input); i++)
 		step(&input);
-	calm();
+	settle();
 	for (size_t i = 0; i < DAEMONS; i++)
 		rollouts_finish(&world.daemons[i].rollouts);
 	event_base_free(world.base);
--- a/test/platform/rollout.lua
+++ b/test/platform/rollout.lua
@@ -1,17 +1,17 @@
--- A good version is completed by its time, a bad one reverted.
+-- The roll-out of a good version completes in time; that of a bad one is reverted.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
 local w = words.world(2, 2)
 local d = w.daemons
 
-local function traffic(until_word)
-  lib.wait_until("the roll-out is " .. until_word, function()
+local function traffic(state)
+  lib.wait_until("the roll-out is " .. state, function()
     for i = 1, 2 do
       for _ = 1, 3 do words.call(d[i], "/scan/1") end
       words.call(d[i], "/book/1")
     end
-    return words.status(w, until_word)
+    return words.status(w, state)
   end, 30000)
 end
 
@@ -29,7 +29,7 @@
 end
 lib.equal(#w:runs(1) + #w:runs(2), old, "runs on the old version")
 
--- The next one fails all it is given.
+-- The next version fails every request.
 w:replica(1, "v3")
 w:replica(2, "v3")
 w:faults(1, {fail = true})
@@ -38,7 +38,7 @@
 traffic("reverted")
 local exposed = #w:runs(1) + #w:runs(2) - old
 lib.check(exposed < 60, "runs on a bad version: %d", exposed)
--- The store's row goes before what the other daemon was told, by a moment.
+-- The store's row changes a moment before the other daemon reads it.
 local function served(daemon)
   for _ = 1, 10 do
     if words.call(daemon, "/book/3").status ~= 200 then return false end
--- a/test/platform/rollout_crash.lua
+++ b/test/platform/rollout_crash.lua
@@ -1,5 +1,5 @@
--- An endpoint of a new version dies with several requests: that is one event, and
--- no reason to revert a version whose other answers are good.
+-- An endpoint of a new version goes down with several requests in flight. That is
+-- a single event and no reason to revert a version whose other responses are good.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -15,7 +15,8 @@
 end
 w:put("op", "rollout/lm", {service = "lm", to = "v2", duration_s = 14})
 
--- Nothing goes to it in the first two seconds. Streams until several run on the new version, of which one endpoint has all.
+-- No request goes to the new version in the first two seconds. Then streams are
+-- started until several run on it, all of them at one endpoint.
 run.sleep(2200)
 local calls = {}
 lib.wait_until("several streams run on the new version", function()
@@ -25,12 +26,12 @@
   return #w:runs(3) + #w:runs(4) >= 5
 end, 6000)
 lib.check(#calls < STREAMS_MAX, "the share is too small: %d", #calls)
-local dies = #w:runs(3) > #w:runs(4) and 3 or 4
-w.replicas[dies]:kill()
-w:put("servers", w.replicas[dies].id, nil)
-w.replicas[dies] = nil
+local crashing = #w:runs(3) > #w:runs(4) and 3 or 4
+w.replicas[crashing]:kill()
+w:put("servers", w.replicas[crashing].id, nil)
+w.replicas[crashing] = nil
 for _, call in ipairs(calls) do
-  lib.check(words.whole(call:finish().body, 200), "a stream was cut")
+  lib.check(words.whole(call:finish().body, 200), "a stream was truncated")
 end
 lib.wait_until("the roll-out is completed", function()
   for i = 1, 2 do
--- a/test/platform/rollout_next.lua
+++ b/test/platform/rollout_next.lua
@@ -1,13 +1,10 @@
--- A roll-out of a bad version is taken back, and in that moment the operator
--- orders the next version, while the endpoints of the bad one still stand there.
--- Requests of all kinds, those of sessions too, were sent to the bad one again:
--- 22 to 29 of them moved to another version than the one before in their session.
---
--- Cause: "not the version that is ordered now" was taken for the old version, and
--- the bad one is not the one that is ordered now either.
--- Evidence, from the log of one daemon: rollout_state order=47 state=reverted at
--- 26.76 s, rollout_order order=62 to=v3 at 26.77 s, and a request of 27.18 s with
--- an endpoint of v2.
+-- Guards against requests to a reverted version. A roll-out is reverted, and at
+-- once the operator orders the next version while the endpoints of the reverted
+-- one are still registered. Every version but the ordered one counted as the old
+-- version then, also the reverted one. It got requests again, and 22 to 29
+-- requests of sessions changed their version. In the log of one daemon, v2 was
+-- reverted at 26.76 s, the order for v3 came at 26.77 s, and at 27.18 s a request
+-- went to an endpoint of v2.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -27,10 +24,10 @@
   return count
 end
 
-local function traffic(word)
-  lib.wait_until("the roll-out is " .. word, function()
+local function traffic(state)
+  lib.wait_until("the roll-out is " .. state, function()
     bookings(20)
-    return words.status(w, word)
+    return words.status(w, state)
   end, 30000)
 end
 
@@ -43,20 +40,23 @@
 traffic("reverted")
 for i = 5, 6 do w:replica(i, "v3") end
 w:put("op", "rollout/lm", {service = "lm", to = "v3", duration_s = 12})
--- All know of both: the first steps of the next one are under way.
+-- All daemons know both orders: the first steps of the next roll-out are in
+-- progress.
 traffic("in_progress")
 local bad = runs(3, 4)
 bookings(200)
-lib.equal(runs(3, 4), bad, "runs on the version that was taken back")
+lib.equal(runs(3, 4), bad, "runs on the reverted version")
 
--- A daemon that starts now finds out which version is replaced.
+-- A daemon that starts now learns which version is replaced.
 d[2]:kill()
 w:daemon(2)
 words.wait_ready(d[2])
 bookings(100)
-lib.equal(runs(3, 4), bad, "runs on it through a daemon that has just started")
+lib.equal(runs(3, 4), bad,
+  "runs on the reverted version through a restarted daemon")
 traffic("completed")
-lib.equal(runs(3, 4), bad, "runs on it until the next one is completed")
+lib.equal(runs(3, 4), bad,
+  "runs on the reverted version until the next roll-out completed")
 local old = runs(1, 4)
 bookings(40)
 lib.equal(runs(1, 4), old, "runs on versions that were replaced")
--- a/test/platform/sessions.lua
+++ b/test/platform/sessions.lua
@@ -1,6 +1,6 @@
--- A session's next request stays on its version in the first half of a roll-out,
--- also if the one before it was under way for far longer than a session lasts
--- without requests, and also in the second roll-out of a service.
+-- The next request of a session stays on its version in the first half of a
+-- roll-out, also if the request before it was in flight for far longer than a
+-- session lasts without requests, and also in the second roll-out of a service.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -17,8 +17,8 @@
   return {headers = {["Session"] = "session-" .. i}}
 end
 
--- While streams of all sessions run on the old replicas, the new version is
--- ordered; each session then goes on at the other daemon.
+-- Order the new version while streams of all sessions run on the old replicas.
+-- Then each session continues at the other daemon.
 local function rollout(old, new, version)
   for _, i in ipairs(old) do
     w:faults(i, {events = EVENTS, pause_ms = 100})
@@ -34,7 +34,8 @@
   end)
   w:put("op", "rollout/lm", {service = "lm", to = version, duration_s = 22})
   for i = 1, SESSIONS do
-    lib.check(words.whole(calls[i]:finish().body, EVENTS), "%d is cut", i)
+    lib.check(words.whole(calls[i]:finish().body, EVENTS),
+      "stream %d was truncated", i)
     calls[i] = words.begin(d[1 + (i + 1) % 2], "/book/s", session(i))
   end
   for i = 1, SESSIONS do
@@ -43,7 +44,7 @@
   lib.equal(runs(new), new_before, "sessions moved to " .. version)
 end
 
--- Who has no session may be sent there, and in the end all are.
+-- Requests without a session may go to the new version, and in the end all do.
 local function completed(old, new)
   lib.wait_until("the roll-out is completed", function()
     local before = runs(old)
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Roll-outs as a daemon learns of them: in whatever order the operator's order,
- * the state's row and the store's clock arrive, the time since the order is the
- * same.
+ * Roll-outs at one daemon: orders, rows of states and the store's clock arrive
+ * in any sequence, orders follow each other, members report and go down, and
+ * the store is restored from an older copy.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,14 +20,14 @@
 
 #define ORDER 5
 #define DURATION_MS 16000
-/* Of the store's clock. */
+/* Time by the store's clock. */
 #define STORE_NOW_MS 900000
-/* Well into the last steps of a roll-out. */
+/* In the last step of a roll-out. */
 #define ELAPSED_MS 11000
 
-/* The one roll-out that a test has. */
+/* Frees the only roll-out of a test. */
 static void
-rollouts_forget(rollouts_t *rollouts)
+rollouts_clear(rollouts_t *rollouts)
 {
 	rollout_t *one = rollouts->by_service;
 
@@ -35,27 +35,27 @@
 	free(one);
 }
 
-/** What a daemon learns. */
-typedef enum news {
-	NEWS_ORDER,
-	NEWS_STATE,
-	NEWS_CLOCK,
-} news_t;
+/** What a daemon receives. */
+typedef enum input {
+	INPUT_ORDER,
+	INPUT_STATE,
+	INPUT_CLOCK,
+} input_t;
 
 static void
-news_tell(rollouts_t *rollouts, news_t news)
+input_apply(rollouts_t *rollouts, input_t input)
 {
 	static char text[128];
 	rollout_order_t order = {
 	    .service = "s", .to_version = "v2", .duration_ms = DURATION_MS};
 	row_t row = {.key = ROLLOUT_PREFIX "s", .value = text, .version = 9};
 
-	switch (news) {
-	case NEWS_ORDER:
+	switch (input) {
+	case INPUT_ORDER:
 		order.number = ORDER;
 		rollouts_apply_order(rollouts, &order);
 		break;
-	case NEWS_STATE:
+	case INPUT_STATE:
 		snprintf(text, sizeof(text),
 		    "{\"order\":%d,\"to\":\"v2\",\"base\":\"v1\","
 		    "\"state\":\"in_progress\",\"began_ms\":%d}",
@@ -63,15 +63,16 @@
 		row.value_len = strlen(text);
 		rollouts_apply_state_row(rollouts, &row, NULL);
 		break;
-	case NEWS_CLOCK:
+	case INPUT_CLOCK:
 		rollouts_set_store_clock(rollouts, STORE_NOW_MS);
 		break;
 	}
 }
 
-/* The share of requests that go to the new version, in percent. */
+/* The share of requests that go to the new version after three inputs, in
+ * percent. */
 static int
-share_after(news_t first, news_t second, news_t third)
+share_after(input_t first, input_t second, input_t third)
 {
 	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
 	event_log_t log;
@@ -86,38 +87,43 @@
 
 	event_log_init(&log, &clock.source, 1);
 	row_watch_vouch(&watch, 1, clock.now);
-	news_tell(&rollouts, first);
-	news_tell(&rollouts, second);
-	news_tell(&rollouts, third);
+	input_apply(&rollouts, first);
+	input_apply(&rollouts, second);
+	input_apply(&rollouts, third);
 	for (int i = 0; i < 100; i++)
 		share += rollout_prefers_new(rollouts_find(&rollouts, "s"),
 		    UINT64_MAX / 100 * (uint64_t)i, false);
-	rollouts_forget(&rollouts);
+	rollouts_clear(&rollouts);
 	return share;
 }
 
 static void
-the_time_of_an_order_is_known_in_whatever_order_it_is_told(void **state)
+start_time_is_independent_of_arrival_order(void **state)
 {
 	(void)state;
-	assert_int_equal(share_after(NEWS_CLOCK, NEWS_ORDER, NEWS_STATE), 100);
-	assert_int_equal(share_after(NEWS_CLOCK, NEWS_STATE, NEWS_ORDER), 100);
-	assert_int_equal(share_after(NEWS_STATE, NEWS_ORDER, NEWS_CLOCK), 100);
-	assert_int_equal(share_after(NEWS_ORDER, NEWS_STATE, NEWS_CLOCK), 100);
+	assert_int_equal(
+	    share_after(INPUT_CLOCK, INPUT_ORDER, INPUT_STATE), 100);
+	assert_int_equal(
+	    share_after(INPUT_CLOCK, INPUT_STATE, INPUT_ORDER), 100);
+	assert_int_equal(
+	    share_after(INPUT_STATE, INPUT_ORDER, INPUT_CLOCK), 100);
+	assert_int_equal(
+	    share_after(INPUT_ORDER, INPUT_STATE, INPUT_CLOCK), 100);
 }
 
-#define NEXT (ORDER + 3)
+#define NEXT_ORDER (ORDER + 3)
 #define WAIT_MS 1500
 
-/** A service with a first version v1, and an order for v2 that is under way. */
-typedef struct first_order {
+/** A daemon and a service with base version v1 and a roll-out of v2 in
+ * progress. */
+typedef struct fixture {
 	manual_clock_t clock;
 	event_log_t log;
 	row_watch_t watch;
 	membership_t members;
 	rollouts_t rollouts;
 	const rollout_t *rollout;
-} first_order_t;
+} fixture_t;
 
 static const char *
 first_version(const void *relay, const char *service)
@@ -128,7 +134,7 @@
 }
 
 static void
-state_told(first_order_t *told, int order, const char *to, const char *base,
+state_apply(fixture_t *fixture, int order, const char *to, const char *base,
     const char *state, uint64_t version)
 {
 	char text[160];
@@ -139,39 +145,39 @@
 	    "{\"order\":%d,\"to\":\"%s\",\"base\":\"%s\",\"state\":\"%s\","
 	    "\"began_ms\":%d}",
 	    order, to, base, state, STORE_NOW_MS);
-	rollouts_apply_state_row(&told->rollouts, &row, NULL);
+	rollouts_apply_state_row(&fixture->rollouts, &row, NULL);
 }
 
 static void
-order_told(first_order_t *told, uint64_t number, const char *to)
+order_apply(fixture_t *fixture, uint64_t number, const char *to)
 {
 	rollout_order_t order = {
 	    .service = "s", .duration_ms = DURATION_MS, .number = number};
 
 	strcpy(order.to_version, to);
-	rollouts_apply_order(&told->rollouts, &order);
+	rollouts_apply_order(&fixture->rollouts, &order);
 }
 
 static void
-first_order_init(first_order_t *told)
+fixture_init(fixture_t *fixture)
 {
-	memset(told, 0, sizeof(*told));
-	told->clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
-	told->watch =
-	    (row_watch_t){.clock = &told->clock.source, .suspended = true};
-	told->rollouts = (rollouts_t){.clock = &told->clock.source,
-	    .members = &told->members,
-	    .orders_watch = &told->watch,
-	    .states_watch = &told->watch,
-	    .log = &told->log,
+	memset(fixture, 0, sizeof(*fixture));
+	fixture->clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	fixture->watch =
+	    (row_watch_t){.clock = &fixture->clock.source, .suspended = true};
+	fixture->rollouts = (rollouts_t){.clock = &fixture->clock.source,
+	    .members = &fixture->members,
+	    .orders_watch = &fixture->watch,
+	    .states_watch = &fixture->watch,
+	    .log = &fixture->log,
 	    .group_base_version = first_version};
-	event_log_init(&told->log, &told->clock.source, 1);
-	row_watch_vouch(&told->watch, 1, told->clock.now);
-	rollouts_set_store_clock(&told->rollouts, STORE_NOW_MS);
-	order_told(told, ORDER, "v2");
-	told->rollout = rollouts_find(&told->rollouts, "s");
-	assert_string_equal(rollout_base_version(told->rollout), "v1");
-	state_told(told, ORDER, "v2", "v1", "in_progress", 9);
+	event_log_init(&fixture->log, &fixture->clock.source, 1);
+	row_watch_vouch(&fixture->watch, 1, fixture->clock.now);
+	rollouts_set_store_clock(&fixture->rollouts, STORE_NOW_MS);
+	order_apply(fixture, ORDER, "v2");
+	fixture->rollout = rollouts_find(&fixture->rollouts, "s");
+	assert_string_equal(rollout_base_version(fixture->rollout), "v1");
+	state_apply(fixture, ORDER, "v2", "v1", "in_progress", 9);
 }
 
 static uint32_t
@@ -183,18 +189,18 @@
 }
 
 static bool
-is_taken_back(const first_order_t *told, const char *version)
+is_reverted(const fixture_t *fixture, const char *version)
 {
 	endpoint_t endpoint = {0};
 
 	strcpy(endpoint.facts.version, version);
-	return rollout_is_reverted_version(told->rollout, &endpoint);
+	return rollout_is_reverted_version(fixture->rollout, &endpoint);
 }
 
-/* What the next order replaces depends on how the one before ended, whichever
- * of the two is told first. */
+/* The version that the next order replaces depends on how the one before ended,
+ * whichever of the two is received first. */
 static void
-the_next_order_replaces_what_the_one_before_left(void **state)
+next_order_replaces_version_of_last_end(void **state)
 {
 	static const char *const ends[] = {"reverted", "completed"};
 	static const char *const bases[] = {"v1", "v2"};
@@ -202,52 +208,53 @@
 	(void)state;
 	for (int end = 0; end < 2; end++) {
 		for (int order_first = 0; order_first < 2; order_first++) {
-			first_order_t told;
+			fixture_t fixture;
 
-			first_order_init(&told);
+			fixture_init(&fixture);
 			if (order_first)
-				order_told(&told, NEXT, "v3");
-			state_told(&told, ORDER, "v2", "v1", ends[end], 12);
+				order_apply(&fixture, NEXT_ORDER, "v3");
+			state_apply(&fixture, ORDER, "v2", "v1", ends[end], 12);
 			if (!order_first)
-				order_told(&told, NEXT, "v3");
-			assert_int_equal(told.rollout->order.number, NEXT);
+				order_apply(&fixture, NEXT_ORDER, "v3");
+			assert_int_equal(
+			    fixture.rollout->order.number, NEXT_ORDER);
 			assert_string_equal(
-			    rollout_base_version(told.rollout), bases[end]);
-			assert_int_equal(is_taken_back(&told, "v2"), end == 0);
-			/* Another daemon's word on it is the same. */
-			state_told(
-			    &told, NEXT, "v3", bases[end], "in_progress", 15);
+			    rollout_base_version(fixture.rollout), bases[end]);
+			assert_int_equal(is_reverted(&fixture, "v2"), end == 0);
+			/* The state that another daemon writes agrees. */
+			state_apply(&fixture, NEXT_ORDER, "v3", bases[end],
+			    "in_progress", 15);
 			assert_string_equal(
-			    rollout_base_version(told.rollout), bases[end]);
-			rollouts_forget(&told.rollouts);
+			    rollout_base_version(fixture.rollout), bases[end]);
+			rollouts_clear(&fixture.rollouts);
 		}
 	}
 }
 
 static void
-the_next_order_waits_for_the_end_of_the_one_before(void **state)
+next_order_waits_for_end_of_current(void **state)
 {
-	first_order_t told;
+	fixture_t fixture;
 
 	(void)state;
-	first_order_init(&told);
-	order_told(&told, NEXT, "v3");
-	assert_int_equal(told.rollout->order.number, ORDER);
-	told.clock.now = timespec_after_ms(told.clock.now, WAIT_MS);
-	order_told(&told, NEXT, "v3");
-	state_told(&told, ORDER, "v2", "v1", "in_progress", 13);
-	assert_int_equal(told.rollout->order.number, ORDER);
-	/* The states are read after it, and tell of no end: the operator has
-	 * replaced one that had not ended. */
-	row_watch_vouch(&told.watch, 14, told.clock.now);
-	state_told(&told, ORDER, "v2", "v1", "in_progress", 14);
-	assert_int_equal(told.rollout->order.number, NEXT);
-	assert_string_equal(rollout_base_version(told.rollout), "v1");
-	rollouts_forget(&told.rollouts);
+	fixture_init(&fixture);
+	order_apply(&fixture, NEXT_ORDER, "v3");
+	assert_int_equal(fixture.rollout->order.number, ORDER);
+	fixture.clock.now = timespec_after_ms(fixture.clock.now, WAIT_MS);
+	order_apply(&fixture, NEXT_ORDER, "v3");
+	state_apply(&fixture, ORDER, "v2", "v1", "in_progress", 13);
+	assert_int_equal(fixture.rollout->order.number, ORDER);
+	/* The states were read after the next order and show no end: the
+	 * operator has replaced an order that had not ended. */
+	row_watch_vouch(&fixture.watch, 14, fixture.clock.now);
+	state_apply(&fixture, ORDER, "v2", "v1", "in_progress", 14);
+	assert_int_equal(fixture.rollout->order.number, NEXT_ORDER);
+	assert_string_equal(rollout_base_version(fixture.rollout), "v1");
+	rollouts_clear(&fixture.rollouts);
 }
 
 static bool
-write_refuse(row_store_t *store, const row_change_t *expected,
+write_unexpected(row_store_t *store, const row_change_t *expected,
     size_t expected_len, const row_change_t *changes, size_t changes_len,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
@@ -259,12 +266,12 @@
 	(void)timeout_ms;
 	(void)done;
 	(void)arg;
-	fail_msg("the state of a later order is written over");
+	fail_msg("the state of a later order is overwritten");
 	return false;
 }
 
 static bool
-tell_nothing(const rollout_order_t *order, rollout_state_t state, char **table,
+status_encode(const rollout_order_t *order, rollout_state_t state, char **table,
     char **key, char **value)
 {
 	(void)order;
@@ -275,54 +282,54 @@
 	return true;
 }
 
-/* A daemon that has read the state of a later order, and not that order itself,
- * wrote the state of its own order over it. */
+/* Guards against a daemon that has read the state of a later order, but not
+ * that order itself, and overwrites it with the state of its own order. */
 static void
-the_state_of_a_later_order_stays(void **state)
+state_of_later_order_is_not_overwritten(void **state)
 {
-	static const row_store_ops_t refusing = {NULL, NULL, write_refuse};
-	static const rollout_status_encoder_t dialect = {tell_nothing};
+	static const row_store_ops_t refusing = {NULL, NULL, write_unexpected};
+	static const rollout_status_encoder_t encoder = {status_encode};
 	row_store_t store = {.ops = &refusing};
 	struct event_base *base = event_base_new();
-	first_order_t told;
+	fixture_t fixture;
 
 	(void)state;
-	first_order_init(&told);
-	told.rollouts.store = &store;
-	told.rollouts.status_encoder = &dialect;
-	assert_true(rollouts_init(&told.rollouts, base));
-	state_told(&told, NEXT, "v3", "v2", "in_progress", 12);
+	fixture_init(&fixture);
+	fixture.rollouts.store = &store;
+	fixture.rollouts.status_encoder = &encoder;
+	assert_true(rollouts_init(&fixture.rollouts, base));
+	state_apply(&fixture, NEXT_ORDER, "v3", "v2", "in_progress", 12);
 	for (int i = 0; i < 20; i++) {
-		told.clock.now = timespec_after_ms(told.clock.now, 200);
-		event_active(told.rollouts.timer, EV_TIMEOUT, 0);
+		fixture.clock.now = timespec_after_ms(fixture.clock.now, 200);
+		event_active(fixture.rollouts.timer, EV_TIMEOUT, 0);
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	}
-	rollouts_finish(&told.rollouts);
+	rollouts_finish(&fixture.rollouts);
 	event_base_free(base);
 }
 
-/* A daemon that starts knows the newest order only, and the last state. */
+/* A daemon that starts receives only the newest order and the last state. */
 static void
-who_starts_learns_what_is_replaced(void **state)
+starting_daemon_learns_replaced_version(void **state)
 {
-	first_order_t told;
+	fixture_t fixture;
 
 	(void)state;
-	first_order_init(&told);
-	rollouts_forget(&told.rollouts);
-	order_told(&told, NEXT, "v3");
-	told.rollout = rollouts_find(&told.rollouts, "s");
-	state_told(&told, ORDER, "v2", "v0", "reverted", 12);
-	assert_string_equal(rollout_base_version(told.rollout), "v0");
-	assert_true(is_taken_back(&told, "v2"));
-	rollouts_forget(&told.rollouts);
+	fixture_init(&fixture);
+	rollouts_clear(&fixture.rollouts);
+	order_apply(&fixture, NEXT_ORDER, "v3");
+	fixture.rollout = rollouts_find(&fixture.rollouts, "s");
+	state_apply(&fixture, ORDER, "v2", "v0", "reverted", 12);
+	assert_string_equal(rollout_base_version(fixture.rollout), "v0");
+	assert_true(is_reverted(&fixture, "v2"));
+	rollouts_clear(&fixture.rollouts);
 }
 
-/* Silent for longer than a daemon that stands still for a moment. */
-#define GONE_MS 5000
+/* Silent for longer than a daemon that is paused for a moment. */
+#define DOWN_MS 5000
 
-/* Another daemon that has counted a bad new version, and sends half of its
- * requests there. */
+/* Another daemon whose report shows a bad new version, to which it sends half
+ * of its requests. */
 static void
 reporting_daemon(member_t *member, membership_t *members)
 {
@@ -335,148 +342,148 @@
 	HASH_ADD_STR(members->members, name, member);
 }
 
-/* What a daemon reported counts for as long as it may be at work, and neither
- * stops a roll-out nor holds it up after that. */
+/* The report of a daemon counts for as long as the daemon may be alive. After
+ * that it neither stops a roll-out nor delays its completion. */
 static void
-the_report_of_a_daemon_ends_when_it_is_gone(void **state)
+report_expires_when_daemon_is_down(void **state)
 {
-	first_order_t told;
+	fixture_t fixture;
 	rollout_t *rollout;
 	member_t member;
 
 	(void)state;
-	first_order_init(&told);
-	rollout = rollouts_find(&told.rollouts, "s");
-	told.rollouts.old_in_flight = none_on_old;
-	told.members.clock = &told.clock.source;
-	reporting_daemon(&member, &told.members);
+	fixture_init(&fixture);
+	rollout = rollouts_find(&fixture.rollouts, "s");
+	fixture.rollouts.old_in_flight = none_on_old;
+	fixture.members.clock = &fixture.clock.source;
+	reporting_daemon(&member, &fixture.members);
 	assert_true(rollout_new_version_is_bad(rollout));
 	assert_false(rollout_is_drained(rollout));
-	life_set_silent(&member.life, true, told.clock.now);
+	life_set_silent(&member.life, true, fixture.clock.now);
 	assert_true(rollout_new_version_is_bad(rollout));
-	told.clock.now = timespec_after_ms(told.clock.now, GONE_MS);
+	fixture.clock.now = timespec_after_ms(fixture.clock.now, DOWN_MS);
 	assert_false(rollout_new_version_is_bad(rollout));
 	assert_true(rollout_is_drained(rollout));
-	HASH_DEL(told.members.members, &member);
+	HASH_DEL(fixture.members.members, &member);
 	json_decref(member.report);
-	rollouts_forget(&told.rollouts);
+	rollouts_clear(&fixture.rollouts);
 }
 
-/* The rows of the copy, in whatever order they are read. */
+/* Applies the rows of a restored store, the order or the state first. */
 static void
-copy_told(first_order_t *told, bool order_first, const char *state)
+restored_rows_apply(fixture_t *fixture, bool order_first, const char *state)
 {
 	if (order_first)
-		order_told(told, era_version_of(1, ORDER), "v2");
-	state_told(told, ORDER, "v2", "v1", state, era_version_of(1, 9));
+		order_apply(fixture, era_version_of(1, ORDER), "v2");
+	state_apply(fixture, ORDER, "v2", "v1", state, era_version_of(1, 9));
 	if (!order_first)
-		order_told(told, era_version_of(1, ORDER), "v2");
+		order_apply(fixture, era_version_of(1, ORDER), "v2");
 }
 
 static void
-an_older_copy_of_the_store_begins_no_roll_out_again(void **state)
+restored_store_restarts_no_rollout(void **state)
 {
 	(void)state;
 	for (int order_first = 0; order_first < 2; order_first++) {
-		first_order_t told;
+		fixture_t fixture;
 
-		first_order_init(&told);
-		state_told(&told, ORDER, "v2", "v1", "reverted", 12);
-		copy_told(&told, order_first, "in_progress");
+		fixture_init(&fixture);
+		state_apply(&fixture, ORDER, "v2", "v1", "reverted", 12);
+		restored_rows_apply(&fixture, order_first, "in_progress");
 		assert_int_equal(
-		    told.rollout->order.number, era_version_of(1, ORDER));
-		assert_false(rollout_is_active(told.rollout));
-		assert_int_equal(told.rollout->state, ROLLOUT_REVERTED);
-		/* It is to be written again. */
-		assert_true(told.rollout->state_rewrite_needed);
-		/* The operator gives a new one. */
-		order_told(&told, era_version_of(1, NEXT), "v3");
-		assert_true(rollout_is_active(told.rollout));
-		assert_string_equal(told.rollout->order.to_version, "v3");
-		assert_string_equal(rollout_base_version(told.rollout), "v1");
-		rollouts_forget(&told.rollouts);
+		    fixture.rollout->order.number, era_version_of(1, ORDER));
+		assert_false(rollout_is_active(fixture.rollout));
+		assert_int_equal(fixture.rollout->state, ROLLOUT_REVERTED);
+		/* The state must be written again. */
+		assert_true(fixture.rollout->state_rewrite_needed);
+		/* The operator gives a new order. */
+		order_apply(&fixture, era_version_of(1, NEXT_ORDER), "v3");
+		assert_true(rollout_is_active(fixture.rollout));
+		assert_string_equal(fixture.rollout->order.to_version, "v3");
+		assert_string_equal(
+		    rollout_base_version(fixture.rollout), "v1");
+		rollouts_clear(&fixture.rollouts);
 	}
 }
 
 static void
-an_order_before_the_copy_stays_replaced(void **state)
+restored_order_stays_replaced(void **state)
 {
-	first_order_t told;
+	fixture_t fixture;
 
 	(void)state;
-	first_order_init(&told);
-	state_told(&told, ORDER, "v2", "v1", "completed", 12);
-	order_told(&told, NEXT, "v3");
-	state_told(&told, NEXT, "v3", "v2", "in_progress", 15);
-	copy_told(&told, true, "completed");
-	assert_string_equal(told.rollout->order.to_version, "v3");
-	assert_true(rollout_is_active(told.rollout));
-	assert_string_equal(rollout_base_version(told.rollout), "v2");
-	/* Written again, with a version that v2's order once had. */
-	order_told(&told, era_version_of(1, ORDER + 1), "v3");
+	fixture_init(&fixture);
+	state_apply(&fixture, ORDER, "v2", "v1", "completed", 12);
+	order_apply(&fixture, NEXT_ORDER, "v3");
+	state_apply(&fixture, NEXT_ORDER, "v3", "v2", "in_progress", 15);
+	restored_rows_apply(&fixture, true, "completed");
+	assert_string_equal(fixture.rollout->order.to_version, "v3");
+	assert_true(rollout_is_active(fixture.rollout));
+	assert_string_equal(rollout_base_version(fixture.rollout), "v2");
+	/* The order for v3 is written again. Within the new era its number is
+	 * lower than before. */
+	order_apply(&fixture, era_version_of(1, ORDER + 1), "v3");
 	assert_int_equal(
-	    told.rollout->order.number, era_version_of(1, ORDER + 1));
-	assert_true(rollout_is_active(told.rollout));
-	assert_int_equal(told.rollout->started_ms, STORE_NOW_MS);
-	rollouts_forget(&told.rollouts);
+	    fixture.rollout->order.number, era_version_of(1, ORDER + 1));
+	assert_true(rollout_is_active(fixture.rollout));
+	assert_int_equal(fixture.rollout->started_ms, STORE_NOW_MS);
+	rollouts_clear(&fixture.rollouts);
 }
 
 static void
-who_starts_after_it_begins_none_that_is_over(void **state)
+daemon_started_after_restore_starts_no_ended_rollout(void **state)
 {
-	first_order_t told;
+	fixture_t fixture;
 
 	(void)state;
-	first_order_init(&told);
-	rollouts_forget(&told.rollouts);
-	copy_told(&told, true, "completed");
-	told.rollout = rollouts_find(&told.rollouts, "s");
-	assert_false(rollout_is_active(told.rollout));
-	rollouts_forget(&told.rollouts);
+	fixture_init(&fixture);
+	rollouts_clear(&fixture.rollouts);
+	restored_rows_apply(&fixture, true, "completed");
+	fixture.rollout = rollouts_find(&fixture.rollouts, "s");
+	assert_false(rollout_is_active(fixture.rollout));
+	rollouts_clear(&fixture.rollouts);
 }
 
 /* Fraction of the duration: in the second step, while sessions are pinned. */
 #define SECOND_STEP_TIME 0.45
-/* A hash that the second step takes and the first does not. */
+/* A hash in the share of the second step but not of the first. */
 #define SECOND_STEP_HASH (UINT64_MAX / 100 * 7)
 
-/* A session above the first step's share may have been served by the old
- * version at any daemon, and is not reported: it must not move in the first
- * half. */
+/* A session outside the first step's share may have been served by the old
+ * version at any daemon without being reported, so it must not move while
+ * sessions are pinned. */
 static void
-the_second_step_moves_no_session(void **state)
+second_step_moves_no_session(void **state)
 {
-	first_order_t told;
+	fixture_t fixture;
 	rollout_t *rollout;
 
 	(void)state;
-	first_order_init(&told);
-	rollout = rollouts_find(&told.rollouts, "s");
-	told.clock.now = timespec_after_ms(
-	    told.clock.now, (int64_t)(SECOND_STEP_TIME * DURATION_MS));
-	row_watch_vouch(&told.watch, 2, told.clock.now);
+	fixture_init(&fixture);
+	rollout = rollouts_find(&fixture.rollouts, "s");
+	fixture.clock.now = timespec_after_ms(
+	    fixture.clock.now, (int64_t)(SECOND_STEP_TIME * DURATION_MS));
+	row_watch_vouch(&fixture.watch, 2, fixture.clock.now);
 	assert_true(rollout_prefers_new(rollout, SECOND_STEP_HASH, false));
 	assert_false(rollout_prefers_new(rollout, SECOND_STEP_HASH, true));
-	rollouts_forget(&told.rollouts);
+	rollouts_clear(&fixture.rollouts);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
+	    cmocka_unit_test(start_time_is_independent_of_arrival_order),
+	    cmocka_unit_test(next_order_replaces_version_of_last_end),
+	    cmocka_unit_test(next_order_waits_for_end_of_current),
+	    cmocka_unit_test(starting_daemon_learns_replaced_version),
+	    cmocka_unit_test(state_of_later_order_is_not_overwritten),
+	    cmocka_unit_test(report_expires_when_daemon_is_down),
+	    cmocka_unit_test(restored_store_restarts_no_rollout),
+	    cmocka_unit_test(restored_order_stays_replaced),
 	    cmocka_unit_test(
-		the_time_of_an_order_is_known_in_whatever_order_it_is_told),
-	    cmocka_unit_test(the_next_order_replaces_what_the_one_before_left),
-	    cmocka_unit_test(
-		the_next_order_waits_for_the_end_of_the_one_before),
-	    cmocka_unit_test(who_starts_learns_what_is_replaced),
-	    cmocka_unit_test(the_state_of_a_later_order_stays),
-	    cmocka_unit_test(the_report_of_a_daemon_ends_when_it_is_gone),
-	    cmocka_unit_test(
-		an_older_copy_of_the_store_begins_no_roll_out_again),
-	    cmocka_unit_test(an_order_before_the_copy_stays_replaced),
-	    cmocka_unit_test(who_starts_after_it_begins_none_that_is_over),
-	    cmocka_unit_test(the_second_step_moves_no_session),
+		daemon_started_after_restore_starts_no_ended_rollout),
+	    cmocka_unit_test(second_step_moves_no_session),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
