--- a/include/moortack/relay/endpoint_set.h
+++ b/include/moortack/relay/endpoint_set.h
@@ -12,8 +12,8 @@
 
 #include "common/clock_source.h"
 #include "common/http_outbound.h"
+#include "moortack/relay/canary_analysis.h"
 #include "moortack/relay/prefill_queue.h"
-#include "moortack/relay/version_guard.h"
 #include "moortack/relay/zone_table.h"
 
 #define ENDPOINT_NAME_SIZE 96
@@ -54,7 +54,7 @@
 /** A response that was truncated, which may be due to a crash of the endpoint
  * or to a fault in its version. */
 typedef struct suspected_failure {
-	guard_answer_t answer;
+	canary_observation_t answer;
 	struct timespec at;
 } suspected_failure_t;
 
--- /dev/null
+++ b/moortack/relay/relay_canary.c
@@ -0,0 +1,177 @@
+#include <math.h>
+#include <string.h>
+#include <xxhash.h>
+
+#include "relay_request.h"
+
+/* Events after which the gap between the events of a response is reported,
+ * while the response goes on. A version that is several times slower would
+ * otherwise be noticed only at the end of its responses, which comes as much
+ * later or never. */
+#define GAP_EVENTS 5
+/* Events from which a gap is reported at the end of a shorter response. */
+#define GAP_EVENTS_MIN 4
+#define US_PER_MS 1000.0
+/* If an endpoint responds within this time after a response was truncated or
+ * never came, it is alive, and the failure is attributed to its version.
+ * Otherwise it is down or can't be reached. */
+#define DEFERRED_FAILURE_MAX_MS 2500
+
+/* Mean time between the events of the attempt. */
+static double
+event_gap_ms(const relay_request_t *req)
+{
+	int64_t us = timespec_us_between(
+	    req->events_since, clock_elapsed(req->relay->clock));
+
+	return (double)us / US_PER_MS / (req->events - 1);
+}
+
+/* The roll-out whose analysis the attempt is reported to, or NULL. */
+static rollout_t *
+rollout_of_attempt(const relay_request_t *req)
+{
+	rollout_t *rollout = rollouts_find(req->relay->rollouts, req->service);
+
+	return rollout != NULL && rollout->order.number != 0 &&
+		req->attempt.sent
+	    ? rollout
+	    : NULL;
+}
+
+static canary_observation_t
+observation_make(const relay_request_t *req, canary_signal_t signal, double ms)
+{
+	const attempt_t *attempt = &req->attempt;
+
+	return (canary_observation_t){.signal = signal,
+	    .route = XXH3_64bits(req->route->name, strlen(req->route->name)),
+	    .model = attempt->model != NULL
+		? XXH3_64bits(attempt->model, strlen(attempt->model))
+		: 0,
+	    .is_new = attempt->is_new,
+	    .stream = req->route->kind == ROUTE_STREAM,
+	    .counted = attempt->counted,
+	    .ms = ms};
+}
+
+/* While the new version's requests are concentrated on few endpoints, responses
+ * of these are late whatever their version. With these latencies counted, 7 of
+ * 18 good versions were reverted on the larger of the users' workloads.
+ * Failures are still due to the version alone, so they are counted. */
+static bool
+signal_counts(const relay_request_t *req, canary_signal_t signal)
+{
+	return signal == CANARY_FAILED || !req->attempt.is_new ||
+	    !req->attempt.on_trial;
+}
+
+static void
+signal_report(relay_request_t *req, canary_signal_t signal, double ms)
+{
+	rollout_t *rollout = rollout_of_attempt(req);
+	canary_observation_t observation = observation_make(req, signal, ms);
+
+	if (rollout != NULL && signal_counts(req, signal) &&
+	    canary_analysis_observe(&rollout->canary, &observation,
+		clock_elapsed(req->relay->clock)))
+		req->attempt.counted = true;
+}
+
+void
+relay_canary_endpoint_alive(relay_request_t *req)
+{
+	endpoint_t *endpoint = req->attempt.endpoint;
+	struct timespec now = clock_elapsed(req->relay->clock);
+	rollout_t *rollout = endpoint->suspected_failures_len > 0
+	    ? rollouts_find(req->relay->rollouts, endpoint->info.service)
+	    : NULL;
+
+	if (rollout == NULL)
+		return;
+	for (size_t i = 0; i < endpoint->suspected_failures_len; i++) {
+		const suspected_failure_t *failure =
+		    &endpoint->suspected_failures[i];
+
+		if (timespec_ms_between(failure->at, now) <
+		    DEFERRED_FAILURE_MAX_MS)
+			canary_analysis_observe(
+			    &rollout->canary, &failure->answer, now);
+	}
+	endpoint->suspected_failures_len = 0;
+}
+
+/* Time spent in the endpoint's queue is not due to its version. */
+static double
+without_queue_wait(const relay_request_t *req, double ms)
+{
+	return fmax(ms - req->attempt.place.wait_ms, 0);
+}
+
+void
+relay_canary_first_byte(relay_request_t *req)
+{
+	if (!req->attempt.counted)
+		signal_report(req, CANARY_FIRST_BYTE,
+		    without_queue_wait(req, req->attempt.first_ms));
+}
+
+static void
+gap_report(relay_request_t *req)
+{
+	req->attempt.paced = true;
+	signal_report(req, CANARY_EVENT_GAP, event_gap_ms(req));
+}
+
+void
+relay_canary_event(relay_request_t *req)
+{
+	if (!req->attempt.paced && req->events == GAP_EVENTS)
+		gap_report(req);
+}
+
+void
+relay_canary_completed(relay_request_t *req)
+{
+	relay_canary_first_byte(req);
+	if (!req->attempt.paced && req->events >= GAP_EVENTS_MIN)
+		gap_report(req);
+}
+
+void
+relay_canary_failed(relay_request_t *req)
+{
+	signal_report(req, CANARY_FAILED, 0);
+}
+
+void
+relay_canary_defer_failure(relay_request_t *req)
+{
+	endpoint_t *endpoint = req->attempt.endpoint;
+
+	if (rollout_of_attempt(req) == NULL ||
+	    endpoint->suspected_failures_len == ENDPOINT_SUSPECTED_FAILURES_MAX)
+		return;
+	endpoint->suspected_failures[endpoint->suspected_failures_len++] =
+	    (suspected_failure_t){
+		.answer = observation_make(req, CANARY_FAILED, 0),
+		.at = clock_elapsed(req->relay->clock)};
+}
+
+void
+relay_canary_check_overdue(relay_t *relay)
+{
+	struct timespec now = clock_elapsed(relay->clock);
+
+	for (relay_request_t *req = relay->first; req != NULL;
+	     req = req->next) {
+		const attempt_t *attempt = &req->attempt;
+
+		if (attempt->endpoint != NULL && attempt->sent &&
+		    !attempt->headed && !attempt->counted)
+			signal_report(req, CANARY_OVERDUE,
+			    without_queue_wait(req,
+				(double)timespec_ms_between(
+				    attempt->sent_at, now)));
+	}
+}
--- a/moortack/relay/relay_candidates.c
+++ b/moortack/relay/relay_candidates.c
@@ -59,14 +59,14 @@
 	case VERSION_ANY:
 		return strcmp(group->base_version, version) == 0;
 	case VERSION_OLD:
-		return strcmp(rollout_base(rollout), version) == 0;
+		return strcmp(rollout_base_version(rollout), version) == 0;
 	case VERSION_NEW:
-		return rollout_is_new(rollout, endpoint);
+		return rollout_is_new_version(rollout, endpoint);
 	case VERSION_OTHER:
 		break;
 	}
-	return !rollout_is_new(rollout, endpoint) &&
-	    !rollout_taken_back(rollout, endpoint);
+	return !rollout_is_new_version(rollout, endpoint) &&
+	    !rollout_is_reverted_version(rollout, endpoint);
 }
 
 /* Both the route and the organisation may restrict the regions. */
@@ -176,7 +176,7 @@
 
 	if (rollout->share >= 1.0 || count == 0)
 		return;
-	if (rollout_on_trial(rollout)) {
+	if (rollout_is_saturating(rollout)) {
 		filled = trial_size(req, group, set, rollout->share);
 		if (filled < count)
 			count = filled > 0 ? filled : 1;
@@ -220,7 +220,8 @@
 candidates_find_old(const relay_request_t *req, const endpoint_group_t *group,
     const rollout_t *rollout, candidates_t *out)
 {
-	version_class_t wanted = group_has_version(group, rollout_base(rollout))
+	version_class_t wanted =
+	    group_has_version(group, rollout_base_version(rollout))
 	    ? VERSION_OLD
 	    : VERSION_OTHER;
 
@@ -256,7 +257,7 @@
 		candidates_narrow(req, group, rollout, out);
 	/* No endpoint of the preferred version can accept the request. */
 	if (out->len == 0 && wanted == VERSION_NEW &&
-	    rollout_old_allowed(rollout))
+	    rollout_allows_old_version(rollout))
 		candidates_find_old(req, group, rollout, out);
 	if (out->len == 0 && out->cold_skipped > 0)
 		*why = "warming_up";
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -203,19 +203,19 @@
 	    .settled_once = true,
 	    .known = daemon->clock.now};
 	daemon->rollouts = (rollouts_t){.clock = &daemon->clock.source,
-	    .orders = watch,
-	    .states = watch,
+	    .orders_watch = watch,
+	    .states_watch = watch,
 	    .log = &log};
 	rollout = (rollout_t){.owner = &daemon->rollouts,
 	    .order = {.service = "lm",
-		.to = "v2",
+		.to_version = "v2",
 		.number = 5,
 		.duration_ms = ORDER_MS},
 	    .state = ROLLOUT_IN_PROGRESS,
 	    .state_order = 5,
-	    .seen = timespec_after_ms(
+	    .order_seen_at = timespec_after_ms(
 		daemon->clock.now, -(int64_t)(part * ORDER_MS))};
-	HASH_ADD_KEYPTR(hh, daemon->rollouts.all, rollout.order.service,
+	HASH_ADD_KEYPTR(hh, daemon->rollouts.by_service, rollout.order.service,
 	    strlen(rollout.order.service), &rollout);
 	return &rollout;
 }
@@ -235,7 +235,7 @@
 	group->in_flight_mean = in_flight;
 	daemon->relay.daemons_most = 1;
 	len = candidates_count(daemon, 0);
-	HASH_CLEAR(hh, daemon->rollouts.all);
+	HASH_CLEAR(hh, daemon->rollouts.by_service);
 	daemon_free(daemon);
 	return len;
 }
