--- a/include/moortack/relay/endpoint_set.h
+++ b/include/moortack/relay/endpoint_set.h
@@ -12,8 +12,8 @@
 
 #include "common/clock_source.h"
 #include "common/http_outbound.h"
-#include "moortack/relay/canary_analysis.h"
 #include "moortack/relay/prefill_queue.h"
+#include "moortack/relay/version_guard.h"
 #include "moortack/relay/zone_table.h"
 
 #define ENDPOINT_NAME_SIZE 96
--- a/include/moortack/relay/model_stats.h
+++ b/include/moortack/relay/model_record.h
@@ -4,8 +4,8 @@
  * start in time, and how good they are where a smaller model's was doubtful.
  * Newer responses weigh more. Performs no I/O and reads no clock.
  */
-#ifndef MOORTACK_RELAY_MODEL_STATS_H
-#define MOORTACK_RELAY_MODEL_STATS_H
+#ifndef MOORTACK_RELAY_MODEL_RECORD_H
+#define MOORTACK_RELAY_MODEL_RECORD_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/include/moortack/relay/relay.h
+++ b/include/moortack/relay/relay.h
@@ -14,7 +14,7 @@
 #include "moortack/relay/dialect.h"
 #include "moortack/relay/first_try.h"
 #include "moortack/relay/gossip.h"
-#include "moortack/relay/model_stats.h"
+#include "moortack/relay/model_record.h"
 #include "moortack/relay/prefill_rate.h"
 #include "moortack/relay/prefix_index.h"
 #include "moortack/relay/relay_config.h"
--- a/include/moortack/relay/rollouts.h
+++ b/include/moortack/relay/rollouts.h
@@ -11,10 +11,10 @@
 #include <uthash.h>
 
 #include "common/event_log.h"
-#include "moortack/relay/canary_analysis.h"
 #include "moortack/relay/endpoint_set.h"
 #include "moortack/relay/recent_sessions.h"
 #include "moortack/relay/rollout_plan.h"
+#include "moortack/relay/version_guard.h"
 #include "moortack/replication/membership.h"
 #include "moortack/replication/row_store.h"
 
--- a/moortack/relay/model_choice.c
+++ b/moortack/relay/model_choice.c
@@ -1,6 +1,6 @@
 #include "moortack/relay/model_choice.h"
 
-#include "moortack/relay/model_stats.h"
+#include "moortack/relay/model_record.h"
 
 /* As parts of the value of a good response: the value of a late one, and the
  * cost of the largest model, which is its own price and the time that it takes
--- a/moortack/relay/model_stats.c
+++ b/moortack/relay/model_record.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/model_stats.h"
+#include "moortack/relay/model_record.h"
 
 #include <math.h>
 
--- a/moortack/relay/canary_analysis.c
+++ b/moortack/relay/version_guard.c
@@ -1,4 +1,4 @@
-#include "moortack/relay/canary_analysis.h"
+#include "moortack/relay/version_guard.h"
 
 #include <math.h>
 #include <string.h>
--- a/test/unit/relay_decisions_test.c
+++ b/test/unit/relay_decisions_test.c
@@ -12,15 +12,15 @@
 #include <string.h>
 
 #include "common/clock_source.h"
-#include "moortack/relay/canary_analysis.h"
 #include "moortack/relay/event_scan.h"
 #include "moortack/relay/first_try.h"
 #include "moortack/relay/model_choice.h"
-#include "moortack/relay/model_stats.h"
+#include "moortack/relay/model_record.h"
 #include "moortack/relay/prefill_rate.h"
 #include "moortack/relay/recent_sessions.h"
 #include "moortack/relay/retry_share.h"
 #include "moortack/relay/rollout_plan.h"
+#include "moortack/relay/version_guard.h"
 
 /* Three models; the response of the largest is expected after @p largest_ms. */
 static model_choice_input_t
