--- a/include/moortack/relay/relay_node.h
+++ b/include/moortack/relay/relay_node.h
@@ -9,7 +9,7 @@
 #include "common/suspend_watch.h"
 #include "moortack/relay/relay.h"
 #include "moortack/relay/row_refusals.h"
-#include "moortack/replication/row_source.h"
+#include "moortack/replication/row_sync.h"
 
 /** Where the operator's and the endpoints' rows stand, and how they read. */
 typedef struct source_dialect {
@@ -79,7 +79,7 @@
 	membership_t members;
 	rollouts_t rollouts;
 	relay_t relay;
-	row_source_t source;
+	row_sync_t source;
 	gossip_t gossip;
 	row_refusals_t refusals;
 	struct timespec store_back; /**< when the store answered again */
--- a/include/moortack/replication/era_version.h
+++ b/include/moortack/replication/era_version.h
@@ -10,27 +10,28 @@
 
 #include <stdint.h>
 
-#define ERA_VERSION_NUMBER_BITS 48
-#define ERA_VERSION_NUMBER_MAX ((UINT64_C(1) << ERA_VERSION_NUMBER_BITS) - 1)
+#define ERA_VERSION_SEQUENCE_BITS 48
+#define ERA_VERSION_SEQUENCE_MAX \
+	((UINT64_C(1) << ERA_VERSION_SEQUENCE_BITS) - 1)
 
 /** @param number beyond 48 bits is cut */
 static inline uint64_t
-era_version_of(uint64_t era, uint64_t number)
+era_version_make(uint64_t era, uint64_t number)
 {
-	return era << ERA_VERSION_NUMBER_BITS |
-	    (number & ERA_VERSION_NUMBER_MAX);
+	return era << ERA_VERSION_SEQUENCE_BITS |
+	    (number & ERA_VERSION_SEQUENCE_MAX);
 }
 
 static inline uint64_t
 era_version_era(uint64_t version)
 {
-	return version >> ERA_VERSION_NUMBER_BITS;
+	return version >> ERA_VERSION_SEQUENCE_BITS;
 }
 
 static inline uint64_t
-era_version_number(uint64_t version)
+era_version_sequence(uint64_t version)
 {
-	return version & ERA_VERSION_NUMBER_MAX;
+	return version & ERA_VERSION_SEQUENCE_MAX;
 }
 
 #endif
--- a/include/moortack/replication/feed_client.h
+++ b/include/moortack/replication/feed_client.h
@@ -13,14 +13,14 @@
 
 typedef struct feed_client_ops {
 	/** Fill in what the question says besides its number. */
-	void (*ask)(void *arg, feed_question_t *);
+	void (*prepare)(void *arg, feed_request_t *);
 	/** An answer to a question that was asked at @p asked. */
 	/** The answer may be changed; it is given back by the client. */
-	void (*answer)(void *arg, feed_answer_t *, struct timespec asked);
+	void (*response)(void *arg, feed_response_t *, struct timespec asked);
 	/** The answer takes longer than answers do. */
 	void (*slow)(void *arg);
 	/** No answer came in time. */
-	void (*lost)(void *arg);
+	void (*timeout)(void *arg);
 } feed_client_ops_t;
 
 typedef struct feed_client {
@@ -33,8 +33,8 @@
 	peer_socket_t dealer; /**< closed: nobody is asked */
 	struct event *timer;  /**< until the answer is late */
 	bool slow;	      /**< told as slow */
-	uint64_t number;      /**< of the question that is out */
-	struct timespec asked;
+	uint64_t request_id;  /**< of the question that is out */
+	struct timespec sent_at;
 } feed_client_t;
 
 bool
@@ -43,7 +43,7 @@
 void feed_client_finish(feed_client_t *);
 
 /** Ask the daemon at @p address (tcp://IP:PORT) from now on. */
-bool feed_client_follow(feed_client_t *, const char *address);
-void feed_client_stop(feed_client_t *);
+bool feed_client_connect(feed_client_t *, const char *address);
+void feed_client_disconnect(feed_client_t *);
 
 #endif
--- a/include/moortack/replication/feed_server.h
+++ b/include/moortack/replication/feed_server.h
@@ -12,13 +12,13 @@
 #include "moortack/member/peer_socket.h"
 #include "moortack/replication/feed_body.h"
 
-typedef struct feed_waiting feed_waiting_t;
+typedef struct feed_pending feed_pending_t;
 
 typedef struct feed_server_ops {
 	/** Fill in how far each table is known, now. */
-	void (*state)(void *arg, feed_answer_t *);
+	void (*fill_state)(void *arg, feed_response_t *);
 	/** Another daemon asked. */
-	void (*heard)(void *arg, const feed_question_t *);
+	void (*request)(void *arg, const feed_request_t *);
 } feed_server_ops_t;
 
 typedef struct feed_server {
@@ -35,14 +35,14 @@
 	peer_socket_t router;
 	peer_socket_t zap;
 	struct event *flush; /**< answers those who wait */
-	feed_waiting_t *waiting;
-	uint32_t waiting_len;
-	bool refresh; /**< what is known has become newer at once */
-	bool lost;    /**< the store does not answer this daemon */
-	bool leaving; /**< those who ask are to go elsewhere */
-	feed_bodies_t bodies;
-	uint64_t answers;
-	uint64_t bytes;
+	feed_pending_t *pending;
+	uint32_t pending_len;
+	bool respond_all;	/**< what is known has become newer at once */
+	bool store_unavailable; /**< the store does not answer this daemon */
+	bool leaving;		/**< those who ask are to go elsewhere */
+	feed_body_cache_t body_cache;
+	uint64_t responses;
+	uint64_t bytes_sent;
 } feed_server_t;
 
 /** @param context of ZeroMQ @param address tcp://IP:PORT to bind */
@@ -53,12 +53,12 @@
 void feed_server_finish(feed_server_t *);
 
 /** Tell those who ask at once that the store does not answer this daemon. */
-void feed_server_set_lost(feed_server_t *, bool lost, bool leaving);
+void feed_server_set_status(feed_server_t *, bool lost, bool leaving);
 
 /** What is known is suddenly much newer: tell those who wait. */
-void feed_server_refresh(feed_server_t *);
+void feed_server_respond_all(feed_server_t *);
 
 /** The cache has changed: answer those who wait. */
-void feed_server_changed(feed_server_t *);
+void feed_server_cache_changed(feed_server_t *);
 
 #endif
--- a/include/moortack/replication/row_cache.h
+++ b/include/moortack/replication/row_cache.h
@@ -13,66 +13,66 @@
 
 /** The tables that are followed. */
 typedef enum row_table {
-	ROW_TABLE_ORDERS,    /**< configuration and roll-outs */
+	ROW_TABLE_OPERATOR,  /**< configuration and roll-outs */
 	ROW_TABLE_ENDPOINTS, /**< what endpoints say of themselves */
-	ROW_TABLE_OWN,	     /**< of the system: members, roll-out states */
+	ROW_TABLE_SYSTEM,    /**< of the system: members, roll-out states */
 	ROW_TABLES	     /* count */
 } row_table_t;
 
 /** Who names rows, and ends those that it does not name. */
-typedef enum row_reader {
-	ROW_READER_STORE = 1, /**< a whole read of the store, in pages */
-	ROW_READER_TOLD = 2,  /**< a whole answer of another daemon */
-} row_reader_t;
+typedef enum row_origin {
+	ROW_ORIGIN_STORE = 1, /**< a whole read of the store, in pages */
+	ROW_ORIGIN_PEER = 2,  /**< a whole answer of another daemon */
+} row_origin_t;
 
 /** What a large row said before its last changes. */
-typedef struct row_prior {
+typedef struct row_prior_value {
 	char *value;
 	size_t value_len;
 	uint64_t version;
 	uint64_t change; /**< number of the change that brought it */
 	struct timespec replaced_at;
-	struct row_prior *older;
-} row_prior_t;
+	struct row_prior_value *older;
+} row_prior_value_t;
 
 /** One row, or the trace of one that is gone. */
 typedef struct cached_row {
-	char *name; /**< the table's number and the key */
+	char *hash_key; /**< the table's number and the key */
 	row_table_t table;
 	char *value; /**< NULL: gone */
 	size_t value_len;
 	uint64_t version;
 	uint64_t change; /**< number of its last change */
-	unsigned seen;	 /**< readers that have named it since they began */
-	struct timespec gone_at;
-	row_prior_t *priors;	  /**< newest first */
+	unsigned marks;	 /**< readers that have named it since they began */
+	struct timespec deleted_at;
+	row_prior_value_t *prior_values; /**< newest first */
 	struct cached_row *newer; /**< by change; of the newest: the oldest */
 	struct cached_row *older;
 	UT_hash_handle hh;
 } cached_row_t;
 
 /** Whether two values of a row mean the same. */
-typedef bool (*row_same_t)(const void *arg, row_table_t, const char *key,
+typedef bool (*row_equal_t)(const void *arg, row_table_t, const char *key,
     const char *a, size_t a_len, const char *b, size_t b_len);
 
 typedef struct row_cache {
 	const clock_source_t *clock;
 	cached_row_t *rows;
 	cached_row_t *newest; /**< first in the order of changes */
-	uint64_t change;      /**< number of the newest change */
-	uint64_t renewed;     /**< rows that were taken, changed or not */
-	row_reader_t reader;  /**< that names rows now */
-	struct timespec trimmed;
-	size_t prior_min; /**< bytes from which on priors are kept */
+	uint64_t last_change; /**< number of the newest change */
+	uint64_t put_count;   /**< rows that were taken, changed or not */
+	row_origin_t origin;  /**< that names rows now */
+	struct timespec trimmed_at;
+	size_t prior_min_len; /**< bytes from which on priors are kept */
 	/** All changes after these versions were seen, ends too: who knows less
 	 * has to be told all rows. */
-	uint64_t since[ROW_TABLES];
-	row_same_t same;
-	const void *same_arg;
+	uint64_t complete_since[ROW_TABLES];
+	row_equal_t equal;
+	const void *equal_arg;
 } row_cache_t;
 
 void row_cache_init(
-    row_cache_t *, const clock_source_t *, row_same_t same, const void *arg);
+    row_cache_t *, const clock_source_t *, row_equal_t same, const void *arg);
 void row_cache_finish(row_cache_t *);
 
 /** Take a row, or its end. @return true when it means something new */
@@ -86,24 +86,26 @@
 
 /** What a row said to those who know all changes up to this one and none after:
  * the newest prior that was there by then. NULL: not kept. */
-const row_prior_t *row_cache_prior(const cached_row_t *, uint64_t change);
+const row_prior_value_t *
+row_cache_prior_value(const cached_row_t *, uint64_t change);
 
 /** Whether the cache has a newer row of this key; it counts as named by the
  * whole read under way. */
-bool row_cache_newer(row_cache_t *, row_table_t, const row_t *);
+bool row_cache_has_newer(row_cache_t *, row_table_t, const row_t *);
 
 /** The first row, in the order of changes, that changed after @p change, or
  * NULL. */
-const cached_row_t *row_cache_after(const row_cache_t *, uint64_t change);
+const cached_row_t *row_cache_first_after(const row_cache_t *, uint64_t change);
 /** The row that changed next, or NULL. */
-const cached_row_t *row_cache_next(const row_cache_t *, const cached_row_t *);
+const cached_row_t *
+row_cache_next_change(const row_cache_t *, const cached_row_t *);
 
 /** A reader begins to name all rows of a table. An answer may come between two
  * pages of a read of the store: what each of the two has named is told apart,
  * or the read would end the rows of its first pages. */
-void row_cache_restart(row_cache_t *, row_table_t, row_reader_t);
+void row_cache_clear_marks(row_cache_t *, row_table_t, row_origin_t);
 /** Whether the reader has named the row since it began. */
-bool row_cache_named(const cached_row_t *, row_reader_t);
+bool cached_row_is_marked(const cached_row_t *, row_origin_t);
 
 /** Forget rows that went long ago, and priors that nobody builds on any more.
  */
--- a/include/moortack/replication/row_store.h
+++ b/include/moortack/replication/row_store.h
@@ -13,10 +13,11 @@
 /** How a call ended. */
 typedef enum row_result {
 	ROW_OK,
-	ROW_CONFLICT,  /**< an expectation failed; nothing took effect */
-	ROW_REFUSED,   /**< turned away; nothing took effect */
-	ROW_FORGOTTEN, /**< the changes asked for are no longer known */
-	ROW_LOST, /**< no answer: a write may have taken effect, or may yet */
+	ROW_CONFLICT,	 /**< an expectation failed; nothing took effect */
+	ROW_REFUSED,	 /**< turned away; nothing took effect */
+	ROW_COMPACTED,	 /**< the changes asked for are no longer known */
+	ROW_NO_RESPONSE, /**< no answer: a write may have taken effect, or may
+			    yet */
 } row_result_t;
 
 /** A row, or the news of its end. */
@@ -58,7 +59,7 @@
 	bool (*read)(row_store_t *, const char *table, const char *page,
 	    int64_t timeout_ms, row_done_t, void *arg);
 	/** Wait up to @p wait_ms for changes after version @p after. */
-	bool (*feed)(row_store_t *, const char *table, uint64_t after,
+	bool (*poll)(row_store_t *, const char *table, uint64_t after,
 	    int64_t wait_ms, int64_t timeout_ms, row_done_t, void *arg);
 	/** All expectations hold and all changes take effect, or none. */
 	bool (*write)(row_store_t *, const row_change_t *expected,
@@ -68,16 +69,16 @@
 
 /** What a call is made for. */
 typedef enum row_purpose {
-	ROW_FOR_READ,	    /**< a whole read of a table, the first one */
-	ROW_FOR_REREAD,	    /**< a further one */
-	ROW_FOR_CHANGES,    /**< by the daemon that others follow */
-	ROW_FOR_BESIDE,	    /**< changes, by one that follows another */
-	ROW_FOR_MEMBER,	    /**< the row of this daemon */
-	ROW_FOR_CLEARING,   /**< the rows of daemons that are gone */
-	ROW_FOR_STATE,	    /**< of a roll-out */
-	ROW_FOR_KEY,	    /**< of the fleet */
-	ROW_FOR_QUARANTINE, /**< requests that crash endpoints */
-	ROW_PURPOSES	    /* count */
+	ROW_PURPOSE_FIRST_READ, /**< a whole read of a table, the first one */
+	ROW_PURPOSE_REREAD,	/**< a further one */
+	ROW_PURPOSE_POLL,	/**< by the daemon that others follow */
+	ROW_PURPOSE_FOLLOWER_POLL,  /**< changes, by one that follows another */
+	ROW_PURPOSE_MEMBER,	    /**< the row of this daemon */
+	ROW_PURPOSE_MEMBER_CLEANUP, /**< the rows of daemons that are gone */
+	ROW_PURPOSE_ROLLOUT_STATE,  /**< of a roll-out */
+	ROW_PURPOSE_FLEET_KEY,	    /**< of the fleet */
+	ROW_PURPOSE_QUARANTINE,	    /**< requests that crash endpoints */
+	ROW_PURPOSES		    /* count */
 } row_purpose_t;
 
 /** Names of purposes, for metrics and logs. */
@@ -93,7 +94,7 @@
 /* The functions of the store's table, counted by what they are for. */
 bool row_store_read(row_store_t *, row_purpose_t, const char *table,
     const char *page, int64_t timeout_ms, row_done_t, void *arg);
-bool row_store_feed(row_store_t *, row_purpose_t, const char *table,
+bool row_store_poll(row_store_t *, row_purpose_t, const char *table,
     uint64_t after, int64_t wait_ms, int64_t timeout_ms, row_done_t, void *arg);
 bool row_store_write(row_store_t *, row_purpose_t, const row_change_t *expected,
     size_t expected_len, const row_change_t *changes, size_t changes_len,
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -19,7 +19,7 @@
 		if (row != NULL && (least == 0 || row->version < least))
 			least = row->version;
 	}
-	row_source_keep_back(
+	row_sync_withhold(
 	    &node->source, ROW_TABLE_ENDPOINTS, least == 0 ? 0 : least + 1);
 }
 
@@ -30,7 +30,7 @@
 endpoint_gone(relay_node_t *node, endpoint_t *endpoint, uint64_t version)
 {
 	bool keep =
-	    node->lapses && !node->source.taking && !endpoint->facts.leaving;
+	    node->lapses && !node->source.applying && !endpoint->facts.leaving;
 	bool was_lapsed = endpoint->lapsed;
 	row_t end;
 
@@ -48,7 +48,7 @@
 		relay_quarantine_gone(&node->relay.quarantine, endpoint);
 	end = (row_t){
 	    .key = endpoint->facts.id, .version = version, .deleted = true};
-	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &end);
+	row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, &end);
 	endpoint_set_remove(&node->endpoints, endpoint);
 	if (was_lapsed)
 		lapsed_keep_back(node);
@@ -91,7 +91,7 @@
 		return;
 	/* A daemon that knows less still has the row that lapsed here. */
 	endpoint->lapsed = order != ENTRY_LATER && !news &&
-	    node->source.taking && node->source.taking_less;
+	    node->source.applying && node->source.applying_older;
 	lapsed_keep_back(node);
 }
 
@@ -106,7 +106,7 @@
 	if (known != NULL)
 		endpoint_gone(node, known, row->version);
 	else
-		row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &end);
+		row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, &end);
 }
 
 /* An endpoint that had gone is not back because an older copy names it, until
@@ -114,7 +114,7 @@
 static bool
 end_holds(const relay_node_t *node, const cached_row_t *known, const row_t *row)
 {
-	return !node->source.taking && relay_rows_of_later_era(known, row) &&
+	return !node->source.applying && relay_rows_of_later_era(known, row) &&
 	    known->value == NULL;
 }
 
@@ -157,7 +157,7 @@
 		relay_rows_keep(node, ROW_TABLE_ENDPOINTS, known, row);
 		return;
 	}
-	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, row);
+	row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, row);
 	endpoint_taken(node, &facts, news);
 }
 
@@ -166,7 +166,7 @@
 relay_rows_lapsed_end(relay_node_t *node)
 {
 	const row_watch_t *watch =
-	    row_source_watch(&node->source, ROW_TABLE_ENDPOINTS);
+	    row_sync_watch(&node->source, ROW_TABLE_ENDPOINTS);
 	struct timespec now = clock_elapsed(node->ports.clock);
 	endpoint_t *one, *next;
 
@@ -175,7 +175,7 @@
 		node->settings.lapse_ms)
 		return;
 	node->lapses = false;
-	if (node->source.kept_back[ROW_TABLE_ENDPOINTS] == 0)
+	if (node->source.withheld_version[ROW_TABLE_ENDPOINTS] == 0)
 		return;
 	for (one = node->endpoints.endpoints; one != NULL; one = next) {
 		next = one->hh.next;
--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -67,7 +67,7 @@
 rows_send(relay_quarantine_t *self, row_change_t *expected,
     row_change_t *changes, size_t len)
 {
-	self->writing = row_store_write(self->store, ROW_FOR_QUARANTINE,
+	self->writing = row_store_write(self->store, ROW_PURPOSE_QUARANTINE,
 	    expected, len, changes, len, WRITE_TIMEOUT_MS, on_written, self);
 }
 
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -478,7 +478,7 @@
 	 * order replaces. */
 	return relay->config != NULL && !relay->leaving &&
 	    relay->endpoints->endpoints != NULL &&
-	    relay->rollouts->states->settled_once &&
+	    relay->rollouts->states->synced_once &&
 	    row_watch_age_ms(relay->config_watch) <= relay->bounds.key_fresh_ms;
 }
 
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -64,18 +64,18 @@
 {
 	struct timespec now = clock_elapsed(node->ports.clock);
 	bool active = rollouts_active(&node->rollouts);
-	row_watch_t *own = &node->source.watches[ROW_TABLE_OWN].watch;
+	row_watch_t *own = &node->source.watches[ROW_TABLE_SYSTEM].watch;
 
-	own->pace.pause_ms = active ? OWN_PAUSE_BUSY_MS : OWN_PAUSE_MS;
+	own->timing.pause_ms = active ? OWN_PAUSE_BUSY_MS : OWN_PAUSE_MS;
 	if (!node->members.view.settled)
-		own->pace.pause_ms = OWN_PAUSE_DOUBT_MS;
-	if (!node->source.keyed)
-		own->pace.pause_ms = OWN_PAUSE_KEY_MS;
+		own->timing.pause_ms = OWN_PAUSE_DOUBT_MS;
+	if (!node->source.has_key)
+		own->timing.pause_ms = OWN_PAUSE_KEY_MS;
 	if (timespec_ms_between(node->reported, now) < REPORT_BUSY_MS)
 		return;
 	node->reported = now;
 	if (active && !own->suspended)
-		row_watch_hurry(own);
+		row_watch_poll_now(own);
 	if (node->members.alone && (active || node->members.report != NULL))
 		membership_report(
 		    &node->members, rollouts_report(&node->rollouts));
@@ -97,7 +97,7 @@
 	row.value_len = strlen(text);
 	row.version = (uint64_t)(node->members.store_offset_ms +
 	    timespec_ms(clock_elapsed(node->ports.clock)));
-	row_source_put(&node->source, ROW_TABLE_OWN, &row);
+	row_sync_put(&node->source, ROW_TABLE_SYSTEM, &row);
 	free(text);
 }
 
@@ -105,7 +105,7 @@
 static void
 sessions_take(relay_node_t *node)
 {
-	const char *reader = row_source_reader(&node->source);
+	const char *reader = row_sync_reader(&node->source);
 	char key[SESSIONS_KEY_SIZE];
 	const cached_row_t *known;
 	row_t row = {.key = key};
@@ -113,7 +113,7 @@
 	if (reader == NULL)
 		return;
 	snprintf(key, sizeof(key), "%s%.95s", ROLLOUT_SESSIONS_PREFIX, reader);
-	known = row_cache_find(&node->source.cache, ROW_TABLE_OWN, key);
+	known = row_cache_find(&node->source.cache, ROW_TABLE_SYSTEM, key);
 	if (known == NULL || known->value == NULL)
 		return;
 	row.value = known->value;
@@ -153,11 +153,11 @@
 	    " changes=%" PRIu64 " beside=%" PRIu64 " member=%" PRIu64
 	    " clearing=%" PRIu64 " state=%" PRIu64 " key=%" PRIu64
 	    " quarantine=%" PRIu64,
-	    all, calls[ROW_FOR_READ], calls[ROW_FOR_REREAD],
-	    calls[ROW_FOR_CHANGES], calls[ROW_FOR_BESIDE],
-	    calls[ROW_FOR_MEMBER], calls[ROW_FOR_CLEARING],
-	    calls[ROW_FOR_STATE], calls[ROW_FOR_KEY],
-	    calls[ROW_FOR_QUARANTINE]);
+	    all, calls[ROW_PURPOSE_FIRST_READ], calls[ROW_PURPOSE_REREAD],
+	    calls[ROW_PURPOSE_POLL], calls[ROW_PURPOSE_FOLLOWER_POLL],
+	    calls[ROW_PURPOSE_MEMBER], calls[ROW_PURPOSE_MEMBER_CLEANUP],
+	    calls[ROW_PURPOSE_ROLLOUT_STATE], calls[ROW_PURPOSE_FLEET_KEY],
+	    calls[ROW_PURPOSE_QUARANTINE]);
 }
 
 static void
@@ -165,13 +165,14 @@
 {
 	bool following;
 
-	row_source_tick(&node->source);
+	row_sync_tick(&node->source);
 	following = node->source.following;
 	if (membership_step(&node->members, following))
-		feed_server_refresh(&node->source.server);
+		feed_server_respond_all(&node->source.server);
 	/* What was written is told to others once it is read back. */
 	if (node->members.written && !following)
-		row_watch_hurry(&node->source.watches[ROW_TABLE_OWN].watch);
+		row_watch_poll_now(
+		    &node->source.watches[ROW_TABLE_SYSTEM].watch);
 	node->members.written = false;
 	if (following)
 		relay_rows_lapses_drop(node);
@@ -250,11 +251,11 @@
 
 	if (table == ROW_TABLE_ENDPOINTS)
 		return sources->endpoint_same(a, a_len, b, b_len);
-	if (table == ROW_TABLE_OWN &&
+	if (table == ROW_TABLE_SYSTEM &&
 	    strncmp(key, MEMBER_PREFIX, strlen(MEMBER_PREFIX)) == 0)
 		return membership_same(a, a_len, b, b_len);
 	/* An order that is given again with the same words is another one. */
-	return table != ROW_TABLE_ORDERS && a_len == b_len &&
+	return table != ROW_TABLE_OPERATOR && a_len == b_len &&
 	    memcmp(a, b, a_len) == 0;
 }
 
@@ -264,20 +265,20 @@
 	const relay_ports_t *ports = &node->ports;
 	const relay_node_settings_t *settings = &node->settings;
 
-	node->source = (row_source_t){
+	node->source = (row_sync_t){
 	    .settings = {.tables = {ports->sources->orders_table,
 			     ports->sources->endpoints_table, MEMBER_TABLE},
-		.paces = {{settings->config_wait_ms, CONFIG_PAUSE_MS,
-			      STORE_RETRY_MS, STORE_RETRY_MOST_MS,
-			      ORDERS_TIMEOUT_MS},
+		.timings = {{settings->config_wait_ms, CONFIG_PAUSE_MS,
+				STORE_RETRY_MS, STORE_RETRY_MOST_MS,
+				ORDERS_TIMEOUT_MS},
 		    {0, settings->endpoints_pause_ms, STORE_RETRY_MS,
 			STORE_RETRY_MOST_MS, ENDPOINTS_TIMEOUT_MS},
 		    {0, OWN_PAUSE_KEY_MS, STORE_RETRY_MS, STORE_RETRY_MOST_MS,
 			OWN_TIMEOUT_MS}},
 		.hold_ms = settings->config_wait_ms,
-		.start_within_ms =
+		.start_jitter_ms =
 		    settings->first_start ? FIRST_START_WITHIN_MS : 0,
-		.old_ms = {settings->old_ms, settings->endpoints_old_ms,
+		.max_age_ms = {settings->old_ms, settings->endpoints_old_ms,
 		    OWN_OLD_MS}},
 	    .base = ports->base,
 	    .store = ports->store,
@@ -288,7 +289,7 @@
 	strcpy(node->source.settings.peer_address, settings->peer);
 	row_cache_init(
 	    &node->source.cache, ports->clock, rows_same, ports->sources);
-	return row_source_init(&node->source, &relay_rows_ops, node);
+	return row_sync_init(&node->source, &relay_rows_ops, node);
 }
 
 static life_bounds_t
@@ -321,7 +322,7 @@
 	    .strength = node->settings.strength,
 	    .life = life_bounds(&node->settings)};
 	const row_watch_t *orders =
-	    row_source_watch(&node->source, ROW_TABLE_ORDERS);
+	    row_sync_watch(&node->source, ROW_TABLE_OPERATOR);
 
 	snprintf(member.name, sizeof(member.name), "%s", node->settings.name);
 	snprintf(member.zone, sizeof(member.zone), "%s", node->settings.zone);
@@ -335,7 +336,7 @@
 	    .dialect = ports->rollouts,
 	    .members = &node->members,
 	    .orders = orders,
-	    .states = &node->source.watches[ROW_TABLE_OWN].watch,
+	    .states = &node->source.watches[ROW_TABLE_SYSTEM].watch,
 	    .log = &node->log,
 	    .on_old = relay_on_old,
 	    .first_version = relay_first_version,
@@ -354,7 +355,7 @@
 	    .rollouts = &node->rollouts,
 	    .config_watch = orders,
 	    .endpoint_watch =
-		row_source_watch(&node->source, ROW_TABLE_ENDPOINTS),
+		row_sync_watch(&node->source, ROW_TABLE_ENDPOINTS),
 	    .bounds = node->settings.bounds};
 	warmup_daemons_init(&node->relay.warmup_daemons, node->settings.name);
 	snprintf(node->relay.zone, sizeof(node->relay.zone), "%s",
@@ -403,7 +404,7 @@
 	event_free(node->tick);
 	relay_finish(&node->relay);
 	relay_quarantine_finish(&node->relay.quarantine);
-	row_source_finish(&node->source);
+	row_sync_finish(&node->source);
 	gossip_finish(&node->gossip);
 	rollouts_finish(&node->rollouts);
 	membership_finish(&node->members);
@@ -416,14 +417,14 @@
 	node->settings.bounds = settings->bounds;
 	node->settings.grace_ms = settings->grace_ms;
 	node->settings.endpoints_pause_ms = settings->endpoints_pause_ms;
-	node->source.settings.old_ms[ROW_TABLE_ENDPOINTS] =
+	node->source.settings.max_age_ms[ROW_TABLE_ENDPOINTS] =
 	    settings->endpoints_old_ms;
 	node->settings.off_named_ms = settings->off_named_ms;
 	node->members.settings.life = life_bounds(settings);
 	node->members.view.bounds = node->members.settings.life;
 	node->relay.bounds = settings->bounds;
 	zone_regions_set(node, settings);
-	node->source.watches[ROW_TABLE_ENDPOINTS].watch.pace.pause_ms =
+	node->source.watches[ROW_TABLE_ENDPOINTS].watch.timing.pause_ms =
 	    settings->endpoints_pause_ms;
 	event_line(&node->log, "reload",
 	    "key_fresh_ms=%" PRId64 " grace_ms=%" PRId64,
@@ -441,7 +442,7 @@
 	node->gone_arg = arg;
 	event_line(&node->log, "leave", "under_way=%u", node->relay.under_way);
 	membership_set_state(&node->members, MEMBER_LEAVING);
-	row_source_leave(&node->source);
+	row_sync_stop_serving(&node->source);
 	relay_leave(&node->relay);
 }
 
--- a/moortack/relay/relay_node_priv.h
+++ b/moortack/relay/relay_node_priv.h
@@ -10,7 +10,7 @@
 #include "moortack/relay/relay_node.h"
 
 /** How a node takes rows; the argument is the node. */
-extern const row_source_ops_t relay_rows_ops;
+extern const row_sync_ops_t relay_rows_ops;
 
 /** Whether the store was restored from an older copy after @p known. */
 bool relay_rows_of_later_era(const cached_row_t *known, const row_t *);
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -41,7 +41,7 @@
 		memcpy(value, known->value, known->value_len);
 	value[known->value_len] = '\0';
 	kept.value = kept.deleted ? NULL : value;
-	row_source_put(&node->source, table, &kept);
+	row_sync_put(&node->source, table, &kept);
 	free(value);
 	node->rows_kept++;
 }
@@ -62,7 +62,7 @@
 on_config_row(relay_node_t *node, const row_t *row)
 {
 	const cached_row_t *known =
-	    row_cache_find(&node->source.cache, ROW_TABLE_ORDERS, row->key);
+	    row_cache_find(&node->source.cache, ROW_TABLE_OPERATOR, row->key);
 	relay_config_t *config = NULL;
 	err_t err;
 
@@ -70,9 +70,9 @@
 		config = node->ports.sources->config(
 		    row->value, row->value_len, node->relay.config, &err);
 	if (config_steps_back(node, known, row, config))
-		relay_rows_keep(node, ROW_TABLE_ORDERS, known, row);
+		relay_rows_keep(node, ROW_TABLE_OPERATOR, known, row);
 	else
-		row_source_put(&node->source, ROW_TABLE_ORDERS, row);
+		row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
 	if (config != NULL)
 		relay_configure(&node->relay, config);
 	else if (!row->deleted)
@@ -108,7 +108,7 @@
 		relay_evacuation_row(node, row);
 		return;
 	}
-	row_source_put(&node->source, ROW_TABLE_ORDERS, row);
+	row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
 	if (has_prefix(row, sources->rollout_prefix))
 		order_row(node, row);
 }
@@ -136,7 +136,7 @@
 		taken = (row_t){
 		    .key = row->key, .version = row->version, .deleted = true};
 	}
-	row_source_put(&node->source, ROW_TABLE_OWN, &taken);
+	row_sync_put(&node->source, ROW_TABLE_SYSTEM, &taken);
 	membership_row(&node->members, &taken);
 }
 
@@ -145,7 +145,7 @@
 {
 	err_t err;
 
-	row_source_put(&node->source, ROW_TABLE_OWN, row);
+	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
 	if (!rollouts_row(&node->rollouts, row, &err))
 		row_refusals_note(&node->refusals, ROW_KIND_STATE, row, &err);
 }
@@ -155,7 +155,7 @@
 {
 	err_t err;
 
-	row_source_put(&node->source, ROW_TABLE_OWN, row);
+	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
 	if (!row->deleted && !fleet_key_check(row->value, &err))
 		row_refusals_note(&node->refusals, ROW_KIND_KEY, row, &err);
 }
@@ -165,7 +165,7 @@
 {
 	err_t err;
 
-	row_source_put(&node->source, ROW_TABLE_OWN, row);
+	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
 	if (!relay_quarantine_row(&node->relay.quarantine, row, &err))
 		row_refusals_note(&node->refusals, ROW_KIND_VERDICT, row, &err);
 }
@@ -182,7 +182,7 @@
 	} else if (strcmp(row->key, FLEET_KEY_ROW) == 0) {
 		on_key_row(node, row);
 	} else if (has_prefix(row, ROLLOUT_SESSIONS_PREFIX)) {
-		row_source_put(&node->source, ROW_TABLE_OWN, row);
+		row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
 		rollouts_sessions_row(&node->rollouts, row);
 	}
 }
@@ -194,16 +194,16 @@
 
 	/* A question that was out for long brings rows that are older than what
 	 * another daemon told meanwhile. */
-	if (row_cache_newer(&node->source.cache, table, row))
+	if (row_cache_has_newer(&node->source.cache, table, row))
 		return;
 	switch (table) {
-	case ROW_TABLE_ORDERS:
+	case ROW_TABLE_OPERATOR:
 		on_order_row(node, row);
 		break;
 	case ROW_TABLE_ENDPOINTS:
 		relay_endpoint_row(node, row);
 		break;
-	case ROW_TABLE_OWN:
+	case ROW_TABLE_SYSTEM:
 		on_own_row(node, row);
 		break;
 	case ROW_TABLES:
@@ -243,7 +243,7 @@
 	if (table == ROW_TABLE_ENDPOINTS)
 		endpoint_set_learn(&node->endpoints);
 	relay_open(&node->relay);
-	if (table != ROW_TABLE_OWN)
+	if (table != ROW_TABLE_SYSTEM)
 		return;
 	if (!node->members_read)
 		membership_rows_read(&node->members);
@@ -262,7 +262,7 @@
 	static const char *const names[ROW_TABLES] = {
 	    "orders", "endpoints", "own"};
 	relay_node_t *node = arg;
-	const row_watch_t *watch = row_source_watch(&node->source, table);
+	const row_watch_t *watch = row_sync_watch(&node->source, table);
 
 	event_line(&node->log, now ? "store_back" : "store_lost",
 	    "table=%s age_ms=%" PRId64, names[table], row_watch_age_ms(watch));
@@ -270,7 +270,7 @@
 		return;
 	/* The first answer of all ends no outage that this daemon saw, nor does
 	 * one after a time in which others told what the store has. */
-	if (!watch->settled_once || row_watch_age_ms(watch) < OUTAGE_MIN_MS)
+	if (!watch->synced_once || row_watch_age_ms(watch) < OUTAGE_MIN_MS)
 		return;
 	node->lapses = true;
 	node->store_back = clock_elapsed(node->ports.clock);
@@ -301,5 +301,5 @@
 	relay_quarantine_set_secret(&node->relay.quarantine, secret);
 }
 
-const row_source_ops_t relay_rows_ops = {on_row, on_restart, on_settled,
+const row_sync_ops_t relay_rows_ops = {on_row, on_restart, on_settled,
     on_reachable, on_store_clock, on_secret, on_report};
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -198,8 +198,8 @@
 {
 	const row_watch_t *states = rollout->owner->states;
 
-	return states->settled_once &&
-	    timespec_ms_between(rollout->next_seen, states->known) > 0;
+	return states->synced_once &&
+	    timespec_ms_between(rollout->next_seen, states->synced_at) > 0;
 }
 
 static void
@@ -236,8 +236,8 @@
 		return true;
 	}
 	return same_words(&rollout->before, order) &&
-	    era_version_number(rollout->before.number) ==
-	    era_version_number(order->number);
+	    era_version_sequence(rollout->before.number) ==
+	    era_version_sequence(order->number);
 }
 
 void
@@ -259,7 +259,7 @@
 	    "service=%s order=%" PRIu64 " to=%s before=%" PRIu64,
 	    order->service, order->number, order->to, rollout->order.number);
 	if (!self->states->suspended)
-		row_watch_hurry(self->states);
+		row_watch_poll_now(self->states);
 }
 
 void
@@ -336,7 +336,7 @@
 		if (restored && state_steps_back(rollout, &facts))
 			return true;
 		facts.order =
-		    era_version_of(era, era_version_number(facts.order));
+		    era_version_make(era, era_version_sequence(facts.order));
 	}
 	state_set(rollout, &facts);
 	event_line(self->log, "rollout_state",
@@ -359,7 +359,7 @@
 	rollout->write_after =
 	    timespec_after_ms(clock_elapsed(self->clock), RETRY_MS);
 	if (!self->states->suspended)
-		row_watch_hurry(self->states);
+		row_watch_poll_now(self->states);
 	event_line(self->log, "rollout_write",
 	    "service=%s order=%" PRIu64 " state=%s result=%d",
 	    rollout->order.service, rollout->order.number,
@@ -389,9 +389,9 @@
 		changes[1] = (row_change_t){
 		    .table = told_table, .key = told_key, .value = told};
 		rollout->wanted = state;
-		rollout->writing =
-		    row_store_write(self->store, ROW_FOR_STATE, &expected, 1,
-			changes, 2, WRITE_TIMEOUT_MS, state_written, rollout);
+		rollout->writing = row_store_write(self->store,
+		    ROW_PURPOSE_ROLLOUT_STATE, &expected, 1, changes, 2,
+		    WRITE_TIMEOUT_MS, state_written, rollout);
 	}
 	free(told_table);
 	free(told_key);
--- a/moortack/relay/zone_rows.c
+++ b/moortack/relay/zone_rows.c
@@ -49,7 +49,7 @@
 evacuation_row_missing(const relay_node_t *node, const zone_t *zone,
     const cached_row_t *known, const row_t *row)
 {
-	return row->deleted && !node->source.taking && zone->evacuated &&
+	return row->deleted && !node->source.applying && zone->evacuated &&
 	    known != NULL && known->value != NULL &&
 	    (zone->unconfirmed || relay_rows_of_later_era(known, row));
 }
@@ -61,14 +61,14 @@
 	if (!zone->unconfirmed)
 		zone->unconfirmed_since = clock_elapsed(node->ports.clock);
 	zone->unconfirmed = true;
-	relay_rows_keep(node, ROW_TABLE_ORDERS, known, row);
+	relay_rows_keep(node, ROW_TABLE_OPERATOR, known, row);
 }
 
 void
 relay_evacuation_row(relay_node_t *node, const row_t *row)
 {
 	const cached_row_t *known =
-	    row_cache_find(&node->source.cache, ROW_TABLE_ORDERS, row->key);
+	    row_cache_find(&node->source.cache, ROW_TABLE_OPERATOR, row->key);
 	const char *name = key_zone(node, row);
 	zone_t *zone;
 	err_t err;
@@ -76,7 +76,7 @@
 	if (!node->ports.sources->evacuation_check(name, &err)) {
 		row_refusals_note(
 		    &node->refusals, ROW_KIND_EVACUATION, row, &err);
-		row_source_put(&node->source, ROW_TABLE_ORDERS, row);
+		row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
 		return;
 	}
 	zone = zone_table_get(&node->endpoints.zones, name);
@@ -84,7 +84,7 @@
 		evacuation_keep(node, zone, known, row);
 		return;
 	}
-	row_source_put(&node->source, ROW_TABLE_ORDERS, row);
+	row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
 	if (zone != NULL)
 		evacuation_apply(node, zone, row);
 }
@@ -93,7 +93,7 @@
 evacuation_expire(relay_node_t *node, zone_t *zone)
 {
 	const row_watch_t *watch =
-	    row_source_watch(&node->source, ROW_TABLE_ORDERS);
+	    row_sync_watch(&node->source, ROW_TABLE_OPERATOR);
 	char key[2 * ZONE_NAME_SIZE];
 	row_t removal = {
 	    .key = key, .version = watch->version, .deleted = true};
@@ -101,11 +101,11 @@
 
 	snprintf(key, sizeof(key), "%.95s%s",
 	    node->ports.sources->evacuation_prefix, zone->name);
-	known = row_cache_find(&node->source.cache, ROW_TABLE_ORDERS, key);
+	known = row_cache_find(&node->source.cache, ROW_TABLE_OPERATOR, key);
 	if (known != NULL && known->version > removal.version)
 		removal.version = known->version;
 	removal.version++;
-	row_source_put(&node->source, ROW_TABLE_ORDERS, &removal);
+	row_sync_put(&node->source, ROW_TABLE_OPERATOR, &removal);
 	evacuation_apply(node, zone, &removal);
 }
 
--- a/moortack/replication/feed_body.c
+++ b/moortack/replication/feed_body.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "moortack/replication/feed_apply.h"
+#include "moortack/replication/feed_rows.h"
 
 static bool
-same_versions(const feed_point_t *a, const feed_point_t *b)
+same_versions(const feed_position_t *a, const feed_position_t *b)
 {
 	return memcmp(a->versions, b->versions, sizeof(a->versions)) == 0;
 }
@@ -15,24 +15,24 @@
  * rows that mean the same decide which ends are told. */
 static bool
 fits(const feed_body_t *body, const row_cache_t *cache,
-    const feed_point_t *from, const feed_answer_t *answer)
+    const feed_position_t *from, const feed_response_t *answer)
 {
-	if (!body->made || body->change != cache->change)
+	if (!body->valid || body->change != cache->last_change)
 		return false;
-	if (body->again)
-		return body->from.change == from->change;
+	if (body->incremental)
+		return body->position.change == from->change;
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (body->whole[i] != answer->tables[i].whole)
+		if (body->full[i] != answer->tables[i].full)
 			return false;
 	}
-	return body->renewed == cache->renewed &&
-	    body->from.source == from->source &&
-	    body->from.change == from->change &&
-	    same_versions(&body->from, from);
+	return body->put_count == cache->put_count &&
+	    body->position.incarnation == from->incarnation &&
+	    body->position.change == from->change &&
+	    same_versions(&body->position, from);
 }
 
 static bool
-rows_pack(feed_answer_t *answer, feed_bytes_t *bytes)
+rows_pack(feed_response_t *answer, feed_bytes_t *bytes)
 {
 	char *text = NULL;
 	bool packed;
@@ -40,42 +40,43 @@
 	*bytes = (feed_bytes_t){0};
 	if (json_array_size(answer->rows) == 0)
 		return true;
-	text = feed_rows_text(answer);
+	text = feed_rows_encode(answer);
 	packed = text != NULL && feed_pack(text, bytes);
 	free(text);
 	return packed;
 }
 
 static bool
-body_make(feed_body_t *body, const row_cache_t *cache, const feed_point_t *from,
-    bool again, feed_answer_t *answer)
+body_make(feed_body_t *body, const row_cache_t *cache,
+    const feed_position_t *from, bool again, feed_response_t *answer)
 {
 	free(body->bytes.data);
-	*body = (feed_body_t){.again = again && !feed_answer_whole(answer),
-	    .from = *from,
-	    .change = cache->change,
-	    .renewed = cache->renewed};
+	*body = (feed_body_t){
+	    .incremental = again && !feed_response_has_full_table(answer),
+	    .position = *from,
+	    .change = cache->last_change,
+	    .put_count = cache->put_count};
 	for (int i = 0; i < ROW_TABLES; i++)
-		body->whole[i] = answer->tables[i].whole;
+		body->full[i] = answer->tables[i].full;
 	answer->rows = json_array();
-	feed_fill_rows(cache, from, again, answer);
-	body->made = rows_pack(answer, &body->bytes);
+	feed_rows_fill(cache, from, again, answer);
+	body->valid = rows_pack(answer, &body->bytes);
 	json_decref(answer->rows);
 	answer->rows = NULL;
-	return body->made;
+	return body->valid;
 }
 
 const feed_bytes_t *
-feed_bodies_for(feed_bodies_t *bodies, const row_cache_t *cache,
-    uint64_t incarnation, const feed_point_t *from, feed_answer_t *answer)
+feed_body_cache_get(feed_body_cache_t *bodies, const row_cache_t *cache,
+    uint64_t incarnation, const feed_position_t *from, feed_response_t *answer)
 {
-	bool again = feed_fill_tables(cache, incarnation, from, answer);
-	feed_body_t *body = again && !feed_answer_whole(answer)
-	    ? &bodies->changes
-	    : &bodies->whole;
+	bool again = feed_tables_fill(cache, incarnation, from, answer);
+	feed_body_t *body = again && !feed_response_has_full_table(answer)
+	    ? &bodies->incremental
+	    : &bodies->full;
 
 	if (!fits(body, cache, from, answer)) {
-		bodies->made++;
+		bodies->encoded++;
 		if (!body_make(body, cache, from, again, answer))
 			return NULL;
 	}
@@ -83,8 +84,8 @@
 }
 
 void
-feed_bodies_finish(feed_bodies_t *bodies)
+feed_body_cache_finish(feed_body_cache_t *bodies)
 {
-	free(bodies->changes.bytes.data);
-	free(bodies->whole.bytes.data);
+	free(bodies->incremental.bytes.data);
+	free(bodies->full.bytes.data);
 }
--- a/moortack/replication/feed_client.c
+++ b/moortack/replication/feed_client.c
@@ -25,16 +25,16 @@
 static bool
 question_send(feed_client_t *client)
 {
-	feed_question_t question = {.number = ++client->number};
+	feed_request_t question = {.id = ++client->request_id};
 	char *text;
 	int sent;
 
-	client->ops->ask(client->arg, &question);
-	text = feed_question_text(&question);
-	feed_question_clear(&question);
+	client->ops->prepare(client->arg, &question);
+	text = feed_request_encode(&question);
+	feed_request_clear(&question);
 	if (text == NULL)
 		return false;
-	client->asked = clock_elapsed(client->clock);
+	client->sent_at = clock_elapsed(client->clock);
 	sent =
 	    zmq_send(client->dealer.socket, text, strlen(text), ZMQ_DONTWAIT);
 	free(text);
@@ -52,7 +52,7 @@
 	(void)fd;
 	(void)what;
 	if (client->slow) {
-		client->ops->lost(client->arg);
+		client->ops->timeout(client->arg);
 		return;
 	}
 	client->slow = true;
@@ -62,7 +62,7 @@
 
 /* @param rows packed; NULL: none */
 static bool
-answer_read(zmq_msg_t *head, zmq_msg_t *rows, feed_answer_t *answer)
+answer_read(zmq_msg_t *head, zmq_msg_t *rows, feed_response_t *answer)
 {
 	feed_bytes_t text = {0};
 	bool good;
@@ -70,7 +70,7 @@
 	if (rows != NULL &&
 	    !feed_unpack(zmq_msg_data(rows), zmq_msg_size(rows), &text))
 		return false;
-	good = feed_answer_read(zmq_msg_data(head), zmq_msg_size(head),
+	good = feed_response_decode(zmq_msg_data(head), zmq_msg_size(head),
 	    text.data, text.len, answer);
 	free(text.data);
 	return good;
@@ -79,18 +79,18 @@
 static void
 answer_take(feed_client_t *client, zmq_msg_t *head, zmq_msg_t *rows)
 {
-	struct timespec asked = client->asked;
-	feed_answer_t answer;
+	struct timespec asked = client->sent_at;
+	feed_response_t answer;
 
 	if (!answer_read(head, rows, &answer))
 		return;
-	if (answer.number == client->number) {
+	if (answer.request_id == client->request_id) {
 		event_del(client->timer);
-		client->ops->answer(client->arg, &answer, asked);
+		client->ops->response(client->arg, &answer, asked);
 		if (client->dealer.socket != NULL)
 			question_send(client);
 	}
-	feed_answer_clear(&answer);
+	feed_response_clear(&answer);
 }
 
 static void
@@ -126,7 +126,7 @@
 }
 
 void
-feed_client_stop(feed_client_t *client)
+feed_client_disconnect(feed_client_t *client)
 {
 	if (client->timer == NULL)
 		return;
@@ -140,16 +140,16 @@
 {
 	if (client->timer == NULL)
 		return;
-	feed_client_stop(client);
+	feed_client_disconnect(client);
 	event_free(client->timer);
 }
 
 bool
-feed_client_follow(feed_client_t *client, const char *address)
+feed_client_connect(feed_client_t *client, const char *address)
 {
 	int queue_at_once = 0;
 
-	feed_client_stop(client);
+	feed_client_disconnect(client);
 	if (!peer_socket_open(&client->dealer, client->base, client->context,
 		ZMQ_DEALER, on_answer, client))
 		return false;
@@ -158,7 +158,7 @@
 	    sizeof(queue_at_once));
 	peer_auth_set(client->auth, client->dealer.socket, false);
 	if (zmq_connect(client->dealer.socket, address) != 0) {
-		feed_client_stop(client);
+		feed_client_disconnect(client);
 		return false;
 	}
 	question_send(client);
--- a/moortack/replication/feed_delta.c
+++ b/moortack/replication/feed_delta.c
@@ -44,8 +44,8 @@
 }
 
 static bool
-delta_append(feed_answer_t *answer, const cached_row_t *row,
-    const row_prior_t *prior, const feed_bytes_t *delta)
+delta_append(feed_response_t *answer, const cached_row_t *row,
+    const row_prior_value_t *prior, const feed_bytes_t *delta)
 {
 	char *text = bytes_text(delta);
 	json_t *told;
@@ -60,9 +60,9 @@
 }
 
 static bool
-as_delta(feed_answer_t *answer, const cached_row_t *row, uint64_t since)
+as_delta(feed_response_t *answer, const cached_row_t *row, uint64_t since)
 {
-	const row_prior_t *prior = row_cache_prior(row, since);
+	const row_prior_value_t *prior = row_cache_prior_value(row, since);
 	feed_bytes_t delta = {0};
 	bool added;
 
@@ -77,10 +77,11 @@
 }
 
 void
-feed_delta_add(feed_answer_t *answer, const cached_row_t *row, uint64_t since)
+feed_delta_add_row(
+    feed_response_t *answer, const cached_row_t *row, uint64_t since)
 {
 	if (!as_delta(answer, row, since))
-		feed_answer_add(answer, row);
+		feed_response_add_row(answer, row);
 }
 
 static uint64_t
@@ -142,7 +143,7 @@
 }
 
 bool
-feed_delta_resolve(feed_answer_t *answer, const row_cache_t *cache)
+feed_delta_resolve(feed_response_t *answer, const row_cache_t *cache)
 {
 	json_t *told;
 	size_t i;
--- a/moortack/replication/feed_apply.c
+++ b/moortack/replication/feed_rows.c
@@ -1,25 +1,25 @@
-#include "moortack/replication/feed_apply.h"
+#include "moortack/replication/feed_rows.h"
 
 #include "moortack/replication/feed_delta.h"
 #include "moortack/replication/row_cache.h"
 
 /* Rows that a whole answer does not name are gone, unless they are newer. */
 static void
-unnamed_end(
-    const feed_answer_t *answer, row_cache_t *cache, feed_row_t told, void *arg)
+unnamed_end(const feed_response_t *answer, row_cache_t *cache,
+    feed_row_cb_t told, void *arg)
 {
 	cached_row_t *row, *next;
 
 	for (row = cache->rows; row != NULL; row = next) {
 		row_t end = {.key = cached_row_key(row),
-		    .version = answer->tables[row->table].known,
+		    .version = answer->tables[row->table].deletions_version,
 		    .deleted = true};
 
 		next = row->hh.next;
-		if (!answer->tables[row->table].whole ||
-		    row_cache_named(row, ROW_READER_TOLD) ||
+		if (!answer->tables[row->table].full ||
+		    cached_row_is_marked(row, ROW_ORIGIN_PEER) ||
 		    row->value == NULL ||
-		    row->version > answer->tables[row->table].known)
+		    row->version > answer->tables[row->table].deletions_version)
 			continue;
 		told(arg, row->table, &end);
 	}
@@ -29,78 +29,79 @@
  * before a change that was seen here and not there: it has become what it was,
  * which is no change to those who did not see it. */
 static void
-named_renew(const feed_answer_t *answer, const row_cache_t *cache,
+named_renew(const feed_response_t *answer, const row_cache_t *cache,
     row_table_t table, row_t *row)
 {
 	const cached_row_t *known = row_cache_find(cache, table, row->key);
-	const feed_table_t *told = &answer->tables[table];
+	const feed_table_state_t *told = &answer->tables[table];
 
-	if (told->whole && !row->deleted && known != NULL &&
+	if (told->full && !row->deleted && known != NULL &&
 	    known->version > row->version && known->version <= told->version)
 		row->version = told->version;
 }
 
 static void
-rows_apply(
-    const feed_answer_t *answer, row_cache_t *cache, feed_row_t told, void *arg)
+rows_apply(const feed_response_t *answer, row_cache_t *cache,
+    feed_row_cb_t told, void *arg)
 {
 	size_t len = json_array_size(answer->rows);
 	row_table_t table;
 	row_t row;
 
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (answer->tables[i].whole)
-			row_cache_restart(
-			    cache, (row_table_t)i, ROW_READER_TOLD);
+		if (answer->tables[i].full)
+			row_cache_clear_marks(
+			    cache, (row_table_t)i, ROW_ORIGIN_PEER);
 	}
 	for (size_t i = 0; i < len; i++) {
-		if (!feed_answer_row(answer, i, &table, &row))
+		if (!feed_response_row(answer, i, &table, &row))
 			continue;
 		named_renew(answer, cache, table, &row);
-		if (!row_cache_newer(cache, table, &row))
+		if (!row_cache_has_newer(cache, table, &row))
 			told(arg, table, &row);
 	}
-	if (!feed_answer_whole(answer))
+	if (!feed_response_has_full_table(answer))
 		return;
 	unnamed_end(answer, cache, told, arg);
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (answer->tables[i].whole)
-			cache->since[i] = answer->tables[i].known;
+		if (answer->tables[i].full)
+			cache->complete_since[i] =
+			    answer->tables[i].deletions_version;
 	}
 }
 
 void
-feed_apply(
-    const feed_answer_t *answer, row_cache_t *cache, feed_row_t told, void *arg)
+feed_rows_apply(const feed_response_t *answer, row_cache_t *cache,
+    feed_row_cb_t told, void *arg)
 {
-	row_reader_t before = cache->reader;
+	row_origin_t before = cache->origin;
 
-	cache->reader = ROW_READER_TOLD;
+	cache->origin = ROW_ORIGIN_PEER;
 	rows_apply(answer, cache, told, arg);
-	cache->reader = before;
+	cache->origin = before;
 }
 
 /* Whether the asker is told all rows of the table: it may miss an end, or it
  * comes from another daemon, and rows that went and came back without a change
  * of meaning are told to nobody. Orders are not taken back. */
 static bool
-wants_whole(const row_cache_t *cache, const feed_point_t *from,
+wants_whole(const row_cache_t *cache, const feed_position_t *from,
     row_table_t table, bool again)
 {
 	return from->versions[table] == 0 ||
-	    from->versions[table] < cache->since[table] ||
-	    (!again && table != ROW_TABLE_ORDERS);
+	    from->versions[table] < cache->complete_since[table] ||
+	    (!again && table != ROW_TABLE_OPERATOR);
 }
 
 /* The rows that changed since the asker's last answer: all that it needs,
  * unless a table is told whole. */
 static void
-changes_add(const row_cache_t *cache, uint64_t since, feed_answer_t *answer)
+changes_add(const row_cache_t *cache, uint64_t since, feed_response_t *answer)
 {
-	for (const cached_row_t *row = row_cache_after(cache, since);
-	     row != NULL; row = row_cache_next(cache, row)) {
-		if (!answer->tables[row->table].whole)
-			feed_delta_add(answer, row, since);
+	for (const cached_row_t *row = row_cache_first_after(cache, since);
+	     row != NULL; row = row_cache_next_change(cache, row)) {
+		if (!answer->tables[row->table].full)
+			feed_delta_add_row(answer, row, since);
 	}
 }
 
@@ -108,8 +109,8 @@
  * are told whole.
  * @param again the asker was told the changes of the other tables */
 static void
-rows_add(const row_cache_t *cache, const feed_point_t *from, bool again,
-    feed_answer_t *answer)
+rows_add(const row_cache_t *cache, const feed_position_t *from, bool again,
+    feed_response_t *answer)
 {
 	for (const cached_row_t *row = cache->rows; row != NULL;
 	     row = row->hh.next) {
@@ -117,31 +118,31 @@
 
 		/* An end may be later than the version that is told: that goes
 		 * back while this daemon relies on one that knows less. */
-		if (answer->tables[row->table].whole
+		if (answer->tables[row->table].full
 			? row->value != NULL || newer
 			: newer && !again)
-			feed_answer_add(answer, row);
+			feed_response_add_row(answer, row);
 	}
 }
 
 bool
-feed_fill_tables(const row_cache_t *cache, uint64_t incarnation,
-    const feed_point_t *from, feed_answer_t *answer)
+feed_tables_fill(const row_cache_t *cache, uint64_t incarnation,
+    const feed_position_t *from, feed_response_t *answer)
 {
-	bool again = from->source == incarnation;
+	bool again = from->incarnation == incarnation;
 
 	for (int i = 0; i < ROW_TABLES; i++)
-		answer->tables[i].whole =
+		answer->tables[i].full =
 		    wants_whole(cache, from, (row_table_t)i, again);
 	return again;
 }
 
 void
-feed_fill_rows(const row_cache_t *cache, const feed_point_t *from, bool again,
-    feed_answer_t *answer)
+feed_rows_fill(const row_cache_t *cache, const feed_position_t *from,
+    bool again, feed_response_t *answer)
 {
 	if (again)
 		changes_add(cache, from->change, answer);
-	if (!again || feed_answer_whole(answer))
+	if (!again || feed_response_has_full_table(answer))
 		rows_add(cache, from, again, answer);
 }
--- a/moortack/replication/feed_server.c
+++ b/moortack/replication/feed_server.c
@@ -12,44 +12,44 @@
 #define WAITING_MAX 4096
 
 /** A question that is held. */
-struct feed_waiting {
+struct feed_pending {
 	uint8_t identity[IDENTITY_MAX]; /**< the way back */
 	size_t identity_len;
-	uint64_t number;
-	feed_point_t asked_for;
-	struct timespec asked;
-	feed_waiting_t *next;
+	uint64_t request_id;
+	feed_position_t position;
+	struct timespec received_at;
+	feed_pending_t *next;
 };
 
 static bool
 frame_send(feed_server_t *server, const void *data, size_t len, int flags)
 {
-	server->bytes += len;
+	server->bytes_sent += len;
 	return zmq_send(
 		   server->router.socket, data, len, ZMQ_DONTWAIT | flags) >= 0;
 }
 
 static void
-answer_send(feed_server_t *server, const feed_waiting_t *waiting)
+answer_send(feed_server_t *server, const feed_pending_t *waiting)
 {
-	feed_answer_t answer = {.number = waiting->number,
-	    .source = server->incarnation,
-	    .change = server->cache->change,
-	    .lost = server->lost,
+	feed_response_t answer = {.request_id = waiting->request_id,
+	    .incarnation = server->incarnation,
+	    .change = server->cache->last_change,
+	    .store_unavailable = server->store_unavailable,
 	    .leaving = server->leaving,
 	    .held_ms = timespec_ms_between(
-		waiting->asked, clock_elapsed(server->clock))};
-	const feed_bytes_t *rows = feed_bodies_for(&server->bodies,
-	    server->cache, server->incarnation, &waiting->asked_for, &answer);
+		waiting->received_at, clock_elapsed(server->clock))};
+	const feed_bytes_t *rows = feed_body_cache_get(&server->body_cache,
+	    server->cache, server->incarnation, &waiting->position, &answer);
 	char *text;
 
-	server->ops->state(server->arg, &answer);
-	text = feed_answer_text(&answer);
-	feed_answer_clear(&answer);
+	server->ops->fill_state(server->arg, &answer);
+	text = feed_response_encode(&answer);
+	feed_response_clear(&answer);
 	if (rows != NULL && text != NULL) {
 		int more = rows->len > 0 ? ZMQ_SNDMORE : 0;
 
-		server->answers++;
+		server->responses++;
 		if (frame_send(server, waiting->identity, waiting->identity_len,
 			ZMQ_SNDMORE) &&
 		    frame_send(server, text, strlen(text), more) && more != 0)
@@ -61,23 +61,23 @@
 
 /* Whether there is something to tell, or the question was held long enough. */
 static bool
-answer_due(const feed_server_t *server, const feed_waiting_t *waiting,
+answer_due(const feed_server_t *server, const feed_pending_t *waiting,
     struct timespec now)
 {
-	return server->leaving || server->refresh ||
-	    waiting->asked_for.source != server->incarnation ||
-	    waiting->asked_for.change < server->cache->change ||
-	    timespec_ms_between(waiting->asked, now) >= server->hold_ms;
+	return server->leaving || server->respond_all ||
+	    waiting->position.incarnation != server->incarnation ||
+	    waiting->position.change < server->cache->last_change ||
+	    timespec_ms_between(waiting->received_at, now) >= server->hold_ms;
 }
 
 static void
 waiting_flush(feed_server_t *server)
 {
 	struct timespec now = clock_elapsed(server->clock);
-	feed_waiting_t **at = &server->waiting;
+	feed_pending_t **at = &server->pending;
 
 	while (*at != NULL) {
-		feed_waiting_t *waiting = *at;
+		feed_pending_t *waiting = *at;
 
 		if (!answer_due(server, waiting, now)) {
 			at = &waiting->next;
@@ -85,7 +85,7 @@
 		}
 		answer_send(server, waiting);
 		*at = waiting->next;
-		server->waiting_len--;
+		server->pending_len--;
 		free(waiting);
 	}
 }
@@ -95,7 +95,7 @@
 {
 	struct timeval delay = {0, FLUSH_US};
 
-	if (server->waiting != NULL)
+	if (server->pending != NULL)
 		event_add(server->flush, &delay);
 }
 
@@ -107,69 +107,70 @@
 	(void)fd;
 	(void)what;
 	waiting_flush(server);
-	server->refresh = false;
+	server->respond_all = false;
 	flush_later(server);
 }
 
 void
-feed_server_changed(feed_server_t *server)
+feed_server_cache_changed(feed_server_t *server)
 {
 	struct timeval delay = {0, CHANGED_US};
 
-	if (server->flush != NULL && server->waiting != NULL)
+	if (server->flush != NULL && server->pending != NULL)
 		event_add(server->flush, &delay);
 }
 
 void
-feed_server_set_lost(feed_server_t *server, bool lost, bool leaving)
+feed_server_set_status(feed_server_t *server, bool lost, bool leaving)
 {
-	bool news = server->lost != lost || server->leaving != leaving;
+	bool news =
+	    server->store_unavailable != lost || server->leaving != leaving;
 
-	server->lost = lost;
+	server->store_unavailable = lost;
 	server->leaving = leaving;
 	if (news)
-		feed_server_refresh(server);
+		feed_server_respond_all(server);
 }
 
 void
-feed_server_refresh(feed_server_t *server)
+feed_server_respond_all(feed_server_t *server)
 {
-	server->refresh = true;
-	feed_server_changed(server);
+	server->respond_all = true;
+	feed_server_cache_changed(server);
 }
 
 /* One question of each asker is held: a new one replaces it. */
 static void
-waiting_drop(feed_server_t *server, const feed_waiting_t *same)
+waiting_drop(feed_server_t *server, const feed_pending_t *same)
 {
-	for (feed_waiting_t **at = &server->waiting; *at != NULL;
+	for (feed_pending_t **at = &server->pending; *at != NULL;
 	     at = &(*at)->next) {
-		feed_waiting_t *old = *at;
+		feed_pending_t *old = *at;
 
 		if (old->identity_len != same->identity_len ||
 		    memcmp(old->identity, same->identity, old->identity_len) !=
 			0)
 			continue;
 		*at = old->next;
-		server->waiting_len--;
+		server->pending_len--;
 		free(old);
 		return;
 	}
 }
 
 static void
-question_hold(feed_server_t *server, feed_waiting_t *waiting)
+question_hold(feed_server_t *server, feed_pending_t *waiting)
 {
 	waiting_drop(server, waiting);
-	if (server->waiting_len >= WAITING_MAX) {
+	if (server->pending_len >= WAITING_MAX) {
 		free(waiting);
 		return;
 	}
-	waiting->next = server->waiting;
-	server->waiting = waiting;
-	server->waiting_len++;
-	if (answer_due(server, waiting, waiting->asked))
-		feed_server_changed(server);
+	waiting->next = server->pending;
+	server->pending = waiting;
+	server->pending_len++;
+	if (answer_due(server, waiting, waiting->received_at))
+		feed_server_cache_changed(server);
 	else if (!event_pending(server->flush, EV_TIMEOUT, NULL))
 		flush_later(server);
 }
@@ -177,26 +178,26 @@
 static void
 question_take(feed_server_t *server, const zmq_msg_t *identity, zmq_msg_t *body)
 {
-	feed_question_t question;
-	feed_waiting_t *waiting;
+	feed_request_t question;
+	feed_pending_t *waiting;
 	size_t len = zmq_msg_size(identity);
 
 	if (len > IDENTITY_MAX ||
-	    !feed_question_read(
+	    !feed_request_decode(
 		zmq_msg_data(body), zmq_msg_size(body), &question))
 		return;
-	server->ops->heard(server->arg, &question);
+	server->ops->request(server->arg, &question);
 	waiting = calloc(1, sizeof(*waiting));
 	if (waiting != NULL) {
 		memcpy(waiting->identity,
 		    zmq_msg_data((zmq_msg_t *)(uintptr_t)identity), len);
 		waiting->identity_len = len;
-		waiting->number = question.number;
-		waiting->asked_for = question.from;
-		waiting->asked = clock_elapsed(server->clock);
+		waiting->request_id = question.id;
+		waiting->position = question.position;
+		waiting->received_at = clock_elapsed(server->clock);
 		question_hold(server, waiting);
 	}
-	feed_question_clear(&question);
+	feed_request_clear(&question);
 }
 
 static void
@@ -245,13 +246,13 @@
 void
 feed_server_finish(feed_server_t *server)
 {
-	feed_waiting_t *next;
+	feed_pending_t *next;
 
-	for (feed_waiting_t *one = server->waiting; one != NULL; one = next) {
+	for (feed_pending_t *one = server->pending; one != NULL; one = next) {
 		next = one->next;
 		free(one);
 	}
-	feed_bodies_finish(&server->bodies);
+	feed_body_cache_finish(&server->body_cache);
 	peer_socket_close(&server->router);
 	peer_socket_close(&server->zap);
 	if (server->flush != NULL)
--- a/moortack/replication/feed_wire.c
+++ b/moortack/replication/feed_wire.c
@@ -4,32 +4,32 @@
 #include <string.h>
 
 char *
-feed_question_text(const feed_question_t *question)
+feed_request_encode(const feed_request_t *question)
 {
 	json_t *body = json_pack("{s:I, s:s, s:I, s:I, s:[I, I, I]}", "number",
-	    (json_int_t)question->number, "name", question->name, "source",
-	    (json_int_t)question->from.source, "change",
-	    (json_int_t)question->from.change, "versions",
-	    (json_int_t)question->from.versions[ROW_TABLE_ORDERS],
-	    (json_int_t)question->from.versions[ROW_TABLE_ENDPOINTS],
-	    (json_int_t)question->from.versions[ROW_TABLE_OWN]);
+	    (json_int_t)question->id, "name", question->name, "source",
+	    (json_int_t)question->position.incarnation, "change",
+	    (json_int_t)question->position.change, "versions",
+	    (json_int_t)question->position.versions[ROW_TABLE_OPERATOR],
+	    (json_int_t)question->position.versions[ROW_TABLE_ENDPOINTS],
+	    (json_int_t)question->position.versions[ROW_TABLE_SYSTEM]);
 	char *text;
 
 	if (body == NULL)
 		return NULL;
 	if (question->report != NULL)
 		json_object_set(body, "report", question->report);
-	if (question->below != NULL)
-		json_object_set(body, "below", question->below);
-	if (question->row != NULL)
-		json_object_set(body, "row", question->row);
+	if (question->subtree != NULL)
+		json_object_set(body, "below", question->subtree);
+	if (question->row_request != NULL)
+		json_object_set(body, "row", question->row_request);
 	text = json_dumps(body, JSON_COMPACT);
 	json_decref(body);
 	return text;
 }
 
 char *
-feed_answer_text(const feed_answer_t *answer)
+feed_response_encode(const feed_response_t *answer)
 {
 	json_t *tables = json_array();
 	json_t *body;
@@ -40,14 +40,15 @@
 		    json_pack("[I, I, I, b]",
 			(json_int_t)answer->tables[i].version,
 			(json_int_t)answer->tables[i].age_ms,
-			(json_int_t)answer->tables[i].known,
-			(int)answer->tables[i].whole));
+			(json_int_t)answer->tables[i].deletions_version,
+			(int)answer->tables[i].full));
 	body = json_pack("{s:I, s:I, s:I, s:b, s:I, s:o, s:I, s:I}", "number",
-	    (json_int_t)answer->number, "source", (json_int_t)answer->source,
-	    "change", (json_int_t)answer->change, "lost", (int)answer->lost,
+	    (json_int_t)answer->request_id, "source",
+	    (json_int_t)answer->incarnation, "change",
+	    (json_int_t)answer->change, "lost", (int)answer->store_unavailable,
 	    "now_ms", (json_int_t)answer->store_now_ms, "tables", tables,
 	    "held_ms", (json_int_t)answer->held_ms, "vouched_ms",
-	    (json_int_t)answer->vouched_ms);
+	    (json_int_t)answer->liveness_age_ms);
 	if (body != NULL && answer->leaving)
 		json_object_set_new(body, "leaving", json_true());
 	if (body != NULL && answer->path != NULL)
@@ -60,7 +61,7 @@
 }
 
 char *
-feed_rows_text(const feed_answer_t *answer)
+feed_rows_encode(const feed_response_t *answer)
 {
 	return json_dumps(answer->rows, JSON_COMPACT);
 }
@@ -72,13 +73,13 @@
 }
 
 bool
-feed_question_read(const char *text, size_t len, feed_question_t *question)
+feed_request_decode(const char *text, size_t len, feed_request_t *question)
 {
 	json_t *body = json_loadb(text, len, 0, NULL);
 	const char *name = json_string_value(json_object_get(body, "name"));
 
-	*question = (feed_question_t){.number = number_at(body, "number"),
-	    .from = {.source = number_at(body, "source"),
+	*question = (feed_request_t){.id = number_at(body, "number"),
+	    .position = {.incarnation = number_at(body, "source"),
 		.change = number_at(body, "change")}};
 	if (name == NULL || strlen(name) >= sizeof(question->name)) {
 		json_decref(body);
@@ -86,67 +87,67 @@
 	}
 	strcpy(question->name, name);
 	for (size_t i = 0; i < ROW_TABLES; i++)
-		question->from.versions[i] = (uint64_t)json_integer_value(
+		question->position.versions[i] = (uint64_t)json_integer_value(
 		    json_array_get(json_object_get(body, "versions"), i));
 	question->report = json_incref(json_object_get(body, "report"));
-	question->below = json_incref(json_object_get(body, "below"));
-	question->row = json_incref(json_object_get(body, "row"));
+	question->subtree = json_incref(json_object_get(body, "below"));
+	question->row_request = json_incref(json_object_get(body, "row"));
 	json_decref(body);
 	return true;
 }
 
 bool
-feed_answer_read(const char *text, size_t len, const char *rows,
-    size_t rows_len, feed_answer_t *answer)
+feed_response_decode(const char *text, size_t len, const char *rows,
+    size_t rows_len, feed_response_t *answer)
 {
 	json_t *body = json_loadb(text, len, 0, NULL);
 	const json_t *tables = json_object_get(body, "tables");
 
-	*answer = (feed_answer_t){.number = number_at(body, "number"),
-	    .source = number_at(body, "source"),
+	*answer = (feed_response_t){.request_id = number_at(body, "number"),
+	    .incarnation = number_at(body, "source"),
 	    .change = number_at(body, "change"),
-	    .lost = json_is_true(json_object_get(body, "lost")),
+	    .store_unavailable = json_is_true(json_object_get(body, "lost")),
 	    .leaving = json_is_true(json_object_get(body, "leaving")),
 	    .store_now_ms =
 		json_integer_value(json_object_get(body, "now_ms"))};
 	for (size_t i = 0; i < ROW_TABLES; i++) {
 		const json_t *table = json_array_get(tables, i);
 
-		answer->tables[i] = (feed_table_t){
+		answer->tables[i] = (feed_table_state_t){
 		    .version =
 			(uint64_t)json_integer_value(json_array_get(table, 0)),
 		    .age_ms = json_integer_value(json_array_get(table, 1)),
-		    .known =
+		    .deletions_version =
 			(uint64_t)json_integer_value(json_array_get(table, 2)),
-		    .whole = json_is_true(json_array_get(table, 3))};
+		    .full = json_is_true(json_array_get(table, 3))};
 	}
 	answer->rows =
 	    rows != NULL ? json_loadb(rows, rows_len, 0, NULL) : json_array();
 	answer->path = json_incref(json_object_get(body, "path"));
 	answer->held_ms = json_integer_value(json_object_get(body, "held_ms"));
-	answer->vouched_ms =
+	answer->liveness_age_ms =
 	    json_integer_value(json_object_get(body, "vouched_ms"));
 	answer->silent = json_incref(json_object_get(body, "silent"));
 	json_decref(body);
-	if (json_is_array(answer->rows) && answer->number != 0)
+	if (json_is_array(answer->rows) && answer->request_id != 0)
 		return true;
-	feed_answer_clear(answer);
+	feed_response_clear(answer);
 	return false;
 }
 
 void
-feed_question_clear(feed_question_t *question)
+feed_request_clear(feed_request_t *question)
 {
 	json_decref(question->report);
-	json_decref(question->below);
-	json_decref(question->row);
+	json_decref(question->subtree);
+	json_decref(question->row_request);
 	question->report = NULL;
-	question->below = NULL;
-	question->row = NULL;
+	question->subtree = NULL;
+	question->row_request = NULL;
 }
 
 void
-feed_answer_clear(feed_answer_t *answer)
+feed_response_clear(feed_response_t *answer)
 {
 	json_decref(answer->rows);
 	json_decref(answer->path);
@@ -157,17 +158,17 @@
 }
 
 bool
-feed_answer_whole(const feed_answer_t *answer)
+feed_response_has_full_table(const feed_response_t *answer)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (answer->tables[i].whole)
+		if (answer->tables[i].full)
 			return true;
 	}
 	return false;
 }
 
 bool
-feed_answer_through(const feed_answer_t *answer, const char *name)
+feed_response_path_contains(const feed_response_t *answer, const char *name)
 {
 	const json_t *one;
 	size_t i;
@@ -182,7 +183,7 @@
 }
 
 void
-feed_answer_add(feed_answer_t *answer, const cached_row_t *row)
+feed_response_add_row(feed_response_t *answer, const cached_row_t *row)
 {
 	json_t *value = row->value != NULL
 	    ? json_stringn(row->value, row->value_len)
@@ -194,8 +195,8 @@
 }
 
 bool
-feed_answer_row(
-    const feed_answer_t *answer, size_t at, row_table_t *table, row_t *row)
+feed_response_row(
+    const feed_response_t *answer, size_t at, row_table_t *table, row_t *row)
 {
 	const json_t *list = json_array_get(answer->rows, at);
 	const json_t *value = json_array_get(list, 3);
--- a/moortack/replication/fleet_key.c
+++ b/moortack/replication/fleet_key.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "row_source_priv.h"
+#include "row_sync_priv.h"
 
 #define KEY_TIMEOUT_MS 1500
 #define KEY_RETRY_MS 1500
@@ -13,14 +13,14 @@
 static void
 key_written(void *arg, const row_reply_t *reply)
 {
-	row_source_t *self = arg;
+	row_sync_t *self = arg;
 
 	(void)reply;
 	/* Whoever was first, the key is in the table now. */
-	self->key_writing = false;
-	self->key_after =
+	self->key_write_pending = false;
+	self->key_write_after =
 	    timespec_after_ms(clock_elapsed(self->clock), KEY_RETRY_MS);
-	row_watch_hurry(&self->watches[ROW_TABLE_OWN].watch);
+	row_watch_poll_now(&self->watches[ROW_TABLE_SYSTEM].watch);
 }
 
 bool
@@ -35,14 +35,14 @@
 }
 
 static const cached_row_t *
-key_row(const row_source_t *self)
+key_row(const row_sync_t *self)
 {
-	return row_cache_find(&self->cache, ROW_TABLE_OWN, FLEET_KEY_ROW);
+	return row_cache_find(&self->cache, ROW_TABLE_SYSTEM, FLEET_KEY_ROW);
 }
 
 /* The key that the store has; NULL: none, or what is no key. */
 static const char *
-key_stored(const row_source_t *self)
+key_stored(const row_sync_t *self)
 {
 	const cached_row_t *row = key_row(self);
 
@@ -55,53 +55,55 @@
 /* Whether it is this daemon's turn to write the key, and it waited for others
  * to do so. */
 static bool
-key_due(row_source_t *self)
+key_due(row_sync_t *self)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
-	if (self->key_after.tv_sec == 0)
-		self->key_after = timespec_after_ms(now,
+	if (self->key_write_after.tv_sec == 0)
+		self->key_write_after = timespec_after_ms(now,
 		    KEY_LOOK_MS + (int64_t)rng_below(self->rng, KEY_SPREAD_MS));
-	return timespec_ms_between(self->key_after, now) >= 0 &&
-	    !self->key_writing && membership_rank(self->members) == 0;
+	return timespec_ms_between(self->key_write_after, now) >= 0 &&
+	    !self->key_write_pending && membership_rank(self->members) == 0;
 }
 
 /* Unless somebody else has written it since. */
 static void
-key_write(row_source_t *self, const char *secret)
+key_write(row_sync_t *self, const char *secret)
 {
 	const cached_row_t *row = key_row(self);
-	row_change_t expected = {.table = self->settings.tables[ROW_TABLE_OWN],
+	row_change_t expected = {
+	    .table = self->settings.tables[ROW_TABLE_SYSTEM],
 	    .key = FLEET_KEY_ROW};
 	row_change_t change = expected;
 
 	if (row != NULL && row->value != NULL)
 		expected.expected = row->version;
 	change.value = secret;
-	self->key_writing = row_store_write(self->store, ROW_FOR_KEY, &expected,
-	    1, &change, 1, KEY_TIMEOUT_MS, key_written, self);
+	self->key_write_pending =
+	    row_store_write(self->store, ROW_PURPOSE_FLEET_KEY, &expected, 1,
+		&change, 1, KEY_TIMEOUT_MS, key_written, self);
 }
 
 /* Whoever finds no key makes one; of several the store takes the first, and all
  * read it. */
 static void
-key_make(row_source_t *self)
+key_make(row_sync_t *self)
 {
 	char public[FLEET_KEY_SIZE], secret[FLEET_KEY_SIZE];
 
-	if (!self->key_writing &&
-	    timespec_ms_between(self->key_after, clock_elapsed(self->clock)) >=
-		0 &&
+	if (!self->key_write_pending &&
+	    timespec_ms_between(
+		self->key_write_after, clock_elapsed(self->clock)) >= 0 &&
 	    zmq_curve_keypair(public, secret) == 0)
 		key_write(self, secret);
 }
 
 void
-fleet_key_look(row_source_t *self)
+fleet_key_find(row_sync_t *self)
 {
 	const char *secret = key_stored(self);
 
-	if (!self->watches[ROW_TABLE_OWN].watch.settled_once)
+	if (!self->watches[ROW_TABLE_SYSTEM].watch.synced_once)
 		return;
 	if (secret != NULL)
 		row_follow_start(self, secret);
@@ -110,16 +112,16 @@
 }
 
 void
-fleet_key_keep(row_source_t *self)
+fleet_key_maintain(row_sync_t *self)
 {
 	const char *secret = key_stored(self);
 
 	if (secret == NULL) {
 		if (key_due(self))
-			key_write(self, self->secret);
+			key_write(self, self->fleet_key);
 		return;
 	}
-	self->key_after = (struct timespec){0};
-	if (strcmp(secret, self->secret) != 0)
-		row_follow_end(self);
+	self->key_write_after = (struct timespec){0};
+	if (strcmp(secret, self->fleet_key) != 0)
+		row_follow_reset(self);
 }
--- a/moortack/replication/member_row_requests.c
+++ b/moortack/replication/member_row_requests.c
@@ -240,7 +240,7 @@
 batch_write(membership_t *self, row_batch_t *batch)
 {
 	if (batch->len > 0)
-		self->writing = row_store_write(self->store, ROW_FOR_MEMBER,
+		self->writing = row_store_write(self->store, ROW_PURPOSE_MEMBER,
 		    NULL, 0, batch->changes, batch->len,
 		    MEMBER_WRITE_TIMEOUT_MS, write_done, self);
 	for (size_t i = 0; i < batch->len; i++)
--- a/moortack/replication/member_signs.c
+++ b/moortack/replication/member_signs.c
@@ -263,9 +263,9 @@
 		expected[i].expected = dead[i]->version;
 	}
 	if (len > 0)
-		self->clearing = row_store_write(self->store, ROW_FOR_CLEARING,
-		    expected, len, changes, len, MEMBER_WRITE_TIMEOUT_MS,
-		    cleared, self);
+		self->clearing = row_store_write(self->store,
+		    ROW_PURPOSE_MEMBER_CLEANUP, expected, len, changes, len,
+		    MEMBER_WRITE_TIMEOUT_MS, cleared, self);
 }
 
 /* Who relies on its own word judges by the signs that it has. */
--- a/moortack/replication/row_cache.c
+++ b/moortack/replication/row_cache.c
@@ -21,21 +21,21 @@
 #define PRIOR_KEPT_MS 5000
 
 void
-row_cache_init(row_cache_t *cache, const clock_source_t *clock, row_same_t same,
-    const void *arg)
+row_cache_init(row_cache_t *cache, const clock_source_t *clock,
+    row_equal_t same, const void *arg)
 {
 	*cache = (row_cache_t){.clock = clock,
-	    .same = same,
-	    .same_arg = arg,
-	    .prior_min = PRIOR_MIN,
-	    .reader = ROW_READER_STORE};
+	    .equal = same,
+	    .equal_arg = arg,
+	    .prior_min_len = PRIOR_MIN,
+	    .origin = ROW_ORIGIN_STORE};
 }
 
 static void
-priors_free(row_prior_t *prior)
+priors_free(row_prior_value_t *prior)
 {
 	while (prior != NULL) {
-		row_prior_t *older = prior->older;
+		row_prior_value_t *older = prior->older;
 
 		free(prior->value);
 		free(prior);
@@ -46,10 +46,10 @@
 static void
 row_free(row_cache_t *cache, cached_row_t *row)
 {
-	priors_free(row->priors);
+	priors_free(row->prior_values);
 	HASH_DEL(cache->rows, row);
 	DL_DELETE2(cache->newest, row, newer, older);
-	free(row->name);
+	free(row->hash_key);
 	free(row->value);
 	free(row);
 }
@@ -77,7 +77,7 @@
 const char *
 cached_row_key(const cached_row_t *row)
 {
-	return row->name + 1;
+	return row->hash_key + 1;
 }
 
 static cached_row_t *
@@ -105,13 +105,14 @@
 
 	if (row == NULL)
 		return NULL;
-	row->name = name_of(table, key);
-	if (row->name == NULL) {
+	row->hash_key = name_of(table, key);
+	if (row->hash_key == NULL) {
 		free(row);
 		return NULL;
 	}
 	row->table = table;
-	HASH_ADD_KEYPTR(hh, cache->rows, row->name, strlen(row->name), row);
+	HASH_ADD_KEYPTR(
+	    hh, cache->rows, row->hash_key, strlen(row->hash_key), row);
 	DL_APPEND2(cache->newest, row, newer, older);
 	return row;
 }
@@ -119,13 +120,13 @@
 static void
 row_changed(row_cache_t *cache, cached_row_t *row)
 {
-	row->change = ++cache->change;
+	row->change = ++cache->last_change;
 	DL_DELETE2(cache->newest, row, newer, older);
 	DL_PREPEND2(cache->newest, row, newer, older);
 }
 
 const cached_row_t *
-row_cache_after(const row_cache_t *cache, uint64_t change)
+row_cache_first_after(const row_cache_t *cache, uint64_t change)
 {
 	const cached_row_t *first = NULL;
 
@@ -136,7 +137,7 @@
 }
 
 const cached_row_t *
-row_cache_next(const row_cache_t *cache, const cached_row_t *row)
+row_cache_next_change(const row_cache_t *cache, const cached_row_t *row)
 {
 	return row == cache->newest ? NULL : row->newer;
 }
@@ -146,7 +147,7 @@
 {
 	if (now->deleted || row->value == NULL)
 		return now->deleted && row->value == NULL;
-	return cache->same(cache->same_arg, row->table, cached_row_key(row),
+	return cache->equal(cache->equal_arg, row->table, cached_row_key(row),
 	    row->value, row->value_len, now->value, now->value_len);
 }
 
@@ -154,7 +155,7 @@
 static void
 priors_cut(cached_row_t *row, uint32_t kept)
 {
-	row_prior_t **at = &row->priors;
+	row_prior_value_t **at = &row->prior_values;
 
 	while (*at != NULL && kept-- > 0)
 		at = &(*at)->older;
@@ -166,28 +167,28 @@
 static void
 prior_keep(const row_cache_t *cache, cached_row_t *row)
 {
-	row_prior_t *prior;
+	row_prior_value_t *prior;
 
-	if (row->value == NULL || row->value_len < cache->prior_min)
+	if (row->value == NULL || row->value_len < cache->prior_min_len)
 		return;
 	prior = calloc(1, sizeof(*prior));
 	if (prior == NULL)
 		return;
-	*prior = (row_prior_t){.value = row->value,
+	*prior = (row_prior_value_t){.value = row->value,
 	    .value_len = row->value_len,
 	    .version = row->version,
 	    .change = row->change,
 	    .replaced_at = clock_elapsed(cache->clock),
-	    .older = row->priors};
+	    .older = row->prior_values};
 	row->value = NULL;
-	row->priors = prior;
+	row->prior_values = prior;
 	priors_cut(row, PRIORS_MAX);
 }
 
-const row_prior_t *
-row_cache_prior(const cached_row_t *row, uint64_t change)
+const row_prior_value_t *
+row_cache_prior_value(const cached_row_t *row, uint64_t change)
 {
-	const row_prior_t *prior = row->priors;
+	const row_prior_value_t *prior = row->prior_values;
 
 	while (prior != NULL && prior->change > change)
 		prior = prior->older;
@@ -220,7 +221,7 @@
 	bool same;
 
 	if (row != NULL && now->version < row->version) {
-		row->seen |= cache->reader;
+		row->marks |= cache->origin;
 		return false;
 	}
 	/* The end of a row that was never known here may be news to others. */
@@ -233,18 +234,18 @@
 	if (!same)
 		prior_keep(cache, row);
 	row->version = now->version;
-	row->seen |= cache->reader;
-	cache->renewed++;
+	row->marks |= cache->origin;
+	cache->put_count++;
 	if (!value_set(row, now) || same)
 		return false;
 	row_changed(cache, row);
 	if (now->deleted)
-		row->gone_at = clock_elapsed(cache->clock);
+		row->deleted_at = clock_elapsed(cache->clock);
 	return true;
 }
 
 bool
-row_cache_newer(row_cache_t *cache, row_table_t table, const row_t *row)
+row_cache_has_newer(row_cache_t *cache, row_table_t table, const row_t *row)
 {
 	cached_row_t *known = row_find(cache, table, row->key);
 
@@ -252,23 +253,24 @@
 		return false;
 	/* An older end names nothing that is there. */
 	if (!row->deleted)
-		known->seen |= cache->reader;
+		known->marks |= cache->origin;
 	return true;
 }
 
 void
-row_cache_restart(row_cache_t *cache, row_table_t table, row_reader_t reader)
+row_cache_clear_marks(
+    row_cache_t *cache, row_table_t table, row_origin_t reader)
 {
 	for (cached_row_t *row = cache->rows; row != NULL; row = row->hh.next) {
 		if (row->table == table)
-			row->seen &= ~(unsigned)reader;
+			row->marks &= ~(unsigned)reader;
 	}
 }
 
 bool
-row_cache_named(const cached_row_t *row, row_reader_t reader)
+cached_row_is_marked(const cached_row_t *row, row_origin_t reader)
 {
-	return (row->seen & reader) != 0;
+	return (row->marks & reader) != 0;
 }
 
 static void
@@ -276,7 +278,8 @@
 {
 	uint32_t kept = 0;
 
-	for (const row_prior_t *prior = row->priors; prior != NULL &&
+	for (const row_prior_value_t *prior = row->prior_values;
+	     prior != NULL &&
 	     timespec_ms_between(prior->replaced_at, now) <= PRIOR_KEPT_MS;
 	     prior = prior->older)
 		kept++;
@@ -289,14 +292,14 @@
 	struct timespec now = clock_elapsed(cache->clock);
 	cached_row_t *row, *next;
 
-	if (timespec_ms_between(cache->trimmed, now) < TRIM_EVERY_MS)
+	if (timespec_ms_between(cache->trimmed_at, now) < TRIM_EVERY_MS)
 		return;
-	cache->trimmed = now;
+	cache->trimmed_at = now;
 	HASH_ITER(hh, cache->rows, row, next)
 	{
 		priors_trim(row, now);
 		if (row->value == NULL &&
-		    timespec_ms_between(row->gone_at, now) > GONE_KEPT_MS)
+		    timespec_ms_between(row->deleted_at, now) > GONE_KEPT_MS)
 			row_free(cache, row);
 	}
 }
--- a/moortack/replication/row_parent.c
+++ b/moortack/replication/row_parent.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "row_source_priv.h"
+#include "row_sync_priv.h"
 
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
@@ -38,173 +38,174 @@
 #define DOWN_MS 4000
 
 void
-row_parent_end(row_source_t *self, const char *why)
+row_parent_unfollow(row_sync_t *self, const char *why)
 {
-	if (self->followed[0] == '\0')
+	if (self->parent[0] == '\0')
 		return;
 	event_line(
-	    self->log, "unfollow", "source=%s why=%s", self->followed, why);
-	self->followed[0] = '\0';
+	    self->log, "unfollow", "source=%s why=%s", self->parent, why);
+	self->parent[0] = '\0';
 	self->following = false;
-	self->down = false;
-	self->start_below = false;
-	self->old = false;
-	self->parent_lost = false;
-	json_decref(self->followed_path);
-	self->followed_path = NULL;
-	feed_client_stop(&self->client);
+	self->follows_next = false;
+	self->start_from_next = false;
+	self->parent_stale = false;
+	self->parent_store_unavailable = false;
+	json_decref(self->parent_path);
+	self->parent_path = NULL;
+	feed_client_disconnect(&self->client);
 }
 
 /* Stop following, and read the store. */
 static void
-parent_stop(row_source_t *self, const char *why)
+parent_stop(row_sync_t *self, const char *why)
 {
-	if (self->followed[0] == '\0')
+	if (self->parent[0] == '\0')
 		return;
-	row_parent_end(self, why);
-	row_source_suspend(self, false);
+	row_parent_unfollow(self, why);
+	row_sync_suspend_reads(self, false);
 }
 
 /* Follow another parent, or read the store if there is none. */
 static void
-parent_change(row_source_t *self, const char *why)
+parent_change(row_sync_t *self, const char *why)
 {
-	row_parent_end(self, why);
-	row_follow_tick(self);
-	if (self->followed[0] == '\0')
-		row_source_suspend(self, false);
+	row_parent_unfollow(self, why);
+	row_parent_update(self);
+	if (self->parent[0] == '\0')
+		row_sync_suspend_reads(self, false);
 }
 
 void
-row_parent_leave(row_source_t *self, const char *why)
+row_parent_replace(row_sync_t *self, const char *why)
 {
-	membership_shun(self->members, self->followed, SHUN_MS);
+	membership_shun(self->members, self->parent, SHUN_MS);
 	parent_change(self, why);
 }
 
 /* In a circle of followers nobody reads the store: this daemon does, until it
  * finds another parent. */
 void
-row_parent_circle(row_source_t *self)
+row_parent_break_cycle(row_sync_t *self)
 {
-	membership_shun(self->members, self->followed, SHUN_CIRCLE_MS);
+	membership_shun(self->members, self->parent, SHUN_CIRCLE_MS);
 	parent_stop(self, "circle");
 }
 
 static void
-lost_begin(row_source_t *self)
+lost_begin(row_sync_t *self)
 {
 	int64_t ms = LOST_MOVE_MS + (int64_t)rng_below(self->rng, LOST_MOVE_MS);
 
-	self->parent_lost = true;
+	self->parent_store_unavailable = true;
 	self->following = false;
-	self->lost_until = timespec_after_ms(
-	    clock_elapsed(self->clock), ms << self->lost_moves);
-	event_line(self->log, "parent_lost", "source=%s", self->followed);
-	row_source_suspend(self, membership_rank(self->members) >= PROBERS);
-	row_follow_tell_lost(self);
+	self->parent_keep_until = timespec_after_ms(
+	    clock_elapsed(self->clock), ms << self->parent_changes);
+	event_line(self->log, "parent_lost", "source=%s", self->parent);
+	row_sync_suspend_reads(self, membership_rank(self->members) >= PROBERS);
+	row_follow_update_status(self);
 }
 
 void
-row_parent_lost(row_source_t *self)
+row_parent_store_unavailable(row_sync_t *self)
 {
-	if (!self->parent_lost)
+	if (!self->parent_store_unavailable)
 		lost_begin(self);
-	if (timespec_ms_between(clock_elapsed(self->clock), self->lost_until) >
-	    0)
+	if (timespec_ms_between(
+		clock_elapsed(self->clock), self->parent_keep_until) > 0)
 		return;
-	if (self->lost_moves < LOST_MOVES_MAX)
-		self->lost_moves++;
-	membership_pass_over(self->members, self->followed, SHUN_LOST_MS);
+	if (self->parent_changes < LOST_MOVES_MAX)
+		self->parent_changes++;
+	membership_pass_over(self->members, self->parent, SHUN_LOST_MS);
 	parent_change(self, "lost");
 }
 
 void
-row_parent_found(row_source_t *self)
+row_parent_store_available(row_sync_t *self)
 {
-	self->parent_lost = false;
-	self->lost_moves = 0;
+	self->parent_store_unavailable = false;
+	self->parent_changes = 0;
 }
 
 bool
-row_parent_store_read(const row_source_t *self)
+row_parent_bypassed(const row_sync_t *self)
 {
-	const row_watch_t *probe = row_source_watch(self, ROW_TABLE_PROBE);
+	const row_watch_t *probe = row_sync_watch(self, ROW_TABLE_PROBE);
 
-	return self->parent_lost && !probe->suspended && probe->reachable &&
-	    timespec_ms_between(self->followed_since, probe->known) > 0;
+	return self->parent_store_unavailable && !probe->suspended &&
+	    probe->reachable &&
+	    timespec_ms_between(self->parent_since, probe->synced_at) > 0;
 }
 
 /* Whether the store has ever come back from an older copy: other daemons may
  * know what is later than its rows. */
 static bool
-store_was_restored(const row_source_t *self)
+store_was_restored(const row_sync_t *self)
 {
 	return self->store->era > 0;
 }
 
 /* Time that a new parent has for its first answer, in milliseconds. */
 static int64_t
-first_wait_ms(const row_source_t *self)
+first_wait_ms(const row_sync_t *self)
 {
-	int64_t most = self->followed_answers ? FIRST_ROWS_MS : FIRST_ANSWER_MS;
+	int64_t most = self->parent_responded ? FIRST_ROWS_MS : FIRST_ANSWER_MS;
 	int64_t all =
 	    FIRST_PER_MEMBER_MS * (int64_t)membership_count(self->members);
 
-	if (row_source_settled(self))
+	if (row_sync_synced(self))
 		return FIRST_ANSWER_MS;
 	return all < most && !store_was_restored(self) ? all : most;
 }
 
 static void
-first_wait_start(row_source_t *self)
+first_wait_start(row_sync_t *self)
 {
 	int64_t ms = first_wait_ms(self);
 	struct timeval time = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
-	if (self->first_wait != NULL)
-		event_add(self->first_wait, &time);
+	if (self->first_response_timer != NULL)
+		event_add(self->first_response_timer, &time);
 }
 
 static bool
-first_wait_over(const row_source_t *self)
+first_wait_over(const row_sync_t *self)
 {
-	return timespec_ms_between(self->followed_since,
+	return timespec_ms_between(self->parent_since,
 		   clock_elapsed(self->clock)) >= first_wait_ms(self);
 }
 
 void
-row_parent_first_wait(evutil_socket_t fd, short what, void *arg)
+row_parent_first_timeout(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	row_follow_tick(arg);
+	row_parent_update(arg);
 }
 
 static void
-follow(row_source_t *self, const member_t *member)
+follow(row_sync_t *self, const member_t *member)
 {
 	char address[MEMBER_NAME_SIZE + 8];
 
 	snprintf(address, sizeof(address), "tcp://%s", member->peer);
-	strcpy(self->followed, member->name);
-	self->followed_source = 0;
-	self->followed_change = 0;
-	self->followed_since = clock_elapsed(self->clock);
-	self->followed_answers = false;
-	self->parent_lost = false;
-	if (feed_client_follow(&self->client, address)) {
+	strcpy(self->parent, member->name);
+	self->parent_incarnation = 0;
+	self->parent_change = 0;
+	self->parent_since = clock_elapsed(self->clock);
+	self->parent_responded = false;
+	self->parent_store_unavailable = false;
+	if (feed_client_connect(&self->client, address)) {
 		first_wait_start(self);
 		return;
 	}
-	self->followed[0] = '\0';
-	row_source_suspend(self, false);
+	self->parent[0] = '\0';
+	row_sync_suspend_reads(self, false);
 }
 
 /* Whether one of the last calls of this daemon to the store was not
  * answered. */
 static bool
-store_is_lost(const row_source_t *self)
+store_is_lost(const row_sync_t *self)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
 		if (!self->watches[i].watch.reachable)
@@ -218,24 +219,24 @@
  * one by one are each the first for a moment: of 6, up to five read all
  * tables. */
 static bool
-start_below_begin(row_source_t *self)
+start_below_begin(row_sync_t *self)
 {
 	const member_t *next = membership_next(self->members);
 
-	if (next == NULL || self->start_below_tried ||
-	    !self->watches[ROW_TABLE_OWN].watch.settled_once ||
-	    row_source_settled(self))
+	if (next == NULL || self->start_from_next_tried ||
+	    !self->watches[ROW_TABLE_SYSTEM].watch.synced_once ||
+	    row_sync_synced(self))
 		return false;
-	self->start_below_tried = true;
+	self->start_from_next_tried = true;
 	follow(self, next);
-	self->start_below = self->followed[0] != '\0';
-	return self->start_below;
+	self->start_from_next = self->parent[0] != '\0';
+	return self->start_from_next;
 }
 
 static void
-start_below_step(row_source_t *self)
+start_below_step(row_sync_t *self)
 {
-	if (row_source_settled(self))
+	if (row_sync_synced(self))
 		parent_stop(self, "told");
 	else if (first_wait_over(self))
 		parent_stop(self, "no_rows");
@@ -244,38 +245,38 @@
 /* The step of the first daemon in the order: it reads the store, or, while the
  * store does not answer, follows the next daemon for a time. */
 static void
-first_step(row_source_t *self)
+first_step(row_sync_t *self)
 {
 	const member_t *next;
 
-	if (self->start_below) {
+	if (self->start_from_next) {
 		start_below_step(self);
 		return;
 	}
-	if (self->down) {
-		if (timespec_ms_between(self->followed_since,
+	if (self->follows_next) {
+		if (timespec_ms_between(self->parent_since,
 			clock_elapsed(self->clock)) >= DOWN_MS)
 			parent_stop(self, "store_again");
 		return;
 	}
-	if (self->followed[0] != '\0') {
+	if (self->parent[0] != '\0') {
 		parent_stop(self, "no_parent");
 		return;
 	}
 	if (start_below_begin(self))
 		return;
-	row_source_suspend(self, false);
+	row_sync_suspend_reads(self, false);
 	next = membership_next(self->members);
-	if (next == NULL || !row_source_settled(self) || !store_is_lost(self))
+	if (next == NULL || !row_sync_synced(self) || !store_is_lost(self))
 		return;
-	self->down = true;
+	self->follows_next = true;
 	follow(self, next);
 }
 
 /* Whether the fleet is small enough for all daemons to read the store at
  * once. */
 static bool
-is_small(const row_source_t *self)
+is_small(const row_sync_t *self)
 {
 	return !store_was_restored(self) &&
 	    FIRST_PER_MEMBER_MS * (int64_t)membership_count(self->members) <
@@ -285,21 +286,21 @@
 /* The parent sent no rows in time: read the store. A starting daemon of a
  * large fleet tries other parents first. */
 static void
-first_wait_end(row_source_t *self)
+first_wait_end(row_sync_t *self)
 {
-	if (self->parent_lost)
+	if (self->parent_store_unavailable)
 		return;
-	if (!row_source_settled(self) && !is_small(self) &&
-	    self->start_tries + 1 < START_TRIES) {
-		self->start_tries++;
-		row_parent_leave(self, "no_rows");
+	if (!row_sync_synced(self) && !is_small(self) &&
+	    self->start_attempts + 1 < START_TRIES) {
+		self->start_attempts++;
+		row_parent_replace(self, "no_rows");
 		return;
 	}
-	row_source_suspend(self, false);
+	row_sync_suspend_reads(self, false);
 }
 
 void
-row_follow_tick(row_source_t *self)
+row_parent_update(row_sync_t *self)
 {
 	const member_t *parent = membership_parent(self->members);
 
@@ -307,10 +308,10 @@
 		first_step(self);
 		return;
 	}
-	if (!self->watches[ROW_TABLE_OWN].watch.settled_once)
+	if (!self->watches[ROW_TABLE_SYSTEM].watch.synced_once)
 		return;
-	if (strcmp(parent->name, self->followed) != 0) {
-		self->down = false;
+	if (strcmp(parent->name, self->parent) != 0) {
+		self->follows_next = false;
 		self->following = false;
 		follow(self, parent);
 	}
--- a/moortack/replication/row_store.c
+++ b/moortack/replication/row_store.c
@@ -12,12 +12,12 @@
 }
 
 bool
-row_store_feed(row_store_t *store, row_purpose_t purpose, const char *table,
+row_store_poll(row_store_t *store, row_purpose_t purpose, const char *table,
     uint64_t after, int64_t wait_ms, int64_t timeout_ms, row_done_t done,
     void *arg)
 {
 	store->calls[purpose]++;
-	return store->ops->feed(
+	return store->ops->poll(
 	    store, table, after, wait_ms, timeout_ms, done, arg);
 }
 
--- a/moortack/replication/row_source.c
+++ b/moortack/replication/row_sync.c
@@ -1,9 +1,9 @@
-#include "moortack/replication/row_source.h"
+#include "moortack/replication/row_sync.h"
 
 #include <stdio.h>
 #include <string.h>
 
-#include "row_source_priv.h"
+#include "row_sync_priv.h"
 
 /* Rows that are gone are told of for a minute: who knows less has to be told
  * all. */
@@ -14,141 +14,142 @@
 #define KEY_WAIT_MS 2000
 
 static source_watch_t *
-watch_at(row_source_t *self, row_table_t table)
+watch_at(row_sync_t *self, row_table_t table)
 {
 	return &self->watches[table];
 }
 
 const row_watch_t *
-row_source_watch(const row_source_t *self, row_table_t table)
+row_sync_watch(const row_sync_t *self, row_table_t table)
 {
 	return &self->watches[table].watch;
 }
 
 void
-row_source_keep_back(row_source_t *self, row_table_t table, uint64_t version)
+row_sync_withhold(row_sync_t *self, row_table_t table, uint64_t version)
 {
-	self->kept_back[table] = version;
+	self->withheld_version[table] = version;
 }
 
 uint64_t
-row_source_told(const row_source_t *self, row_table_t table)
+row_sync_published_version(const row_sync_t *self, row_table_t table)
 {
-	uint64_t version = row_source_watch(self, table)->version;
-	uint64_t kept_back = self->kept_back[table];
+	uint64_t version = row_sync_watch(self, table)->version;
+	uint64_t kept_back = self->withheld_version[table];
 
 	return kept_back != 0 && kept_back <= version ? kept_back - 1 : version;
 }
 
 uint64_t
-row_source_known(const row_source_t *self, row_table_t table)
+row_sync_requested_version(const row_sync_t *self, row_table_t table)
 {
-	const row_watch_t *watch = row_source_watch(self, table);
+	const row_watch_t *watch = row_sync_watch(self, table);
 
-	if (self->kept_back[table] != 0 ||
+	if (self->withheld_version[table] != 0 ||
 	    row_watch_age_ms(watch) >= VERSIONS_KNOWN_MS)
 		return 0;
 	return watch->version;
 }
 
 bool
-row_source_put(row_source_t *self, row_table_t table, const row_t *row)
+row_sync_put(row_sync_t *self, row_table_t table, const row_t *row)
 {
 	bool changed = row_cache_put(&self->cache, table, row);
 
 	if (changed && self->server.flush != NULL)
-		feed_server_changed(&self->server);
+		feed_server_cache_changed(&self->server);
 	return changed;
 }
 
 /* While the store does not answer, one table is asked for. */
 static void
-watches_apply(row_source_t *self)
+watches_apply(row_sync_t *self)
 {
 	bool lost = !self->watches[ROW_TABLE_PROBE].watch.reachable &&
-	    row_source_settled(self);
+	    row_sync_synced(self);
 
 	for (int i = 0; i < ROW_TABLES; i++) {
-		self->watches[i].watch.beside = self->followed[0] != '\0';
+		self->watches[i].watch.by_follower = self->parent[0] != '\0';
 		row_watch_suspend(&self->watches[i].watch,
-		    self->idle[i] || (lost && i != ROW_TABLE_PROBE));
+		    self->suspended[i] || (lost && i != ROW_TABLE_PROBE));
 	}
 }
 
 void
-row_source_suspend(row_source_t *self, bool suspend)
+row_sync_suspend_reads(row_sync_t *self, bool suspend)
 {
 	for (int i = 0; i < ROW_TABLES; i++)
-		self->idle[i] = suspend;
+		self->suspended[i] = suspend;
 	watches_apply(self);
 }
 
 void
-row_source_beside(row_source_t *self, row_table_t table)
+row_sync_resume_table(row_sync_t *self, row_table_t table)
 {
-	self->idle[table] = false;
+	self->suspended[table] = false;
 	watches_apply(self);
 }
 
 bool
-row_source_settled(const row_source_t *self)
+row_sync_synced(const row_sync_t *self)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (!self->watches[i].watch.settled_once)
+		if (!self->watches[i].watch.synced_once)
 			return false;
 	}
 	return true;
 }
 
 void
-row_source_leave(row_source_t *self)
+row_sync_stop_serving(row_sync_t *self)
 {
 	self->leaving = true;
-	row_follow_tell_lost(self);
+	row_follow_update_status(self);
 }
 
 /* Neither the store nor another daemon tells anything. */
 static bool
-hears_nothing(const row_source_t *self)
+hears_nothing(const row_sync_t *self)
 {
-	if (self->following || row_parent_store_read(self))
+	if (self->following || row_parent_bypassed(self))
 		return false;
-	return self->parent_lost ||
+	return self->parent_store_unavailable ||
 	    !self->watches[ROW_TABLE_PROBE].watch.reachable;
 }
 
 void
-row_source_tick(row_source_t *self)
+row_sync_tick(row_sync_t *self)
 {
 	row_cache_trim(&self->cache);
 	if (self->settings.peer_address[0] == '\0')
 		return;
-	row_follow_tell_lost(self);
+	row_follow_update_status(self);
 	membership_hold(
-	    self->members, hears_nothing(self) && row_source_settled(self));
-	if (!self->keyed && self->context == NULL)
-		fleet_key_look(self);
-	if (self->keyed)
-		fleet_key_keep(self);
-	if (self->keyed)
-		row_follow_tick(self);
-	else if (timespec_ms_between(self->began, clock_elapsed(self->clock)) >=
-	    KEY_WAIT_MS)
-		row_source_suspend(self, false);
+	    self->members, hears_nothing(self) && row_sync_synced(self));
+	if (!self->has_key && self->context == NULL)
+		fleet_key_find(self);
+	if (self->has_key)
+		fleet_key_maintain(self);
+	if (self->has_key)
+		row_parent_update(self);
+	else if (timespec_ms_between(self->started_at,
+		     clock_elapsed(self->clock)) >= KEY_WAIT_MS)
+		row_sync_suspend_reads(self, false);
 }
 
 /* A row as the store has it. If that is news here, whoever is followed may not
  * have seen it, and has nothing to tell of a row that has become what it was
  * before since. */
 static void
-own_row_take(row_source_t *self, row_table_t table, const row_t *row)
+own_row_take(row_sync_t *self, row_table_t table, const row_t *row)
 {
-	uint64_t change = self->cache.change;
+	uint64_t change = self->cache.last_change;
 
 	self->ops->row(self->arg, table, row);
-	if (self->followed[0] != '\0' && table != ROW_TABLE_ORDERS &&
-	    self->cache.change != change && row->version > self->ahead[table])
-		self->ahead[table] = row->version;
+	if (self->parent[0] != '\0' && table != ROW_TABLE_OPERATOR &&
+	    self->cache.last_change != change &&
+	    row->version > self->ahead_version[table])
+		self->ahead_version[table] = row->version;
 }
 
 static void
@@ -164,14 +165,14 @@
 {
 	source_watch_t *watch = arg;
 
-	row_cache_restart(
-	    &watch->source->cache, watch->table, ROW_READER_STORE);
-	watch->source->ops->restart(watch->source->arg, watch->table);
+	row_cache_clear_marks(
+	    &watch->source->cache, watch->table, ROW_ORIGIN_STORE);
+	watch->source->ops->full_read_begin(watch->source->arg, watch->table);
 }
 
 /* A whole read names every row that there is. */
 static void
-unread_end(row_source_t *self, row_table_t table)
+unread_end(row_sync_t *self, row_table_t table)
 {
 	cached_row_t *row, *next;
 
@@ -182,21 +183,21 @@
 
 		next = row->hh.next;
 		if (row->table != table || row->value == NULL ||
-		    row_cache_named(row, ROW_READER_STORE))
+		    cached_row_is_marked(row, ROW_ORIGIN_STORE))
 			continue;
 		own_row_take(self, table, &end);
 	}
 }
 
 void
-row_source_own_look(row_source_t *self)
+row_sync_check_own_row(row_sync_t *self)
 {
 	char key[sizeof(MEMBER_PREFIX) + MEMBER_NAME_SIZE];
 	const cached_row_t *own;
 
 	snprintf(key, sizeof(key), "%s%s", MEMBER_PREFIX,
 	    self->members->settings.name);
-	own = row_cache_find(&self->cache, ROW_TABLE_OWN, key);
+	own = row_cache_find(&self->cache, ROW_TABLE_SYSTEM, key);
 	if (own == NULL || own->value == NULL)
 		membership_row_missing(self->members);
 }
@@ -205,21 +206,22 @@
 on_settled(void *arg, bool whole, const row_reply_t *reply)
 {
 	source_watch_t *watch = arg;
-	row_source_t *self = watch->source;
+	row_sync_t *self = watch->source;
 
 	if (whole) {
 		unread_end(self, watch->table);
-		self->cache.since[watch->table] = watch->watch.read_version;
-		if (watch->table == ROW_TABLE_OWN)
-			row_source_own_look(self);
+		self->cache.complete_since[watch->table] =
+		    watch->watch.read_version;
+		if (watch->table == ROW_TABLE_SYSTEM)
+			row_sync_check_own_row(self);
 	}
-	if (self->old && self->server.flush != NULL)
-		feed_server_refresh(&self->server);
-	row_follow_tell_lost(self);
+	if (self->parent_stale && self->server.flush != NULL)
+		feed_server_respond_all(&self->server);
+	row_follow_update_status(self);
 	self->ops->store_clock(self->arg, reply->now_ms);
-	self->ops->settled(self->arg, watch->table, whole);
-	if (watch->table == ROW_TABLE_OWN && !row_source_settled(self))
-		row_source_tick(self);
+	self->ops->synced(self->arg, watch->table, whole);
+	if (watch->table == ROW_TABLE_SYSTEM && !row_sync_synced(self))
+		row_sync_tick(self);
 }
 
 static void
@@ -227,9 +229,9 @@
 {
 	source_watch_t *watch = arg;
 
-	row_source_t *self = watch->source;
+	row_sync_t *self = watch->source;
 
-	row_follow_tell_lost(self);
+	row_follow_update_status(self);
 	if (watch->table == ROW_TABLE_PROBE) {
 		watches_apply(self);
 		if (now)
@@ -242,7 +244,7 @@
     on_row, on_restart, on_settled, on_reachable};
 
 bool
-row_source_init(row_source_t *self, const row_source_ops_t *ops, void *arg)
+row_sync_init(row_sync_t *self, const row_sync_ops_t *ops, void *arg)
 {
 	self->ops = ops;
 	self->arg = arg;
@@ -254,25 +256,25 @@
 		watch->table = (row_table_t)i;
 		if (!row_watch_init(&watch->watch, self->base, self->store,
 			self->clock, self->settings.tables[i],
-			&self->settings.paces[i], &watch_ops, watch))
+			&self->settings.timings[i], &watch_ops, watch))
 			return false;
-		self->idle[i] = i != ROW_TABLE_OWN &&
+		self->suspended[i] = i != ROW_TABLE_SYSTEM &&
 		    self->settings.peer_address[0] != '\0';
 	}
-	self->began = clock_elapsed(self->clock);
+	self->started_at = clock_elapsed(self->clock);
 	watches_apply(self);
-	if (self->settings.start_within_ms > 0)
-		row_watch_start_in(&self->watches[ROW_TABLE_OWN].watch,
+	if (self->settings.start_jitter_ms > 0)
+		row_watch_start_after(&self->watches[ROW_TABLE_SYSTEM].watch,
 		    (int64_t)rng_below(
-			self->rng, (uint32_t)self->settings.start_within_ms));
+			self->rng, (uint32_t)self->settings.start_jitter_ms));
 	return true;
 }
 
 void
-row_source_finish(row_source_t *self)
+row_sync_finish(row_sync_t *self)
 {
-	row_follow_stop_peers(self);
-	json_decref(self->followed_path);
+	row_follow_stop(self);
+	json_decref(self->parent_path);
 	for (int i = 0; i < ROW_TABLES; i++)
 		row_watch_finish(&self->watches[i].watch);
 	row_cache_finish(&self->cache);
--- a/moortack/replication/row_watch.c
+++ b/moortack/replication/row_watch.c
@@ -30,11 +30,11 @@
 static int64_t
 retry_ms(const row_watch_t *watch)
 {
-	int64_t ms = watch->pace.retry_ms;
+	int64_t ms = watch->timing.retry_ms;
 
 	for (uint32_t i = 0; i < watch->failures; i++) {
-		if (ms >= watch->pace.retry_most_ms)
-			return watch->pace.retry_most_ms;
+		if (ms >= watch->timing.retry_max_ms)
+			return watch->timing.retry_max_ms;
 		ms *= 2;
 	}
 	return ms;
@@ -43,7 +43,7 @@
 static void
 watch_failed(row_watch_t *watch)
 {
-	watch->in_read = false;
+	watch->in_full_read = false;
 	if (watch->reachable) {
 		watch->reachable = false;
 		watch->ops->reachable(watch->arg, false);
@@ -72,11 +72,11 @@
 static void
 watch_settled(row_watch_t *watch, bool whole, const row_reply_t *reply)
 {
-	if (!watch->settled_once ||
-	    timespec_ms_between(watch->known, watch->asked) > 0)
-		watch->known = watch->asked;
-	watch->settled_once = true;
-	watch->ops->settled(watch->arg, whole, reply);
+	if (!watch->synced_once ||
+	    timespec_ms_between(watch->synced_at, watch->requested_at) > 0)
+		watch->synced_at = watch->requested_at;
+	watch->synced_once = true;
+	watch->ops->synced(watch->arg, whole, reply);
 }
 
 /* Another daemon told what is later than this read while it was under way: what
@@ -95,7 +95,7 @@
 {
 	row_watch_t *watch = arg;
 
-	watch->waiting = false;
+	watch->call_pending = false;
 	if (watch->stopped)
 		return;
 	if (reply->result != ROW_OK) {
@@ -104,8 +104,8 @@
 	}
 	reachable_again(watch);
 	if (read_is_outdated(watch, reply)) {
-		watch->in_read = false;
-		watch_later(watch, watch->pace.pause_ms);
+		watch->in_full_read = false;
+		watch_later(watch, watch->timing.pause_ms);
 		return;
 	}
 	if (watch->page == NULL) {
@@ -113,7 +113,7 @@
 		 * it has now are taken, and their versions judged by those
 		 * who hold them. */
 		watch->read_version = reply->version;
-		watch->ops->restart(watch->arg);
+		watch->ops->full_read_begin(watch->arg);
 	}
 	rows_tell(watch, reply);
 	free(watch->page);
@@ -122,10 +122,10 @@
 		watch_ask(watch);
 		return;
 	}
-	watch->in_read = false;
+	watch->in_full_read = false;
 	watch->version = watch->read_version;
 	watch_settled(watch, true, reply);
-	watch_later(watch, watch->pace.pause_ms);
+	watch_later(watch, watch->timing.pause_ms);
 }
 
 static void
@@ -133,10 +133,10 @@
 {
 	row_watch_t *watch = arg;
 
-	watch->waiting = false;
+	watch->call_pending = false;
 	if (watch->stopped)
 		return;
-	if (reply->result == ROW_FORGOTTEN ||
+	if (reply->result == ROW_COMPACTED ||
 	    (reply->result == ROW_OK && reply->version < watch->version)) {
 		watch->version = 0;
 		watch_later(watch, 0);
@@ -151,7 +151,7 @@
 	if (reply->version > watch->version)
 		watch->version = reply->version;
 	watch_settled(watch, false, reply);
-	watch_later(watch, watch->pace.pause_ms);
+	watch_later(watch, watch->timing.pause_ms);
 }
 
 static void
@@ -160,25 +160,27 @@
 	bool started;
 
 	if (watch->version == 0) {
-		if (!watch->in_read) {
-			watch->in_read = true;
+		if (!watch->in_full_read) {
+			watch->in_full_read = true;
 			free(watch->page);
 			watch->page = NULL;
-			watch->asked = clock_elapsed(watch->clock);
+			watch->requested_at = clock_elapsed(watch->clock);
 		}
 		started = row_store_read(watch->store,
-		    watch->settled_once ? ROW_FOR_REREAD : ROW_FOR_READ,
-		    watch->table, watch->page, watch->pace.timeout_ms,
+		    watch->synced_once ? ROW_PURPOSE_REREAD
+				       : ROW_PURPOSE_FIRST_READ,
+		    watch->table, watch->page, watch->timing.timeout_ms,
 		    read_done, watch);
 	} else {
-		watch->asked = clock_elapsed(watch->clock);
-		started = row_store_feed(watch->store,
-		    watch->beside ? ROW_FOR_BESIDE : ROW_FOR_CHANGES,
-		    watch->table, watch->version, watch->pace.wait_ms,
-		    watch->pace.wait_ms + watch->pace.timeout_ms, feed_done,
+		watch->requested_at = clock_elapsed(watch->clock);
+		started = row_store_poll(watch->store,
+		    watch->by_follower ? ROW_PURPOSE_FOLLOWER_POLL
+				       : ROW_PURPOSE_POLL,
+		    watch->table, watch->version, watch->timing.wait_ms,
+		    watch->timing.wait_ms + watch->timing.timeout_ms, feed_done,
 		    watch);
 	}
-	watch->waiting = started;
+	watch->call_pending = started;
 	if (!started)
 		watch_failed(watch);
 }
@@ -190,20 +192,20 @@
 
 	(void)fd;
 	(void)what;
-	if (!watch->waiting)
+	if (!watch->call_pending)
 		watch_ask(watch);
 }
 
 bool
 row_watch_init(row_watch_t *watch, struct event_base *base, row_store_t *store,
     const clock_source_t *clock, const char *table,
-    const row_watch_pace_t *pace, const row_watch_ops_t *ops, void *arg)
+    const row_watch_timing_t *pace, const row_watch_ops_t *ops, void *arg)
 {
 	memset(watch, 0, sizeof(*watch));
 	watch->store = store;
 	watch->clock = clock;
 	watch->table = table;
-	watch->pace = *pace;
+	watch->timing = *pace;
 	watch->ops = ops;
 	watch->arg = arg;
 	watch->timer = event_new(base, -1, 0, on_timer, watch);
@@ -222,15 +224,15 @@
 }
 
 void
-row_watch_start_in(row_watch_t *watch, int64_t ms)
+row_watch_start_after(row_watch_t *watch, int64_t ms)
 {
 	watch_later(watch, ms);
 }
 
 void
-row_watch_hurry(row_watch_t *watch)
+row_watch_poll_now(row_watch_t *watch)
 {
-	if (!watch->waiting && !watch->stopped)
+	if (!watch->call_pending && !watch->stopped)
 		watch_later(watch, 0);
 }
 
@@ -243,18 +245,18 @@
 	if (suspend)
 		event_del(watch->timer);
 	else
-		row_watch_hurry(watch);
+		row_watch_poll_now(watch);
 }
 
 void
-row_watch_vouch(row_watch_t *watch, uint64_t version, struct timespec known)
+row_watch_advance(row_watch_t *watch, uint64_t version, struct timespec known)
 {
 	if (version > watch->version)
 		watch->version = version;
-	if (!watch->settled_once ||
-	    timespec_ms_between(watch->known, known) > 0)
-		watch->known = known;
-	watch->settled_once = true;
+	if (!watch->synced_once ||
+	    timespec_ms_between(watch->synced_at, known) > 0)
+		watch->synced_at = known;
+	watch->synced_once = true;
 }
 
 void
@@ -267,7 +269,8 @@
 int64_t
 row_watch_age_ms(const row_watch_t *watch)
 {
-	if (!watch->settled_once)
+	if (!watch->synced_once)
 		return INT64_MAX;
-	return timespec_ms_between(watch->known, clock_elapsed(watch->clock));
+	return timespec_ms_between(
+	    watch->synced_at, clock_elapsed(watch->clock));
 }
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -10,11 +10,11 @@
 #include <string.h>
 
 #include "../../moortack/relay/relay_node_priv.h"
-#include "../../moortack/replication/row_source_priv.h"
+#include "../../moortack/replication/row_sync_priv.h"
 #include "../support/manual_clock.h"
 #include "../support/silent_store.h"
 #include "input.h"
-#include "moortack/replication/feed_apply.h"
+#include "moortack/replication/feed_rows.h"
 
 #define DAEMONS 3
 /* Rows are long enough to be told as what changed of them. */
@@ -81,9 +81,9 @@
 	memset(daemon, 0, sizeof(*daemon));
 	snprintf(settings.name, sizeof(settings.name), "d%zu", number);
 	FUZZ_CHECK(relay_node_init(&daemon->node, &ports, &settings, &err));
-	daemon->node.source.cache.prior_min = TEXT_PAD;
+	daemon->node.source.cache.prior_min_len = TEXT_PAD;
 	for (int i = 0; i < ROW_TABLES; i++)
-		row_watch_vouch(
+		row_watch_advance(
 		    &daemon->node.source.watches[i].watch, 1, world.clock.now);
 	daemon->node.source.watches[ROW_TABLE_ENDPOINTS].watch.version = 0;
 }
@@ -118,15 +118,15 @@
 	row_reply_t reply = {.result = ROW_OK, .version = version, .now_ms = 1};
 
 	watch->version = version;
-	if (timespec_ms_between(watch->known, asked) > 0)
-		watch->known = asked;
-	watch->settled_once = true;
+	if (timespec_ms_between(watch->synced_at, asked) > 0)
+		watch->synced_at = asked;
+	watch->synced_once = true;
 	for (int i = 0; i < ROW_TABLES; i++) {
 		if (i != ROW_TABLE_ENDPOINTS)
-			row_watch_vouch(
+			row_watch_advance(
 			    &daemon->node.source.watches[i].watch, 1, asked);
 	}
-	watch->ops->settled(watch->arg, all, &reply);
+	watch->ops->synced(watch->arg, all, &reply);
 }
 
 static bool
@@ -152,7 +152,7 @@
 	if (daemon->read_version < watch->version)
 		return;
 	watch->read_version = daemon->read_version;
-	watch->ops->restart(watch->arg);
+	watch->ops->full_read_begin(watch->arg);
 	for (size_t i = 0; i < ENDPOINTS; i++) {
 		if (daemon->read[i].present)
 			entry_tell(daemon, i, &daemon->read[i]);
@@ -191,43 +191,44 @@
 static void
 follow_none(daemon_t *daemon)
 {
-	daemon->node.source.followed[0] = '\0';
+	daemon->node.source.parent[0] = '\0';
 	daemon->node.source.following = false;
 }
 
 static void
 follow(daemon_t *child, daemon_t *parent)
 {
-	row_source_t *source = &child->node.source;
-	feed_answer_t answer = {.source = parent->node.source.incarnation,
-	    .change = parent->node.source.cache.change};
+	row_sync_t *source = &child->node.source;
+	feed_response_t answer = {
+	    .incarnation = parent->node.source.incarnation,
+	    .change = parent->node.source.cache.last_change};
 	const feed_bytes_t *rows;
 	feed_bytes_t told = {0};
-	feed_point_t from;
+	feed_position_t from;
 	char *text;
 
-	if (strcmp(source->followed, parent->node.settings.name) != 0) {
+	if (strcmp(source->parent, parent->node.settings.name) != 0) {
 		follow_none(child);
-		strcpy(source->followed, parent->node.settings.name);
-		source->followed_source = 0;
-		source->followed_change = 0;
+		strcpy(source->parent, parent->node.settings.name);
+		source->parent_incarnation = 0;
+		source->parent_change = 0;
 	}
-	row_follow_ask(source, &from);
-	rows = feed_bodies_for(&parent->node.source.server.bodies,
-	    &parent->node.source.cache, answer.source, &from, &answer);
-	row_follow_state(&parent->node.source, &answer);
-	answer.number = 1;
-	text = feed_answer_text(&answer);
-	feed_answer_clear(&answer);
+	row_follow_position(source, &from);
+	rows = feed_body_cache_get(&parent->node.source.server.body_cache,
+	    &parent->node.source.cache, answer.incarnation, &from, &answer);
+	row_follow_fill_state(&parent->node.source, &answer);
+	answer.request_id = 1;
+	text = feed_response_encode(&answer);
+	feed_response_clear(&answer);
 	FUZZ_CHECK(rows != NULL);
 	if (rows->len > 0)
 		FUZZ_CHECK(feed_unpack(rows->data, rows->len, &told));
-	FUZZ_CHECK(
-	    feed_answer_read(text, strlen(text), told.data, told.len, &answer));
+	FUZZ_CHECK(feed_response_decode(
+	    text, strlen(text), told.data, told.len, &answer));
 	free(text);
 	free(told.data);
-	row_follow_take(source, &answer, world.clock.now);
-	feed_answer_clear(&answer);
+	row_follow_response(source, &answer, world.clock.now);
+	feed_response_clear(&answer);
 }
 
 static void
--- a/test/fuzz/lives_fuzz.c
+++ b/test/fuzz/lives_fuzz.c
@@ -175,7 +175,7 @@
 		change_take(&changes[i]);
 	FUZZ_CHECK(writer->done_len < WRITES_MAX);
 	writer->results[writer->done_len] =
-	    store_answers(writer) ? ROW_OK : ROW_LOST;
+	    store_answers(writer) ? ROW_OK : ROW_NO_RESPONSE;
 	writer->done[writer->done_len++] = done;
 	return true;
 }
--- a/test/fuzz/rollouts_fuzz.c
+++ b/test/fuzz/rollouts_fuzz.c
@@ -145,14 +145,14 @@
 	(void)timeout_ms;
 	writer->done = done;
 	writer->done_arg = arg;
-	writer->result = ROW_LOST;
+	writer->result = ROW_NO_RESPONSE;
 	if (world.away)
 		return true;
 	writer->result = ROW_CONFLICT;
 	if (expected->expected != world.state_version)
 		return true;
 	state_put(changes);
-	writer->result = world.loses ? ROW_LOST : ROW_OK;
+	writer->result = world.loses ? ROW_NO_RESPONSE : ROW_OK;
 	return true;
 }
 
@@ -225,7 +225,7 @@
 
 	if (world.away)
 		return;
-	row_watch_vouch(&daemon->orders, 1, world.clock.now);
+	row_watch_advance(&daemon->orders, 1, world.clock.now);
 	if (world.orders_len == 0)
 		return;
 	order.number = world.orders[world.orders_len - 1].number;
@@ -244,7 +244,7 @@
 
 	if (world.away)
 		return;
-	row_watch_vouch(&daemon->states, 1, world.clock.now);
+	row_watch_advance(&daemon->states, 1, world.clock.now);
 	daemon->read_at = world.version;
 	if (world.state_version == 0)
 		return;
@@ -318,7 +318,7 @@
 
 	/* A daemon that has not read the states yet takes no requests. */
 	if (rollout == NULL || rollout->order.number == 0 ||
-	    !daemon->states.settled_once)
+	    !daemon->states.synced_once)
 		return;
 	moment = (rollout_moment_t){
 	    .state = rollout->state_order == rollout->order.number
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -81,7 +81,8 @@
 table_of(uint32_t kind)
 {
 	static const row_table_t tables[] = {ROW_TABLE_ENDPOINTS,
-	    ROW_TABLE_ORDERS, ROW_TABLE_ORDERS, ROW_TABLE_OWN, ROW_TABLE_OWN};
+	    ROW_TABLE_OPERATOR, ROW_TABLE_OPERATOR, ROW_TABLE_SYSTEM,
+	    ROW_TABLE_SYSTEM};
 
 	return tables[kind];
 }
@@ -300,12 +301,12 @@
 	store_rows_read(body, 0, &list);
 	if (whole) {
 		watch->read_version = world.version;
-		watch->ops->restart(watch->arg);
+		watch->ops->full_read_begin(watch->arg);
 	}
 	for (size_t i = 0; i < list.len; i++)
 		watch->ops->row(watch->arg, &list.rows[i]);
-	row_watch_vouch(watch, world.version, world.clock.now);
-	watch->ops->settled(watch->arg, whole, &reply);
+	row_watch_advance(watch, world.version, world.clock.now);
+	watch->ops->synced(watch->arg, whole, &reply);
 	store_rows_free(&list);
 	json_decref(body);
 	json_decref(reader->answer);
@@ -422,8 +423,8 @@
 	FUZZ_CHECK(a->relay.config == NULL ||
 	    a->relay.config->version == b->relay.config->version);
 	for (int i = 0; i < ROW_TABLES; i++)
-		FUZZ_CHECK(a->source.watches[i].watch.settled_once ==
-		    b->source.watches[i].watch.settled_once);
+		FUZZ_CHECK(a->source.watches[i].watch.synced_once ==
+		    b->source.watches[i].watch.synced_once);
 }
 
 int
--- a/test/platform/store_eras_test.c
+++ b/test/platform/store_eras_test.c
@@ -103,7 +103,7 @@
 static row_result_t
 feed(uint64_t after)
 {
-	assert_true(row_store_feed(&world.store.store, ROW_FOR_CHANGES, "t",
+	assert_true(row_store_poll(&world.store.store, ROW_PURPOSE_POLL, "t",
 	    after, 0, TIMEOUT_MS, on_done, NULL));
 	event_base_dispatch(world.base);
 	return world.result;
@@ -112,8 +112,8 @@
 static row_result_t
 read_page(const char *page)
 {
-	assert_true(row_store_read(&world.store.store, ROW_FOR_READ, "t", page,
-	    TIMEOUT_MS, on_done, NULL));
+	assert_true(row_store_read(&world.store.store, ROW_PURPOSE_FIRST_READ,
+	    "t", page, TIMEOUT_MS, on_done, NULL));
 	event_base_dispatch(world.base);
 	return world.result;
 }
@@ -125,8 +125,9 @@
 	    .table = "t", .key = "k", .expected = version};
 	const row_change_t change = {.table = "t", .key = "k", .value = "v"};
 
-	assert_true(row_store_write(&world.store.store, ROW_FOR_STATE,
-	    &expected, 1, &change, 1, TIMEOUT_MS, on_done, NULL));
+	assert_true(
+	    row_store_write(&world.store.store, ROW_PURPOSE_ROLLOUT_STATE,
+		&expected, 1, &change, 1, TIMEOUT_MS, on_done, NULL));
 	event_base_dispatch(world.base);
 }
 
@@ -140,7 +141,7 @@
 	world.number = NUMBER - 2;
 	assert_int_equal(read_page(NULL), ROW_OK);
 	assert_true(world.version > NUMBER);
-	assert_int_equal(world.row, era_version_of(1, NUMBER - 2));
+	assert_int_equal(world.row, era_version_make(1, NUMBER - 2));
 	assert_int_equal(world.store.store.era, 1);
 }
 
@@ -151,10 +152,10 @@
 	assert_int_equal(feed(NUMBER), ROW_OK);
 	/* The same number, given out again. */
 	world.era = 1;
-	assert_int_equal(feed(NUMBER), ROW_FORGOTTEN);
-	assert_int_equal(feed(era_version_of(1, NUMBER)), ROW_OK);
+	assert_int_equal(feed(NUMBER), ROW_COMPACTED);
+	assert_int_equal(feed(era_version_make(1, NUMBER)), ROW_OK);
 	world.era = 2;
-	assert_int_equal(read_page("k"), ROW_FORGOTTEN);
+	assert_int_equal(read_page("k"), ROW_COMPACTED);
 }
 
 static void
@@ -165,8 +166,8 @@
 	assert_int_equal(read_page(NULL), ROW_OK);
 	world.era = 1;
 	world.number = NUMBER + 100;
-	assert_int_equal(read_page(NULL), ROW_LOST);
-	assert_int_equal(feed(era_version_of(2, NUMBER)), ROW_LOST);
+	assert_int_equal(read_page(NULL), ROW_NO_RESPONSE);
+	assert_int_equal(feed(era_version_make(2, NUMBER)), ROW_NO_RESPONSE);
 	assert_int_equal(world.store.store.era, 2);
 }
 
@@ -181,7 +182,7 @@
 	write_expecting(NUMBER);
 	snprintf(text, sizeof(text), "\"row_version\":%d}", NUMBER);
 	assert_null(strstr(world.body, text));
-	write_expecting(era_version_of(1, NUMBER));
+	write_expecting(era_version_make(1, NUMBER));
 	assert_non_null(strstr(world.body, text));
 	write_expecting(0);
 	assert_non_null(strstr(world.body, "\"row_version\":0}"));
--- a/test/support/bytes_same.h
+++ b/test/support/bytes_equal.h
@@ -2,15 +2,15 @@
  * @file
  * Rows that mean the same if their bytes are the same.
  */
-#ifndef TEST_SUPPORT_BYTES_SAME_H
-#define TEST_SUPPORT_BYTES_SAME_H
+#ifndef TEST_SUPPORT_BYTES_EQUAL_H
+#define TEST_SUPPORT_BYTES_EQUAL_H
 
 #include <string.h>
 
 #include "moortack/replication/row_cache.h"
 
 static inline bool
-bytes_same(const void *arg, row_table_t table, const char *key, const char *a,
+bytes_equal(const void *arg, row_table_t table, const char *key, const char *a,
     size_t a_len, const char *b, size_t b_len)
 {
 	(void)arg;
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -197,8 +197,8 @@
 
 	event_log_init(&quiet, &chooser->clock.source, 1e-9);
 	*watch = (row_watch_t){.clock = &chooser->clock.source,
-	    .settled_once = true,
-	    .known = chooser->clock.now};
+	    .synced_once = true,
+	    .synced_at = chooser->clock.now};
 	chooser->rollouts = (rollouts_t){.clock = &chooser->clock.source,
 	    .orders = watch,
 	    .states = watch,
--- a/test/unit/evacuation_test.c
+++ b/test/unit/evacuation_test.c
@@ -42,18 +42,18 @@
 	(void)state;
 	told_node_init(&told);
 	endpoint_tell(&told, "e1", 10);
-	row_tell(&told, ROW_TABLE_ORDERS, "evacuate/other", "{}", 11);
+	row_tell(&told, ROW_TABLE_OPERATOR, "evacuate/other", "{}", 11);
 	assert_true(accepts_requests(&told, "e1"));
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, "{}", 12);
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, "{}", 12);
 	endpoint_tell(&told, "e2", 13);
 	assert_false(accepts_requests(&told, "e1"));
 	assert_false(accepts_requests(&told, "e2"));
 	/* The row is written again, with a value that is not JSON. */
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, "?", 14);
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, "?", 14);
 	assert_false(accepts_requests(&told, "e1"));
 	assert_int_equal(
 	    zone_table_evacuated_count(&told.node.endpoints.zones), 2);
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, NULL, 15);
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, NULL, 15);
 	assert_true(accepts_requests(&told, "e1"));
 	assert_true(accepts_requests(&told, "e2"));
 	told_node_finish(&told);
@@ -67,11 +67,11 @@
 	(void)state;
 	told_node_init(&told);
 	endpoint_tell(&told, "e1", 10);
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, "{}", 20);
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, NULL, 19);
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, "{}", 20);
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, NULL, 19);
 	assert_false(accepts_requests(&told, "e1"));
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, NULL, 21);
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, "{}", 20);
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, NULL, 21);
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, "{}", 20);
 	assert_true(accepts_requests(&told, "e1"));
 	told_node_finish(&told);
 }
@@ -82,8 +82,8 @@
 {
 	told_node_init(told);
 	endpoint_tell(told, "e1", 10);
-	row_tell(told, ROW_TABLE_ORDERS, KEY, "{}", 20);
-	row_tell(told, ROW_TABLE_ORDERS, KEY, NULL, era_version_of(1, 5));
+	row_tell(told, ROW_TABLE_OPERATOR, KEY, "{}", 20);
+	row_tell(told, ROW_TABLE_OPERATOR, KEY, NULL, era_version_make(1, 5));
 }
 
 static void
@@ -96,11 +96,11 @@
 	store_restore_without_row(&told);
 	assert_false(accepts_requests(&told, "e1"));
 	/* Daemons that follow this one read the row from its cache. */
-	row = row_cache_find(&told.node.source.cache, ROW_TABLE_ORDERS, KEY);
+	row = row_cache_find(&told.node.source.cache, ROW_TABLE_OPERATOR, KEY);
 	assert_non_null(row->value);
-	assert_int_equal(row->version, era_version_of(1, 5));
+	assert_int_equal(row->version, era_version_make(1, 5));
 	/* A second read of the copy lacks the row as well. */
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, NULL, era_version_of(1, 6));
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, NULL, era_version_make(1, 6));
 	assert_false(accepts_requests(&told, "e1"));
 	pass(&told, UNCONFIRMED_MS - 1);
 	relay_evacuations_expire(&told.node);
@@ -108,7 +108,7 @@
 	pass(&told, 1);
 	relay_evacuations_expire(&told.node);
 	assert_true(accepts_requests(&told, "e1"));
-	row = row_cache_find(&told.node.source.cache, ROW_TABLE_ORDERS, KEY);
+	row = row_cache_find(&told.node.source.cache, ROW_TABLE_OPERATOR, KEY);
 	assert_null(row->value);
 	told_node_finish(&told);
 }
@@ -122,10 +122,10 @@
 	(void)state;
 	told_node_init(&told);
 	endpoint_tell(&told, "e1", 10);
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, "{}", 20);
-	told.node.source.taking = true;
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, NULL, era_version_of(1, 5));
-	told.node.source.taking = false;
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, "{}", 20);
+	told.node.source.applying = true;
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, NULL, era_version_make(1, 5));
+	told.node.source.applying = false;
 	assert_true(accepts_requests(&told, "e1"));
 	told_node_finish(&told);
 }
@@ -137,11 +137,11 @@
 
 	(void)state;
 	store_restore_without_row(&told);
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, "{}", era_version_of(1, 8));
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, "{}", era_version_make(1, 8));
 	pass(&told, 2 * UNCONFIRMED_MS);
 	relay_evacuations_expire(&told.node);
 	assert_false(accepts_requests(&told, "e1"));
-	row_tell(&told, ROW_TABLE_ORDERS, KEY, NULL, era_version_of(1, 9));
+	row_tell(&told, ROW_TABLE_OPERATOR, KEY, NULL, era_version_make(1, 9));
 	assert_true(accepts_requests(&told, "e1"));
 	told_node_finish(&told);
 }
--- a/test/unit/feed_body_test.c
+++ b/test/unit/feed_body_test.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "../support/bytes_same.h"
+#include "../support/bytes_equal.h"
 #include "../support/manual_clock.h"
 #include "moortack/replication/feed_body.h"
 
@@ -24,7 +24,7 @@
 typedef struct world {
 	manual_clock_t clock;
 	row_cache_t cache;
-	feed_bodies_t bodies;
+	feed_body_cache_t bodies;
 } world_t;
 
 static void
@@ -46,7 +46,7 @@
 	world_t *world = calloc(1, sizeof(*world));
 
 	world->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
-	row_cache_init(&world->cache, &world->clock.source, bytes_same, NULL);
+	row_cache_init(&world->cache, &world->clock.source, bytes_equal, NULL);
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoint_put(world, i, "ready", (uint64_t)i + 1);
 	*state = world;
@@ -58,7 +58,7 @@
 {
 	world_t *world = *state;
 
-	feed_bodies_finish(&world->bodies);
+	feed_body_cache_finish(&world->bodies);
 	row_cache_finish(&world->cache);
 	free(world);
 	return 0;
@@ -66,22 +66,22 @@
 
 /* The rows that an asker is told, read as it reads them. */
 static size_t
-rows_told(world_t *world, const feed_point_t *from)
+rows_told(world_t *world, const feed_position_t *from)
 {
-	feed_answer_t answer = {.number = 1}, read;
-	const feed_bytes_t *bytes = feed_bodies_for(
+	feed_response_t answer = {.request_id = 1}, read;
+	const feed_bytes_t *bytes = feed_body_cache_get(
 	    &world->bodies, &world->cache, INCARNATION, from, &answer);
-	char *head = feed_answer_text(&answer);
+	char *head = feed_response_encode(&answer);
 	feed_bytes_t text = {0};
 	size_t count;
 
 	assert_non_null(bytes);
 	if (bytes->len > 0)
 		assert_true(feed_unpack(bytes->data, bytes->len, &text));
-	assert_true(
-	    feed_answer_read(head, strlen(head), text.data, text.len, &read));
+	assert_true(feed_response_decode(
+	    head, strlen(head), text.data, text.len, &read));
 	count = json_array_size(read.rows);
-	feed_answer_clear(&read);
+	feed_response_clear(&read);
 	free(text.data);
 	free(head);
 	return count;
@@ -91,24 +91,24 @@
 those_who_start_are_sent_the_same_bytes(void **state)
 {
 	world_t *world = *state;
-	feed_point_t nothing = {0};
+	feed_position_t nothing = {0};
 
 	for (int i = 0; i < 18; i++)
 		assert_int_equal(rows_told(world, &nothing), ENDPOINTS);
-	assert_int_equal(world->bodies.made, 1);
+	assert_int_equal(world->bodies.encoded, 1);
 	endpoint_put(world, 3, "draining", 500);
 	assert_int_equal(rows_told(world, &nothing), ENDPOINTS);
-	assert_int_equal(world->bodies.made, 2);
+	assert_int_equal(world->bodies.encoded, 2);
 }
 
 static void
 those_who_know_the_same_are_sent_the_same_change(void **state)
 {
 	world_t *world = *state;
-	feed_point_t again = {.source = INCARNATION,
-	    .change = world->cache.change,
+	feed_position_t again = {.incarnation = INCARNATION,
+	    .change = world->cache.last_change,
 	    .versions = {500, 500, 500}};
-	feed_point_t nothing = {0};
+	feed_position_t nothing = {0};
 
 	assert_int_equal(rows_told(world, &again), 0);
 	endpoint_put(world, 3, "draining", 501);
@@ -116,8 +116,8 @@
 		assert_int_equal(rows_told(world, &again), 1);
 		assert_int_equal(rows_told(world, &nothing), ENDPOINTS);
 	}
-	assert_int_equal(world->bodies.made, 3);
-	again.change = world->cache.change;
+	assert_int_equal(world->bodies.encoded, 3);
+	again.change = world->cache.last_change;
 	assert_int_equal(rows_told(world, &again), 0);
 }
 
@@ -126,14 +126,14 @@
 a_row_that_is_renewed_makes_a_whole_answer_anew(void **state)
 {
 	world_t *world = *state;
-	feed_point_t nothing = {0};
-	uint64_t change = world->cache.change;
+	feed_position_t nothing = {0};
+	uint64_t change = world->cache.last_change;
 
 	rows_told(world, &nothing);
 	endpoint_put(world, 3, "ready", 500);
-	assert_int_equal(world->cache.change, change);
+	assert_int_equal(world->cache.last_change, change);
 	rows_told(world, &nothing);
-	assert_int_equal(world->bodies.made, 2);
+	assert_int_equal(world->bodies.encoded, 2);
 }
 
 int
--- a/test/unit/feed_client_test.c
+++ b/test/unit/feed_client_test.c
@@ -42,7 +42,7 @@
 }
 
 static void
-on_ask(void *arg, feed_question_t *question)
+on_ask(void *arg, feed_request_t *question)
 {
 	follower_t *follower = arg;
 
@@ -51,7 +51,7 @@
 }
 
 static void
-on_answer(void *arg, feed_answer_t *answer, struct timespec asked)
+on_answer(void *arg, feed_response_t *answer, struct timespec asked)
 {
 	(void)arg;
 	(void)answer;
@@ -112,7 +112,7 @@
 	assert_true(peer_auth_init(&auth, secret, &err));
 	assert_true(feed_client_init(&follower.client, follower.base,
 	    &follower.clock, context, &auth, &client_ops, &follower));
-	assert_true(feed_client_follow(&follower.client, address));
+	assert_true(feed_client_connect(&follower.client, address));
 	event_base_loopexit(follower.base, &limit);
 	event_base_dispatch(follower.base);
 	assert_in_range(follower.slow_ms, SLOW_EARLIEST_MS, SLOW_LATEST_MS);
--- a/test/unit/feed_delta_test.c
+++ b/test/unit/feed_delta_test.c
@@ -14,10 +14,10 @@
 #include <string.h>
 #include <xxhash.h>
 
-#include "../support/bytes_same.h"
+#include "../support/bytes_equal.h"
 #include "../support/manual_clock.h"
-#include "moortack/replication/feed_apply.h"
 #include "moortack/replication/feed_delta.h"
+#include "moortack/replication/feed_rows.h"
 #include "moortack/replication/value_delta.h"
 
 #define ROUTES 1400
@@ -52,7 +52,7 @@
 typedef struct world {
 	manual_clock_t clock;
 	row_cache_t teller, asker;
-	feed_point_t from;
+	feed_position_t from;
 } world_t;
 
 static void
@@ -69,7 +69,7 @@
 	    .value_len = strlen(text),
 	    .version = version};
 
-	row_cache_put(cache, ROW_TABLE_ORDERS, &row);
+	row_cache_put(cache, ROW_TABLE_OPERATOR, &row);
 }
 
 static void
@@ -85,9 +85,9 @@
 world_init(world_t *world)
 {
 	*world = (world_t){.clock = {{&manual_ops}, {100, 0}}};
-	row_cache_init(&world->teller, &world->clock.source, bytes_same, NULL);
-	row_cache_init(&world->asker, &world->clock.source, bytes_same, NULL);
-	world->from.source = 1;
+	row_cache_init(&world->teller, &world->clock.source, bytes_equal, NULL);
+	row_cache_init(&world->asker, &world->clock.source, bytes_equal, NULL);
+	world->from.incarnation = 1;
 }
 
 static void
@@ -100,33 +100,33 @@
 /* The asker's next answer.
  * @return bytes of its rows */
 static size_t
-answer_make(world_t *world, feed_answer_t *answer)
+answer_make(world_t *world, feed_response_t *answer)
 {
 	char *text;
 	size_t len;
 
-	*answer = (feed_answer_t){
-	    .change = world->teller.change, .rows = json_array()};
-	feed_fill_rows(&world->teller, &world->from, true, answer);
-	text = feed_rows_text(answer);
+	*answer = (feed_response_t){
+	    .change = world->teller.last_change, .rows = json_array()};
+	feed_rows_fill(&world->teller, &world->from, true, answer);
+	text = feed_rows_encode(answer);
 	len = strlen(text);
 	free(text);
 	return len;
 }
 
 static void
-answer_apply(world_t *world, feed_answer_t *answer)
+answer_apply(world_t *world, feed_response_t *answer)
 {
 	assert_true(feed_delta_resolve(answer, &world->asker));
-	feed_apply(answer, &world->asker, row_told, &world->asker);
+	feed_rows_apply(answer, &world->asker, row_told, &world->asker);
 	world->from.change = answer->change;
-	feed_answer_clear(answer);
+	feed_response_clear(answer);
 }
 
 static size_t
 answer_pass(world_t *world)
 {
-	feed_answer_t answer;
+	feed_response_t answer;
 	size_t len = answer_make(world, &answer);
 
 	answer_apply(world, &answer);
@@ -137,9 +137,9 @@
 assert_same(const world_t *world)
 {
 	const cached_row_t *told =
-	    row_cache_find(&world->teller, ROW_TABLE_ORDERS, KEY);
+	    row_cache_find(&world->teller, ROW_TABLE_OPERATOR, KEY);
 	const cached_row_t *known =
-	    row_cache_find(&world->asker, ROW_TABLE_ORDERS, KEY);
+	    row_cache_find(&world->asker, ROW_TABLE_OPERATOR, KEY);
 
 	assert_non_null(known);
 	assert_int_equal(known->version, told->version);
@@ -188,7 +188,7 @@
 static void
 another_value_is_not_built_on(void **state)
 {
-	feed_answer_t answer;
+	feed_response_t answer;
 	world_t world;
 
 	(void)state;
@@ -199,7 +199,7 @@
 	answer_make(&world, &answer);
 	config_put(&world.asker, 11);
 	assert_false(feed_delta_resolve(&answer, &world.asker));
-	feed_answer_clear(&answer);
+	feed_response_clear(&answer);
 	answer_make(&world, &answer);
 	config_put(&world.asker, 12);
 	assert_true(feed_delta_resolve(&answer, &world.asker));
@@ -224,11 +224,11 @@
 	world_init(&world);
 	config_put(&world.asker, 10);
 	for (size_t i = 0; i < sizeof(told) / sizeof(told[0]); i++) {
-		feed_answer_t answer = {.rows = json_loads(told[i], 0, NULL)};
+		feed_response_t answer = {.rows = json_loads(told[i], 0, NULL)};
 
 		assert_non_null(answer.rows);
 		assert_false(feed_delta_resolve(&answer, &world.asker));
-		feed_answer_clear(&answer);
+		feed_response_clear(&answer);
 	}
 	world_finish(&world);
 }
@@ -267,17 +267,17 @@
 	world_init(&world);
 	config_put(&world.teller, 10);
 	config_put(&world.teller, 11);
-	row = row_cache_find(&world.teller, ROW_TABLE_ORDERS, KEY);
-	assert_non_null(row->priors);
+	row = row_cache_find(&world.teller, ROW_TABLE_OPERATOR, KEY);
+	assert_non_null(row->prior_values);
 	world.clock.now.tv_sec += 20;
 	row_cache_trim(&world.teller);
-	assert_null(row->priors);
+	assert_null(row->prior_values);
 	text_put(&world.teller, "short", 12);
 	text_put(&world.teller, "short too", 13);
 	row_cache_trim(&world.teller);
-	assert_non_null(row->priors);
-	assert_int_equal(row->priors->version, 11);
-	assert_null(row->priors->older);
+	assert_non_null(row->prior_values);
+	assert_int_equal(row->prior_values->version, 11);
+	assert_null(row->prior_values->older);
 	world_finish(&world);
 }
 
--- a/test/unit/lapse_test.c
+++ b/test/unit/lapse_test.c
@@ -36,7 +36,7 @@
 	row_watch_t *watch =
 	    &told->node.source.watches[ROW_TABLE_ENDPOINTS].watch;
 
-	row_watch_vouch(watch, version, told->clock.now);
+	row_watch_advance(watch, version, told->clock.now);
 	watch->reachable = true;
 }
 
@@ -95,20 +95,24 @@
 static void
 nobody_is_told_a_version_beyond_an_entry_that_is_kept(void **state)
 {
-	const row_source_t *source;
+	const row_sync_t *source;
 	static told_node_t told;
 
 	(void)state;
 	entry_lapses(&told);
 	source = &told.node.source;
-	assert_true(row_source_told(source, ROW_TABLE_ENDPOINTS) < VERSION_END);
-	assert_int_equal(row_source_known(source, ROW_TABLE_ENDPOINTS), 0);
+	assert_true(row_sync_published_version(source, ROW_TABLE_ENDPOINTS) <
+	    VERSION_END);
+	assert_int_equal(
+	    row_sync_requested_version(source, ROW_TABLE_ENDPOINTS), 0);
 	pass(&told, LAPSE_MS);
 	relay_rows_lapsed_end(&told.node);
 	assert_int_equal(
-	    row_source_told(source, ROW_TABLE_ENDPOINTS), VERSION_AFTER);
+	    row_sync_published_version(source, ROW_TABLE_ENDPOINTS),
+	    VERSION_AFTER);
 	assert_int_equal(
-	    row_source_known(source, ROW_TABLE_ENDPOINTS), VERSION_AFTER);
+	    row_sync_requested_version(source, ROW_TABLE_ENDPOINTS),
+	    VERSION_AFTER);
 	told_node_finish(&told);
 }
 
@@ -122,7 +126,7 @@
 	entry_tell(&told, "e1", "ready", VERSION_AFTER + 1);
 	store_answers(&told, VERSION_AFTER + 1);
 	assert_int_equal(
-	    row_source_told(&told.node.source, ROW_TABLE_ENDPOINTS),
+	    row_sync_published_version(&told.node.source, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER + 1);
 	pass(&told, LAPSE_MS);
 	relay_rows_lapsed_end(&told.node);
@@ -148,7 +152,7 @@
 	assert_false(now->lapsed);
 	assert_false(before->present);
 	assert_int_equal(
-	    row_source_told(&told.node.source, ROW_TABLE_ENDPOINTS),
+	    row_sync_published_version(&told.node.source, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER + 1);
 	endpoint_release((endpoint_t *)(uintptr_t)before);
 	told_node_finish(&told);
@@ -184,12 +188,13 @@
 	entry_lapses(&told);
 	relay_rows_lapses_drop(&told.node);
 	assert_int_equal(
-	    row_source_known(&told.node.source, ROW_TABLE_ENDPOINTS), 0);
-	told.node.source.taking = true;
+	    row_sync_requested_version(&told.node.source, ROW_TABLE_ENDPOINTS),
+	    0);
+	told.node.source.applying = true;
 	entry_tell(&told, "e1", NULL, VERSION_BEFORE);
 	assert_null(entry_of(&told, "e1"));
 	assert_int_equal(
-	    row_source_known(&told.node.source, ROW_TABLE_ENDPOINTS),
+	    row_sync_requested_version(&told.node.source, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
 	told_node_finish(&told);
 }
@@ -251,10 +256,10 @@
 	(void)state;
 	told_node_init(&told);
 	entry_tell(&told, "e1", "v1", VERSION_ENTRY);
-	relay_rows_ops.settled(&told.node, ROW_TABLE_ENDPOINTS, true);
+	relay_rows_ops.synced(&told.node, ROW_TABLE_ENDPOINTS, true);
 	entry_tell(&told, "e2", "v2", VERSION_ENTRY + 1);
 	entry_tell(&told, "e3", "v2", VERSION_ENTRY + 2);
-	relay_rows_ops.settled(&told.node, ROW_TABLE_ENDPOINTS, false);
+	relay_rows_ops.synced(&told.node, ROW_TABLE_ENDPOINTS, false);
 	assert_string_equal(
 	    endpoint_set_group(&told.node.endpoints, "s")->base_version, "v1");
 	told_node_finish(&told);
--- a/test/unit/member_row_requests_test.c
+++ b/test/unit/member_row_requests_test.c
@@ -235,7 +235,7 @@
 	for (int at = 0; at < 10000; at += STEP_MS) {
 		steps(&world, STEP_MS, false, true);
 		if (world.store.done != NULL)
-			answer(&world.store, ROW_LOST);
+			answer(&world.store, ROW_NO_RESPONSE);
 	}
 	assert_in_range(world.store.calls, 4, 8);
 	membership_finish(&world.self);
--- a/test/unit/paged_read_test.c
+++ b/test/unit/paged_read_test.c
@@ -23,7 +23,7 @@
 #include <string.h>
 
 #include "../../moortack/relay/relay_node_priv.h"
-#include "../../moortack/replication/row_source_priv.h"
+#include "../../moortack/replication/row_sync_priv.h"
 #include "../support/manual_clock.h"
 #include "../support/node_settings.h"
 
@@ -108,21 +108,25 @@
 static void
 daemon_tells(paged_node_t *paged, const char *id, uint64_t version)
 {
-	row_source_t *source = &paged->node.source;
-	feed_answer_t answer = {.source = 7, .rows = json_array()};
+	row_sync_t *source = &paged->node.source;
+	feed_response_t answer = {.incarnation = 7, .rows = json_array()};
 	row_cache_t theirs;
 	row_t row = entry(id, 30);
 
-	row_cache_init(&theirs, &paged->clock.source, source->cache.same, NULL);
+	row_cache_init(
+	    &theirs, &paged->clock.source, source->cache.equal, NULL);
 	row_cache_put(&theirs, ROW_TABLE_ENDPOINTS, &row);
-	feed_answer_add(
+	feed_response_add_row(
 	    &answer, row_cache_find(&theirs, ROW_TABLE_ENDPOINTS, id));
 	for (int i = 0; i < ROW_TABLES; i++)
 		answer.tables[i].age_ms = -1;
-	answer.tables[ROW_TABLE_ENDPOINTS] = (feed_table_t){
-	    .version = version, .known = version, .age_ms = -1, .whole = true};
-	row_answer_take(source, &answer, paged->clock.now);
-	feed_answer_clear(&answer);
+	answer.tables[ROW_TABLE_ENDPOINTS] =
+	    (feed_table_state_t){.version = version,
+		.deletions_version = version,
+		.age_ms = -1,
+		.full = true};
+	row_response_apply(source, &answer, paged->clock.now);
+	feed_response_clear(&answer);
 	row_cache_finish(&theirs);
 }
 
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -104,7 +104,7 @@
 	}
 	store->feeds++;
 	if (store->whole_read)
-		return answer(store, NULL, 0, ROW_FORGOTTEN, done, arg);
+		return answer(store, NULL, 0, ROW_COMPACTED, done, arg);
 	return answer(store, &end, VERSION_GONE, ROW_OK, done, arg);
 }
 
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -85,7 +85,7 @@
 	int share = 0;
 
 	event_log_init(&log, &clock.source, 1);
-	row_watch_vouch(&watch, 1, clock.now);
+	row_watch_advance(&watch, 1, clock.now);
 	news_tell(&rollouts, first);
 	news_tell(&rollouts, second);
 	news_tell(&rollouts, third);
@@ -166,7 +166,7 @@
 	    .log = &told->log,
 	    .first_version = first_version};
 	event_log_init(&told->log, &told->clock.source, 1);
-	row_watch_vouch(&told->watch, 1, told->clock.now);
+	row_watch_advance(&told->watch, 1, told->clock.now);
 	rollouts_store_clock(&told->rollouts, STORE_NOW_MS);
 	order_told(told, ORDER, "v2");
 	told->rollout = rollouts_find(&told->rollouts, "s");
@@ -239,7 +239,7 @@
 	assert_int_equal(told.rollout->order.number, ORDER);
 	/* The states are read after it, and tell of no end: the operator has
 	 * replaced one that had not ended. */
-	row_watch_vouch(&told.watch, 14, told.clock.now);
+	row_watch_advance(&told.watch, 14, told.clock.now);
 	state_told(&told, ORDER, "v2", "v1", "in_progress", 14);
 	assert_int_equal(told.rollout->order.number, NEXT);
 	assert_string_equal(rollout_base(told.rollout), "v1");
@@ -367,10 +367,10 @@
 copy_told(first_order_t *told, bool order_first, const char *state)
 {
 	if (order_first)
-		order_told(told, era_version_of(1, ORDER), "v2");
-	state_told(told, ORDER, "v2", "v1", state, era_version_of(1, 9));
+		order_told(told, era_version_make(1, ORDER), "v2");
+	state_told(told, ORDER, "v2", "v1", state, era_version_make(1, 9));
 	if (!order_first)
-		order_told(told, era_version_of(1, ORDER), "v2");
+		order_told(told, era_version_make(1, ORDER), "v2");
 }
 
 static void
@@ -384,13 +384,13 @@
 		state_told(&told, ORDER, "v2", "v1", "reverted", 12);
 		copy_told(&told, order_first, "in_progress");
 		assert_int_equal(
-		    told.rollout->order.number, era_version_of(1, ORDER));
+		    told.rollout->order.number, era_version_make(1, ORDER));
 		assert_false(rollout_under_way(told.rollout));
 		assert_int_equal(told.rollout->state, ROLLOUT_REVERTED);
 		/* It is to be written again. */
 		assert_true(told.rollout->state_spoilt);
 		/* The operator gives a new one. */
-		order_told(&told, era_version_of(1, NEXT), "v3");
+		order_told(&told, era_version_make(1, NEXT), "v3");
 		assert_true(rollout_under_way(told.rollout));
 		assert_string_equal(told.rollout->order.to, "v3");
 		assert_string_equal(rollout_base(told.rollout), "v1");
@@ -413,9 +413,9 @@
 	assert_true(rollout_under_way(told.rollout));
 	assert_string_equal(rollout_base(told.rollout), "v2");
 	/* Written again, with a version that v2's order once had. */
-	order_told(&told, era_version_of(1, ORDER + 1), "v3");
+	order_told(&told, era_version_make(1, ORDER + 1), "v3");
 	assert_int_equal(
-	    told.rollout->order.number, era_version_of(1, ORDER + 1));
+	    told.rollout->order.number, era_version_make(1, ORDER + 1));
 	assert_true(rollout_under_way(told.rollout));
 	assert_int_equal(told.rollout->began_ms, STORE_NOW_MS);
 	rollouts_forget(&told.rollouts);
@@ -454,7 +454,7 @@
 	rollout = rollouts_find(&told.rollouts, "s");
 	told.clock.now = timespec_after_ms(
 	    told.clock.now, (int64_t)(SECOND_STEP_TIME * DURATION_MS));
-	row_watch_vouch(&told.watch, 2, told.clock.now);
+	row_watch_advance(&told.watch, 2, told.clock.now);
 	assert_true(rollout_prefers_new(rollout, SECOND_STEP_HASH, false));
 	assert_false(rollout_prefers_new(rollout, SECOND_STEP_HASH, true));
 	rollouts_forget(&told.rollouts);
--- a/test/unit/row_source_test.c
+++ b/test/unit/row_source_test.c
@@ -14,15 +14,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "../support/bytes_same.h"
+#include "../support/bytes_equal.h"
 #include "../support/manual_clock.h"
 #include "../support/many_members.h"
 #include "../support/silent_store.h"
-#include "moortack/replication/feed_apply.h"
+#include "moortack/replication/feed_rows.h"
 #include "moortack/replication/feed_wire.h"
 #include "moortack/replication/membership.h"
 #include "moortack/replication/row_cache.h"
-#include "moortack/replication/row_source.h"
+#include "moortack/replication/row_sync.h"
 #include "moortack/replication/row_watch.h"
 
 #define OLD_MS 2400
@@ -46,22 +46,22 @@
 	row_t row = row_of("k", "one", 5);
 
 	(void)state;
-	row_cache_init(&cache, &clock.source, bytes_same, NULL);
-	assert_true(row_cache_put(&cache, ROW_TABLE_ORDERS, &row));
-	assert_false(row_cache_put(&cache, ROW_TABLE_ORDERS, &row));
+	row_cache_init(&cache, &clock.source, bytes_equal, NULL);
+	assert_true(row_cache_put(&cache, ROW_TABLE_OPERATOR, &row));
+	assert_false(row_cache_put(&cache, ROW_TABLE_OPERATOR, &row));
 	row = row_of("k", "one", 6);
-	assert_false(row_cache_put(&cache, ROW_TABLE_ORDERS, &row));
+	assert_false(row_cache_put(&cache, ROW_TABLE_OPERATOR, &row));
 	assert_int_equal(
-	    row_cache_find(&cache, ROW_TABLE_ORDERS, "k")->change, 1);
+	    row_cache_find(&cache, ROW_TABLE_OPERATOR, "k")->change, 1);
 	row = row_of("k", "old", 4);
-	assert_false(row_cache_put(&cache, ROW_TABLE_ORDERS, &row));
+	assert_false(row_cache_put(&cache, ROW_TABLE_OPERATOR, &row));
 	assert_string_equal(
-	    row_cache_find(&cache, ROW_TABLE_ORDERS, "k")->value, "one");
-	assert_null(row_cache_find(&cache, ROW_TABLE_OWN, "k"));
+	    row_cache_find(&cache, ROW_TABLE_OPERATOR, "k")->value, "one");
+	assert_null(row_cache_find(&cache, ROW_TABLE_SYSTEM, "k"));
 	row = row_of("k", NULL, 7);
-	assert_true(row_cache_put(&cache, ROW_TABLE_ORDERS, &row));
+	assert_true(row_cache_put(&cache, ROW_TABLE_OPERATOR, &row));
 	row = row_of("k", "old", 6);
-	assert_false(row_cache_put(&cache, ROW_TABLE_ORDERS, &row));
+	assert_false(row_cache_put(&cache, ROW_TABLE_OPERATOR, &row));
 	row_cache_finish(&cache);
 }
 
@@ -71,62 +71,65 @@
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	row_cache_t cache;
 	row_t row = row_of("a \"key\"", "{\"x\":\"\\u00e4\"}", 5), read;
-	feed_answer_t answer = {.number = 3, .source = 9, .lost = true};
-	feed_question_t question, heard;
-	feed_answer_t copy;
+	feed_response_t answer = {
+	    .request_id = 3, .incarnation = 9, .store_unavailable = true};
+	feed_request_t question, heard;
+	feed_response_t copy;
 	row_table_t table;
 	char *text, *rows, *asked;
 
 	(void)state;
-	row_cache_init(&cache, &clock.source, bytes_same, NULL);
+	row_cache_init(&cache, &clock.source, bytes_equal, NULL);
 	row_cache_put(&cache, ROW_TABLE_ENDPOINTS, &row);
 	answer.rows = json_array();
-	answer.tables[ROW_TABLE_OWN] = (feed_table_t){17, 18, 250, true};
+	answer.tables[ROW_TABLE_SYSTEM] =
+	    (feed_table_state_t){17, 18, 250, true};
 	answer.path = json_pack("[s, s]", "parent", "reader");
 	answer.held_ms = 420;
-	answer.vouched_ms = 700;
+	answer.liveness_age_ms = 700;
 	answer.silent = json_pack("[s]", "10.0.0.7:80");
-	feed_answer_add(
+	feed_response_add_row(
 	    &answer, row_cache_find(&cache, ROW_TABLE_ENDPOINTS, row.key));
-	text = feed_answer_text(&answer);
-	rows = feed_rows_text(&answer);
-	assert_true(
-	    feed_answer_read(text, strlen(text), rows, strlen(rows), &copy));
-	assert_true(copy.lost);
-	assert_true(feed_answer_through(&copy, "reader"));
-	assert_false(feed_answer_through(&copy, "me"));
+	text = feed_response_encode(&answer);
+	rows = feed_rows_encode(&answer);
+	assert_true(feed_response_decode(
+	    text, strlen(text), rows, strlen(rows), &copy));
+	assert_true(copy.store_unavailable);
+	assert_true(feed_response_path_contains(&copy, "reader"));
+	assert_false(feed_response_path_contains(&copy, "me"));
 	assert_int_equal(copy.held_ms, 420);
-	assert_int_equal(copy.vouched_ms, 700);
+	assert_int_equal(copy.liveness_age_ms, 700);
 	assert_true(json_equal(copy.silent, answer.silent));
-	assert_int_equal(copy.tables[ROW_TABLE_OWN].version, 17);
-	assert_int_equal(copy.tables[ROW_TABLE_OWN].known, 18);
-	assert_int_equal(copy.tables[ROW_TABLE_OWN].age_ms, 250);
-	assert_true(copy.tables[ROW_TABLE_OWN].whole);
-	assert_false(copy.tables[ROW_TABLE_ORDERS].whole);
-	assert_true(feed_answer_row(&copy, 0, &table, &read));
+	assert_int_equal(copy.tables[ROW_TABLE_SYSTEM].version, 17);
+	assert_int_equal(copy.tables[ROW_TABLE_SYSTEM].deletions_version, 18);
+	assert_int_equal(copy.tables[ROW_TABLE_SYSTEM].age_ms, 250);
+	assert_true(copy.tables[ROW_TABLE_SYSTEM].full);
+	assert_false(copy.tables[ROW_TABLE_OPERATOR].full);
+	assert_true(feed_response_row(&copy, 0, &table, &read));
 	assert_int_equal(table, ROW_TABLE_ENDPOINTS);
 	assert_string_equal(read.key, row.key);
 	assert_string_equal(read.value, row.value);
-	assert_false(feed_answer_row(&copy, 1, &table, &read));
-	question = (feed_question_t){
-	    .number = 4, .name = "me", .from = {.versions = {7, 0, 9}}};
-	asked = feed_question_text(&question);
-	assert_true(feed_question_read(asked, strlen(asked), &heard));
+	assert_false(feed_response_row(&copy, 1, &table, &read));
+	question = (feed_request_t){
+	    .id = 4, .name = "me", .position = {.versions = {7, 0, 9}}};
+	asked = feed_request_encode(&question);
+	assert_true(feed_request_decode(asked, strlen(asked), &heard));
 	assert_string_equal(heard.name, "me");
-	assert_int_equal(heard.from.versions[ROW_TABLE_OWN], 9);
-	feed_question_clear(&heard);
+	assert_int_equal(heard.position.versions[ROW_TABLE_SYSTEM], 9);
+	feed_request_clear(&heard);
 	free(asked);
-	feed_answer_clear(&copy);
-	assert_false(feed_answer_read("{}", 2, NULL, 0, &copy));
-	assert_false(feed_answer_read("nothing", 7, NULL, 0, &copy));
-	assert_false(feed_answer_read(text, strlen(text), "nothing", 7, &copy));
-	feed_answer_clear(&copy);
-	assert_true(feed_answer_read(text, strlen(text), NULL, 0, &copy));
+	feed_response_clear(&copy);
+	assert_false(feed_response_decode("{}", 2, NULL, 0, &copy));
+	assert_false(feed_response_decode("nothing", 7, NULL, 0, &copy));
+	assert_false(
+	    feed_response_decode(text, strlen(text), "nothing", 7, &copy));
+	feed_response_clear(&copy);
+	assert_true(feed_response_decode(text, strlen(text), NULL, 0, &copy));
 	assert_int_equal(json_array_size(copy.rows), 0);
-	feed_answer_clear(&copy);
+	feed_response_clear(&copy);
 	free(rows);
 	free(text);
-	feed_answer_clear(&answer);
+	feed_response_clear(&answer);
 	row_cache_finish(&cache);
 }
 
@@ -152,28 +155,28 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	row_cache_t here, there;
-	feed_answer_t answer = {.number = 1, .rows = json_array()};
+	feed_response_t answer = {.request_id = 1, .rows = json_array()};
 	row_t named = row_of("named", "x", 30);
 	row_t gone = row_of("gone", "x", 31);
 	row_t later = row_of("later", "x", 90);
 
 	(void)state;
-	row_cache_init(&there, &clock.source, bytes_same, NULL);
+	row_cache_init(&there, &clock.source, bytes_equal, NULL);
 	row_cache_put(&there, ROW_TABLE_ENDPOINTS, &named);
-	row_cache_init(&here, &clock.source, bytes_same, NULL);
+	row_cache_init(&here, &clock.source, bytes_equal, NULL);
 	named.version = 50;
 	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &named);
 	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &gone);
 	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &later);
-	answer.tables[ROW_TABLE_ENDPOINTS] =
-	    (feed_table_t){.version = 60, .known = 60, .whole = true};
-	feed_answer_add(
+	answer.tables[ROW_TABLE_ENDPOINTS] = (feed_table_state_t){
+	    .version = 60, .deletions_version = 60, .full = true};
+	feed_response_add_row(
 	    &answer, row_cache_find(&there, ROW_TABLE_ENDPOINTS, "named"));
-	feed_apply(&answer, &here, cache_put, &here);
+	feed_rows_apply(&answer, &here, cache_put, &here);
 	assert_true(has_row(&here, "named"));
 	assert_false(has_row(&here, "gone"));
 	assert_true(has_row(&here, "later"));
-	feed_answer_clear(&answer);
+	feed_response_clear(&answer);
 	row_cache_finish(&here);
 	row_cache_finish(&there);
 }
@@ -186,31 +189,31 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	row_cache_t here, there;
-	feed_answer_t answer = {.number = 1, .rows = json_array()};
+	feed_response_t answer = {.request_id = 1, .rows = json_array()};
 	row_t row = row_of("back", "x", 5);
 	row_t end = row_of("back", NULL, 50);
 	row_t later = row_of("later", "x", 6);
 	row_t later_end = row_of("later", NULL, 70);
 
 	(void)state;
-	row_cache_init(&there, &clock.source, bytes_same, NULL);
+	row_cache_init(&there, &clock.source, bytes_equal, NULL);
 	row_cache_put(&there, ROW_TABLE_ENDPOINTS, &row);
 	row_cache_put(&there, ROW_TABLE_ENDPOINTS, &later);
-	row_cache_init(&here, &clock.source, bytes_same, NULL);
+	row_cache_init(&here, &clock.source, bytes_equal, NULL);
 	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &row);
 	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &end);
 	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &later_end);
-	answer.tables[ROW_TABLE_ENDPOINTS] =
-	    (feed_table_t){.version = 60, .known = 60, .whole = true};
-	feed_answer_add(
+	answer.tables[ROW_TABLE_ENDPOINTS] = (feed_table_state_t){
+	    .version = 60, .deletions_version = 60, .full = true};
+	feed_response_add_row(
 	    &answer, row_cache_find(&there, ROW_TABLE_ENDPOINTS, "back"));
-	feed_answer_add(
+	feed_response_add_row(
 	    &answer, row_cache_find(&there, ROW_TABLE_ENDPOINTS, "later"));
-	feed_apply(&answer, &here, cache_put, &here);
+	feed_rows_apply(&answer, &here, cache_put, &here);
 	assert_true(has_row(&here, "back"));
 	/* It went after what the answer tells. */
 	assert_false(has_row(&here, "later"));
-	feed_answer_clear(&answer);
+	feed_response_clear(&answer);
 	row_cache_finish(&here);
 	row_cache_finish(&there);
 }
@@ -224,12 +227,12 @@
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t members = {0};
-	row_source_t source = {.base = base,
+	row_sync_t source = {.base = base,
 	    .clock = &clock.source,
 	    .members = &members,
-	    .settings = {.old_ms = {OLD_MS, OLD_MS, OLD_MS}},
-	    .keyed = true,
-	    .server = {.lost = true}};
+	    .settings = {.max_age_ms = {OLD_MS, OLD_MS, OLD_MS}},
+	    .has_key = true,
+	    .server = {.store_unavailable = true}};
 	const row_t key = {.key = FLEET_KEY_ROW,
 	    .value = "0000000000000000000000000000000000000000",
 	    .value_len = FLEET_KEY_SIZE - 1,
@@ -237,23 +240,23 @@
 
 	(void)state;
 	membership_of(&members, &store, &clock.source, 1, DAEMONS);
-	row_cache_init(&source.cache, &clock.source, bytes_same, NULL);
-	row_cache_put(&source.cache, ROW_TABLE_OWN, &key);
-	strcpy(source.secret, key.value);
+	row_cache_init(&source.cache, &clock.source, bytes_equal, NULL);
+	row_cache_put(&source.cache, ROW_TABLE_SYSTEM, &key);
+	strcpy(source.fleet_key, key.value);
 	strcpy(source.settings.peer_address, "10.0.0.1:81");
 	members.order = -1; /* nobody stands before it */
 	for (int i = 0; i < ROW_TABLES; i++)
 		source.watches[i].watch = (row_watch_t){.clock = &clock.source,
 		    .reachable = true,
-		    .settled_once = true,
-		    .known = {90, 0}};
+		    .synced_once = true,
+		    .synced_at = {90, 0}};
 	/* Who has old rows is of no use yet to those who ask. */
-	row_source_tick(&source);
-	assert_true(source.server.lost);
+	row_sync_tick(&source);
+	assert_true(source.server.store_unavailable);
 	for (int i = 0; i < ROW_TABLES; i++)
-		source.watches[i].watch.known = clock.now;
-	row_source_tick(&source);
-	assert_false(source.server.lost);
+		source.watches[i].watch.synced_at = clock.now;
+	row_sync_tick(&source);
+	assert_false(source.server.store_unavailable);
 	membership_finish(&members);
 	event_base_free(base);
 }
--- a/test/unit/row_watch_test.c
+++ b/test/unit/row_watch_test.c
@@ -113,7 +113,7 @@
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	late_store_t store = {.store = {&late_ops}};
-	const row_watch_pace_t pace = {0, 1, 1, 1, 1000};
+	const row_watch_timing_t pace = {0, 1, 1, 1, 1000};
 	row_t row = {.key = "e1",
 	    .value = "leaving",
 	    .value_len = 7,
@@ -130,7 +130,7 @@
 	    "endpoints", &pace, &watch_ops, &told));
 	turn(base);
 	assert_int_equal(store.reads, 1);
-	row_watch_vouch(&watch, VERSION_TOLD, clock.now);
+	row_watch_advance(&watch, VERSION_TOLD, clock.now);
 	store.done(store.arg, &reply);
 	assert_int_equal(told.rows, 0);
 	assert_int_equal(told.restarts, 0);
--- a/test/unit/slow_link_test.c
+++ b/test/unit/slow_link_test.c
@@ -25,7 +25,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#include "../support/bytes_same.h"
+#include "../support/bytes_equal.h"
 #include "moortack/replication/feed_client.h"
 #include "moortack/replication/feed_server.h"
 
@@ -47,7 +47,7 @@
 typedef struct follower {
 	world_t *world;
 	feed_client_t client;
-	feed_point_t from;
+	feed_position_t from;
 	bool started; /**< it has had an answer */
 	bool knows;
 } follower_t;
@@ -128,40 +128,40 @@
  */
 
 static void
-on_state(void *arg, feed_answer_t *answer)
+on_state(void *arg, feed_response_t *answer)
 {
 	(void)arg;
 	(void)answer;
 }
 
 static void
-on_heard(void *arg, const feed_question_t *question)
+on_heard(void *arg, const feed_request_t *question)
 {
 	(void)arg;
 	(void)question;
 }
 
 static void
-on_ask(void *arg, feed_question_t *question)
+on_ask(void *arg, feed_request_t *question)
 {
 	follower_t *follower = arg;
 
 	strcpy(question->name, "follower");
-	question->from = follower->from;
+	question->position = follower->from;
 }
 
 static void
-on_answer(void *arg, feed_answer_t *answer, struct timespec asked)
+on_answer(void *arg, feed_response_t *answer, struct timespec asked)
 {
 	follower_t *follower = arg;
 	row_table_t table;
 	row_t row;
 
 	(void)asked;
-	follower->from.source = answer->source;
+	follower->from.incarnation = answer->incarnation;
 	follower->from.change = answer->change;
 	follower->started = true;
-	for (size_t i = 0; feed_answer_row(answer, i, &table, &row); i++)
+	for (size_t i = 0; feed_response_row(answer, i, &table, &row); i++)
 		follower->knows |= table == ROW_TABLE_ENDPOINTS && row.deleted;
 }
 
@@ -192,7 +192,7 @@
 	    .deleted = value == NULL};
 
 	row_cache_put(&world.cache, table, &row);
-	feed_server_changed(&world.server);
+	feed_server_cache_changed(&world.server);
 }
 
 /* Routes with names that nothing can be told from. */
@@ -263,7 +263,7 @@
 	world.context = zmq_ctx_new();
 	assert_int_equal(zmq_curve_keypair(public, secret), 0);
 	assert_true(peer_auth_init(&world.auth, secret, &err));
-	row_cache_init(&world.cache, &world.clock, bytes_same, NULL);
+	row_cache_init(&world.cache, &world.clock, bytes_equal, NULL);
 	/* A port that is free now. */
 	world.behind.sin_family = AF_INET;
 	inet_pton(AF_INET, "127.0.0.1", &world.behind.sin_addr);
@@ -283,7 +283,7 @@
 		assert_true(feed_client_init(&follower->client, world.base,
 		    &world.clock, world.context, &world.auth, &client_ops,
 		    follower));
-		assert_true(feed_client_follow(&follower->client, address));
+		assert_true(feed_client_connect(&follower->client, address));
 	}
 }
 
@@ -296,10 +296,10 @@
 
 	(void)state;
 	world_start(&link);
-	row_put(ROW_TABLE_ORDERS, "config", small, 1);
+	row_put(ROW_TABLE_OPERATOR, "config", small, 1);
 	row_put(ROW_TABLE_ENDPOINTS, "e1", "x", 2);
 	run_until(has_started);
-	row_put(ROW_TABLE_ORDERS, "config", large, 3);
+	row_put(ROW_TABLE_OPERATOR, "config", large, 3);
 	row_put(ROW_TABLE_ENDPOINTS, "e1", NULL, 4);
 	ms = run_until(knows);
 	print_message(
