--- a/moortack/replication/row_cache.c
+++ b/moortack/replication/row_cache.c
@@ -5,34 +5,35 @@
 #include <string.h>
 #include <utlist.h>
 
-/* A row that is gone is told of for this long: far longer than anyone who
- * follows the changes waits between two questions. */
-#define GONE_KEPT_MS 60000
-/* To look through all rows for such ones at each step of the daemon took a
- * third of the processor time of one that follows 1,500 endpoints without
+/* How long the tombstone of a deleted row is kept: far longer than a follower
+ * waits between two requests. */
+#define TOMBSTONE_KEPT_MS 60000
+/* Searching all rows for old tombstones in each step of the daemon took a third
+ * of the processor time of a daemon that follows 1,500 endpoints and serves no
  * requests. */
-#define TRIM_EVERY_MS 10000
-/* A shorter value is a few packets at most, whole. */
-#define PRIOR_MIN 8192
-/* Who follows asks again as soon as it has an answer, and so builds on the
- * value before the last one; four cover changes that come faster than a slow
- * link carries an answer. Of 500 KB each, while a configuration changes. */
+#define TRIM_INTERVAL_MS 10000
+/* A shorter value takes a few packets at most, even when sent entirely. */
+#define PRIOR_MIN_LEN 8192
+/* A follower sends its next request as soon as it has a response, so its value
+ * is the one before the last. Four values cover changes that come faster than
+ * a slow link carries a response. They take 500 KB each, while a configuration
+ * changes. */
 #define PRIORS_MAX 4
 #define PRIOR_KEPT_MS 5000
 
 void
 row_cache_init(row_cache_t *cache, const clock_source_t *clock,
-    row_equal_t same, const void *arg)
+    row_equal_t equal, const void *arg)
 {
 	*cache = (row_cache_t){.clock = clock,
-	    .equal = same,
+	    .equal = equal,
 	    .equal_arg = arg,
-	    .prior_min_len = PRIOR_MIN,
+	    .prior_min_len = PRIOR_MIN_LEN,
 	    .origin = ROW_ORIGIN_STORE};
 }
 
 static void
-priors_free(row_prior_value_t *prior)
+prior_values_free(row_prior_value_t *prior)
 {
 	while (prior != NULL) {
 		row_prior_value_t *older = prior->older;
@@ -46,7 +47,7 @@
 static void
 row_free(row_cache_t *cache, cached_row_t *row)
 {
-	priors_free(row->prior_values);
+	prior_values_free(row->prior_values);
 	HASH_DEL(cache->rows, row);
 	DL_DELETE2(cache->newest, row, newer, older);
 	free(row->hash_key);
@@ -64,14 +65,14 @@
 }
 
 static char *
-name_of(row_table_t table, const char *key)
+hash_key_make(row_table_t table, const char *key)
 {
 	size_t size = strlen(key) + 2;
-	char *name = malloc(size);
+	char *hash_key = malloc(size);
 
-	if (name != NULL)
-		snprintf(name, size, "%c%s", 'a' + (char)table, key);
-	return name;
+	if (hash_key != NULL)
+		snprintf(hash_key, size, "%c%s", 'a' + (char)table, key);
+	return hash_key;
 }
 
 const char *
@@ -83,12 +84,12 @@
 static cached_row_t *
 row_find(const row_cache_t *cache, row_table_t table, const char *key)
 {
-	char *name = name_of(table, key);
+	char *hash_key = hash_key_make(table, key);
 	cached_row_t *row = NULL;
 
-	if (name != NULL)
-		HASH_FIND_STR(cache->rows, name, row);
-	free(name);
+	if (hash_key != NULL)
+		HASH_FIND_STR(cache->rows, hash_key, row);
+	free(hash_key);
 	return row;
 }
 
@@ -105,7 +106,7 @@
 
 	if (row == NULL)
 		return NULL;
-	row->hash_key = name_of(table, key);
+	row->hash_key = hash_key_make(table, key);
 	if (row->hash_key == NULL) {
 		free(row);
 		return NULL;
@@ -118,7 +119,7 @@
 }
 
 static void
-row_changed(row_cache_t *cache, cached_row_t *row)
+row_change_record(row_cache_t *cache, cached_row_t *row)
 {
 	row->change = ++cache->last_change;
 	DL_DELETE2(cache->newest, row, newer, older);
@@ -143,29 +144,31 @@
 }
 
 static bool
-means_same(const row_cache_t *cache, const cached_row_t *row, const row_t *now)
+row_is_equal(
+    const row_cache_t *cache, const cached_row_t *row, const row_t *update)
 {
-	if (now->deleted || row->value == NULL)
-		return now->deleted && row->value == NULL;
+	if (update->deleted || row->value == NULL)
+		return update->deleted && row->value == NULL;
 	return cache->equal(cache->equal_arg, row->table, cached_row_key(row),
-	    row->value, row->value_len, now->value, now->value_len);
+	    row->value, row->value_len, update->value, update->value_len);
 }
 
-/* All but the first so many go. */
+/* Drops all prior values but the newest @p kept. */
 static void
-priors_cut(cached_row_t *row, uint32_t kept)
+prior_values_truncate(cached_row_t *row, uint32_t kept)
 {
 	row_prior_value_t **at = &row->prior_values;
 
 	while (*at != NULL && kept-- > 0)
 		at = &(*at)->older;
-	priors_free(*at);
+	prior_values_free(*at);
 	*at = NULL;
 }
 
-/* Keep the value that is about to be replaced; it goes over to the prior. */
+/* Keeps the value that is about to be replaced, by moving it to a prior value.
+ */
 static void
-prior_keep(const row_cache_t *cache, cached_row_t *row)
+prior_value_keep(const row_cache_t *cache, cached_row_t *row)
 {
 	row_prior_value_t *prior;
 
@@ -182,7 +185,7 @@
 	    .older = row->prior_values};
 	row->value = NULL;
 	row->prior_values = prior;
-	priors_cut(row, PRIORS_MAX);
+	prior_values_truncate(row, PRIORS_MAX);
 }
 
 const row_prior_value_t *
@@ -196,50 +199,52 @@
 }
 
 static bool
-value_set(cached_row_t *row, const row_t *now)
+value_set(cached_row_t *row, const row_t *update)
 {
 	char *value = NULL;
 
-	if (!now->deleted) {
-		value = malloc(now->value_len + 1);
+	if (!update->deleted) {
+		value = malloc(update->value_len + 1);
 		if (value == NULL)
 			return false;
-		memcpy(value, now->value, now->value_len);
-		value[now->value_len] = '\0';
+		memcpy(value, update->value, update->value_len);
+		value[update->value_len] = '\0';
 	}
 	free(row->value);
 	row->value = value;
-	row->value_len = now->deleted ? 0 : now->value_len;
+	row->value_len = update->deleted ? 0 : update->value_len;
 	return true;
 }
 
 bool
-row_cache_put(row_cache_t *cache, row_table_t table, const row_t *now)
+row_cache_put(row_cache_t *cache, row_table_t table, const row_t *update)
 {
-	cached_row_t *row = row_find(cache, table, now->key);
+	cached_row_t *row = row_find(cache, table, update->key);
 	bool added = row == NULL;
-	bool same;
+	bool unchanged;
 
-	if (row != NULL && now->version < row->version) {
+	if (row != NULL && update->version < row->version) {
 		row->marks |= cache->origin;
 		return false;
 	}
-	/* The end of a row that was never known here may be news to others. */
+	/* The deletion of a row that was never cached here may be a change to
+	 * others. */
 	if (added)
-		row = row_add(cache, table, now->key);
+		row = row_add(cache, table, update->key);
 	if (row == NULL)
 		return false;
-	same = !added && now->deleted == (row->value == NULL) &&
-	    (now->version == row->version || means_same(cache, row, now));
-	if (!same)
-		prior_keep(cache, row);
-	row->version = now->version;
+	unchanged = !added && update->deleted == (row->value == NULL) &&
+	    (update->version == row->version ||
+		row_is_equal(cache, row, update));
+	if (!unchanged)
+		prior_value_keep(cache, row);
+	row->version = update->version;
 	row->marks |= cache->origin;
 	cache->put_count++;
-	if (!value_set(row, now) || same)
+	if (!value_set(row, update) || unchanged)
 		return false;
-	row_changed(cache, row);
-	if (now->deleted)
+	row_change_record(cache, row);
+	if (update->deleted)
 		row->deleted_at = clock_elapsed(cache->clock);
 	return true;
 }
@@ -251,7 +256,7 @@
 
 	if (known == NULL || known->version <= row->version)
 		return false;
-	/* An older end names nothing that is there. */
+	/* An older deletion does not list the row. */
 	if (!row->deleted)
 		known->marks |= cache->origin;
 	return true;
@@ -274,7 +279,7 @@
 }
 
 static void
-priors_trim(cached_row_t *row, struct timespec now)
+prior_values_trim(cached_row_t *row, struct timespec now)
 {
 	uint32_t kept = 0;
 
@@ -283,7 +288,7 @@
 	     timespec_ms_between(prior->replaced_at, now) <= PRIOR_KEPT_MS;
 	     prior = prior->older)
 		kept++;
-	priors_cut(row, kept);
+	prior_values_truncate(row, kept);
 }
 
 void
@@ -292,14 +297,15 @@
 	struct timespec now = clock_elapsed(cache->clock);
 	cached_row_t *row, *next;
 
-	if (timespec_ms_between(cache->trimmed_at, now) < TRIM_EVERY_MS)
+	if (timespec_ms_between(cache->trimmed_at, now) < TRIM_INTERVAL_MS)
 		return;
 	cache->trimmed_at = now;
 	HASH_ITER(hh, cache->rows, row, next)
 	{
-		priors_trim(row, now);
+		prior_values_trim(row, now);
 		if (row->value == NULL &&
-		    timespec_ms_between(row->deleted_at, now) > GONE_KEPT_MS)
+		    timespec_ms_between(row->deleted_at, now) >
+			TOMBSTONE_KEPT_MS)
 			row_free(cache, row);
 	}
 }
--- a/moortack/replication/row_follow.c
+++ b/moortack/replication/row_follow.c
@@ -5,11 +5,11 @@
 #include "moortack/replication/feed_delta.h"
 #include "row_sync_priv.h"
 
-/* Rows of who is followed that are old for longer are of no use. */
-#define OLD_MOST_MS 3000
+/* A parent whose rows are outdated for longer is replaced. */
+#define STALE_MAX_MS 3000
 
 static bool
-rows_are_old(const row_sync_t *self)
+rows_are_stale(const row_sync_t *self)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
 		if (row_watch_age_ms(&self->watches[i].watch) >
@@ -19,9 +19,10 @@
 	return false;
 }
 
-/* Who was lost has to have news before others rely on it again. */
+/* After an outage, this daemon has to have recent rows before others rely on it
+ * again. */
 static bool
-is_lost(const row_sync_t *self)
+is_unavailable(const row_sync_t *self)
 {
 	bool unreachable =
 	    self->parent_store_unavailable && !row_parent_bypassed(self);
@@ -31,19 +32,19 @@
 	for (int i = 0; i < ROW_TABLES; i++)
 		unreachable |= !self->watches[i].watch.reachable;
 	return unreachable ||
-	    (self->server.store_unavailable && rows_are_old(self));
+	    (self->server.store_unavailable && rows_are_stale(self));
 }
 
 void
 row_follow_update_status(row_sync_t *self)
 {
 	if (self->has_key)
-		feed_server_set_status(&self->server, is_lost(self),
+		feed_server_set_status(&self->server, is_unavailable(self),
 		    self->leaving || self->follows_next);
 }
 
 static bool
-kept_back_any(const row_sync_t *self)
+any_withheld(const row_sync_t *self)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
 		if (self->withheld_version[i] != 0)
@@ -63,40 +64,40 @@
 }
 
 static bool
-table_old(
-    const row_sync_t *self, const feed_response_t *answer, row_table_t table)
+table_is_stale(
+    const row_sync_t *self, const feed_response_t *response, row_table_t table)
 {
-	int64_t age_ms = answer->tables[table].age_ms;
+	int64_t age_ms = response->tables[table].age_ms;
 
 	return age_ms < 0 || age_ms > self->settings.max_age_ms[table];
 }
 
 static bool
-tables_old(const row_sync_t *self, const feed_response_t *answer)
+any_table_stale(const row_sync_t *self, const feed_response_t *response)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (table_old(self, answer, (row_table_t)i))
+		if (table_is_stale(self, response, (row_table_t)i))
 			return true;
 	}
 	return false;
 }
 
-/* Ask the store for changes that the parent does not tell in time. Only
- * daemons that follow the first one do, and pass on what they read. If all
+/* Reads changes from the store that the parent does not send in time. Only
+ * daemons that follow the first one do so, and pass on what they read. If all
  * did, a configuration of 1,549 routes on slow links would make 240 of 295
  * daemons call the store at each change (counted in their logs). */
 static void
-ask_beside(row_sync_t *self, row_table_t table)
+read_from_store(row_sync_t *self, row_table_t table)
 {
 	if (row_sync_synced(self) && membership_follows_first(self->members))
 		row_sync_resume_table(self, table);
 }
 
-/* Whoever is followed has old rows: it may just have lost whom it followed, and
- * has news as soon as it finds another. The store is asked for these meanwhile.
- */
+/* The parent's rows are outdated: it may have just lost its own parent, and
+ * will have recent rows as soon as it finds another one. Meanwhile the
+ * outdated tables are read from the store. */
 static void
-followed_old(row_sync_t *self, const feed_response_t *answer)
+parent_stale_handle(row_sync_t *self, const feed_response_t *response)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
@@ -105,31 +106,33 @@
 		self->parent_stale_since = now;
 		event_line(self->log, "behind", "source=%s", self->parent);
 	}
-	if (timespec_ms_between(self->parent_stale_since, now) >= OLD_MOST_MS) {
+	if (timespec_ms_between(self->parent_stale_since, now) >=
+	    STALE_MAX_MS) {
 		row_parent_replace(self, "behind");
 		return;
 	}
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (table_old(self, answer, (row_table_t)i))
-			ask_beside(self, (row_table_t)i);
+		if (table_is_stale(self, response, (row_table_t)i))
+			read_from_store(self, (row_table_t)i);
 	}
 }
 
-/* What the answer says of whoever gave it: it is left, or nothing else is taken
- * of it.
- * @return false: the answer is to be taken */
+/* Handles what the response says of the parent itself: the parent is replaced,
+ * or nothing else of the response is used.
+ * @return false if the rows of the response are to be applied */
 static bool
-answer_useless(row_sync_t *self, const feed_response_t *answer)
+response_unusable(row_sync_t *self, const feed_response_t *response)
 {
-	if (answer->leaving) {
+	if (response->leaving) {
 		row_parent_replace(self, "leaving");
 		return true;
 	}
-	if (feed_response_path_contains(answer, self->members->settings.name)) {
+	if (feed_response_path_contains(
+		response, self->members->settings.name)) {
 		row_parent_break_cycle(self);
 		return true;
 	}
-	if (!answer->store_unavailable) {
+	if (!response->store_unavailable) {
 		row_parent_store_available(self);
 		return false;
 	}
@@ -138,95 +141,97 @@
 }
 
 static void
-follow_begin(row_sync_t *self, const feed_response_t *answer)
+follow_begin(row_sync_t *self, const feed_response_t *response)
 {
 	self->following = true;
 	row_follow_update_status(self);
 	feed_server_respond_all(&self->server);
 	row_sync_suspend_reads(self, true);
 	event_line(self->log, "follow", "source=%s rows=%zu age_ms=%" PRId64,
-	    self->parent, json_array_size(answer->rows),
-	    answer->tables[ROW_TABLE_OPERATOR].age_ms);
+	    self->parent, json_array_size(response->rows),
+	    response->tables[ROW_TABLE_OPERATOR].age_ms);
 }
 
-/* Take the word of the parent on which daemons are alive. */
+/* Applies what the parent reports of which daemons are alive. */
 static void
-word_take(row_sync_t *self, const feed_response_t *answer, struct timespec sent)
+liveness_apply(
+    row_sync_t *self, const feed_response_t *response, struct timespec sent)
 {
-	if (answer->liveness_age_ms >= 0 &&
+	if (response->liveness_age_ms >= 0 &&
 	    membership_vouched(self->members,
-		timespec_after_ms(sent, -answer->liveness_age_ms),
-		answer->silent))
+		timespec_after_ms(sent, -response->liveness_age_ms),
+		response->silent))
 		feed_server_respond_all(&self->server);
 }
 
-/* The answer builds on a value that this daemon has not: the next one has to
- * tell whole rows. */
+/* The response has a delta to a value that this daemon does not have: the next
+ * one has to have entire rows. */
 static void
-whole_ask(row_sync_t *self)
+full_rows_request(row_sync_t *self)
 {
 	self->parent_incarnation = 0;
 	event_line(self->log, "base_missing", "source=%s", self->parent);
 }
 
-/* Who has just started learns even from one that learns nothing new now, and,
- * if the store may have an older copy, from one that learned through its last
- * run. */
+/* Whether a starting daemon applies the rows in spite of what else the response
+ * says. It does if the store is unavailable to the sender, and, if the store
+ * may have been restored from an older copy, if the rows came through this
+ * daemon's previous process. */
 static bool
-starter_learns(const row_sync_t *self, const feed_response_t *answer)
+starter_applies(const row_sync_t *self, const feed_response_t *response)
 {
 	if (row_sync_synced(self))
 		return false;
-	return answer->store_unavailable ||
+	return response->store_unavailable ||
 	    (self->store->era > 0 &&
 		feed_response_path_contains(
-		    answer, self->members->settings.name));
+		    response, self->members->settings.name));
 }
 
 void
 row_follow_response(
-    row_sync_t *self, feed_response_t *answer, struct timespec sent)
+    row_sync_t *self, feed_response_t *response, struct timespec sent)
 {
 	membership_answered(self->members, self->parent, sent);
 	self->parent_responded = true;
-	if (!feed_delta_resolve(answer, &self->cache)) {
-		whole_ask(self);
+	if (!feed_delta_resolve(response, &self->cache)) {
+		full_rows_request(self);
 		return;
 	}
-	if (starter_learns(self, answer))
-		row_response_apply(self, answer, sent);
-	if (answer_useless(self, answer))
+	if (starter_applies(self, response))
+		row_response_apply(self, response, sent);
+	if (response_unusable(self, response))
 		return;
-	row_response_apply(self, answer, sent);
-	word_take(self, answer, sent);
-	if (tables_old(self, answer)) {
-		followed_old(self, answer);
+	row_response_apply(self, response, sent);
+	liveness_apply(self, response, sent);
+	if (any_table_stale(self, response)) {
+		parent_stale_handle(self, response);
 		return;
 	}
 	self->parent_stale = false;
-	self->ops->store_clock(self->arg, answer->store_now_ms);
+	self->ops->store_clock(self->arg, response->store_now_ms);
 	membership_trust(self->members, self->parent);
 	if (self->following) {
 		row_sync_suspend_reads(self, true);
 		return;
 	}
-	if (!kept_back_any(self)) {
-		follow_begin(self, answer);
+	if (!any_withheld(self)) {
+		follow_begin(self, response);
 		return;
 	}
-	/* Only all rows of a daemon that knows as much tell how what is kept
-	 * back ended. */
+	/* Only all rows of a daemon that has as many of the withheld changes
+	 * show their outcome. */
 	if (!self->applying_older)
 		self->parent_incarnation = 0;
 }
 
-/* The answer tells what was known when it was sent: no earlier than the
- * question was sent, and then held. */
+/* The response has what was known when it was sent: no earlier than the request
+ * was sent, plus the time that it was held. */
 static void
-on_answer(void *arg, feed_response_t *answer, struct timespec asked)
+on_response(void *arg, feed_response_t *response, struct timespec sent_at)
 {
 	row_follow_response(
-	    arg, answer, timespec_after_ms(asked, answer->held_ms));
+	    arg, response, timespec_after_ms(sent_at, response->held_ms));
 }
 
 static void
@@ -235,11 +240,11 @@
 	row_sync_t *self = arg;
 
 	event_line(self->log, "slow", "source=%s", self->parent);
-	ask_beside(self, ROW_TABLE_ENDPOINTS);
+	read_from_store(self, ROW_TABLE_ENDPOINTS);
 }
 
 static void
-on_lost(void *arg)
+on_timeout(void *arg)
 {
 	row_sync_t *self = arg;
 
@@ -248,33 +253,33 @@
 }
 
 void
-row_follow_position(const row_sync_t *self, feed_position_t *from)
+row_follow_position(const row_sync_t *self, feed_position_t *position)
 {
-	from->incarnation = self->parent_incarnation;
-	from->change = self->parent_change;
+	position->incarnation = self->parent_incarnation;
+	position->change = self->parent_change;
 	for (int i = 0; i < ROW_TABLES; i++)
-		from->versions[i] =
+		position->versions[i] =
 		    row_sync_requested_version(self, (row_table_t)i);
 }
 
 static void
-on_ask(void *arg, feed_request_t *question)
+on_prepare(void *arg, feed_request_t *request)
 {
 	row_sync_t *self = arg;
 
-	snprintf(question->name, sizeof(question->name), "%s",
+	snprintf(request->name, sizeof(request->name), "%s",
 	    self->members->settings.name);
-	row_follow_position(self, &question->position);
-	question->report = self->ops->report(self->arg);
-	question->subtree = membership_below(self->members);
-	question->row_request = membership_row_request(self->members);
+	row_follow_position(self, &request->position);
+	request->report = self->ops->report(self->arg);
+	request->subtree = membership_below(self->members);
+	request->row_request = membership_row_request(self->members);
 }
 
 static const feed_client_ops_t client_ops = {
-    on_ask, on_answer, on_slow, on_lost};
+    on_prepare, on_response, on_slow, on_timeout};
 
 void
-row_follow_fill_state(const row_sync_t *self, feed_response_t *answer)
+row_follow_fill_state(const row_sync_t *self, feed_response_t *response)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
@@ -282,7 +287,7 @@
 		const row_watch_t *watch = &self->watches[i].watch;
 		int64_t age_ms = row_watch_age_ms(watch);
 
-		feed_table_state_t *table = &answer->tables[i];
+		feed_table_state_t *table = &response->tables[i];
 
 		table->version =
 		    row_sync_published_version(self, (row_table_t)i);
@@ -292,33 +297,33 @@
 		    : self->deletions_version[i];
 		table->age_ms = age_ms == INT64_MAX ? -1 : age_ms;
 	}
-	answer->store_now_ms =
+	response->store_now_ms =
 	    self->members->store_offset_ms + timespec_ms(now);
-	answer->liveness_age_ms = membership_vouch_age_ms(self->members);
-	answer->silent = membership_silent(self->members);
-	answer->path = json_pack("[s]", self->members->settings.name);
+	response->liveness_age_ms = membership_vouch_age_ms(self->members);
+	response->silent = membership_silent(self->members);
+	response->path = json_pack("[s]", self->members->settings.name);
 	if (self->following && self->parent_path != NULL)
-		json_array_extend(answer->path, self->parent_path);
+		json_array_extend(response->path, self->parent_path);
 }
 
 static void
-on_state(void *arg, feed_response_t *answer)
+on_fill_state(void *arg, feed_response_t *response)
 {
-	row_follow_fill_state(arg, answer);
+	row_follow_fill_state(arg, response);
 }
 
 static void
-on_heard(void *arg, const feed_request_t *question)
+on_request(void *arg, const feed_request_t *request)
 {
 	row_sync_t *self = arg;
 
-	membership_heard(self->members, question->name, question->report);
+	membership_heard(self->members, request->name, request->report);
 	membership_row_requested(
-	    self->members, question->name, question->row_request);
-	membership_heard_below(self->members, question->subtree);
+	    self->members, request->name, request->row_request);
+	membership_heard_below(self->members, request->subtree);
 }
 
-static const feed_server_ops_t server_ops = {on_state, on_heard};
+static const feed_server_ops_t server_ops = {on_fill_state, on_request};
 
 void
 row_follow_start(row_sync_t *self, const char *secret)
--- a/moortack/replication/row_response.c
+++ b/moortack/replication/row_response.c
@@ -3,32 +3,33 @@
 #include "moortack/replication/feed_rows.h"
 #include "row_sync_priv.h"
 
-/* Whether the answer comes from a daemon that knows less of what is kept back
- * here: it can't tell how that ended. */
+/* Whether the sender has fewer of the changes withheld here: its rows do not
+ * show their outcome. */
 static bool
-knows_less(const row_sync_t *self, const feed_response_t *answer)
+sender_is_older(const row_sync_t *self, const feed_response_t *response)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
 		if (self->withheld_version[i] != 0 &&
-		    answer->tables[i].deletions_version <
+		    response->tables[i].deletions_version <
 			self->watches[i].watch.version)
 			return true;
 	}
 	return false;
 }
 
-/* Note which tables the answer does not tell in full: those of which whoever is
- * followed tells less than this daemon knew. Once it tells as much, it has to
- * be asked for all rows. Orders are told by their versions, and always in full.
- * @return whether it has to be asked now */
+/* Notes which tables the response does not cover in full: those of which the
+ * parent has an older version than this daemon had. Once the parent has caught
+ * up, all rows have to be requested from it. Operators' rows are sent by
+ * version, and always cover what is needed.
+ * @return whether all rows have to be requested now */
 static bool
-partial_note(
-    row_sync_t *self, const feed_response_t *answer, bool partial[ROW_TABLES])
+partial_tables_note(
+    row_sync_t *self, const feed_response_t *response, bool partial[ROW_TABLES])
 {
-	bool ask_all = false;
+	bool request_all = false;
 
 	for (int i = 0; i < ROW_TABLES; i++) {
-		const feed_table_state_t *table = &answer->tables[i];
+		const feed_table_state_t *table = &response->tables[i];
 		uint64_t version = self->watches[i].watch.version;
 
 		partial[i] = false;
@@ -43,23 +44,23 @@
 		if (table->version < self->ahead_version[i])
 			continue;
 		self->ahead_version[i] = 0;
-		ask_all |= partial[i];
+		request_all |= partial[i];
 	}
-	return ask_all;
+	return request_all;
 }
 
-/* The tables are known as far as the answer says, with the ages that it tells,
- * but for those that it tells in part. */
+/* Advances the tables to the versions and ages in the response, but for those
+ * that it covers only in part. */
 static void
-answer_vouch(row_sync_t *self, const feed_response_t *answer,
+tables_advance(row_sync_t *self, const feed_response_t *response,
     const bool partial[ROW_TABLES], struct timespec sent)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
-		const feed_table_state_t *table = &answer->tables[i];
+		const feed_table_state_t *table = &response->tables[i];
 
-		/* All rows make this daemon know what the other one knows, and
-		 * no more: it goes on from there, also from a version before
-		 * its own. */
+		/* With all rows, this daemon has what the sender has and no
+		 * more: it continues from there, even if its own version is
+		 * later. */
 		if (table->full)
 			row_watch_rewind(
 			    &self->watches[i].watch, table->version);
@@ -75,85 +76,85 @@
 	}
 }
 
-/* Whether a row may go and come back, and has a version of the store's: not the
- * lists that daemons only tell each other. */
+/* Whether a row may be deleted and written again, and has a version of the
+ * store. Lists that daemons only send each other do not. */
 static bool
-row_returns(row_table_t table, const char *key)
+row_may_reappear(row_table_t table, const char *key)
 {
 	return table == ROW_TABLE_ENDPOINTS ||
 	    (table == ROW_TABLE_SYSTEM &&
 		strncmp(key, MEMBER_PREFIX, strlen(MEMBER_PREFIX)) == 0);
 }
 
-/** An answer that is taken. */
-typedef struct taking {
+/** A response whose rows are being applied. */
+typedef struct apply_context {
 	row_sync_t *self;
-	const feed_response_t *answer;
-} taking_t;
+	const feed_response_t *response;
+} apply_context_t;
 
-/* A row that is not there as far as this daemon knows, which is further than
- * whoever tells it knows, has gone since. */
+/* Whether the row has been deleted since: the sender has an older version than
+ * this daemon, which does not have the row. */
 static bool
-row_outlived(const taking_t *taking, row_table_t table, const row_t *row)
+row_deleted_since(
+    const apply_context_t *context, row_table_t table, const row_t *row)
 {
-	const row_sync_t *self = taking->self;
-	const cached_row_t *known =
+	const row_sync_t *self = context->self;
+	const cached_row_t *cached =
 	    row_cache_find(&self->cache, table, row->key);
 	uint64_t version = self->watches[table].watch.version;
 
-	return !row->deleted && row_returns(table, row->key) &&
+	return !row->deleted && row_may_reappear(table, row->key) &&
 	    row->version <= version &&
-	    taking->answer->tables[table].version < version &&
-	    (known == NULL || known->value == NULL);
+	    context->response->tables[table].version < version &&
+	    (cached == NULL || cached->value == NULL);
 }
 
 static void
-on_told(void *arg, row_table_t table, const row_t *row)
+on_row(void *arg, row_table_t table, const row_t *row)
 {
-	const taking_t *taking = arg;
+	const apply_context_t *context = arg;
 
-	if (!row_outlived(taking, table, row))
-		taking->self->ops->row(taking->self->arg, table, row);
+	if (!row_deleted_since(context, table, row))
+		context->self->ops->row(context->self->arg, table, row);
 }
 
-/* Rows that are later than what a whole answer tells are kept; whoever tells it
- * may see them become again what it has, without a change. */
+/* Notes the rows that are newer than a full table and therefore kept. The
+ * sender may see them change back to what it has, which is no change to it. */
 static void
-beyond_note(row_sync_t *self, const feed_response_t *answer)
+newer_rows_note(row_sync_t *self, const feed_response_t *response)
 {
 	for (const cached_row_t *row = self->cache.rows; row != NULL;
 	     row = row->hh.next) {
-		const feed_table_state_t *told = &answer->tables[row->table];
+		const feed_table_state_t *state = &response->tables[row->table];
 
-		if (told->full &&
-		    row_returns(row->table, cached_row_key(row)) &&
-		    row->version > told->version &&
+		if (state->full &&
+		    row_may_reappear(row->table, cached_row_key(row)) &&
+		    row->version > state->version &&
 		    row->version > self->ahead_version[row->table])
 			self->ahead_version[row->table] = row->version;
 	}
 }
 
-/* Take the rows, and what is told of how far they go. */
 void
 row_response_apply(
-    row_sync_t *self, const feed_response_t *answer, struct timespec sent)
+    row_sync_t *self, const feed_response_t *response, struct timespec sent)
 {
-	taking_t taking = {self, answer};
+	apply_context_t context = {self, response};
 	bool partial[ROW_TABLES];
-	bool ask_all;
+	bool request_all;
 
 	json_decref(self->parent_path);
-	self->parent_path = json_incref(answer->path);
+	self->parent_path = json_incref(response->path);
 	self->applying = true;
-	self->applying_older = knows_less(self, answer);
-	ask_all = partial_note(self, answer, partial);
-	feed_rows_apply(answer, &self->cache, on_told, &taking);
+	self->applying_older = sender_is_older(self, response);
+	request_all = partial_tables_note(self, response, partial);
+	feed_rows_apply(response, &self->cache, on_row, &context);
 	self->applying = false;
-	if (feed_response_has_full_table(answer))
-		beyond_note(self, answer);
-	if (answer->tables[ROW_TABLE_SYSTEM].full)
+	if (feed_response_has_full_table(response))
+		newer_rows_note(self, response);
+	if (response->tables[ROW_TABLE_SYSTEM].full)
 		row_sync_check_own_row(self);
-	answer_vouch(self, answer, partial, sent);
-	self->parent_incarnation = ask_all ? 0 : answer->incarnation;
-	self->parent_change = answer->change;
+	tables_advance(self, response, partial, sent);
+	self->parent_incarnation = request_all ? 0 : response->incarnation;
+	self->parent_change = response->change;
 }
--- a/moortack/replication/row_sync.c
+++ b/moortack/replication/row_sync.c
@@ -5,16 +5,16 @@
 
 #include "row_sync_priv.h"
 
-/* Rows that are gone are told of for a minute: who knows less has to be told
- * all. */
-#define VERSIONS_KNOWN_MS 20000
-/* A daemon that starts reads only the rows of the daemons, and is told the
- * others by the one that it follows; for so long it waits for the key to ask
- * with. */
+/* Tombstones are kept for a minute: a daemon whose rows are older than this
+ * requests all rows. */
+#define VERSION_VALID_MS 20000
+/* A starting daemon reads only the rows of the daemons, and gets the others
+ * from its parent. It waits this long for the key that it needs for the
+ * requests. */
 #define KEY_WAIT_MS 2000
 
-static source_watch_t *
-watch_at(row_sync_t *self, row_table_t table)
+static table_watch_t *
+table_watch_at(row_sync_t *self, row_table_t table)
 {
 	return &self->watches[table];
 }
@@ -35,9 +35,9 @@
 row_sync_published_version(const row_sync_t *self, row_table_t table)
 {
 	uint64_t version = row_sync_watch(self, table)->version;
-	uint64_t kept_back = self->withheld_version[table];
+	uint64_t withheld = self->withheld_version[table];
 
-	return kept_back != 0 && kept_back <= version ? kept_back - 1 : version;
+	return withheld != 0 && withheld <= version ? withheld - 1 : version;
 }
 
 uint64_t
@@ -46,7 +46,7 @@
 	const row_watch_t *watch = row_sync_watch(self, table);
 
 	if (self->withheld_version[table] != 0 ||
-	    row_watch_age_ms(watch) >= VERSIONS_KNOWN_MS)
+	    row_watch_age_ms(watch) >= VERSION_VALID_MS)
 		return 0;
 	return watch->version;
 }
@@ -61,17 +61,18 @@
 	return changed;
 }
 
-/* While the store does not answer, one table is asked for. */
+/* While the store is unavailable, only one table is polled. */
 static void
-watches_apply(row_sync_t *self)
+watches_update(row_sync_t *self)
 {
-	bool lost = !self->watches[ROW_TABLE_PROBE].watch.reachable &&
+	bool unavailable = !self->watches[ROW_TABLE_PROBE].watch.reachable &&
 	    row_sync_synced(self);
 
 	for (int i = 0; i < ROW_TABLES; i++) {
 		self->watches[i].watch.by_follower = self->parent[0] != '\0';
 		row_watch_suspend(&self->watches[i].watch,
-		    self->suspended[i] || (lost && i != ROW_TABLE_PROBE));
+		    self->suspended[i] ||
+			(unavailable && i != ROW_TABLE_PROBE));
 	}
 }
 
@@ -80,14 +81,14 @@
 {
 	for (int i = 0; i < ROW_TABLES; i++)
 		self->suspended[i] = suspend;
-	watches_apply(self);
+	watches_update(self);
 }
 
 void
 row_sync_resume_table(row_sync_t *self, row_table_t table)
 {
 	self->suspended[table] = false;
-	watches_apply(self);
+	watches_update(self);
 }
 
 bool
@@ -107,9 +108,9 @@
 	row_follow_update_status(self);
 }
 
-/* Neither the store nor another daemon tells anything. */
+/* Whether neither the store nor another daemon sends rows. */
 static bool
-hears_nothing(const row_sync_t *self)
+is_cut_off(const row_sync_t *self)
 {
 	if (self->following || row_parent_bypassed(self))
 		return false;
@@ -125,7 +126,7 @@
 		return;
 	row_follow_update_status(self);
 	membership_hold(
-	    self->members, hears_nothing(self) && row_sync_synced(self));
+	    self->members, is_cut_off(self) && row_sync_synced(self));
 	if (!self->has_key && self->context == NULL)
 		fleet_key_find(self);
 	if (self->has_key)
@@ -137,11 +138,11 @@
 		row_sync_suspend_reads(self, false);
 }
 
-/* A row as the store has it. If that is news here, whoever is followed may not
- * have seen it, and has nothing to tell of a row that has become what it was
- * before since. */
+/* Applies a row that was read from the store. If that is a change here, the
+ * parent may not have seen it: it sends nothing if the row has been changed
+ * back since. */
 static void
-own_row_take(row_sync_t *self, row_table_t table, const row_t *row)
+store_row_apply(row_sync_t *self, row_table_t table, const row_t *row)
 {
 	uint64_t change = self->cache.last_change;
 
@@ -155,29 +156,29 @@
 static void
 on_row(void *arg, const row_t *row)
 {
-	source_watch_t *watch = arg;
+	table_watch_t *watch = arg;
 
-	own_row_take(watch->source, watch->table, row);
+	store_row_apply(watch->sync, watch->table, row);
 }
 
 static void
-on_restart(void *arg)
+on_full_read_begin(void *arg)
 {
-	source_watch_t *watch = arg;
+	table_watch_t *watch = arg;
 
 	row_cache_clear_marks(
-	    &watch->source->cache, watch->table, ROW_ORIGIN_STORE);
-	watch->source->ops->full_read_begin(watch->source->arg, watch->table);
+	    &watch->sync->cache, watch->table, ROW_ORIGIN_STORE);
+	watch->sync->ops->full_read_begin(watch->sync->arg, watch->table);
 }
 
-/* A whole read names every row that there is. */
+/* Deletes the rows that a full read did not return. */
 static void
-unread_end(row_sync_t *self, row_table_t table)
+unread_rows_delete(row_sync_t *self, row_table_t table)
 {
 	cached_row_t *row, *next;
 
 	for (row = self->cache.rows; row != NULL; row = next) {
-		row_t end = {.key = cached_row_key(row),
+		row_t deletion = {.key = cached_row_key(row),
 		    .version = self->watches[table].watch.read_version,
 		    .deleted = true};
 
@@ -185,7 +186,7 @@
 		if (row->table != table || row->value == NULL ||
 		    cached_row_is_marked(row, ROW_ORIGIN_STORE))
 			continue;
-		own_row_take(self, table, &end);
+		store_row_apply(self, table, &deletion);
 	}
 }
 
@@ -203,13 +204,13 @@
 }
 
 static void
-on_settled(void *arg, bool whole, const row_reply_t *reply)
+on_synced(void *arg, bool full_read, const row_reply_t *reply)
 {
-	source_watch_t *watch = arg;
-	row_sync_t *self = watch->source;
+	table_watch_t *watch = arg;
+	row_sync_t *self = watch->sync;
 
-	if (whole) {
-		unread_end(self, watch->table);
+	if (full_read) {
+		unread_rows_delete(self, watch->table);
 		self->cache.complete_since[watch->table] =
 		    watch->watch.read_version;
 		if (watch->table == ROW_TABLE_SYSTEM)
@@ -219,29 +220,29 @@
 		feed_server_respond_all(&self->server);
 	row_follow_update_status(self);
 	self->ops->store_clock(self->arg, reply->now_ms);
-	self->ops->synced(self->arg, watch->table, whole);
+	self->ops->synced(self->arg, watch->table, full_read);
 	if (watch->table == ROW_TABLE_SYSTEM && !row_sync_synced(self))
 		row_sync_tick(self);
 }
 
 static void
-on_reachable(void *arg, bool now)
+on_reachable(void *arg, bool available)
 {
-	source_watch_t *watch = arg;
+	table_watch_t *watch = arg;
 
-	row_sync_t *self = watch->source;
+	row_sync_t *self = watch->sync;
 
 	row_follow_update_status(self);
 	if (watch->table == ROW_TABLE_PROBE) {
-		watches_apply(self);
-		if (now)
+		watches_update(self);
+		if (available)
 			membership_forgive(self->members);
 	}
-	self->ops->reachable(self->arg, watch->table, now);
+	self->ops->reachable(self->arg, watch->table, available);
 }
 
 static const row_watch_ops_t watch_ops = {
-    on_row, on_restart, on_settled, on_reachable};
+    on_row, on_full_read_begin, on_synced, on_reachable};
 
 bool
 row_sync_init(row_sync_t *self, const row_sync_ops_t *ops, void *arg)
@@ -250,9 +251,9 @@
 	self->arg = arg;
 	self->incarnation = rng_bits(self->rng) >> 1 | 1;
 	for (int i = 0; i < ROW_TABLES; i++) {
-		source_watch_t *watch = watch_at(self, (row_table_t)i);
+		table_watch_t *watch = table_watch_at(self, (row_table_t)i);
 
-		watch->source = self;
+		watch->sync = self;
 		watch->table = (row_table_t)i;
 		if (!row_watch_init(&watch->watch, self->base, self->store,
 			self->clock, self->settings.tables[i],
@@ -262,7 +263,7 @@
 		    self->settings.peer_address[0] != '\0';
 	}
 	self->started_at = clock_elapsed(self->clock);
-	watches_apply(self);
+	watches_update(self);
 	if (self->settings.start_jitter_ms > 0)
 		row_watch_start_after(&self->watches[ROW_TABLE_SYSTEM].watch,
 		    (int64_t)rng_below(
--- a/moortack/replication/row_sync_priv.h
+++ b/moortack/replication/row_sync_priv.h
@@ -1,76 +1,79 @@
 /**
  * @file
- * What the files of a row source share: row_sync.c reads the store and keeps
- * the rows, row_parent.c chooses whom to follow, row_follow.c asks and answers
- * other daemons, row_response.c takes what they tell, fleet_key.c has the key
- * that they know each other by.
+ * Shared by the files that implement row_sync_t: row_sync.c reads the store
+ * and keeps the rows, row_parent.c chooses the parent, row_follow.c exchanges
+ * requests and responses with other daemons, row_response.c applies responses,
+ * and fleet_key.c maintains the key with which daemons authenticate each
+ * other.
  */
 #ifndef MOORTACK_REPLICATION_ROW_SYNC_PRIV_H
 #define MOORTACK_REPLICATION_ROW_SYNC_PRIV_H
 
 #include "moortack/replication/row_sync.h"
 
-/** Whether every table was read once. */
+/** Whether every table has been up to date once. */
 bool row_sync_synced(const row_sync_t *);
 
-/** The table that is asked for while the store does not answer: the one that is
- * read most often. */
+/** The only table that is polled while the store is unavailable: the one that
+ * is read most often. */
 #define ROW_TABLE_PROBE ROW_TABLE_ENDPOINTS
 
-/** Read the store no longer, or again. */
+/** Stops reading the store, or resumes it. */
 void row_sync_suspend_reads(row_sync_t *, bool suspend);
 
-/** Read one table from the store beside the daemon that is followed. */
+/** Reads one table from the store although the daemon follows a parent. */
 void row_sync_resume_table(row_sync_t *, row_table_t);
 
-/** All rows of the daemons were told: look whether the own one is there. One
- * that goes for the second time may be no news here. */
+/** Checks, once all rows of the system's table have been received, whether this
+ * daemon's own row is among them. If it was deleted for the second time, that
+ * may be no change here. */
 void row_sync_check_own_row(row_sync_t *);
 
-/** Answer and ask other daemons from now on. */
+/** Starts serving other daemons, and requesting rows from them. */
 void row_follow_start(row_sync_t *, const char *secret);
 
-/** What this daemon asks whom it follows for. */
+/** Fills in the position for a request to the parent. */
 void row_follow_position(const row_sync_t *, feed_position_t *);
-/** Take an answer that was sent at @p sent, or later. */
+/** Handles a response that was sent at @p sent, or later. */
 void row_follow_response(row_sync_t *, feed_response_t *, struct timespec sent);
-/** Take the rows of an answer, and what is told of how far they go. */
+/** Applies the rows of a response and the state of its tables. */
 void
 row_response_apply(row_sync_t *, const feed_response_t *, struct timespec sent);
-/** Fill an answer with how far and through whom this daemon knows the tables.
- */
+/** Fills in the state of this daemon's tables, and the path of their rows. */
 void row_follow_fill_state(const row_sync_t *, feed_response_t *);
 
-/** Follow nobody. */
+/** Stops following the parent.
+ * @param why for the log */
 void row_parent_unfollow(row_sync_t *, const char *why);
-/** Whoever is followed is no use: follow another one. */
+/** Follows another daemon, as the parent is of no use.
+ * @param why for the log */
 void row_parent_replace(row_sync_t *, const char *why);
-/** The rows of whoever is followed come through this daemon. */
+/** The parent's rows come through this daemon: stops following it. */
 void row_parent_break_cycle(row_sync_t *);
-/** The store does not answer whoever is followed, or does again. */
+/** The store is unavailable to the parent, or available again. */
 void row_parent_store_unavailable(row_sync_t *);
 void row_parent_store_available(row_sync_t *);
-/** Whether the store answers this daemon, but not whom it follows. */
+/** Whether the store is available to this daemon, but not to the parent. */
 bool row_parent_bypassed(const row_sync_t *);
-/** The time for the first answer of whoever is followed is over. */
+/** Timer callback: the time limit for the parent's first response is over. */
 void row_parent_first_timeout(evutil_socket_t, short, void *arg);
 
-/** Decide anew whom to follow. */
+/** Chooses the parent anew. */
 void row_parent_update(row_sync_t *);
 
-/** Tell whoever follows this daemon at once when it is no use to do so. */
+/** Tells followers at once when this daemon is of no use to them. */
 void row_follow_update_status(row_sync_t *);
 
-/** Close what this daemon asks and answers others through. */
+/** Closes the sockets to other daemons. */
 void row_follow_stop(row_sync_t *);
-/** Ask and answer nobody any more, until the fleet's key is looked for again.
- */
+/** Stops following and serving other daemons until the fleet's key is found
+ * again. */
 void row_follow_reset(row_sync_t *);
 
-/** Find the fleet's key, or make it if nobody else does. */
+/** Finds the fleet's key, or creates it if no other daemon does. */
 void fleet_key_find(row_sync_t *);
-/** Write the key again where others have removed or spoiled its row, and go
- * over to another one that stands there: newcomers know the store's only. */
+/** Writes the key again if its row was deleted or made invalid, and changes to
+ * another valid key in that row: daemons that start know only the store's. */
 void fleet_key_maintain(row_sync_t *);
 
 #endif
--- a/moortack/replication/row_watch.c
+++ b/moortack/replication/row_watch.c
@@ -5,39 +5,42 @@
 
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
-/* A failed store is not asked by all daemons in step. */
-#define JITTER_PERCENT 40
+/* Spreads the retries of daemons, so that they do not call a failed store all
+ * at once. */
+#define RETRY_JITTER_PERCENT 40
 
-static void watch_ask(row_watch_t *watch);
+static void watch_request(row_watch_t *watch);
 
 static void
-watch_later(row_watch_t *watch, int64_t ms)
+watch_schedule(row_watch_t *watch, int64_t delay_ms)
 {
-	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
+	struct timeval delay = {
+	    delay_ms / MS_PER_SEC, delay_ms % MS_PER_SEC * US_PER_MS};
 
 	if (!watch->stopped && !watch->suspended)
 		event_add(watch->timer, &delay);
 }
 
 static int64_t
-jittered(const row_watch_t *watch, int64_t ms)
+with_jitter(const row_watch_t *watch, int64_t delay_ms)
 {
 	struct timespec now = clock_elapsed(watch->clock);
 
-	return ms + ms * (now.tv_nsec / US_PER_MS % JITTER_PERCENT) / 100;
+	return delay_ms +
+	    delay_ms * (now.tv_nsec / US_PER_MS % RETRY_JITTER_PERCENT) / 100;
 }
 
 static int64_t
 retry_ms(const row_watch_t *watch)
 {
-	int64_t ms = watch->timing.retry_ms;
+	int64_t delay_ms = watch->timing.retry_ms;
 
 	for (uint32_t i = 0; i < watch->failures; i++) {
-		if (ms >= watch->timing.retry_max_ms)
+		if (delay_ms >= watch->timing.retry_max_ms)
 			return watch->timing.retry_max_ms;
-		ms *= 2;
+		delay_ms *= 2;
 	}
-	return ms;
+	return delay_ms;
 }
 
 static void
@@ -48,12 +51,12 @@
 		watch->reachable = false;
 		watch->ops->reachable(watch->arg, false);
 	}
-	watch_later(watch, jittered(watch, retry_ms(watch)));
+	watch_schedule(watch, with_jitter(watch, retry_ms(watch)));
 	watch->failures++;
 }
 
 static void
-reachable_again(row_watch_t *watch)
+watch_succeeded(row_watch_t *watch)
 {
 	watch->failures = 0;
 	if (watch->reachable)
@@ -63,24 +66,24 @@
 }
 
 static void
-rows_tell(row_watch_t *watch, const row_reply_t *reply)
+rows_pass(row_watch_t *watch, const row_reply_t *reply)
 {
 	for (size_t i = 0; i < reply->rows_len; i++)
 		watch->ops->row(watch->arg, &reply->rows[i]);
 }
 
 static void
-watch_settled(row_watch_t *watch, bool whole, const row_reply_t *reply)
+watch_synced(row_watch_t *watch, bool full_read, const row_reply_t *reply)
 {
 	if (!watch->synced_once ||
 	    timespec_ms_between(watch->synced_at, watch->requested_at) > 0)
 		watch->synced_at = watch->requested_at;
 	watch->synced_once = true;
-	watch->ops->synced(watch->arg, whole, reply);
+	watch->ops->synced(watch->arg, full_read, reply);
 }
 
-/* Another daemon told what is later than this read while it was under way: what
- * the read does not name may be there. */
+/* Whether another daemon sent later rows while the read was in progress: rows
+ * that the read does not return may exist. */
 static bool
 read_is_outdated(const row_watch_t *watch, const row_reply_t *reply)
 {
@@ -102,34 +105,34 @@
 		watch_failed(watch);
 		return;
 	}
-	reachable_again(watch);
+	watch_succeeded(watch);
 	if (read_is_outdated(watch, reply)) {
 		watch->in_full_read = false;
-		watch_later(watch, watch->timing.pause_ms);
+		watch_schedule(watch, watch->timing.pause_ms);
 		return;
 	}
 	if (watch->page == NULL) {
-		/* A store that went back is not followed down: the rows that
-		 * it has now are taken, and their versions judged by those
-		 * who hold them. */
+		/* If the store was restored from an older copy, its current
+		 * rows are passed on, but do not replace newer ones: whoever
+		 * holds the rows compares the versions. */
 		watch->read_version = reply->version;
 		watch->ops->full_read_begin(watch->arg);
 	}
-	rows_tell(watch, reply);
+	rows_pass(watch, reply);
 	free(watch->page);
 	watch->page = reply->next != NULL ? strdup(reply->next) : NULL;
 	if (watch->page != NULL) {
-		watch_ask(watch);
+		watch_request(watch);
 		return;
 	}
 	watch->in_full_read = false;
 	watch->version = watch->read_version;
-	watch_settled(watch, true, reply);
-	watch_later(watch, watch->timing.pause_ms);
+	watch_synced(watch, true, reply);
+	watch_schedule(watch, watch->timing.pause_ms);
 }
 
 static void
-feed_done(void *arg, const row_reply_t *reply)
+poll_done(void *arg, const row_reply_t *reply)
 {
 	row_watch_t *watch = arg;
 
@@ -139,23 +142,23 @@
 	if (reply->result == ROW_COMPACTED ||
 	    (reply->result == ROW_OK && reply->version < watch->version)) {
 		watch->version = 0;
-		watch_later(watch, 0);
+		watch_schedule(watch, 0);
 		return;
 	}
 	if (reply->result != ROW_OK) {
 		watch_failed(watch);
 		return;
 	}
-	reachable_again(watch);
-	rows_tell(watch, reply);
+	watch_succeeded(watch);
+	rows_pass(watch, reply);
 	if (reply->version > watch->version)
 		watch->version = reply->version;
-	watch_settled(watch, false, reply);
-	watch_later(watch, watch->timing.pause_ms);
+	watch_synced(watch, false, reply);
+	watch_schedule(watch, watch->timing.pause_ms);
 }
 
 static void
-watch_ask(row_watch_t *watch)
+watch_request(row_watch_t *watch)
 {
 	bool started;
 
@@ -177,7 +180,7 @@
 		    watch->by_follower ? ROW_PURPOSE_FOLLOWER_POLL
 				       : ROW_PURPOSE_POLL,
 		    watch->table, watch->version, watch->timing.wait_ms,
-		    watch->timing.wait_ms + watch->timing.timeout_ms, feed_done,
+		    watch->timing.wait_ms + watch->timing.timeout_ms, poll_done,
 		    watch);
 	}
 	watch->call_pending = started;
@@ -193,7 +196,7 @@
 	(void)fd;
 	(void)what;
 	if (!watch->call_pending)
-		watch_ask(watch);
+		watch_request(watch);
 }
 
 bool
@@ -211,7 +214,7 @@
 	watch->timer = event_new(base, -1, 0, on_timer, watch);
 	if (watch->timer == NULL)
 		return false;
-	watch_later(watch, 0);
+	watch_schedule(watch, 0);
 	return true;
 }
 
@@ -224,16 +227,16 @@
 }
 
 void
-row_watch_start_after(row_watch_t *watch, int64_t ms)
+row_watch_start_after(row_watch_t *watch, int64_t delay_ms)
 {
-	watch_later(watch, ms);
+	watch_schedule(watch, delay_ms);
 }
 
 void
 row_watch_poll_now(row_watch_t *watch)
 {
 	if (!watch->call_pending && !watch->stopped)
-		watch_later(watch, 0);
+		watch_schedule(watch, 0);
 }
 
 void
@@ -249,13 +252,14 @@
 }
 
 void
-row_watch_advance(row_watch_t *watch, uint64_t version, struct timespec known)
+row_watch_advance(
+    row_watch_t *watch, uint64_t version, struct timespec synced_at)
 {
 	if (version > watch->version)
 		watch->version = version;
 	if (!watch->synced_once ||
-	    timespec_ms_between(watch->synced_at, known) > 0)
-		watch->synced_at = known;
+	    timespec_ms_between(watch->synced_at, synced_at) > 0)
+		watch->synced_at = synced_at;
 	watch->synced_once = true;
 }
 
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -1,9 +1,10 @@
 /**
  * @file
- * What several daemons know of endpoints, while they read a store that is lost
- * at times, follow each other and change whom they follow. The oracle is the
- * store: once all is calm, each daemon knows just what it has, and nothing that
- * a daemon tells as known up to a moment was gone or leaving before it.
+ * The endpoints that several daemons have, while they read a store that is
+ * unavailable at times, follow each other and change parents. The oracle is
+ * the store: once nothing changes any more, each daemon has exactly the
+ * store's rows, and no row that a daemon reports as valid up to a time was
+ * deleted or leaving before it.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -17,33 +18,34 @@
 #include "moortack/replication/feed_rows.h"
 
 #define DAEMONS 3
-/* Rows are long enough to be told as what changed of them. */
+/* Rows are long enough to be sent as deltas. */
 #define TEXT_PAD 400
 #define TEXT_SIZE (TEXT_PAD + 32)
 #define ENDPOINTS 4
 #define STEPS_MAX 120
 #define LAPSE_MS 2000
-#define CALM_ROUNDS 8
-#define CALM_STEP_MS 700
+#define SETTLE_ROUNDS 8
+#define SETTLE_STEP_MS 700
 #define TIME_STEP_MS 150
 
 /** An endpoint's row in the store. */
 typedef struct entry {
 	bool present;
 	bool leaving;
-	unsigned born;	  /**< of the incarnation that wrote it */
-	unsigned started; /**< incarnations so far */
-	uint64_t version; /**< of the row, or of its end */
+	unsigned start_number; /**< of the start that wrote the row */
+	unsigned start_count;  /**< starts of the endpoint so far */
+	uint64_t version;      /**< of the row, or of its deletion */
 } entry_t;
 
-/** A daemon, and a whole read of the store that it has not taken yet. */
+/** A daemon, and a full read of the store whose response it has not received
+ * yet. */
 typedef struct daemon {
 	relay_node_t node;
-	bool cut; /**< the store does not answer it */
-	bool reading;
+	bool store_cut; /**< the store is unavailable to it */
+	bool read_pending;
 	entry_t read[ENDPOINTS];
 	uint64_t read_version;
-	struct timespec asked;
+	struct timespec requested_at;
 } daemon_t;
 
 typedef struct world {
@@ -52,7 +54,8 @@
 	rng_t rng;
 	row_store_t store;
 	uint64_t version;
-	uint64_t forgotten; /**< changes up to here are no longer known */
+	uint64_t compacted_version; /**< the store no longer has the changes up
+				       to here */
 	entry_t entries[ENDPOINTS];
 	daemon_t daemons[DAEMONS];
 } world_t;
@@ -95,7 +98,7 @@
 }
 
 static void
-entry_tell(daemon_t *daemon, size_t number, const entry_t *entry)
+entry_deliver(daemon_t *daemon, size_t number, const entry_t *entry)
 {
 	row_watch_t *watch = watch_of(daemon);
 	char key[8], text[TEXT_SIZE];
@@ -103,70 +106,72 @@
 
 	snprintf(key, sizeof(key), "e%zu", number);
 	snprintf(text, sizeof(text), "%s@%u%*s",
-	    entry->leaving ? "leaving" : "ready", entry->born, TEXT_PAD, "");
+	    entry->leaving ? "leaving" : "ready", entry->start_number, TEXT_PAD,
+	    "");
 	row.deleted = !entry->present;
 	row.value = entry->present ? text : NULL;
 	row.value_len = entry->present ? strlen(text) : 0;
 	watch->ops->row(watch->arg, &row);
 }
 
-/* The other tables do not change: they are known as of now. */
+/* The other tables do not change: they are up to date as of now. */
 static void
-read_settle(daemon_t *daemon, uint64_t version, struct timespec asked, bool all)
+read_complete(daemon_t *daemon, uint64_t version, struct timespec requested_at,
+    bool full_read)
 {
 	row_watch_t *watch = watch_of(daemon);
 	row_reply_t reply = {.result = ROW_OK, .version = version, .now_ms = 1};
 
 	watch->version = version;
-	if (timespec_ms_between(watch->synced_at, asked) > 0)
-		watch->synced_at = asked;
+	if (timespec_ms_between(watch->synced_at, requested_at) > 0)
+		watch->synced_at = requested_at;
 	watch->synced_once = true;
 	for (int i = 0; i < ROW_TABLES; i++) {
 		if (i != ROW_TABLE_ENDPOINTS)
-			row_watch_advance(
-			    &daemon->node.source.watches[i].watch, 1, asked);
+			row_watch_advance(&daemon->node.source.watches[i].watch,
+			    1, requested_at);
 	}
-	watch->ops->synced(watch->arg, all, &reply);
+	watch->ops->synced(watch->arg, full_read, &reply);
 }
 
 static bool
-store_answers(daemon_t *daemon)
+store_available(daemon_t *daemon)
 {
 	row_watch_t *watch = watch_of(daemon);
 
-	if (watch->reachable == daemon->cut) {
-		watch->reachable = !daemon->cut;
-		watch->ops->reachable(watch->arg, !daemon->cut);
+	if (watch->reachable == daemon->store_cut) {
+		watch->reachable = !daemon->store_cut;
+		watch->ops->reachable(watch->arg, !daemon->store_cut);
 	}
-	return !daemon->cut;
+	return !daemon->store_cut;
 }
 
-/* A whole read that was answered then arrives now. */
+/* The response to a full read arrives, with the rows of when it was sent. */
 static void
-whole_take(daemon_t *daemon)
+full_read_deliver(daemon_t *daemon)
 {
 	row_watch_t *watch = watch_of(daemon);
 
-	daemon->reading = false;
-	/* As unit_row_watch has it of the real one. */
+	daemon->read_pending = false;
+	/* As row_watch.c does it; see unit_row_watch. */
 	if (daemon->read_version < watch->version)
 		return;
 	watch->read_version = daemon->read_version;
 	watch->ops->full_read_begin(watch->arg);
 	for (size_t i = 0; i < ENDPOINTS; i++) {
 		if (daemon->read[i].present)
-			entry_tell(daemon, i, &daemon->read[i]);
+			entry_deliver(daemon, i, &daemon->read[i]);
 	}
-	read_settle(daemon, daemon->read_version, daemon->asked, true);
+	read_complete(daemon, daemon->read_version, daemon->requested_at, true);
 }
 
 static void
-whole_begin(daemon_t *daemon)
+full_read_begin(daemon_t *daemon)
 {
 	memcpy(daemon->read, world.entries, sizeof(world.entries));
 	daemon->read_version = world.version;
-	daemon->asked = world.clock.now;
-	daemon->reading = true;
+	daemon->requested_at = world.clock.now;
+	daemon->read_pending = true;
 }
 
 static void
@@ -174,65 +179,66 @@
 {
 	uint64_t after = watch_of(daemon)->version;
 
-	if (!store_answers(daemon))
+	if (!store_available(daemon))
 		return;
-	if (after == 0 || after < world.forgotten) {
-		whole_begin(daemon);
-		whole_take(daemon);
+	if (after == 0 || after < world.compacted_version) {
+		full_read_begin(daemon);
+		full_read_deliver(daemon);
 		return;
 	}
 	for (size_t i = 0; i < ENDPOINTS; i++) {
 		if (world.entries[i].version > after)
-			entry_tell(daemon, i, &world.entries[i]);
+			entry_deliver(daemon, i, &world.entries[i]);
 	}
-	read_settle(daemon, world.version, world.clock.now, false);
+	read_complete(daemon, world.version, world.clock.now, false);
 }
 
 static void
-follow_none(daemon_t *daemon)
+unfollow(daemon_t *daemon)
 {
 	daemon->node.source.parent[0] = '\0';
 	daemon->node.source.following = false;
 }
 
 static void
-follow(daemon_t *child, daemon_t *parent)
+follow(daemon_t *follower, daemon_t *parent)
 {
-	row_sync_t *source = &child->node.source;
-	feed_response_t answer = {
+	row_sync_t *sync = &follower->node.source;
+	feed_response_t response = {
 	    .incarnation = parent->node.source.incarnation,
 	    .change = parent->node.source.cache.last_change};
 	const feed_bytes_t *rows;
-	feed_bytes_t told = {0};
-	feed_position_t from;
+	feed_bytes_t body = {0};
+	feed_position_t position;
 	char *text;
 
-	if (strcmp(source->parent, parent->node.settings.name) != 0) {
-		follow_none(child);
-		strcpy(source->parent, parent->node.settings.name);
-		source->parent_incarnation = 0;
-		source->parent_change = 0;
+	if (strcmp(sync->parent, parent->node.settings.name) != 0) {
+		unfollow(follower);
+		strcpy(sync->parent, parent->node.settings.name);
+		sync->parent_incarnation = 0;
+		sync->parent_change = 0;
 	}
-	row_follow_position(source, &from);
+	row_follow_position(sync, &position);
 	rows = feed_body_cache_get(&parent->node.source.server.body_cache,
-	    &parent->node.source.cache, answer.incarnation, &from, &answer);
-	row_follow_fill_state(&parent->node.source, &answer);
-	answer.request_id = 1;
-	text = feed_response_encode(&answer);
-	feed_response_clear(&answer);
+	    &parent->node.source.cache, response.incarnation, &position,
+	    &response);
+	row_follow_fill_state(&parent->node.source, &response);
+	response.request_id = 1;
+	text = feed_response_encode(&response);
+	feed_response_clear(&response);
 	FUZZ_CHECK(rows != NULL);
 	if (rows->len > 0)
-		FUZZ_CHECK(feed_unpack(rows->data, rows->len, &told));
+		FUZZ_CHECK(feed_unpack(rows->data, rows->len, &body));
 	FUZZ_CHECK(feed_response_decode(
-	    text, strlen(text), told.data, told.len, &answer));
+	    text, strlen(text), body.data, body.len, &response));
 	free(text);
-	free(told.data);
-	row_follow_response(source, &answer, world.clock.now);
-	feed_response_clear(&answer);
+	free(body.data);
+	row_follow_response(sync, &response, world.clock.now);
+	feed_response_clear(&response);
 }
 
 static void
-pass(int64_t ms)
+time_advance(int64_t ms)
 {
 	world.clock.now = timespec_after_ms(world.clock.now, ms);
 	for (size_t i = 0; i < DAEMONS; i++) {
@@ -259,14 +265,14 @@
 		entry->leaving = entry->present;
 		break;
 	case 2:
-		/* It starts again under its id. */
-		entry->born = ++entry->started;
+		/* The endpoint restarts under its id. */
+		entry->start_number = ++entry->start_count;
 		entry->leaving = false;
 		entry->present = true;
 		break;
 	case 3:
-		/* A heartbeat of an earlier start comes late. */
-		entry->born -= entry->born > 0;
+		/* A heartbeat of an earlier start arrives late. */
+		entry->start_number -= entry->start_number > 0;
 		break;
 	default:
 		entry->present = false;
@@ -279,8 +285,8 @@
 static void
 step(input_t *input)
 {
-	daemon_t *one = &world.daemons[input_below(input, DAEMONS)];
-	daemon_t *two = &world.daemons[input_below(input, DAEMONS)];
+	daemon_t *first = &world.daemons[input_below(input, DAEMONS)];
+	daemon_t *second = &world.daemons[input_below(input, DAEMONS)];
 
 	switch (input_below(input, 9)) {
 	case 0:
@@ -288,47 +294,47 @@
 		entry_change(input);
 		break;
 	case 2:
-		follow_none(one);
-		store_read(one);
+		unfollow(first);
+		store_read(first);
 		break;
 	case 3:
 	case 4:
-		if (one != two)
-			follow(one, two);
+		if (first != second)
+			follow(first, second);
 		break;
 	case 5:
-		pass(TIME_STEP_MS * (int64_t)input_below(input, 32));
+		time_advance(TIME_STEP_MS * (int64_t)input_below(input, 32));
 		break;
 	case 6:
-		one->cut = !one->cut;
-		store_answers(one);
+		first->store_cut = !first->store_cut;
+		store_available(first);
 		break;
 	case 7:
-		if (one->reading)
-			whole_take(one);
-		else if (store_answers(one))
-			whole_begin(one);
+		if (first->read_pending)
+			full_read_deliver(first);
+		else if (store_available(first))
+			full_read_begin(first);
 		break;
 	default:
-		world.forgotten = world.version;
+		world.compacted_version = world.version;
 		break;
 	}
 }
 
-/* All reach the store; whom the others follow stays as the input says. */
+/* The store is available to all; the input chooses the parents. */
 static void
-calm(input_t *input)
+settle(input_t *input)
 {
 	size_t parents[DAEMONS];
 
 	for (size_t i = 0; i < DAEMONS; i++) {
 		parents[i] = input_below(input, (uint32_t)i + 1);
-		world.daemons[i].cut = false;
-		if (world.daemons[i].reading)
-			whole_take(&world.daemons[i]);
-		follow_none(&world.daemons[i]);
+		world.daemons[i].store_cut = false;
+		if (world.daemons[i].read_pending)
+			full_read_deliver(&world.daemons[i]);
+		unfollow(&world.daemons[i]);
 	}
-	for (size_t round = 0; round < CALM_ROUNDS; round++) {
+	for (size_t round = 0; round < SETTLE_ROUNDS; round++) {
 		for (size_t i = 0; i < DAEMONS; i++) {
 			if (parents[i] == i)
 				store_read(&world.daemons[i]);
@@ -336,12 +342,12 @@
 				follow(&world.daemons[i],
 				    &world.daemons[parents[i]]);
 		}
-		pass(CALM_STEP_MS);
+		time_advance(SETTLE_STEP_MS);
 	}
 }
 
 static void
-same_as_store(daemon_t *daemon)
+check_same_as_store(daemon_t *daemon)
 {
 	for (size_t i = 0; i < ENDPOINTS; i++) {
 		const entry_t *entry = &world.entries[i];
@@ -353,8 +359,8 @@
 		FUZZ_CHECK((known != NULL) == entry->present);
 		FUZZ_CHECK(
 		    known == NULL || known->facts.leaving == entry->leaving);
-		FUZZ_CHECK(
-		    known == NULL || known->facts.born_ms == entry->born);
+		FUZZ_CHECK(known == NULL ||
+		    known->facts.born_ms == entry->start_number);
 		FUZZ_CHECK(known == NULL || !known->lapsed);
 	}
 }
@@ -374,9 +380,9 @@
 		daemon_start(&world.daemons[i], i);
 	for (size_t i = 0; i < STEPS_MAX && !input_over(&input); i++)
 		step(&input);
-	calm(&input);
+	settle(&input);
 	for (size_t i = 0; i < DAEMONS; i++)
-		same_as_store(&world.daemons[i]);
+		check_same_as_store(&world.daemons[i]);
 	for (size_t i = 0; i < DAEMONS; i++)
 		relay_node_finish(&world.daemons[i].node);
 	event_base_free(world.base);
--- a/test/unit/paged_read_test.c
+++ b/test/unit/paged_read_test.c
@@ -1,16 +1,16 @@
 /**
  * @file
- * A table that the store tells in several pages, while another daemon tells its
- * rows: callers were refused for seconds after all daemons had started at once,
- * with 3,000 endpoints there.
+ * A full read of a table in several pages, while another daemon sends its
+ * rows: for seconds after all daemons had started at once, with 3,000
+ * endpoints, callers were refused.
  *
- * Order of events: a daemon starts and reads the endpoints page by page; before
- * the last page it takes all rows of another one that has read fewer pages.
- * Both marked in the same place which rows had been named, so that the read
- * ended those of its first pages, and told their end to all that follow it.
- * Evidence: hundreds of endpoint_gone lines (lapsed=0) in one millisecond, two
- * seconds after start, follow rows=2302 beside rows=3305, and no_endpoint for a
- * service whose endpoints had never gone.
+ * How it came about: a starting daemon reads the endpoints page by page;
+ * before the last page, it applies all rows of another daemon, which has read
+ * fewer pages. With one common mark for the listed rows, the read then deleted
+ * the rows of its first pages, and sent these deletions to all its followers.
+ * The log showed hundreds of endpoint_gone lines (lapsed=0) in one
+ * millisecond, two seconds after the start, follow rows=2302 beside rows=3305,
+ * and no_endpoint for a service whose endpoints had never gone.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -29,24 +29,24 @@
 
 #define VERSION_READ 60
 
-/** A node, and the question that it has put to the store. */
+/** A node, and its pending request to the store. */
 typedef struct paged_node {
-	row_store_t store; /**< first: the store's functions find the rest */
+	row_store_t store; /**< first: paged_read() casts it back */
 	relay_node_t node;
 	struct event_base *base;
 	manual_clock_t clock;
 	rng_t rng;
-	row_done_t done; /**< of the read of endpoints that is out; or NULL */
+	row_done_t done; /**< of the pending read of endpoints; or NULL */
 	void *arg;
 } paged_node_t;
 
 static bool
-paged_read(row_store_t *store, const char *table, const char *from,
+paged_read(row_store_t *store, const char *table, const char *page,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
 	paged_node_t *paged = (paged_node_t *)store;
 
-	(void)from;
+	(void)page;
 	(void)timeout_ms;
 	if (strcmp(table, told_sources.endpoints_table) == 0) {
 		paged->done = done;
@@ -86,9 +86,9 @@
 	    .key = id, .value = "v1", .value_len = 2, .version = version};
 }
 
-/* The store answers the read that is out. */
+/* The store responds to the pending read. */
 static void
-page_told(paged_node_t *paged, const row_t *rows, size_t len, bool more)
+page_respond(paged_node_t *paged, const row_t *rows, size_t len, bool more)
 {
 	row_reply_t reply = {.result = ROW_OK,
 	    .rows = rows,
@@ -103,31 +103,30 @@
 	done(paged->arg, &reply);
 }
 
-/* Another daemon tells all the endpoints that it knows: that one, as of a
- * version. */
+/* Another daemon sends a full table with one endpoint, as of a version. */
 static void
-daemon_tells(paged_node_t *paged, const char *id, uint64_t version)
+peer_response_apply(paged_node_t *paged, const char *id, uint64_t version)
 {
-	row_sync_t *source = &paged->node.source;
-	feed_response_t answer = {.incarnation = 7, .rows = json_array()};
-	row_cache_t theirs;
+	row_sync_t *sync = &paged->node.source;
+	feed_response_t response = {.incarnation = 7, .rows = json_array()};
+	row_cache_t peer_cache;
 	row_t row = entry(id, 30);
 
 	row_cache_init(
-	    &theirs, &paged->clock.source, source->cache.equal, NULL);
-	row_cache_put(&theirs, ROW_TABLE_ENDPOINTS, &row);
+	    &peer_cache, &paged->clock.source, sync->cache.equal, NULL);
+	row_cache_put(&peer_cache, ROW_TABLE_ENDPOINTS, &row);
 	feed_response_add_row(
-	    &answer, row_cache_find(&theirs, ROW_TABLE_ENDPOINTS, id));
+	    &response, row_cache_find(&peer_cache, ROW_TABLE_ENDPOINTS, id));
 	for (int i = 0; i < ROW_TABLES; i++)
-		answer.tables[i].age_ms = -1;
-	answer.tables[ROW_TABLE_ENDPOINTS] =
+		response.tables[i].age_ms = -1;
+	response.tables[ROW_TABLE_ENDPOINTS] =
 	    (feed_table_state_t){.version = version,
 		.deletions_version = version,
 		.age_ms = -1,
 		.full = true};
-	row_response_apply(source, &answer, paged->clock.now);
-	feed_response_clear(&answer);
-	row_cache_finish(&theirs);
+	row_response_apply(sync, &response, paged->clock.now);
+	feed_response_clear(&response);
+	row_cache_finish(&peer_cache);
 }
 
 static bool
@@ -137,7 +136,7 @@
 }
 
 static void
-pages_read_before_are_kept(void **state)
+rows_of_earlier_pages_are_kept(void **state)
 {
 	static paged_node_t paged;
 	const row_t first[] = {entry("e1", 40), entry("e2", 41)};
@@ -145,9 +144,9 @@
 
 	(void)state;
 	paged_node_init(&paged);
-	page_told(&paged, first, 2, true);
-	daemon_tells(&paged, "e3", 0);
-	page_told(&paged, last, 1, false);
+	page_respond(&paged, first, 2, true);
+	peer_response_apply(&paged, "e3", 0);
+	page_respond(&paged, last, 1, false);
 	assert_true(has_endpoint(&paged, "e1"));
 	assert_true(has_endpoint(&paged, "e2"));
 	assert_true(has_endpoint(&paged, "e3"));
@@ -155,7 +154,7 @@
 }
 
 static void
-what_the_store_does_not_name_has_gone(void **state)
+rows_not_in_the_store_are_deleted(void **state)
 {
 	static paged_node_t paged;
 	const row_t first[] = {entry("e1", 40)};
@@ -163,37 +162,37 @@
 
 	(void)state;
 	paged_node_init(&paged);
-	page_told(&paged, first, 1, true);
-	daemon_tells(&paged, "e2", 0);
+	page_respond(&paged, first, 1, true);
+	peer_response_apply(&paged, "e2", 0);
 	assert_true(has_endpoint(&paged, "e2"));
-	page_told(&paged, last, 1, false);
+	page_respond(&paged, last, 1, false);
 	assert_true(has_endpoint(&paged, "e1"));
 	assert_false(has_endpoint(&paged, "e2"));
 	assert_true(has_endpoint(&paged, "e3"));
 	paged_node_finish(&paged);
 }
 
-/* What a daemon tells whole ends what it does not name, also between two pages:
- * it knows as much. */
+/* A full table of a daemon with as new a version deletes the rows that it does
+ * not list, also between two pages. */
 static void
-a_whole_answer_between_pages_still_ends_rows(void **state)
+a_full_table_between_pages_still_deletes_rows(void **state)
 {
 	static paged_node_t paged;
 	const row_t first[] = {entry("e1", 20), entry("e2", 21)};
 
 	(void)state;
 	paged_node_init(&paged);
-	page_told(&paged, first, 2, true);
-	daemon_tells(&paged, "e2", VERSION_READ);
+	page_respond(&paged, first, 2, true);
+	peer_response_apply(&paged, "e2", VERSION_READ);
 	assert_false(has_endpoint(&paged, "e1"));
 	assert_true(has_endpoint(&paged, "e2"));
 	paged_node_finish(&paged);
 }
 
-/* A row that is told again, as of a later version than it was written with, is
- * there if the store names it with the version that it was written with. */
+/* A row that was received with a later version than it was written with is
+ * listed if the store returns it with the version that it was written with. */
 static void
-a_row_that_is_known_as_newer_is_named(void **state)
+a_row_cached_with_a_newer_version_is_listed(void **state)
 {
 	static paged_node_t paged;
 	const row_t newer = entry("e1", 50);
@@ -202,7 +201,7 @@
 	(void)state;
 	paged_node_init(&paged);
 	relay_rows_ops.row(&paged.node, ROW_TABLE_ENDPOINTS, &newer);
-	page_told(&paged, only, 1, false);
+	page_respond(&paged, only, 1, false);
 	assert_true(has_endpoint(&paged, "e1"));
 	paged_node_finish(&paged);
 }
@@ -211,10 +210,10 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(pages_read_before_are_kept),
-	    cmocka_unit_test(what_the_store_does_not_name_has_gone),
-	    cmocka_unit_test(a_whole_answer_between_pages_still_ends_rows),
-	    cmocka_unit_test(a_row_that_is_known_as_newer_is_named),
+	    cmocka_unit_test(rows_of_earlier_pages_are_kept),
+	    cmocka_unit_test(rows_not_in_the_store_are_deleted),
+	    cmocka_unit_test(a_full_table_between_pages_still_deletes_rows),
+	    cmocka_unit_test(a_row_cached_with_a_newer_version_is_listed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/row_source_test.c
+++ b/test/unit/row_source_test.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * What a daemon knows of rows, and how old it is: changes are told once, an
- * older row is never taken, and a store that is back is told so.
+ * The rows that a daemon has, and their age: changes are reported once, an
+ * older version never replaces a newer one, and followers learn that the store
+ * is available again.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -25,7 +26,7 @@
 #include "moortack/replication/row_sync.h"
 #include "moortack/replication/row_watch.h"
 
-#define OLD_MS 2400
+#define MAX_AGE_MS 2400
 #define DAEMONS 40
 
 static row_t
@@ -39,7 +40,7 @@
 }
 
 static void
-a_row_is_news_once_and_never_goes_back(void **state)
+a_row_changes_once_and_never_reverts(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	row_cache_t cache;
@@ -66,70 +67,74 @@
 }
 
 static void
-rows_come_through_the_wire_as_they_are(void **state)
+encoded_rows_are_decoded_unchanged(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	row_cache_t cache;
-	row_t row = row_of("a \"key\"", "{\"x\":\"\\u00e4\"}", 5), read;
-	feed_response_t answer = {
+	row_t row = row_of("a \"key\"", "{\"x\":\"\\u00e4\"}", 5), received_row;
+	feed_response_t response = {
 	    .request_id = 3, .incarnation = 9, .store_unavailable = true};
-	feed_request_t question, heard;
-	feed_response_t copy;
+	feed_request_t request, received_request;
+	feed_response_t decoded;
 	row_table_t table;
-	char *text, *rows, *asked;
+	char *text, *rows, *request_text;
 
 	(void)state;
 	row_cache_init(&cache, &clock.source, bytes_equal, NULL);
 	row_cache_put(&cache, ROW_TABLE_ENDPOINTS, &row);
-	answer.rows = json_array();
-	answer.tables[ROW_TABLE_SYSTEM] =
+	response.rows = json_array();
+	response.tables[ROW_TABLE_SYSTEM] =
 	    (feed_table_state_t){17, 18, 250, true};
-	answer.path = json_pack("[s, s]", "parent", "reader");
-	answer.held_ms = 420;
-	answer.liveness_age_ms = 700;
-	answer.silent = json_pack("[s]", "10.0.0.7:80");
+	response.path = json_pack("[s, s]", "parent", "reader");
+	response.held_ms = 420;
+	response.liveness_age_ms = 700;
+	response.silent = json_pack("[s]", "10.0.0.7:80");
 	feed_response_add_row(
-	    &answer, row_cache_find(&cache, ROW_TABLE_ENDPOINTS, row.key));
-	text = feed_response_encode(&answer);
-	rows = feed_rows_encode(&answer);
+	    &response, row_cache_find(&cache, ROW_TABLE_ENDPOINTS, row.key));
+	text = feed_response_encode(&response);
+	rows = feed_rows_encode(&response);
 	assert_true(feed_response_decode(
-	    text, strlen(text), rows, strlen(rows), &copy));
-	assert_true(copy.store_unavailable);
-	assert_true(feed_response_path_contains(&copy, "reader"));
-	assert_false(feed_response_path_contains(&copy, "me"));
-	assert_int_equal(copy.held_ms, 420);
-	assert_int_equal(copy.liveness_age_ms, 700);
-	assert_true(json_equal(copy.silent, answer.silent));
-	assert_int_equal(copy.tables[ROW_TABLE_SYSTEM].version, 17);
-	assert_int_equal(copy.tables[ROW_TABLE_SYSTEM].deletions_version, 18);
-	assert_int_equal(copy.tables[ROW_TABLE_SYSTEM].age_ms, 250);
-	assert_true(copy.tables[ROW_TABLE_SYSTEM].full);
-	assert_false(copy.tables[ROW_TABLE_OPERATOR].full);
-	assert_true(feed_response_row(&copy, 0, &table, &read));
+	    text, strlen(text), rows, strlen(rows), &decoded));
+	assert_true(decoded.store_unavailable);
+	assert_true(feed_response_path_contains(&decoded, "reader"));
+	assert_false(feed_response_path_contains(&decoded, "me"));
+	assert_int_equal(decoded.held_ms, 420);
+	assert_int_equal(decoded.liveness_age_ms, 700);
+	assert_true(json_equal(decoded.silent, response.silent));
+	assert_int_equal(decoded.tables[ROW_TABLE_SYSTEM].version, 17);
+	assert_int_equal(
+	    decoded.tables[ROW_TABLE_SYSTEM].deletions_version, 18);
+	assert_int_equal(decoded.tables[ROW_TABLE_SYSTEM].age_ms, 250);
+	assert_true(decoded.tables[ROW_TABLE_SYSTEM].full);
+	assert_false(decoded.tables[ROW_TABLE_OPERATOR].full);
+	assert_true(feed_response_row(&decoded, 0, &table, &received_row));
 	assert_int_equal(table, ROW_TABLE_ENDPOINTS);
-	assert_string_equal(read.key, row.key);
-	assert_string_equal(read.value, row.value);
-	assert_false(feed_response_row(&copy, 1, &table, &read));
-	question = (feed_request_t){
+	assert_string_equal(received_row.key, row.key);
+	assert_string_equal(received_row.value, row.value);
+	assert_false(feed_response_row(&decoded, 1, &table, &received_row));
+	request = (feed_request_t){
 	    .id = 4, .name = "me", .position = {.versions = {7, 0, 9}}};
-	asked = feed_request_encode(&question);
-	assert_true(feed_request_decode(asked, strlen(asked), &heard));
-	assert_string_equal(heard.name, "me");
-	assert_int_equal(heard.position.versions[ROW_TABLE_SYSTEM], 9);
-	feed_request_clear(&heard);
-	free(asked);
-	feed_response_clear(&copy);
-	assert_false(feed_response_decode("{}", 2, NULL, 0, &copy));
-	assert_false(feed_response_decode("nothing", 7, NULL, 0, &copy));
+	request_text = feed_request_encode(&request);
+	assert_true(feed_request_decode(
+	    request_text, strlen(request_text), &received_request));
+	assert_string_equal(received_request.name, "me");
+	assert_int_equal(
+	    received_request.position.versions[ROW_TABLE_SYSTEM], 9);
+	feed_request_clear(&received_request);
+	free(request_text);
+	feed_response_clear(&decoded);
+	assert_false(feed_response_decode("{}", 2, NULL, 0, &decoded));
+	assert_false(feed_response_decode("nothing", 7, NULL, 0, &decoded));
 	assert_false(
-	    feed_response_decode(text, strlen(text), "nothing", 7, &copy));
-	feed_response_clear(&copy);
-	assert_true(feed_response_decode(text, strlen(text), NULL, 0, &copy));
-	assert_int_equal(json_array_size(copy.rows), 0);
-	feed_response_clear(&copy);
+	    feed_response_decode(text, strlen(text), "nothing", 7, &decoded));
+	feed_response_clear(&decoded);
+	assert_true(
+	    feed_response_decode(text, strlen(text), NULL, 0, &decoded));
+	assert_int_equal(json_array_size(decoded.rows), 0);
+	feed_response_clear(&decoded);
 	free(rows);
 	free(text);
-	feed_response_clear(&answer);
+	feed_response_clear(&response);
 	row_cache_finish(&cache);
 }
 
@@ -148,89 +153,90 @@
 	return row != NULL && row->value != NULL;
 }
 
-/* Beats move a row's version on without a word to those who follow, so that
- * what is known from the store may be newer than what a whole answer names. */
+/* Heartbeats increase a row's version without a change that is sent to
+ * followers, so that rows from the store may be newer than those of a full
+ * table. */
 static void
-a_whole_answer_ends_only_what_it_does_not_name(void **state)
+a_full_table_deletes_only_unlisted_rows(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
-	row_cache_t here, there;
-	feed_response_t answer = {.request_id = 1, .rows = json_array()};
-	row_t named = row_of("named", "x", 30);
-	row_t gone = row_of("gone", "x", 31);
+	row_cache_t receiver, sender;
+	feed_response_t response = {.request_id = 1, .rows = json_array()};
+	row_t listed = row_of("named", "x", 30);
+	row_t unlisted = row_of("gone", "x", 31);
 	row_t later = row_of("later", "x", 90);
 
 	(void)state;
-	row_cache_init(&there, &clock.source, bytes_equal, NULL);
-	row_cache_put(&there, ROW_TABLE_ENDPOINTS, &named);
-	row_cache_init(&here, &clock.source, bytes_equal, NULL);
-	named.version = 50;
-	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &named);
-	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &gone);
-	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &later);
-	answer.tables[ROW_TABLE_ENDPOINTS] = (feed_table_state_t){
+	row_cache_init(&sender, &clock.source, bytes_equal, NULL);
+	row_cache_put(&sender, ROW_TABLE_ENDPOINTS, &listed);
+	row_cache_init(&receiver, &clock.source, bytes_equal, NULL);
+	listed.version = 50;
+	row_cache_put(&receiver, ROW_TABLE_ENDPOINTS, &listed);
+	row_cache_put(&receiver, ROW_TABLE_ENDPOINTS, &unlisted);
+	row_cache_put(&receiver, ROW_TABLE_ENDPOINTS, &later);
+	response.tables[ROW_TABLE_ENDPOINTS] = (feed_table_state_t){
 	    .version = 60, .deletions_version = 60, .full = true};
 	feed_response_add_row(
-	    &answer, row_cache_find(&there, ROW_TABLE_ENDPOINTS, "named"));
-	feed_rows_apply(&answer, &here, cache_put, &here);
-	assert_true(has_row(&here, "named"));
-	assert_false(has_row(&here, "gone"));
-	assert_true(has_row(&here, "later"));
-	feed_response_clear(&answer);
-	row_cache_finish(&here);
-	row_cache_finish(&there);
+	    &response, row_cache_find(&sender, ROW_TABLE_ENDPOINTS, "named"));
+	feed_rows_apply(&response, &receiver, cache_put, &receiver);
+	assert_true(has_row(&receiver, "named"));
+	assert_false(has_row(&receiver, "gone"));
+	assert_true(has_row(&receiver, "later"));
+	feed_response_clear(&response);
+	row_cache_finish(&receiver);
+	row_cache_finish(&sender);
 }
 
-/* An entry went and came back in the same words between two looks of the one
- * that reads the store: no change to it, nor to who follows it, which goes on
- * telling the row of before. Here the end was seen. */
+/* A row was deleted and written again unchanged between two polls of the daemon
+ * that reads the store. That is no change to it, nor to its followers, so it
+ * goes on sending the previous version. The receiver has seen the deletion. */
 static void
-a_whole_answer_brings_back_what_came_back_unchanged(void **state)
+a_full_table_restores_a_row_written_again_unchanged(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
-	row_cache_t here, there;
-	feed_response_t answer = {.request_id = 1, .rows = json_array()};
+	row_cache_t receiver, sender;
+	feed_response_t response = {.request_id = 1, .rows = json_array()};
 	row_t row = row_of("back", "x", 5);
-	row_t end = row_of("back", NULL, 50);
+	row_t deletion = row_of("back", NULL, 50);
 	row_t later = row_of("later", "x", 6);
-	row_t later_end = row_of("later", NULL, 70);
+	row_t later_deletion = row_of("later", NULL, 70);
 
 	(void)state;
-	row_cache_init(&there, &clock.source, bytes_equal, NULL);
-	row_cache_put(&there, ROW_TABLE_ENDPOINTS, &row);
-	row_cache_put(&there, ROW_TABLE_ENDPOINTS, &later);
-	row_cache_init(&here, &clock.source, bytes_equal, NULL);
-	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &row);
-	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &end);
-	row_cache_put(&here, ROW_TABLE_ENDPOINTS, &later_end);
-	answer.tables[ROW_TABLE_ENDPOINTS] = (feed_table_state_t){
+	row_cache_init(&sender, &clock.source, bytes_equal, NULL);
+	row_cache_put(&sender, ROW_TABLE_ENDPOINTS, &row);
+	row_cache_put(&sender, ROW_TABLE_ENDPOINTS, &later);
+	row_cache_init(&receiver, &clock.source, bytes_equal, NULL);
+	row_cache_put(&receiver, ROW_TABLE_ENDPOINTS, &row);
+	row_cache_put(&receiver, ROW_TABLE_ENDPOINTS, &deletion);
+	row_cache_put(&receiver, ROW_TABLE_ENDPOINTS, &later_deletion);
+	response.tables[ROW_TABLE_ENDPOINTS] = (feed_table_state_t){
 	    .version = 60, .deletions_version = 60, .full = true};
 	feed_response_add_row(
-	    &answer, row_cache_find(&there, ROW_TABLE_ENDPOINTS, "back"));
+	    &response, row_cache_find(&sender, ROW_TABLE_ENDPOINTS, "back"));
 	feed_response_add_row(
-	    &answer, row_cache_find(&there, ROW_TABLE_ENDPOINTS, "later"));
-	feed_rows_apply(&answer, &here, cache_put, &here);
-	assert_true(has_row(&here, "back"));
-	/* It went after what the answer tells. */
-	assert_false(has_row(&here, "later"));
-	feed_response_clear(&answer);
-	row_cache_finish(&here);
-	row_cache_finish(&there);
+	    &response, row_cache_find(&sender, ROW_TABLE_ENDPOINTS, "later"));
+	feed_rows_apply(&response, &receiver, cache_put, &receiver);
+	assert_true(has_row(&receiver, "back"));
+	/* It was deleted after the version of the response. */
+	assert_false(has_row(&receiver, "later"));
+	feed_response_clear(&response);
+	row_cache_finish(&receiver);
+	row_cache_finish(&sender);
 }
 
-/* Whoever read the store again after it had followed another for a time does
- * not go on telling that the store is lost. */
+/* A daemon that reads the store again after it followed another must not go on
+ * reporting the store as unavailable. */
 static void
-a_store_that_is_back_is_not_told_as_lost(void **state)
+an_available_store_is_not_reported_as_unavailable(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t members = {0};
-	row_sync_t source = {.base = base,
+	row_sync_t sync = {.base = base,
 	    .clock = &clock.source,
 	    .members = &members,
-	    .settings = {.max_age_ms = {OLD_MS, OLD_MS, OLD_MS}},
+	    .settings = {.max_age_ms = {MAX_AGE_MS, MAX_AGE_MS, MAX_AGE_MS}},
 	    .has_key = true,
 	    .server = {.store_unavailable = true}};
 	const row_t key = {.key = FLEET_KEY_ROW,
@@ -240,23 +246,23 @@
 
 	(void)state;
 	membership_of(&members, &store, &clock.source, 1, DAEMONS);
-	row_cache_init(&source.cache, &clock.source, bytes_equal, NULL);
-	row_cache_put(&source.cache, ROW_TABLE_SYSTEM, &key);
-	strcpy(source.fleet_key, key.value);
-	strcpy(source.settings.peer_address, "10.0.0.1:81");
-	members.order = -1; /* nobody stands before it */
+	row_cache_init(&sync.cache, &clock.source, bytes_equal, NULL);
+	row_cache_put(&sync.cache, ROW_TABLE_SYSTEM, &key);
+	strcpy(sync.fleet_key, key.value);
+	strcpy(sync.settings.peer_address, "10.0.0.1:81");
+	members.order = -1; /* it is the first in the order */
 	for (int i = 0; i < ROW_TABLES; i++)
-		source.watches[i].watch = (row_watch_t){.clock = &clock.source,
+		sync.watches[i].watch = (row_watch_t){.clock = &clock.source,
 		    .reachable = true,
 		    .synced_once = true,
 		    .synced_at = {90, 0}};
-	/* Who has old rows is of no use yet to those who ask. */
-	row_sync_tick(&source);
-	assert_true(source.server.store_unavailable);
+	/* With outdated rows, it is of no use to its followers yet. */
+	row_sync_tick(&sync);
+	assert_true(sync.server.store_unavailable);
 	for (int i = 0; i < ROW_TABLES; i++)
-		source.watches[i].watch.synced_at = clock.now;
-	row_sync_tick(&source);
-	assert_false(source.server.store_unavailable);
+		sync.watches[i].watch.synced_at = clock.now;
+	row_sync_tick(&sync);
+	assert_false(sync.server.store_unavailable);
 	membership_finish(&members);
 	event_base_free(base);
 }
@@ -265,12 +271,12 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_row_is_news_once_and_never_goes_back),
-	    cmocka_unit_test(rows_come_through_the_wire_as_they_are),
-	    cmocka_unit_test(a_whole_answer_ends_only_what_it_does_not_name),
+	    cmocka_unit_test(a_row_changes_once_and_never_reverts),
+	    cmocka_unit_test(encoded_rows_are_decoded_unchanged),
+	    cmocka_unit_test(a_full_table_deletes_only_unlisted_rows),
 	    cmocka_unit_test(
-		a_whole_answer_brings_back_what_came_back_unchanged),
-	    cmocka_unit_test(a_store_that_is_back_is_not_told_as_lost),
+		a_full_table_restores_a_row_written_again_unchanged),
+	    cmocka_unit_test(an_available_store_is_not_reported_as_unavailable),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/row_watch_test.c
+++ b/test/unit/row_watch_test.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Answers of the store that come late: whoever was told later news by another
- * daemon meanwhile goes back for none of them.
+ * Late responses of the store: a watch that got later rows from another daemon
+ * in the meantime does not go back to those of the response.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,32 +16,32 @@
 #include "moortack/replication/row_watch.h"
 
 #define VERSION_READ 12
-#define VERSION_TOLD 14
+#define VERSION_RECEIVED 14
 
-/** A store that answers when the test says so. */
-typedef struct late_store {
+/** A store whose responses the test sends. */
+typedef struct deferred_store {
 	row_store_t store;
 	row_done_t done;
 	void *arg;
 	int reads;
-	int feeds;
-} late_store_t;
+	int polls;
+} deferred_store_t;
 
-/** What a watch told. */
-typedef struct told {
+/** How often the callbacks of a watch were called. */
+typedef struct calls {
 	int rows;
-	int restarts;
-	int settled;
-} told_t;
+	int full_reads;
+	int synced;
+} calls_t;
 
 static bool
-late_read(row_store_t *store, const char *table, const char *from,
+deferred_read(row_store_t *store, const char *table, const char *page,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
-	late_store_t *self = (late_store_t *)store;
+	deferred_store_t *self = (deferred_store_t *)store;
 
 	(void)table;
-	(void)from;
+	(void)page;
 	(void)timeout_ms;
 	self->done = done;
 	self->arg = arg;
@@ -50,69 +50,70 @@
 }
 
 static bool
-late_feed(row_store_t *store, const char *table, uint64_t after,
+deferred_poll(row_store_t *store, const char *table, uint64_t after,
     int64_t wait_ms, int64_t timeout_ms, row_done_t done, void *arg)
 {
-	late_store_t *self = (late_store_t *)store;
+	deferred_store_t *self = (deferred_store_t *)store;
 
 	(void)table;
 	(void)wait_ms;
 	(void)timeout_ms;
-	assert_int_equal(after, VERSION_TOLD);
+	assert_int_equal(after, VERSION_RECEIVED);
 	self->done = done;
 	self->arg = arg;
-	self->feeds++;
+	self->polls++;
 	return true;
 }
 
-static const row_store_ops_t late_ops = {late_read, late_feed, silent_write};
+static const row_store_ops_t deferred_ops = {
+    deferred_read, deferred_poll, silent_write};
 
 static void
 on_row(void *arg, const row_t *row)
 {
 	(void)row;
-	((told_t *)arg)->rows++;
+	((calls_t *)arg)->rows++;
 }
 
 static void
-on_restart(void *arg)
+on_full_read_begin(void *arg)
 {
-	((told_t *)arg)->restarts++;
+	((calls_t *)arg)->full_reads++;
 }
 
 static void
-on_settled(void *arg, bool whole, const row_reply_t *reply)
+on_synced(void *arg, bool full_read, const row_reply_t *reply)
 {
-	(void)whole;
+	(void)full_read;
 	(void)reply;
-	((told_t *)arg)->settled++;
+	((calls_t *)arg)->synced++;
 }
 
 static void
-on_reachable(void *arg, bool now)
+on_reachable(void *arg, bool available)
 {
 	(void)arg;
-	(void)now;
+	(void)available;
 }
 
 static const row_watch_ops_t watch_ops = {
-    on_row, on_restart, on_settled, on_reachable};
+    on_row, on_full_read_begin, on_synced, on_reachable};
 
 static void
-turn(struct event_base *base)
+loop_run(struct event_base *base)
 {
-	struct timeval soon = {0, 20000};
+	struct timeval duration = {0, 20000};
 
-	event_base_loopexit(base, &soon);
+	event_base_loopexit(base, &duration);
 	event_base_dispatch(base);
 }
 
 static void
-a_read_from_before_what_was_told_since_is_not_taken(void **state)
+an_outdated_read_is_dropped(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	late_store_t store = {.store = {&late_ops}};
+	deferred_store_t store = {.store = {&deferred_ops}};
 	const row_watch_timing_t pace = {0, 1, 1, 1, 1000};
 	row_t row = {.key = "e1",
 	    .value = "leaving",
@@ -122,22 +123,22 @@
 	    .rows = &row,
 	    .rows_len = 1,
 	    .version = VERSION_READ};
-	told_t told = {0};
+	calls_t calls = {0};
 	row_watch_t watch;
 
 	(void)state;
 	assert_true(row_watch_init(&watch, base, &store.store, &clock.source,
-	    "endpoints", &pace, &watch_ops, &told));
-	turn(base);
+	    "endpoints", &pace, &watch_ops, &calls));
+	loop_run(base);
 	assert_int_equal(store.reads, 1);
-	row_watch_advance(&watch, VERSION_TOLD, clock.now);
+	row_watch_advance(&watch, VERSION_RECEIVED, clock.now);
 	store.done(store.arg, &reply);
-	assert_int_equal(told.rows, 0);
-	assert_int_equal(told.restarts, 0);
-	assert_int_equal(watch.version, VERSION_TOLD);
-	/* It goes on from what was told. */
-	turn(base);
-	assert_int_equal(store.feeds, 1);
+	assert_int_equal(calls.rows, 0);
+	assert_int_equal(calls.full_reads, 0);
+	assert_int_equal(watch.version, VERSION_RECEIVED);
+	/* It continues from the version that was received. */
+	loop_run(base);
+	assert_int_equal(store.polls, 1);
 	row_watch_finish(&watch);
 	event_base_free(base);
 }
@@ -146,8 +147,7 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(
-		a_read_from_before_what_was_told_since_is_not_taken),
+	    cmocka_unit_test(an_outdated_read_is_dropped),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
