--- a/test/platform/other_writers.lua
+++ b/test/platform/other_writers.lua
@@ -1,31 +1,31 @@
--- Others write into the tables, too: what is no entry names no replica, no daemon
--- and no roll-out, and what is one holds, however many rows there are and however
--- few of them fit a page.
+-- Other programs write to the tables, too: invalid rows add no replica, daemon
+-- or roll-out, and valid rows count, however many rows there are and however
+-- few of them fit into a page.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
-local JUNK = 60
+local INVALID_ROWS = 60
 local w = words.world(2, 1)
 
-local good = {service = "lm", address = "127.0.0.1:9", zone = "a",
+local valid = {service = "lm", address = "127.0.0.1:9", zone = "a",
   version = "v1", batch_slots = 8, state = "ready", sequence = 1}
 local function entry(changes)
-  local one = {}
-  for k, v in pairs(good) do one[k] = v end
-  for k, v in pairs(changes) do one[k] = v end
-  return one
+  local row = {}
+  for k, v in pairs(valid) do row[k] = v end
+  for k, v in pairs(changes) do row[k] = v end
+  return row
 end
-local bad = {entry({born = "5"}), entry({born = 1.5}), entry({born = -1}),
+local invalid = {entry({born = "5"}), entry({born = 1.5}), entry({born = -1}),
   entry({born = 9007199254740993}), entry({state = "odd"}),
   entry({state = 5}), entry({address = "nowhere:80"}),
   entry({address = "127.0.0.1:99999"}), entry({service = ""}), {}, "text"}
 
 lib.fault(w.store.address, {page = 7})
-for i = 1, JUNK do
-  w:put("servers", string.format("a-%03d", i), bad[i % #bad + 1])
-  w:put("servers", string.format("z-%03d", i), bad[i % #bad + 1])
+for i = 1, INVALID_ROWS do
+  w:put("servers", string.format("a-%03d", i), invalid[i % #invalid + 1])
+  w:put("servers", string.format("z-%03d", i), invalid[i % #invalid + 1])
 end
-w:put("servers", ("long"):rep(40), good)
+w:put("servers", ("long"):rep(40), valid)
 w:put("servers", "big", {text = ("x"):rep(4000000)})
 for _, key in ipairs({"member/", "member/nobody", "member/10.0.0.1:80",
     "member/" .. ("9"):rep(150), "rollout/lm", "rollout/" .. ("s"):rep(150),
@@ -33,21 +33,21 @@
   w:put("moortack", key, {state = 5})
 end
 
--- One daemon knew the tables before, the others read them now.
+-- One daemon had read the tables before, the others read them now.
 for i = 2, 3 do w:daemon(i) end
 for i = 2, 3 do words.wait_ready(w.daemons[i]) end
-lib.wait_until("the rows are counted", function()
+lib.wait_until("the refused rows are counted", function()
   local count = 0
   for i = 1, 3 do
     count = count + words.metric(w.daemons[i],
       'rows_refused_total{kind="endpoint",fault="field"}')
   end
-  return count > JUNK
+  return count > INVALID_ROWS
 end)
 for i = 1, 3 do
   local d = w.daemons[i]
   lib.equal(words.metric(d, "endpoints"), 2, "endpoints")
-  lib.wait_until("it knows the other daemons", function()
+  lib.wait_until("it has the other daemons", function()
     return words.metric(d, "daemons") == 3
   end)
   for n = 1, 6 do
@@ -56,8 +56,8 @@
   end
 end
 
--- A roll-out goes its way, and the fleet's key, which is spoilt, is mended: a
--- daemon that starts then finds the others.
+-- A roll-out makes progress, and the fleet's key, which was overwritten, is
+-- restored: a daemon that starts afterwards finds the others.
 w:put("moortack", "fleet/key", "no key")
 local function key_row()
   for _, row in ipairs(w:rows("moortack")) do
--- a/test/platform/restarted.lua
+++ b/test/platform/restarted.lua
@@ -1,6 +1,7 @@
--- A replica starts again under its id while requests are under way there, on
--- connections that fall silent: its next process knows nothing of them, and its
--- word that it did not run something says nothing about the one before.
+-- A replica restarts under its id while requests are in flight there, on
+-- connections over which nothing more arrives. The new process does not know
+-- these requests: its response that it has not run one says nothing about the
+-- previous process.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -13,7 +14,7 @@
 local d = w:daemon(1)
 words.wait_ready(d)
 
--- Begin a request that stays at the replica of that number.
+-- Starts a request that the replica of that number holds.
 local function held_at(i, path, options)
   w:faults(i, {hold = true})
   w:faults(3 - i, {})
@@ -36,39 +37,41 @@
   w:restart(i)
 end
 
--- What may run once: its outcome is unknown, whatever the next process says,
--- and the caller is told so long before its deadline.
+-- A request that may run only once: its outcome is unknown, whatever the new
+-- process responds, and the caller learns that long before its deadline.
 local booking = held_at(1, "/book/1", {deadline = DEADLINE_MS})
 restart(1, {shed = true})
-local told = booking:finish()
-lib.equal(told.status, 502, "a booking at a replica that started again")
+local response = booking:finish()
+lib.equal(response.status, 502, "a booking at a replica that restarted")
 lib.equal(w:ran(booking.id), 1, "its runs")
-lib.check(told.ms < DEADLINE_MS / 2, "told after %d ms", told.ms)
+lib.check(response.ms < DEADLINE_MS / 2, "response after %d ms", response.ms)
 
--- What may be repeated: refused by all that run now, it may have run before.
+-- An idempotent request: all current processes refuse it, but it may have run
+-- before.
 local scan = held_at(2, "/scan/1", {method = "GET", deadline = DEADLINE_MS})
 restart(2, {shed = true})
-lib.equal(scan:finish().status, 502, "a scan that nobody runs now")
+lib.equal(scan:finish().status, 502, "a scan that all replicas refuse now")
 
--- It is repeated where it can be.
+-- It is repeated if a replica accepts it.
 scan = held_at(1, "/scan/2", {method = "GET", deadline = DEADLINE_MS})
 restart(1, {})
-lib.equal(scan:finish().status, 200, "a scan at a replica that started again")
+lib.equal(scan:finish().status, 200, "a scan at a replica that restarted")
 
--- A stream goes on after its last event, at a replica that has none of it.
+-- A stream is resumed after its last event, at a replica that has none of its
+-- events.
 for i = 1, 2 do w:faults(i, {pause_ms = 50, events = 30}) end
 local stream = words.begin(d, "/stream/a")
 local at
-lib.wait_until("it runs", function()
+lib.wait_until("the stream runs", function()
   at = w:endpoint_of(stream.id)
   return at and #stream:look().body > 0
 end)
 w:restart(at)
-local answer = stream:finish()
-lib.check(words.whole(answer.body, 30), "events: %s", answer.body)
-lib.check(words.metric(d, "resumed_total") > 0, "it was not resumed")
+local result = stream:finish()
+lib.check(words.whole(result.body, 30), "events: %s", result.body)
+lib.check(words.metric(d, "resumed_total") > 0, "the stream was not resumed")
 
--- A heartbeat of the earlier process that comes late brings nothing back.
+-- A late heartbeat of the previous process does not replace the new one.
 w.replicas[1].born = w.replicas[1].born - 500
 w:replica(1)
 w.replicas[1].born = w.replicas[1].born + 500
