--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -19,7 +19,7 @@
 		if (row != NULL && (oldest == 0 || row->version < oldest))
 			oldest = row->version;
 	}
-	row_source_keep_back(
+	row_sync_withhold(
 	    &node->source, ROW_TABLE_ENDPOINTS, oldest == 0 ? 0 : oldest + 1);
 }
 
@@ -31,7 +31,7 @@
 endpoint_removed(relay_node_t *node, endpoint_t *endpoint, uint64_t version)
 {
 	bool keep =
-	    node->lapses && !node->source.taking && !endpoint->info.leaving;
+	    node->lapses && !node->source.applying && !endpoint->info.leaving;
 	bool was_lapsed = endpoint->lapsed;
 	row_t tombstone;
 
@@ -50,7 +50,7 @@
 		    &node->relay.quarantine, endpoint);
 	tombstone = (row_t){
 	    .key = endpoint->info.id, .version = version, .deleted = true};
-	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &tombstone);
+	row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, &tombstone);
 	endpoint_set_remove(&node->endpoints, endpoint);
 	if (was_lapsed)
 		lapsed_rows_hold_back(node);
@@ -95,7 +95,7 @@
 		return;
 	/* A daemon with an older version still has the row that lapsed here. */
 	endpoint->lapsed = order != INCARNATION_LATER && !is_newer &&
-	    node->source.taking && node->source.taking_less;
+	    node->source.applying && node->source.applying_older;
 	lapsed_rows_hold_back(node);
 }
 
@@ -110,7 +110,7 @@
 	if (known != NULL)
 		endpoint_removed(node, known, row->version);
 	else
-		row_source_put(&node->source, ROW_TABLE_ENDPOINTS, &tombstone);
+		row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, &tombstone);
 }
 
 /* An endpoint that was removed doesn't come back because a restored older copy
@@ -121,7 +121,7 @@
 removal_stands(
     const relay_node_t *node, const cached_row_t *known, const row_t *row)
 {
-	return !node->source.taking && relay_rows_of_later_era(known, row) &&
+	return !node->source.applying && relay_rows_of_later_era(known, row) &&
 	    known->value == NULL;
 }
 
@@ -164,7 +164,7 @@
 		relay_rows_keep(node, ROW_TABLE_ENDPOINTS, known, row);
 		return;
 	}
-	row_source_put(&node->source, ROW_TABLE_ENDPOINTS, row);
+	row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, row);
 	endpoint_apply(node, &info, is_newer);
 }
 
@@ -173,7 +173,7 @@
 relay_rows_lapsed_end(relay_node_t *node)
 {
 	const row_watch_t *watch =
-	    row_source_watch(&node->source, ROW_TABLE_ENDPOINTS);
+	    row_sync_watch(&node->source, ROW_TABLE_ENDPOINTS);
 	struct timespec now = clock_elapsed(node->ports.clock);
 	endpoint_t *current, *next;
 
@@ -182,7 +182,7 @@
 		node->settings.lapse_ms)
 		return;
 	node->lapses = false;
-	if (node->source.kept_back[ROW_TABLE_ENDPOINTS] == 0)
+	if (node->source.withheld_version[ROW_TABLE_ENDPOINTS] == 0)
 		return;
 	for (current = node->endpoints.endpoints; current != NULL;
 	     current = next) {
--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -68,8 +68,9 @@
 rows_submit(relay_quarantine_t *self, row_change_t *expected,
     row_change_t *changes, size_t len)
 {
-	self->write_pending = row_store_write(self->store, ROW_FOR_QUARANTINE,
-	    expected, len, changes, len, WRITE_TIMEOUT_MS, on_written, self);
+	self->write_pending =
+	    row_store_write(self->store, ROW_PURPOSE_QUARANTINE, expected, len,
+		changes, len, WRITE_TIMEOUT_MS, on_written, self);
 }
 
 static bool
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -195,8 +195,9 @@
 {
 	const row_watch_t *states = rollout->owner->states_watch;
 
-	return states->settled_once &&
-	    timespec_ms_between(rollout->next_order_seen_at, states->known) > 0;
+	return states->synced_once &&
+	    timespec_ms_between(
+		rollout->next_order_seen_at, states->synced_at) > 0;
 }
 
 static void
@@ -234,8 +235,8 @@
 		return true;
 	}
 	return order_equals(&rollout->previous_order, order) &&
-	    era_version_number(rollout->previous_order.number) ==
-	    era_version_number(order->number);
+	    era_version_sequence(rollout->previous_order.number) ==
+	    era_version_sequence(order->number);
 }
 
 void
@@ -258,7 +259,7 @@
 	    order->service, order->number, order->to_version,
 	    rollout->order.number);
 	if (!self->states_watch->suspended)
-		row_watch_hurry(self->states_watch);
+		row_watch_poll_now(self->states_watch);
 }
 
 void
@@ -335,7 +336,7 @@
 		if (restored && state_is_earlier(rollout, &content))
 			return true;
 		content.order =
-		    era_version_of(era, era_version_number(content.order));
+		    era_version_make(era, era_version_sequence(content.order));
 	}
 	state_set(rollout, &content);
 	event_line(self->log, "rollout_state",
@@ -358,7 +359,7 @@
 	rollout->write_after =
 	    timespec_after_ms(clock_elapsed(self->clock), RETRY_DELAY_MS);
 	if (!self->states_watch->suspended)
-		row_watch_hurry(self->states_watch);
+		row_watch_poll_now(self->states_watch);
 	event_line(self->log, "rollout_write",
 	    "service=%s order=%" PRIu64 " state=%s result=%d",
 	    rollout->order.service, rollout->order.number,
@@ -388,9 +389,9 @@
 		changes[1] = (row_change_t){
 		    .table = status_table, .key = status_key, .value = status};
 		rollout->write_state = state;
-		rollout->writing = row_store_write(self->store, ROW_FOR_STATE,
-		    &expected, 1, changes, 2, WRITE_TIMEOUT_MS,
-		    on_state_written, rollout);
+		rollout->writing = row_store_write(self->store,
+		    ROW_PURPOSE_ROLLOUT_STATE, &expected, 1, changes, 2,
+		    WRITE_TIMEOUT_MS, on_state_written, rollout);
 	}
 	free(status_table);
 	free(status_key);
--- a/moortack/replication/feed_body.c
+++ b/moortack/replication/feed_body.c
@@ -3,88 +3,94 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "moortack/replication/feed_apply.h"
+#include "moortack/replication/feed_rows.h"
 
 static bool
-same_versions(const feed_point_t *a, const feed_point_t *b)
+versions_equal(const feed_position_t *a, const feed_position_t *b)
 {
 	return memcmp(a->versions, b->versions, sizeof(a->versions)) == 0;
 }
 
-/* Changes depend on the asker's newest one alone. Of whole tables, versions of
- * rows that mean the same decide which ends are told. */
+/* Whether the body fits a request. Changes depend only on the requester's
+ * newest one. In full tables, the versions of rows also matter where their
+ * meaning is unchanged: they decide which deletions are sent. */
 static bool
-fits(const feed_body_t *body, const row_cache_t *cache,
-    const feed_point_t *from, const feed_answer_t *answer)
+body_fits(const feed_body_t *body, const row_cache_t *cache,
+    const feed_position_t *position, const feed_response_t *response)
 {
-	if (!body->made || body->change != cache->change)
+	if (!body->valid || body->change != cache->last_change)
 		return false;
-	if (body->again)
-		return body->from.change == from->change;
+	if (body->incremental)
+		return body->position.change == position->change;
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (body->whole[i] != answer->tables[i].whole)
+		if (body->full[i] != response->tables[i].full)
 			return false;
 	}
-	return body->renewed == cache->renewed &&
-	    body->from.source == from->source &&
-	    body->from.change == from->change &&
-	    same_versions(&body->from, from);
+	return body->put_count == cache->put_count &&
+	    body->position.incarnation == position->incarnation &&
+	    body->position.change == position->change &&
+	    versions_equal(&body->position, position);
 }
 
 static bool
-rows_pack(feed_answer_t *answer, feed_bytes_t *bytes)
+rows_pack(feed_response_t *response, feed_bytes_t *bytes)
 {
 	char *text = NULL;
 	bool packed;
 
 	*bytes = (feed_bytes_t){0};
-	if (json_array_size(answer->rows) == 0)
+	if (json_array_size(response->rows) == 0)
 		return true;
-	text = feed_rows_text(answer);
+	text = feed_rows_encode(response);
 	packed = text != NULL && feed_pack(text, bytes);
 	free(text);
 	return packed;
 }
 
 static bool
-body_make(feed_body_t *body, const row_cache_t *cache, const feed_point_t *from,
-    bool again, feed_answer_t *answer)
+body_encode(feed_body_t *body, const row_cache_t *cache,
+    const feed_position_t *position, bool incremental,
+    feed_response_t *response)
 {
 	free(body->bytes.data);
-	*body = (feed_body_t){.again = again && !feed_answer_whole(answer),
-	    .from = *from,
-	    .change = cache->change,
-	    .renewed = cache->renewed};
+	*body = (feed_body_t){.incremental = incremental &&
+		!feed_response_has_full_table(response),
+	    .position = *position,
+	    .change = cache->last_change,
+	    .put_count = cache->put_count};
 	for (int i = 0; i < ROW_TABLES; i++)
-		body->whole[i] = answer->tables[i].whole;
-	answer->rows = json_array();
-	feed_fill_rows(cache, from, again, answer);
-	body->made = rows_pack(answer, &body->bytes);
-	json_decref(answer->rows);
-	answer->rows = NULL;
-	return body->made;
+		body->full[i] = response->tables[i].full;
+	response->rows = json_array();
+	feed_rows_fill(cache, position, incremental, response);
+	body->valid = rows_pack(response, &body->bytes);
+	json_decref(response->rows);
+	response->rows = NULL;
+	return body->valid;
 }
 
 const feed_bytes_t *
-feed_bodies_for(feed_bodies_t *bodies, const row_cache_t *cache,
-    uint64_t incarnation, const feed_point_t *from, feed_answer_t *answer)
+feed_body_cache_get(feed_body_cache_t *bodies, const row_cache_t *cache,
+    uint64_t incarnation, const feed_position_t *position,
+    feed_response_t *response)
 {
-	bool again = feed_fill_tables(cache, incarnation, from, answer);
-	feed_body_t *body = again && !feed_answer_whole(answer)
-	    ? &bodies->changes
-	    : &bodies->whole;
+	bool incremental =
+	    feed_tables_fill(cache, incarnation, position, response);
+	feed_body_t *body =
+	    incremental && !feed_response_has_full_table(response)
+	    ? &bodies->incremental
+	    : &bodies->full;
 
-	if (!fits(body, cache, from, answer)) {
-		bodies->made++;
-		if (!body_make(body, cache, from, again, answer))
+	if (!body_fits(body, cache, position, response)) {
+		bodies->encoded++;
+		if (!body_encode(body, cache, position, incremental, response))
 			return NULL;
 	}
 	return &body->bytes;
 }
 
 void
-feed_bodies_finish(feed_bodies_t *bodies)
+feed_body_cache_finish(feed_body_cache_t *bodies)
 {
-	free(bodies->changes.bytes.data);
-	free(bodies->whole.bytes.data);
+	free(bodies->incremental.bytes.data);
+	free(bodies->full.bytes.data);
 }
--- a/moortack/replication/row_follow.c
+++ b/moortack/replication/row_follow.c
@@ -3,271 +3,283 @@
 #include <string.h>
 
 #include "moortack/replication/feed_delta.h"
-#include "row_source_priv.h"
+#include "row_sync_priv.h"
 
-/* Rows of who is followed that are old for longer are of no use. */
-#define OLD_MOST_MS 3000
+/* A parent whose rows are outdated for longer is replaced. */
+#define STALE_MAX_MS 3000
 
 static bool
-rows_are_old(const row_source_t *self)
+rows_are_stale(const row_sync_t *self)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
 		if (row_watch_age_ms(&self->watches[i].watch) >
-		    self->settings.old_ms[i])
+		    self->settings.max_age_ms[i])
 			return true;
 	}
 	return false;
 }
 
-/* Who was lost has to have news before others rely on it again. */
+/* After an outage, this daemon has to have recent rows before others rely on it
+ * again. */
 static bool
-is_lost(const row_source_t *self)
+is_unavailable(const row_sync_t *self)
 {
-	bool unreachable = self->parent_lost && !row_parent_store_read(self);
+	bool unreachable =
+	    self->parent_store_unavailable && !row_parent_bypassed(self);
 
 	if (self->following)
 		return false;
 	for (int i = 0; i < ROW_TABLES; i++)
 		unreachable |= !self->watches[i].watch.reachable;
-	return unreachable || (self->server.lost && rows_are_old(self));
+	return unreachable ||
+	    (self->server.store_unavailable && rows_are_stale(self));
 }
 
 void
-row_follow_tell_lost(row_source_t *self)
+row_follow_update_status(row_sync_t *self)
 {
-	if (self->keyed)
-		feed_server_set_lost(
-		    &self->server, is_lost(self), self->leaving || self->down);
+	if (self->has_key)
+		feed_server_set_status(&self->server, is_unavailable(self),
+		    self->leaving || self->follows_next);
 }
 
 static bool
-kept_back_any(const row_source_t *self)
+any_withheld(const row_sync_t *self)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (self->kept_back[i] != 0)
+		if (self->withheld_version[i] != 0)
 			return true;
 	}
 	return false;
 }
 
 const char *
-row_source_reader(const row_source_t *self)
+row_sync_reader(const row_sync_t *self)
 {
-	size_t len = json_array_size(self->followed_path);
+	size_t len = json_array_size(self->parent_path);
 
 	return len > 0
-	    ? json_string_value(json_array_get(self->followed_path, len - 1))
+	    ? json_string_value(json_array_get(self->parent_path, len - 1))
 	    : NULL;
 }
 
 static bool
-table_old(
-    const row_source_t *self, const feed_answer_t *answer, row_table_t table)
+table_is_stale(
+    const row_sync_t *self, const feed_response_t *response, row_table_t table)
 {
-	int64_t age_ms = answer->tables[table].age_ms;
+	int64_t age_ms = response->tables[table].age_ms;
 
-	return age_ms < 0 || age_ms > self->settings.old_ms[table];
+	return age_ms < 0 || age_ms > self->settings.max_age_ms[table];
 }
 
 static bool
-tables_old(const row_source_t *self, const feed_answer_t *answer)
+any_table_stale(const row_sync_t *self, const feed_response_t *response)
 {
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (table_old(self, answer, (row_table_t)i))
+		if (table_is_stale(self, response, (row_table_t)i))
 			return true;
 	}
 	return false;
 }
 
-/* Ask the store for changes that the parent does not tell in time. Only
- * daemons that follow the first one do, and pass on what they read. If all
+/* Reads changes from the store that the parent does not send in time. Only
+ * daemons that follow the first one do so, and pass on what they read. If all
  * did, a configuration of 1,549 routes on slow links would make 240 of 295
  * daemons call the store at each change (counted in their logs). */
 static void
-ask_beside(row_source_t *self, row_table_t table)
+read_from_store(row_sync_t *self, row_table_t table)
 {
-	if (row_source_settled(self) && membership_follows_first(self->members))
-		row_source_beside(self, table);
+	if (row_sync_synced(self) && membership_follows_first(self->members))
+		row_sync_resume_table(self, table);
 }
 
-/* Whoever is followed has old rows: it may just have lost whom it followed, and
- * has news as soon as it finds another. The store is asked for these meanwhile.
- */
+/* The parent's rows are outdated: it may have just lost its own parent, and
+ * will have recent rows as soon as it finds another one. Meanwhile the
+ * outdated tables are read from the store. */
 static void
-followed_old(row_source_t *self, const feed_answer_t *answer)
+parent_stale_handle(row_sync_t *self, const feed_response_t *response)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
-	if (!self->old) {
-		self->old = true;
-		self->old_since = now;
-		event_line(self->log, "behind", "source=%s", self->followed);
+	if (!self->parent_stale) {
+		self->parent_stale = true;
+		self->parent_stale_since = now;
+		event_line(self->log, "behind", "source=%s", self->parent);
 	}
-	if (timespec_ms_between(self->old_since, now) >= OLD_MOST_MS) {
-		row_parent_leave(self, "behind");
+	if (timespec_ms_between(self->parent_stale_since, now) >=
+	    STALE_MAX_MS) {
+		row_parent_replace(self, "behind");
 		return;
 	}
 	for (int i = 0; i < ROW_TABLES; i++) {
-		if (table_old(self, answer, (row_table_t)i))
-			ask_beside(self, (row_table_t)i);
+		if (table_is_stale(self, response, (row_table_t)i))
+			read_from_store(self, (row_table_t)i);
 	}
 }
 
-/* What the answer says of whoever gave it: it is left, or nothing else is taken
- * of it.
- * @return false: the answer is to be taken */
+/* Handles what the response says of the parent itself: the parent is replaced,
+ * or nothing else of the response is used.
+ * @return false if the rows of the response are to be applied */
 static bool
-answer_useless(row_source_t *self, const feed_answer_t *answer)
+response_unusable(row_sync_t *self, const feed_response_t *response)
 {
-	if (answer->leaving) {
-		row_parent_leave(self, "leaving");
+	if (response->leaving) {
+		row_parent_replace(self, "leaving");
 		return true;
 	}
-	if (feed_answer_through(answer, self->members->settings.name)) {
-		row_parent_circle(self);
+	if (feed_response_path_contains(
+		response, self->members->settings.name)) {
+		row_parent_break_cycle(self);
 		return true;
 	}
-	if (!answer->lost) {
-		row_parent_found(self);
+	if (!response->store_unavailable) {
+		row_parent_store_available(self);
 		return false;
 	}
-	row_parent_lost(self);
+	row_parent_store_unavailable(self);
 	return true;
 }
 
 static void
-follow_begin(row_source_t *self, const feed_answer_t *answer)
+follow_begin(row_sync_t *self, const feed_response_t *response)
 {
 	self->following = true;
-	row_follow_tell_lost(self);
-	feed_server_refresh(&self->server);
-	row_source_suspend(self, true);
+	row_follow_update_status(self);
+	feed_server_respond_all(&self->server);
+	row_sync_suspend_reads(self, true);
 	event_line(self->log, "follow", "source=%s rows=%zu age_ms=%" PRId64,
-	    self->followed, json_array_size(answer->rows),
-	    answer->tables[ROW_TABLE_ORDERS].age_ms);
+	    self->parent, json_array_size(response->rows),
+	    response->tables[ROW_TABLE_OPERATOR].age_ms);
 }
 
-/* Take the word of the parent on which daemons are alive. */
+/* Applies what the parent reports of which daemons are alive. */
 static void
-word_take(row_source_t *self, const feed_answer_t *answer, struct timespec sent)
+liveness_apply(
+    row_sync_t *self, const feed_response_t *response, struct timespec sent)
 {
-	if (answer->vouched_ms >= 0 &&
+	if (response->liveness_age_ms >= 0 &&
 	    membership_vouched(self->members,
-		timespec_after_ms(sent, -answer->vouched_ms), answer->silent))
-		feed_server_refresh(&self->server);
+		timespec_after_ms(sent, -response->liveness_age_ms),
+		response->silent))
+		feed_server_respond_all(&self->server);
 }
 
-/* The answer builds on a value that this daemon has not: the next one has to
- * tell whole rows. */
+/* The response has a delta to a value that this daemon does not have: the next
+ * one has to have entire rows. */
 static void
-whole_ask(row_source_t *self)
+full_rows_request(row_sync_t *self)
 {
-	self->followed_source = 0;
-	event_line(self->log, "base_missing", "source=%s", self->followed);
+	self->parent_incarnation = 0;
+	event_line(self->log, "base_missing", "source=%s", self->parent);
 }
 
-/* Who has just started learns even from one that learns nothing new now, and,
- * if the store may have an older copy, from one that learned through its last
- * run. */
+/* Whether a starting daemon applies the rows in spite of what else the response
+ * says. It does if the store is unavailable to the sender, and, if the store
+ * may have been restored from an older copy, if the rows came through this
+ * daemon's previous process. */
 static bool
-starter_learns(const row_source_t *self, const feed_answer_t *answer)
+starter_applies(const row_sync_t *self, const feed_response_t *response)
 {
-	if (row_source_settled(self))
+	if (row_sync_synced(self))
 		return false;
-	return answer->lost ||
+	return response->store_unavailable ||
 	    (self->store->era > 0 &&
-		feed_answer_through(answer, self->members->settings.name));
+		feed_response_path_contains(
+		    response, self->members->settings.name));
 }
 
 void
-row_follow_take(row_source_t *self, feed_answer_t *answer, struct timespec sent)
+row_follow_response(
+    row_sync_t *self, feed_response_t *response, struct timespec sent)
 {
-	membership_answered(self->members, self->followed, sent);
-	self->followed_answers = true;
-	if (!feed_delta_resolve(answer, &self->cache)) {
-		whole_ask(self);
+	membership_answered(self->members, self->parent, sent);
+	self->parent_responded = true;
+	if (!feed_delta_resolve(response, &self->cache)) {
+		full_rows_request(self);
 		return;
 	}
-	if (starter_learns(self, answer))
-		row_answer_take(self, answer, sent);
-	if (answer_useless(self, answer))
+	if (starter_applies(self, response))
+		row_response_apply(self, response, sent);
+	if (response_unusable(self, response))
 		return;
-	row_answer_take(self, answer, sent);
-	word_take(self, answer, sent);
-	if (tables_old(self, answer)) {
-		followed_old(self, answer);
+	row_response_apply(self, response, sent);
+	liveness_apply(self, response, sent);
+	if (any_table_stale(self, response)) {
+		parent_stale_handle(self, response);
 		return;
 	}
-	self->old = false;
-	self->ops->store_clock(self->arg, answer->store_now_ms);
-	membership_trust(self->members, self->followed);
+	self->parent_stale = false;
+	self->ops->store_clock(self->arg, response->store_now_ms);
+	membership_trust(self->members, self->parent);
 	if (self->following) {
-		row_source_suspend(self, true);
+		row_sync_suspend_reads(self, true);
 		return;
 	}
-	if (!kept_back_any(self)) {
-		follow_begin(self, answer);
+	if (!any_withheld(self)) {
+		follow_begin(self, response);
 		return;
 	}
-	/* Only all rows of a daemon that knows as much tell how what is kept
-	 * back ended. */
-	if (!self->taking_less)
-		self->followed_source = 0;
+	/* Only all rows of a daemon that has as many of the withheld changes
+	 * show their outcome. */
+	if (!self->applying_older)
+		self->parent_incarnation = 0;
 }
 
-/* The answer tells what was known when it was sent: no earlier than the
- * question was sent, and then held. */
+/* The response has what was known when it was sent: no earlier than the request
+ * was sent, plus the time that it was held. */
 static void
-on_answer(void *arg, feed_answer_t *answer, struct timespec asked)
+on_response(void *arg, feed_response_t *response, struct timespec sent_at)
 {
-	row_follow_take(arg, answer, timespec_after_ms(asked, answer->held_ms));
+	row_follow_response(
+	    arg, response, timespec_after_ms(sent_at, response->held_ms));
 }
 
 static void
 on_slow(void *arg)
 {
-	row_source_t *self = arg;
+	row_sync_t *self = arg;
 
-	event_line(self->log, "slow", "source=%s", self->followed);
-	ask_beside(self, ROW_TABLE_ENDPOINTS);
+	event_line(self->log, "slow", "source=%s", self->parent);
+	read_from_store(self, ROW_TABLE_ENDPOINTS);
 }
 
 static void
-on_lost(void *arg)
+on_timeout(void *arg)
 {
-	row_source_t *self = arg;
+	row_sync_t *self = arg;
 
-	membership_no_answer(self->members, self->followed);
-	row_parent_leave(self, "no_answer");
+	membership_no_answer(self->members, self->parent);
+	row_parent_replace(self, "no_answer");
 }
 
 void
-row_follow_ask(const row_source_t *self, feed_point_t *from)
+row_follow_position(const row_sync_t *self, feed_position_t *position)
 {
-	from->source = self->followed_source;
-	from->change = self->followed_change;
+	position->incarnation = self->parent_incarnation;
+	position->change = self->parent_change;
 	for (int i = 0; i < ROW_TABLES; i++)
-		from->versions[i] = row_source_known(self, (row_table_t)i);
+		position->versions[i] =
+		    row_sync_requested_version(self, (row_table_t)i);
 }
 
 static void
-on_ask(void *arg, feed_question_t *question)
+on_prepare(void *arg, feed_request_t *request)
 {
-	row_source_t *self = arg;
+	row_sync_t *self = arg;
 
-	snprintf(question->name, sizeof(question->name), "%s",
+	snprintf(request->name, sizeof(request->name), "%s",
 	    self->members->settings.name);
-	row_follow_ask(self, &question->from);
-	question->report = self->ops->report(self->arg);
-	question->below = membership_below(self->members);
-	question->row = membership_row_request(self->members);
+	row_follow_position(self, &request->position);
+	request->report = self->ops->report(self->arg);
+	request->subtree = membership_below(self->members);
+	request->row_request = membership_row_request(self->members);
 }
 
 static const feed_client_ops_t client_ops = {
-    on_ask, on_answer, on_slow, on_lost};
+    on_prepare, on_response, on_slow, on_timeout};
 
 void
-row_follow_state(const row_source_t *self, feed_answer_t *answer)
+row_follow_fill_state(const row_sync_t *self, feed_response_t *response)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
@@ -275,42 +287,46 @@
 		const row_watch_t *watch = &self->watches[i].watch;
 		int64_t age_ms = row_watch_age_ms(watch);
 
-		feed_table_t *table = &answer->tables[i];
+		feed_table_state_t *table = &response->tables[i];
 
-		table->version = row_source_told(self, (row_table_t)i);
-		table->known = watch->version > self->named[i] ? watch->version
-							       : self->named[i];
+		table->version =
+		    row_sync_published_version(self, (row_table_t)i);
+		table->deletions_version =
+		    watch->version > self->deletions_version[i]
+		    ? watch->version
+		    : self->deletions_version[i];
 		table->age_ms = age_ms == INT64_MAX ? -1 : age_ms;
 	}
-	answer->store_now_ms =
+	response->store_now_ms =
 	    self->members->store_offset_ms + timespec_ms(now);
-	answer->vouched_ms = membership_vouch_age_ms(self->members);
-	answer->silent = membership_silent(self->members);
-	answer->path = json_pack("[s]", self->members->settings.name);
-	if (self->following && self->followed_path != NULL)
-		json_array_extend(answer->path, self->followed_path);
+	response->liveness_age_ms = membership_vouch_age_ms(self->members);
+	response->silent = membership_silent(self->members);
+	response->path = json_pack("[s]", self->members->settings.name);
+	if (self->following && self->parent_path != NULL)
+		json_array_extend(response->path, self->parent_path);
 }
 
 static void
-on_state(void *arg, feed_answer_t *answer)
+on_fill_state(void *arg, feed_response_t *response)
 {
-	row_follow_state(arg, answer);
+	row_follow_fill_state(arg, response);
 }
 
 static void
-on_heard(void *arg, const feed_question_t *question)
+on_request(void *arg, const feed_request_t *request)
 {
-	row_source_t *self = arg;
+	row_sync_t *self = arg;
 
-	membership_heard(self->members, question->name, question->report);
-	membership_row_requested(self->members, question->name, question->row);
-	membership_heard_below(self->members, question->below);
+	membership_heard(self->members, request->name, request->report);
+	membership_row_requested(
+	    self->members, request->name, request->row_request);
+	membership_heard_below(self->members, request->subtree);
 }
 
-static const feed_server_ops_t server_ops = {on_state, on_heard};
+static const feed_server_ops_t server_ops = {on_fill_state, on_request};
 
 void
-row_follow_start(row_source_t *self, const char *secret)
+row_follow_start(row_sync_t *self, const char *secret)
 {
 	char address[MEMBER_NAME_SIZE + 8];
 	err_t err;
@@ -328,32 +344,32 @@
 		event_line(self->log, "peers_failed", "address=%s", address);
 		return;
 	}
-	self->first_wait =
-	    event_new(self->base, -1, 0, row_parent_first_wait, self);
-	snprintf(self->secret, sizeof(self->secret), "%s", secret);
-	self->keyed = true;
-	if (self->ops->secret != NULL)
-		self->ops->secret(self->arg, secret);
+	self->first_response_timer =
+	    event_new(self->base, -1, 0, row_parent_first_timeout, self);
+	snprintf(self->fleet_key, sizeof(self->fleet_key), "%s", secret);
+	self->has_key = true;
+	if (self->ops->fleet_key != NULL)
+		self->ops->fleet_key(self->arg, secret);
 }
 
 void
-row_follow_stop_peers(row_source_t *self)
+row_follow_stop(row_sync_t *self)
 {
-	if (self->first_wait != NULL)
-		event_free(self->first_wait);
-	self->first_wait = NULL;
+	if (self->first_response_timer != NULL)
+		event_free(self->first_response_timer);
+	self->first_response_timer = NULL;
 	feed_client_finish(&self->client);
 	feed_server_finish(&self->server);
 	if (self->context != NULL)
 		zmq_ctx_term(self->context);
 	self->context = NULL;
-	self->keyed = false;
+	self->has_key = false;
 }
 
 void
-row_follow_end(row_source_t *self)
+row_follow_reset(row_sync_t *self)
 {
-	row_parent_end(self, "key");
-	row_follow_stop_peers(self);
-	row_source_suspend(self, false);
+	row_parent_unfollow(self, "key");
+	row_follow_stop(self);
+	row_sync_suspend_reads(self, false);
 }
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -200,8 +200,8 @@
 
 	event_log_init(&log, &daemon->clock.source, 1e-9);
 	*watch = (row_watch_t){.clock = &daemon->clock.source,
-	    .settled_once = true,
-	    .known = daemon->clock.now};
+	    .synced_once = true,
+	    .synced_at = daemon->clock.now};
 	daemon->rollouts = (rollouts_t){.clock = &daemon->clock.source,
 	    .orders_watch = watch,
 	    .states_watch = watch,
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -86,7 +86,7 @@
 	int share = 0;
 
 	event_log_init(&log, &clock.source, 1);
-	row_watch_vouch(&watch, 1, clock.now);
+	row_watch_advance(&watch, 1, clock.now);
 	input_apply(&rollouts, first);
 	input_apply(&rollouts, second);
 	input_apply(&rollouts, third);
@@ -172,7 +172,7 @@
 	    .log = &fixture->log,
 	    .group_base_version = first_version};
 	event_log_init(&fixture->log, &fixture->clock.source, 1);
-	row_watch_vouch(&fixture->watch, 1, fixture->clock.now);
+	row_watch_advance(&fixture->watch, 1, fixture->clock.now);
 	rollouts_set_store_clock(&fixture->rollouts, STORE_NOW_MS);
 	order_apply(fixture, ORDER, "v2");
 	fixture->rollout = rollouts_find(&fixture->rollouts, "s");
@@ -246,7 +246,7 @@
 	assert_int_equal(fixture.rollout->order.number, ORDER);
 	/* The states were read after the next order and show no end: the
 	 * operator has replaced an order that had not ended. */
-	row_watch_vouch(&fixture.watch, 14, fixture.clock.now);
+	row_watch_advance(&fixture.watch, 14, fixture.clock.now);
 	state_apply(&fixture, ORDER, "v2", "v1", "in_progress", 14);
 	assert_int_equal(fixture.rollout->order.number, NEXT_ORDER);
 	assert_string_equal(rollout_base_version(fixture.rollout), "v1");
@@ -374,10 +374,10 @@
 restored_rows_apply(fixture_t *fixture, bool order_first, const char *state)
 {
 	if (order_first)
-		order_apply(fixture, era_version_of(1, ORDER), "v2");
-	state_apply(fixture, ORDER, "v2", "v1", state, era_version_of(1, 9));
+		order_apply(fixture, era_version_make(1, ORDER), "v2");
+	state_apply(fixture, ORDER, "v2", "v1", state, era_version_make(1, 9));
 	if (!order_first)
-		order_apply(fixture, era_version_of(1, ORDER), "v2");
+		order_apply(fixture, era_version_make(1, ORDER), "v2");
 }
 
 static void
@@ -391,13 +391,13 @@
 		state_apply(&fixture, ORDER, "v2", "v1", "reverted", 12);
 		restored_rows_apply(&fixture, order_first, "in_progress");
 		assert_int_equal(
-		    fixture.rollout->order.number, era_version_of(1, ORDER));
+		    fixture.rollout->order.number, era_version_make(1, ORDER));
 		assert_false(rollout_is_active(fixture.rollout));
 		assert_int_equal(fixture.rollout->state, ROLLOUT_REVERTED);
 		/* The state must be written again. */
 		assert_true(fixture.rollout->state_rewrite_needed);
 		/* The operator gives a new order. */
-		order_apply(&fixture, era_version_of(1, NEXT_ORDER), "v3");
+		order_apply(&fixture, era_version_make(1, NEXT_ORDER), "v3");
 		assert_true(rollout_is_active(fixture.rollout));
 		assert_string_equal(fixture.rollout->order.to_version, "v3");
 		assert_string_equal(
@@ -422,9 +422,9 @@
 	assert_string_equal(rollout_base_version(fixture.rollout), "v2");
 	/* The order for v3 is written again. Within the new era its number is
 	 * lower than before. */
-	order_apply(&fixture, era_version_of(1, ORDER + 1), "v3");
+	order_apply(&fixture, era_version_make(1, ORDER + 1), "v3");
 	assert_int_equal(
-	    fixture.rollout->order.number, era_version_of(1, ORDER + 1));
+	    fixture.rollout->order.number, era_version_make(1, ORDER + 1));
 	assert_true(rollout_is_active(fixture.rollout));
 	assert_int_equal(fixture.rollout->started_ms, STORE_NOW_MS);
 	rollouts_clear(&fixture.rollouts);
@@ -463,7 +463,7 @@
 	rollout = rollouts_find(&fixture.rollouts, "s");
 	fixture.clock.now = timespec_after_ms(
 	    fixture.clock.now, (int64_t)(SECOND_STEP_TIME * DURATION_MS));
-	row_watch_vouch(&fixture.watch, 2, fixture.clock.now);
+	row_watch_advance(&fixture.watch, 2, fixture.clock.now);
 	assert_true(rollout_prefers_new(rollout, SECOND_STEP_HASH, false));
 	assert_false(rollout_prefers_new(rollout, SECOND_STEP_HASH, true));
 	rollouts_clear(&fixture.rollouts);
