--- a/include/moortack/replication/feed_rows.h
+++ b/include/moortack/replication/feed_apply.h
@@ -3,8 +3,8 @@
  * Selects the rows that a response carries, and applies the rows of a received
  * response without replacing newer ones.
  */
-#ifndef MOORTACK_REPLICATION_FEED_ROWS_H
-#define MOORTACK_REPLICATION_FEED_ROWS_H
+#ifndef MOORTACK_REPLICATION_FEED_APPLY_H
+#define MOORTACK_REPLICATION_FEED_APPLY_H
 
 #include "moortack/replication/feed_wire.h"
 
--- a/moortack/replication/feed_rows.c
+++ b/moortack/replication/feed_apply.c
@@ -1,4 +1,4 @@
-#include "moortack/replication/feed_rows.h"
+#include "moortack/replication/feed_apply.h"
 
 #include "moortack/replication/feed_delta.h"
 #include "moortack/replication/row_cache.h"
--- a/moortack/replication/feed_body.c
+++ b/moortack/replication/feed_body.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "moortack/replication/feed_rows.h"
+#include "moortack/replication/feed_apply.h"
 
 static bool
 versions_equal(const feed_position_t *a, const feed_position_t *b)
--- a/moortack/replication/row_response.c
+++ b/moortack/replication/row_answer.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "moortack/replication/feed_rows.h"
+#include "moortack/replication/feed_apply.h"
 #include "row_sync_priv.h"
 
 /* Whether the sender has fewer of the changes withheld here: its rows do not
--- a/moortack/replication/row_sync_priv.h
+++ b/moortack/replication/row_sync_priv.h
@@ -2,7 +2,7 @@
  * @file
  * Shared by the files that implement row_sync_t: row_sync.c reads the store
  * and keeps the rows, row_parent.c chooses the parent, row_follow.c exchanges
- * requests and responses with other daemons, row_response.c applies responses,
+ * requests and responses with other daemons, row_answer.c applies responses,
  * and fleet_key.c maintains the key with which daemons authenticate each
  * other.
  */
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -15,7 +15,7 @@
 #include "../support/manual_clock.h"
 #include "../support/silent_store.h"
 #include "input.h"
-#include "moortack/replication/feed_rows.h"
+#include "moortack/replication/feed_apply.h"
 
 #define DAEMONS 3
 /* Rows are long enough to be sent as deltas. */
--- a/test/unit/feed_delta_test.c
+++ b/test/unit/feed_delta_test.c
@@ -16,8 +16,8 @@
 
 #include "../support/bytes_equal.h"
 #include "../support/manual_clock.h"
+#include "moortack/replication/feed_apply.h"
 #include "moortack/replication/feed_delta.h"
-#include "moortack/replication/feed_rows.h"
 #include "moortack/replication/value_delta.h"
 
 #define ROUTES 1400
--- a/test/unit/row_source_test.c
+++ b/test/unit/row_source_test.c
@@ -19,7 +19,7 @@
 #include "../support/manual_clock.h"
 #include "../support/many_members.h"
 #include "../support/silent_store.h"
-#include "moortack/replication/feed_rows.h"
+#include "moortack/replication/feed_apply.h"
 #include "moortack/replication/feed_wire.h"
 #include "moortack/replication/membership.h"
 #include "moortack/replication/row_cache.h"
