--- a/bench/placing.c
+++ b/bench/placing.c
@@ -17,7 +17,7 @@
 /* What a load is told for. */
 #define ENDPOINTS_UNIT 12
 /* As many as the product asks about. */
-#define ASKED_MAX 3
+#define OWNERS_QUERIED_MAX 3
 #define LONG_SHARE 0.6
 #define LONG_SHARED 13000
 #define LONG_OWN 3700
@@ -162,10 +162,10 @@
     const prefix_list_t *prefixes, const choose_candidate_t *seen,
     const choose_wish_t *wish)
 {
-	choose_candidate_t asked[ASKED_MAX];
-	size_t first[ASKED_MAX];
-	size_t len = choose_first(
-	    seen, (size_t)sim->fleet->endpoints, wish, first, ASKED_MAX);
+	choose_candidate_t asked[OWNERS_QUERIED_MAX];
+	size_t first[OWNERS_QUERIED_MAX];
+	size_t len = choose_first(seen, (size_t)sim->fleet->endpoints, wish,
+	    first, OWNERS_QUERIED_MAX);
 
 	for (size_t i = 0; i < len; i++) {
 		const reader_t *reader = &sim->readers[first[i]];
--- a/include/moortack/relay/dialect.h
+++ b/include/moortack/relay/dialect.h
@@ -30,18 +30,18 @@
 	char id[ARRIVAL_ID_SIZE]; /**< of this attempt; "": none given */
 	const char *host;
 	const char *key;     /**< of an organisation; NULL: none */
-	bool several_keys;   /**< more than one was given */
+	bool multiple_keys;  /**< more than one was given */
 	int64_t deadline_ms; /**< the caller waits this long; 0: not said */
 	const char *model;   /**< NULL: none named */
 	bool any_model;	     /**< the router is to choose one */
 	uint32_t tokens_in;
-	uint32_t tokens_out;	    /**< at most */
-	uint32_t tokens_out_likely; /**< the caller's estimate; 0: none */
+	uint32_t tokens_out_max;      /**< at most */
+	uint32_t tokens_out_estimate; /**< the caller's estimate; 0: none */
 	prompt_part_t parts[ARRIVAL_PARTS_MAX];
 	size_t parts_len;
 	const char *session; /**< NULL: none */
 	bool resumes;
-	int64_t resume_after; /**< id of the last event the caller has */
+	int64_t last_event_id; /**< id of the last event the caller has */
 } arrival_t;
 
 /** What one attempt tells an endpoint besides the caller's message. */
@@ -50,31 +50,31 @@
 	const arrival_t *arrival;
 	const endpoint_facts_t *endpoint;
 	const char *organisation; /**< NULL: none */
-	const char *model; /**< chosen by the router; NULL: the caller's */
-	int64_t left_ms;   /**< time that is left for the answer */
+	const char *model;    /**< chosen by the router; NULL: the caller's */
+	int64_t remaining_ms; /**< time that is left for the answer */
 	bool resume;
-	int64_t resume_after;
+	int64_t last_event_id;
 	int rank; /**< 0 is the most urgent; negative: not said */
 	size_t body_len;
 	bool has_body;
 } attempt_head_t;
 
 /** What an endpoint's answer tells by its head. */
-typedef struct endpoint_answer {
-	bool other_request;  /**< it names another request than ours */
-	bool unnamed;	     /**< it names no request */
+typedef struct endpoint_response {
+	bool id_mismatch;    /**< it names another request than ours */
+	bool id_missing;     /**< it names no request */
 	bool not_run;	     /**< the endpoint says that it did not run it */
 	bool wrong_endpoint; /**< another incarnation has the address */
-	bool genuine;	     /**< it bears the endpoint's signature */
+	bool has_signature;  /**< it bears the endpoint's signature */
 	bool encoded;	     /**< the body is not the endpoint's own */
-	bool events;	     /**< a stream of events */
-	bool load_told;
+	bool event_stream;   /**< a stream of events */
+	bool has_load;
 	endpoint_load_t load;
 	int confidence; /**< of the model in its answer, 0 to 100; -1: none */
 	int64_t
 	    idle_max_ms; /**< how long the connection may idle; 0: not said */
-	bool leaving;	 /**< the connection closes after it */
-} endpoint_answer_t;
+	bool closes_connection; /**< the connection closes after it */
+} endpoint_response_t;
 
 typedef struct caller_dialect {
 	/** Read the headers of a request; false fills the error. */
@@ -86,7 +86,7 @@
 	void (*write)(const attempt_head_t *, struct evbuffer *out);
 	/** Read the head of an answer. */
 	void (*read)(
-	    const http_msg_t *, const arrival_t *, endpoint_answer_t *);
+	    const http_msg_t *, const arrival_t *, endpoint_response_t *);
 } endpoint_dialect_t;
 
 #endif
--- a/include/moortack/relay/event_scan.h
+++ b/include/moortack/relay/event_scan.h
@@ -11,7 +11,7 @@
 #include <stdint.h>
 
 /** Bytes of one event; a longer one is an error. */
-#define EVENT_SCAN_MAX (1U << 20)
+#define EVENT_SIZE_MAX (1U << 20)
 
 typedef struct event_scan {
 	struct evbuffer *partial; /**< the event that is not whole yet */
@@ -31,6 +31,6 @@
 /** The next whole event; its bytes are still in the partial buffer. */
 bool event_scan_next(event_scan_t *, scanned_event_t *);
 /** Whether an event was begun and is not whole. */
-bool event_scan_open(const event_scan_t *);
+bool event_scan_has_partial(const event_scan_t *);
 
 #endif
--- a/include/moortack/relay/relay_stats.h
+++ b/include/moortack/relay/relay_stats.h
@@ -37,7 +37,7 @@
 	STAT_CRASH_PROBES,
 	STAT_COLD_SENDS,
 	STAT_COLD_PASSED_OVER,
-	STATS /* count */
+	RELAY_COUNTERS /* count */
 } relay_counter_t;
 
 /** Requests by the time they took. */
@@ -46,31 +46,31 @@
 	double sum_ms;
 } stats_histogram_t;
 
-#define STATS_ENDS_MAX 64
+#define STATS_OUTCOMES_MAX 64
 
 /** How requests ended, and why. */
-typedef struct stats_end {
+typedef struct stats_outcome {
 	const char *outcome; /**< static */
 	const char *why;     /**< static */
 	uint64_t count;
 	uint64_t late; /**< of these, begun after the route's objective */
-} stats_end_t;
+} stats_outcome_t;
 
 typedef struct relay_stats {
-	uint64_t values[STATS];
+	uint64_t counters[RELAY_COUNTERS];
 	uint64_t failures[ERR_CODES]; /**< by type */
-	stats_end_t ends[STATS_ENDS_MAX];
-	size_t ends_len;
-	stats_histogram_t first_ms; /**< until the answer's first byte */
-	stats_histogram_t whole_ms; /**< until its last */
+	stats_outcome_t outcomes[STATS_OUTCOMES_MAX];
+	size_t outcomes_len;
+	stats_histogram_t first_byte_ms; /**< until the answer's first byte */
+	stats_histogram_t complete_ms;	 /**< until its last */
 	stats_histogram_t added_ms; /**< from the whole request to its send */
 } relay_stats_t;
 
 void stats_add(relay_stats_t *, relay_counter_t, uint64_t by);
-/** A request has ended. Texts are static; beyond STATS_ENDS_MAX pairs of them
- * none is told apart. */
-void
-stats_end(relay_stats_t *, const char *outcome, const char *why, bool late);
+/** A request has ended. Texts are static; beyond STATS_OUTCOMES_MAX pairs of
+ * them none is told apart. */
+void stats_count_outcome(
+    relay_stats_t *, const char *outcome, const char *why, bool late);
 void stats_observe(stats_histogram_t *, double ms);
 void stats_write(const relay_stats_t *, struct evbuffer *out);
 
--- a/include/moortack/relay/retry_share.h
+++ b/include/moortack/relay/retry_share.h
@@ -13,9 +13,9 @@
 #define RETRY_SLICES 20
 
 typedef struct retry_bounds {
-	double ratio;	   /**< retries for each request */
-	int64_t window_ms; /**< in which both are counted */
-	double floor;	   /**< retries of all daemons without any request */
+	double ratio;	    /**< retries for each request */
+	int64_t window_ms;  /**< in which both are counted */
+	double min_retries; /**< retries of all daemons without any request */
 } retry_bounds_t;
 
 /** Counts of one service in slices of the window. */
@@ -25,7 +25,7 @@
 	uint32_t retries[RETRY_SLICES];
 } retry_share_t;
 
-void retry_share_request(
+void retry_share_add_request(
     retry_share_t *, const retry_bounds_t *, struct timespec now);
 
 /** Spend one retry. @param daemons that share the floor
@@ -34,7 +34,7 @@
     uint32_t daemons, struct timespec now);
 
 /** Part of the budget that is left, 0 to 1. */
-double retry_share_left(retry_share_t *, const retry_bounds_t *,
+double retry_share_remaining(retry_share_t *, const retry_bounds_t *,
     uint32_t daemons, struct timespec now);
 
 #endif
--- a/moortack/relay/attempt_silence.c
+++ b/moortack/relay/attempt_silence.c
@@ -20,7 +20,7 @@
 	const attempt_t *attempt = &req->attempt;
 	const endpoint_load_t *load = &attempt->endpoint->load;
 
-	return attempt->kept && req->route->kind == ROUTE_SAFE &&
+	return attempt->reused && req->route->kind == ROUTE_SAFE &&
 	    req->sends < req->route->attempts && load->waiting == 0 &&
 	    (load->slots == 0 || load->running < load->slots);
 }
@@ -35,7 +35,8 @@
 	if (req->paused)
 		silence_wait(req, ENDED_QUIET_MS);
 	else
-		attempt_over(req, ATTEMPT_UNKNOWN, "endpoint_restarted");
+		attempt_retry_or_fail(
+		    req, ATTEMPT_UNKNOWN, "endpoint_restarted");
 }
 
 static void
@@ -45,16 +46,16 @@
 
 	(void)fd;
 	(void)what;
-	if (req->attempt.ended) {
+	if (req->attempt.endpoint_restarted) {
 		ended_quiet(req);
 		return;
 	}
 	/* Without a repeat, an answer that is merely late is all there is. */
-	if (!relay_repeat_plenty(req->relay, req->service))
+	if (!relay_retry_has_spare(req->relay, req->service))
 		return;
 	endpoint_drop_links(req->attempt.endpoint);
-	req->kept_dead = true;
-	attempt_over(req, ATTEMPT_UNKNOWN, "silent");
+	req->avoid_reuse = true;
+	attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "silent");
 }
 
 static void
@@ -62,11 +63,11 @@
 {
 	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
-	if (req->silence == NULL)
-		req->silence =
+	if (req->silence_timer == NULL)
+		req->silence_timer =
 		    event_new(req->relay->base, -1, 0, on_silence, req);
-	if (req->silence != NULL)
-		event_add(req->silence, &delay);
+	if (req->silence_timer != NULL)
+		event_add(req->silence_timer, &delay);
 }
 
 void
@@ -79,23 +80,23 @@
 }
 
 void
-attempt_heard(relay_request_t *req)
+attempt_bytes_received(relay_request_t *req)
 {
-	if (req->attempt.ended)
+	if (req->attempt.endpoint_restarted)
 		silence_wait(req, ENDED_QUIET_MS);
-	else if (req->silence != NULL)
-		event_del(req->silence);
+	else if (req->silence_timer != NULL)
+		event_del(req->silence_timer);
 }
 
 void
-relay_endpoint_ended(relay_t *relay, const endpoint_t *endpoint)
+relay_endpoint_restarted(relay_t *relay, const endpoint_t *endpoint)
 {
 	relay_quarantine_ended(&relay->quarantine, endpoint, "restarted");
-	for (relay_request_t *req = relay->first; req != NULL;
+	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		if (req->attempt.endpoint != endpoint || !req->attempt.sent)
 			continue;
-		req->attempt.ended = true;
+		req->attempt.endpoint_restarted = true;
 		silence_wait(req, ENDED_QUIET_MS);
 	}
 }
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -85,7 +85,7 @@
 	if (order != ENTRY_SAME || before->facts.leaving != facts->leaving)
 		entry_log(node, facts, order);
 	if (order == ENTRY_LATER)
-		relay_endpoint_ended(&node->relay, before);
+		relay_endpoint_restarted(&node->relay, before);
 	endpoint = endpoint_set_take(&node->endpoints, facts);
 	if (!was_lapsed || endpoint == NULL)
 		return;
@@ -195,7 +195,7 @@
 		endpoint_t *before =
 		    endpoint_set_find(&node->endpoints, facts.id);
 
-		relay_endpoint_ended(&node->relay, before);
+		relay_endpoint_restarted(&node->relay, before);
 		endpoint_set_remove(&node->endpoints, before);
 		endpoint_taken(node, &facts, true);
 		lapsed_keep_back(node);
--- a/moortack/relay/event_scan.c
+++ b/moortack/relay/event_scan.c
@@ -26,7 +26,7 @@
 bool
 event_scan_add(event_scan_t *scan, const char *bytes, size_t len)
 {
-	if (evbuffer_get_length(scan->partial) + len > EVENT_SCAN_MAX)
+	if (evbuffer_get_length(scan->partial) + len > EVENT_SIZE_MAX)
 		return false;
 	return evbuffer_add(scan->partial, bytes, len) == 0;
 }
@@ -89,7 +89,7 @@
 }
 
 bool
-event_scan_open(const event_scan_t *scan)
+event_scan_has_partial(const event_scan_t *scan)
 {
 	return evbuffer_get_length(scan->partial) > 0;
 }
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -29,19 +29,19 @@
 request_age_ms(const relay_request_t *req)
 {
 	return timespec_ms_between(
-	    req->taken, clock_elapsed(req->relay->clock));
+	    req->received_at, clock_elapsed(req->relay->clock));
 }
 
 double
-request_tried_ms(const relay_request_t *req)
+request_since_first_try_ms(const relay_request_t *req)
 {
-	return req->before_ms + (double)request_age_ms(req);
+	return req->earlier_tries_ms + (double)request_age_ms(req);
 }
 
 int64_t
-request_left_ms(const relay_request_t *req)
+request_remaining_ms(const relay_request_t *req)
 {
-	return req->limit_ms - request_age_ms(req);
+	return req->time_limit_ms - request_age_ms(req);
 }
 
 bool
@@ -52,7 +52,7 @@
 }
 
 uint64_t
-relay_digest(relay_request_t *req)
+relay_request_digest(relay_request_t *req)
 {
 	const relay_quarantine_t *quarantine = &req->relay->quarantine;
 
@@ -107,21 +107,21 @@
 	if (req->prev != NULL)
 		req->prev->next = req->next;
 	else
-		relay->first = req->next;
+		relay->requests = req->next;
 	if (req->next != NULL)
 		req->next->prev = req->prev;
-	relay->under_way--;
-	if (req->limit != NULL)
-		event_free(req->limit);
-	if (req->silence != NULL)
-		event_free(req->silence);
+	relay->in_flight--;
+	if (req->time_limit_timer != NULL)
+		event_free(req->time_limit_timer);
+	if (req->silence_timer != NULL)
+		event_free(req->silence_timer);
 	if (req->body != NULL)
 		evbuffer_free(req->body);
-	if (req->kept != NULL)
-		evbuffer_free(req->kept);
+	if (req->buffered != NULL)
+		evbuffer_free(req->buffered);
 	event_scan_finish(&req->scan);
 	relay_config_release(req->config);
-	free(req->head);
+	free(req->response_head);
 	free(req);
 }
 
@@ -130,7 +130,7 @@
 session_mark(const relay_request_t *req)
 {
 	return req->arrival.session != NULL
-	    ? (uint32_t)(req->spread >> SESSION_MARK_SHIFT)
+	    ? (uint32_t)(req->split_hash >> SESSION_MARK_SHIFT)
 	    : 0;
 }
 
@@ -140,9 +140,10 @@
 	relay_t *relay = req->relay;
 	double age_ms = (double)request_age_ms(req);
 
-	stats_observe(&relay->stats.whole_ms, age_ms);
-	stats_end(&relay->stats, outcome, why,
-	    req->before_ms + req->first_ms > (double)req->route->objective_ms);
+	stats_observe(&relay->stats.complete_ms, age_ms);
+	stats_count_outcome(&relay->stats, outcome, why,
+	    req->earlier_tries_ms + req->first_byte_ms >
+		(double)req->route->objective_ms);
 	event_line(relay->log, "request",
 	    "id=%s route=%s service=%s organisation=%s outcome=%s why=%s "
 	    "status=%d sends=%u connects_failed=%u model=%s confidence=%d "
@@ -157,16 +158,18 @@
 	    req->arrival.id, req->route->name,
 	    req->service != NULL ? req->service : "-",
 	    req->organisation != NULL ? req->organisation->name : "-", outcome,
-	    why, req->status, req->sends, req->connects,
-	    req->model != NULL ? req->model : "-", req->confidence,
-	    req->arrival.tokens_in, req->arrival.tokens_out,
-	    req->arrival.tokens_out_likely, age_ms, req->first_ms,
-	    req->before_ms, req->route->objective_ms, req->pause_ms,
-	    req->route->pause_ms, req->dropped_ms, req->limit_ms,
+	    why, req->status, req->sends, req->connects_failed,
+	    req->response_model != NULL ? req->response_model : "-",
+	    req->confidence, req->arrival.tokens_in,
+	    req->arrival.tokens_out_max, req->arrival.tokens_out_estimate,
+	    age_ms, req->first_byte_ms, req->earlier_tries_ms,
+	    req->route->objective_ms, req->max_event_gap_ms,
+	    req->route->pause_ms, req->escalated_ms, req->time_limit_ms,
 	    req->config->version, row_watch_age_ms(relay->config_watch),
-	    row_watch_age_ms(relay->endpoint_watch), req->endpoint_id,
-	    req->place.load, req->place.candidates, req->place.told,
-	    req->place.wait_ms, session_mark(req));
+	    row_watch_age_ms(relay->endpoint_watch), req->last_endpoint_id,
+	    req->placement.load, req->placement.candidates,
+	    req->placement.owner_reports, req->placement.queue_wait_ms,
+	    session_mark(req));
 	request_free(req);
 }
 
@@ -179,9 +182,9 @@
 
 	if (code == ERR_QUARANTINED)
 		ms += quarantine_left_ms(
-		    &relay->quarantine.table, relay_digest(req));
+		    &relay->quarantine.table, relay_request_digest(req));
 	attempt_cancel(req);
-	if (req->begun) {
+	if (req->response_started) {
 		stats_add(&relay->stats, STAT_STREAMS_CUT, 1);
 		request_end(req, "cut", why);
 		http_inbound_abort(caller);
@@ -201,9 +204,9 @@
 
 	(void)fd;
 	(void)what;
-	if (req->failure_kept && !req->begun) {
+	if (req->failure_buffered && !req->response_started) {
 		attempt_cancel(req);
-		answer_pass(req);
+		response_forward(req);
 		return;
 	}
 	request_fail(
@@ -250,22 +253,24 @@
 {
 	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
-	return event_add(req->limit, &delay) == 0;
+	return event_add(req->time_limit_timer, &delay) == 0;
 }
 
 static bool
 limit_start(relay_request_t *req)
 {
-	req->limit = event_new(req->relay->base, -1, 0, on_limit, req);
-	return req->limit != NULL && limit_set(req, req->limit_ms);
+	req->time_limit_timer =
+	    event_new(req->relay->base, -1, 0, on_limit, req);
+	return req->time_limit_timer != NULL &&
+	    limit_set(req, req->time_limit_ms);
 }
 
 void
-relay_woken(relay_t *relay)
+relay_vm_resumed(relay_t *relay)
 {
-	for (relay_request_t *req = relay->first; req != NULL;
+	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
-		int64_t left = request_left_ms(req);
+		int64_t left = request_remaining_ms(req);
 
 		limit_set(req, left > 0 ? left : 0);
 	}
@@ -285,21 +290,21 @@
 	req->config = relay_config_share(relay->config);
 	req->route = route;
 	req->organisation = organisation;
-	req->spread = spread_of(arrival);
-	req->shared = shared_of(arrival);
-	req->taken = clock_elapsed(relay->clock);
-	req->limit_ms = limit_of(route, arrival);
-	req->smallest_estimate = -1;
-	req->before_ms =
-	    relay_tried_before_ms(relay, route, arrival->deadline_ms);
-	req->next = relay->first;
-	if (relay->first != NULL)
-		relay->first->prev = req;
-	relay->first = req;
-	relay->under_way++;
+	req->split_hash = spread_of(arrival);
+	req->shared_prefix_hash = shared_of(arrival);
+	req->received_at = clock_elapsed(relay->clock);
+	req->time_limit_ms = limit_of(route, arrival);
+	req->smallest_confidence = -1;
+	req->earlier_tries_ms =
+	    relay_earlier_tries_ms(relay, route, arrival->deadline_ms);
+	req->next = relay->requests;
+	if (relay->requests != NULL)
+		relay->requests->prev = req;
+	relay->requests = req;
+	relay->in_flight++;
 	req->body = evbuffer_new();
-	req->kept = evbuffer_new();
-	if (req->body == NULL || req->kept == NULL ||
+	req->buffered = evbuffer_new();
+	if (req->body == NULL || req->buffered == NULL ||
 	    !event_scan_init(&req->scan) || !limit_start(req)) {
 		request_free(req);
 		return NULL;
@@ -313,13 +318,13 @@
     err_code_t code, const char *why)
 {
 	stats_add(&relay->stats, STAT_REFUSED, 1);
-	stats_end(&relay->stats, err_info(code)->name, why, false);
+	stats_count_outcome(&relay->stats, err_info(code)->name, why, false);
 	event_line(relay->log, "refuse",
 	    "id=%s outcome=%s why=%s config=%" PRIu64 " config_age_ms=%" PRId64
 	    " under_way=%u",
 	    id, err_info(code)->name, why,
 	    relay->config != NULL ? relay->config->version : 0,
-	    row_watch_age_ms(relay->config_watch), relay->under_way);
+	    row_watch_age_ms(relay->config_watch), relay->in_flight);
 	caller_tell(relay, caller, code, retry_after_ms(relay, code));
 }
 
@@ -337,22 +342,22 @@
 
 	stats_add(&relay->stats, STAT_REQUESTS, 1);
 	http_inbound_set_user(caller, NULL);
-	if (!relay->callers->read(msg, &arrival, &err)) {
+	if (!relay->caller_dialect->read(msg, &arrival, &err)) {
 		arrival_refuse(relay, caller, "-", err.code, "bad_headers");
 		return;
 	}
-	code =
-	    relay_permit(relay, &arrival, msg->target, &route, &organisation);
+	code = relay_authorize(
+	    relay, &arrival, msg->target, &route, &organisation);
 	if (code != ERR_NONE) {
 		arrival_refuse(relay, caller, arrival.id, code, "permit");
 		return;
 	}
-	if (relay->leaving && route->kind == ROUTE_STREAM) {
+	if (relay->refusing_streams && route->kind == ROUTE_STREAM) {
 		arrival_refuse(
 		    relay, caller, arrival.id, ERR_DRAINING, "leaving");
 		return;
 	}
-	req = relay->under_way < relay->bounds.requests_max
+	req = relay->in_flight < relay->bounds.requests_max
 	    ? request_new(relay, caller, &arrival, route, organisation)
 	    : NULL;
 	if (req == NULL) {
@@ -361,9 +366,9 @@
 		return;
 	}
 	http_inbound_set_user(caller, req);
-	req->service = relay_pool(route, req->spread);
+	req->service = relay_route_service(route, req->split_hash);
 	if (req->service != NULL)
-		relay_count_request(relay, req->service, req->taken);
+		relay_count_request(relay, req->service, req->received_at);
 	attempt_begin(req);
 }
 
@@ -376,7 +381,8 @@
 	if (req == NULL)
 		return;
 	stats_add(&relay->stats, STAT_CALLERS_GONE, 1);
-	request_end(req, "caller_gone", req->begun ? "midway" : "waiting");
+	request_end(
+	    req, "caller_gone", req->response_started ? "midway" : "waiting");
 }
 
 static void
@@ -386,7 +392,7 @@
 
 	(void)arg;
 	if (req != NULL)
-		answer_drained(req);
+		response_drained(req);
 }
 
 static void
@@ -395,7 +401,7 @@
 	relay_t *relay = arg;
 
 	stats_add(&relay->stats, STAT_BAD_MESSAGES, 1);
-	stats_end(
+	stats_count_outcome(
 	    &relay->stats, err_info(err->code)->name, "bad_message", false);
 	event_line(relay->log, "bad_message", "outcome=%s why=\"%s\"",
 	    err_info(err->code)->name, err->detail);
@@ -434,10 +440,10 @@
 	limits_set(relay);
 	relay->config = NULL;
 	relay_config_release(config);
-	relay->daemons_most = 1;
-	relay->started = clock_elapsed(relay->clock);
+	relay->daemons_max_seen = 1;
+	relay->started_at = clock_elapsed(relay->clock);
 	http_inbound_hold(relay->server, true);
-	if (!prefix_memory_init(&relay->prefixes))
+	if (!prefix_memory_init(&relay->prefix_index))
 		return err_set(err, ERR_MEMORY, "out of memory");
 	return true;
 }
@@ -445,12 +451,12 @@
 void
 relay_finish(relay_t *relay)
 {
-	while (relay->first != NULL)
-		request_end(relay->first, "cut", "stopped");
+	while (relay->requests != NULL)
+		request_end(relay->requests, "cut", "stopped");
 	http_inbound_server_free(relay->server);
 	relay_config_release(relay->config);
-	prefix_memory_finish(&relay->prefixes);
-	relay_counts_finish(relay);
+	prefix_memory_finish(&relay->prefix_index);
+	relay_service_states_finish(relay);
 	warmup_daemons_finish(&relay->warmup_daemons);
 }
 
@@ -476,26 +482,28 @@
 {
 	/* Without the states of roll-outs it is not known which version an
 	 * order replaces. */
-	return relay->config != NULL && !relay->leaving &&
+	return relay->config != NULL && !relay->refusing_streams &&
 	    relay->endpoints->endpoints != NULL &&
 	    relay->rollouts->states->settled_once &&
-	    row_watch_age_ms(relay->config_watch) <= relay->bounds.key_fresh_ms;
+	    row_watch_age_ms(relay->config_watch) <=
+	    relay->bounds.key_max_age_ms;
 }
 
 void
-relay_open(relay_t *relay)
+relay_accept_when_ready(relay_t *relay)
 {
 	int64_t age_ms =
-	    timespec_ms_between(relay->started, clock_elapsed(relay->clock));
+	    timespec_ms_between(relay->started_at, clock_elapsed(relay->clock));
 
-	if (relay->opened || (!relay_ready(relay) && age_ms < OPEN_LATEST_MS))
+	if (relay->accepting ||
+	    (!relay_ready(relay) && age_ms < OPEN_LATEST_MS))
 		return;
-	relay->opened = true;
+	relay->accepting = true;
 	http_inbound_hold(relay->server, false);
 }
 
 void
-relay_leave(relay_t *relay)
+relay_drain(relay_t *relay)
 {
 	http_inbound_drain(relay->server);
 }
--- a/moortack/relay/relay_ask.c
+++ b/moortack/relay/relay_ask.c
@@ -11,7 +11,8 @@
 #define US_PER_MS 1000
 
 void
-relay_gossip_prefixes(gossip_message_t *message, const prefix_list_t *prefixes)
+relay_gossip_add_prefixes(
+    gossip_message_t *message, const prefix_list_t *prefixes)
 {
 	while (message->prefixes_len + 1 < prefixes->len &&
 	    message->prefixes_len < GOSSIP_MESSAGE_PREFIXES_MAX) {
@@ -22,23 +23,24 @@
 }
 
 void
-relay_ask_end(relay_request_t *req)
+relay_query_end(relay_request_t *req)
 {
-	if (req->question.limit != NULL)
-		event_free(req->question.limit);
-	req->question = (placing_question_t){0};
+	if (req->owner_query.timer != NULL)
+		event_free(req->owner_query.timer);
+	req->owner_query = (owner_query_t){0};
 }
 
-const asked_endpoint_t *
-relay_ask_told(const relay_request_t *req, size_t model, uint64_t endpoint)
+const queried_endpoint_t *
+relay_query_result(const relay_request_t *req, size_t model, uint64_t endpoint)
 {
-	const placing_question_t *question = &req->question;
+	const owner_query_t *question = &req->owner_query;
 
-	if (question->number == 0 || question->model != model)
+	if (question->number == 0 || question->model_index != model)
 		return NULL;
 	for (size_t i = 0; i < question->len; i++) {
-		if (question->of[i].hash == endpoint && question->of[i].told)
-			return &question->of[i];
+		if (question->endpoints[i].hash == endpoint &&
+		    question->endpoints[i].responded)
+			return &question->endpoints[i];
 	}
 	return NULL;
 }
@@ -50,7 +52,7 @@
 
 	(void)fd;
 	(void)what;
-	req->question.open = 0;
+	req->owner_query.pending = 0;
 	attempt_begin(req);
 }
 
@@ -59,66 +61,67 @@
 one_ask(relay_request_t *req, const endpoint_t *endpoint,
     const prefix_list_t *prefixes)
 {
-	placing_question_t *question = &req->question;
-	asked_endpoint_t *asked = &question->of[question->len++];
+	owner_query_t *question = &req->owner_query;
+	queried_endpoint_t *asked = &question->endpoints[question->len++];
 	gossip_message_t message = {.kind = GOSSIP_QUESTION,
 	    .endpoint = endpoint->short_hash,
 	    .number = question->number};
 
-	relay_gossip_prefixes(&message, prefixes);
-	*asked = (asked_endpoint_t){.hash = endpoint->hash};
+	relay_gossip_add_prefixes(&message, prefixes);
+	*asked = (queried_endpoint_t){.hash = endpoint->hash};
 	if (gossip_ask(req->relay->gossip, endpoint->facts.zone, &message))
-		question->open++;
+		question->pending++;
 	else
-		asked->told = true;
+		asked->responded = true;
 }
 
 static bool
 answers_wait(relay_request_t *req)
 {
 	struct timeval time = {0, ANSWER_MS * US_PER_MS};
-	placing_question_t *question = &req->question;
+	owner_query_t *question = &req->owner_query;
 
-	if (question->open == 0)
+	if (question->pending == 0)
 		return false;
-	question->limit = event_new(req->relay->base, -1, 0, on_limit, req);
-	if (question->limit != NULL && event_add(question->limit, &time) == 0)
+	question->timer = event_new(req->relay->base, -1, 0, on_limit, req);
+	if (question->timer != NULL && event_add(question->timer, &time) == 0)
 		return true;
-	question->open = 0;
+	question->pending = 0;
 	return false;
 }
 
 static uint32_t
 number_next(relay_t *relay)
 {
-	if (++relay->questions == 0)
-		relay->questions++;
-	return relay->questions;
+	if (++relay->last_query_number == 0)
+		relay->last_query_number++;
+	return relay->last_query_number;
 }
 
 bool
-relay_ask(relay_request_t *req)
+relay_query_owners(relay_request_t *req)
 {
 	static candidates_t candidates;
 	static prefix_list_t prefixes;
 	relay_t *relay = req->relay;
 	const char *model = relay_model_name(req, req->model_index);
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
-	const choose_wish_t wish = {.affinity = req->shared ^ model_hash};
-	size_t first[ASKED_MAX];
+	const choose_wish_t wish = {
+	    .affinity = req->shared_prefix_hash ^ model_hash};
+	size_t first[OWNERS_QUERIED_MAX];
 	const char *why;
 	size_t len;
 
 	/* Asked already: the answers came, or are not waited for any longer. */
-	if (req->question.number != 0 || req->arrival.parts_len == 0 ||
-	    !gossip_may_ask(relay->gossip, relay_read_ms(req)) ||
+	if (req->owner_query.number != 0 || req->arrival.parts_len == 0 ||
+	    !gossip_may_ask(relay->gossip, relay_prefill_ms(req)) ||
 	    !candidates_of(req, &candidates, &why))
 		return false;
 	prefix_list_fill(&prefixes, &req->arrival, model_hash);
-	req->question = (placing_question_t){
-	    .number = number_next(relay), .model = req->model_index};
+	req->owner_query = (owner_query_t){
+	    .number = number_next(relay), .model_index = req->model_index};
 	len = choose_first(
-	    candidates.seen, candidates.len, &wish, first, ASKED_MAX);
+	    candidates.seen, candidates.len, &wish, first, OWNERS_QUERIED_MAX);
 	for (size_t i = 0; i < len; i++)
 		one_ask(req, candidates.endpoints[first[i]], &prefixes);
 	return answers_wait(req);
@@ -138,7 +141,8 @@
 		return;
 	memcpy(prefixes.hashes, message->prefixes,
 	    message->prefixes_len * sizeof(message->prefixes[0]));
-	prefix_memory_note(&relay->prefixes, &prefixes, endpoint->hash, now_ms);
+	prefix_memory_note(
+	    &relay->prefix_index, &prefixes, endpoint->hash, now_ms);
 	prefill_queue_extend(
 	    &endpoint->unread, message->read_ms, (double)now_ms);
 }
@@ -157,7 +161,7 @@
 	memcpy(prefixes.hashes, question->prefixes,
 	    question->prefixes_len * sizeof(question->prefixes[0]));
 	answer->kept = (uint32_t)prefix_memory_count(
-	    &relay->prefixes, &prefixes, endpoint->hash, now_ms);
+	    &relay->prefix_index, &prefixes, endpoint->hash, now_ms);
 	answer->wait_ms =
 	    (uint32_t)prefill_queue_wait_ms(&endpoint->unread, (double)now_ms);
 	return true;
@@ -166,9 +170,10 @@
 static relay_request_t *
 asking_find(const relay_t *relay, uint32_t number)
 {
-	for (relay_request_t *req = relay->first; req != NULL;
+	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
-		if (req->question.open > 0 && req->question.number == number)
+		if (req->owner_query.pending > 0 &&
+		    req->owner_query.number == number)
 			return req;
 	}
 	return NULL;
@@ -181,17 +186,18 @@
 
 	if (req == NULL)
 		return;
-	for (size_t i = 0; i < req->question.len; i++) {
-		asked_endpoint_t *asked = &req->question.of[i];
+	for (size_t i = 0; i < req->owner_query.len; i++) {
+		queried_endpoint_t *asked = &req->owner_query.endpoints[i];
 
-		if ((uint32_t)asked->hash != answer->endpoint || asked->told)
+		if ((uint32_t)asked->hash != answer->endpoint ||
+		    asked->responded)
 			continue;
-		asked->told = true;
-		asked->wait_ms = answer->wait_ms;
-		asked->kept = answer->kept;
-		req->question.open--;
+		asked->responded = true;
+		asked->queue_wait_ms = answer->wait_ms;
+		asked->cached_prefixes = answer->kept;
+		req->owner_query.pending--;
 	}
-	if (req->question.open == 0)
+	if (req->owner_query.pending == 0)
 		attempt_begin(req);
 }
 
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -36,13 +36,13 @@
 session_note(const relay_request_t *req)
 {
 	if (req->arrival.session != NULL && attempt_on_old(req))
-		rollouts_note_old(req->relay->rollouts, req->spread);
+		rollouts_note_old(req->relay->rollouts, req->split_hash);
 }
 
 void
-relay_sessions_note(const relay_t *relay)
+relay_sessions_record(const relay_t *relay)
 {
-	for (const relay_request_t *req = relay->first; req != NULL;
+	for (const relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		if (req->attempt.endpoint != NULL)
 			session_note(req);
@@ -50,12 +50,12 @@
 }
 
 uint32_t
-relay_on_old(const void *arg, const rollout_t *rollout)
+relay_old_version_in_flight(const void *arg, const rollout_t *rollout)
 {
 	const relay_t *relay = arg;
 	uint32_t count = 0;
 
-	for (const relay_request_t *req = relay->first; req != NULL;
+	for (const relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		const endpoint_t *endpoint = req->attempt.endpoint;
 
@@ -69,7 +69,7 @@
 }
 
 const char *
-relay_first_version(const void *arg, const char *service)
+relay_group_base_version(const void *arg, const char *service)
 {
 	const relay_t *relay = arg;
 	endpoint_group_t *group = endpoint_set_group(relay->endpoints, service);
@@ -86,7 +86,7 @@
 {
 	attempt_t *attempt = &req->attempt;
 
-	prefill_queue_drop(&attempt->endpoint->unread, &attempt->ticket,
+	prefill_queue_drop(&attempt->endpoint->unread, &attempt->prefill_entry,
 	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
 	if (!req->attempt.sent)
 		return;
@@ -97,8 +97,8 @@
 static void
 attempt_clear(relay_request_t *req)
 {
-	if (req->silence != NULL)
-		event_del(req->silence);
+	if (req->silence_timer != NULL)
+		event_del(req->silence_timer);
 	endpoint_release(req->attempt.endpoint);
 	req->attempt = (attempt_t){0};
 }
@@ -108,13 +108,13 @@
 {
 	attempt_t *attempt = &req->attempt;
 
-	relay_ask_end(req);
+	relay_query_end(req);
 	if (attempt->endpoint == NULL)
 		return;
-	if (attempt->sent && !attempt->headed)
-		relay_model_unanswered(req);
-	if (attempt->sent && !attempt->broke && !attempt->whole)
-		relay_attempt_left(req);
+	if (attempt->sent && !attempt->head_received)
+		relay_model_no_response(req);
+	if (attempt->sent && !attempt->connection_lost && !attempt->completed)
+		relay_attempt_abandoned(req);
 	attempt_uncount(req);
 	attempt->endpoint->connections--;
 	http_outbound_free(attempt->conn);
@@ -125,12 +125,13 @@
 attempt_release(relay_request_t *req)
 {
 	attempt_t *attempt = &req->attempt;
-	int64_t idle_ms = attempt->answer.idle_max_ms > 0
-	    ? attempt->answer.idle_max_ms
+	int64_t idle_ms = attempt->response.idle_max_ms > 0
+	    ? attempt->response.idle_max_ms
 	    : IDLE_UNNAMED_MS;
 
-	attempt->whole = true;
-	if (!http_outbound_reusable(attempt->conn) || attempt->answer.leaving) {
+	attempt->completed = true;
+	if (!http_outbound_reusable(attempt->conn) ||
+	    attempt->response.closes_connection) {
 		attempt_cancel(req);
 		return;
 	}
@@ -147,17 +148,18 @@
 	int64_t max_ms = request_idempotent(req) ? INT64_MAX : IDLE_UNSAFE_MS;
 
 	attempt->conn =
-	    req->kept_dead ? NULL : endpoint_take_link(endpoint, max_ms);
-	attempt->kept = attempt->conn != NULL;
-	if (attempt->kept)
+	    req->avoid_reuse ? NULL : endpoint_take_link(endpoint, max_ms);
+	attempt->reused = attempt->conn != NULL;
+	if (attempt->reused)
 		http_outbound_set_silent(attempt->conn,
-		    request_idempotent(req) ? relay->bounds.silent_repeat_ms
-					    : relay->bounds.silent_ms);
+		    request_idempotent(req)
+			? relay->bounds.reused_silence_timeout_ms
+			: relay->bounds.silence_timeout_ms);
 	if (attempt->conn == NULL) {
 		stats_add(&relay->stats, STAT_CONNECTIONS, 1);
 		attempt->conn =
 		    http_outbound_new(relay->base, &endpoint->facts.address,
-			CONNECT_MS, relay->bounds.silent_ms);
+			CONNECT_MS, relay->bounds.silence_timeout_ms);
 		if (attempt->conn == NULL)
 			return false;
 		endpoint->connections++;
@@ -189,18 +191,18 @@
 	    .organisation =
 		req->organisation != NULL ? req->organisation->name : NULL,
 	    .model = attempt->model,
-	    .left_ms = request_left_ms(req),
-	    .resume = req->begun,
-	    .resume_after = req->last_event,
+	    .remaining_ms = request_remaining_ms(req),
+	    .resume = req->response_started,
+	    .last_event_id = req->last_event_id,
 	    .rank = rank_of(req),
 	    .body_len = evbuffer_get_length(req->body),
 	    .has_body =
 		http_msg_field(msg, "Content-Length") != NULL || msg->chunked};
 
-	req->relay->endpoint_words->write(&words, head);
+	req->relay->endpoint_dialect->write(&words, head);
 	if (words.body_len > 0)
 		evbuffer_add_buffer_reference(body, req->body);
-	http_outbound_send(attempt->conn, &answer_ops, req, head, body,
+	http_outbound_send(attempt->conn, &response_ops, req, head, body,
 	    strcmp(msg->method, "HEAD") == 0);
 	evbuffer_free(head);
 	evbuffer_free(body);
@@ -211,7 +213,7 @@
 static void
 attempt_log(const relay_request_t *req)
 {
-	const placement_t *place = &req->attempt.place;
+	const placement_t *place = &req->attempt.placement;
 	const relay_t *relay = req->relay;
 
 	event_line(relay->log, "attempt",
@@ -219,13 +221,13 @@
 	    "of=%zu cold=%zu told=%zu load=%.0f wait_ms=%.0f read_ms=%.0f "
 	    "first_ms=%.0f "
 	    "left_ms=%" PRId64 " config=%" PRIu64 " endpoints_age_ms=%" PRId64,
-	    req->arrival.id, req->endpoint_id, place->endpoint->facts.zone,
+	    req->arrival.id, req->last_endpoint_id, place->endpoint->facts.zone,
 	    req->attempt.model != NULL ? req->attempt.model : "-",
-	    req->sends + req->connects + 1, req->attempt.kept, req->begun,
-	    place->candidates, place->cold, place->told, place->load,
-	    place->wait_ms, place->read_ms, place->first_ms,
-	    request_left_ms(req), req->config->version,
-	    row_watch_age_ms(relay->endpoint_watch));
+	    req->sends + req->connects_failed + 1, req->attempt.reused,
+	    req->response_started, place->candidates, place->cold_skipped,
+	    place->owner_reports, place->load, place->queue_wait_ms,
+	    place->prefill_ms, place->first_byte_ms, request_remaining_ms(req),
+	    req->config->version, row_watch_age_ms(relay->endpoint_watch));
 }
 
 /* The configuration may have changed since the request was taken: the one in
@@ -237,18 +239,18 @@
 	const http_msg_t *msg = http_inbound_request(req->caller);
 	const relay_organisation_t *organisation;
 	const relay_route_t *route;
-	err_code_t code = relay_permit(
+	err_code_t code = relay_authorize(
 	    relay, &req->arrival, msg->target, &route, &organisation);
 
 	if (code != ERR_NONE || req->config == relay->config)
 		return code;
-	if (!relay_model_carry(req, route))
+	if (!relay_model_rebind(req, route))
 		return ERR_NO_ENDPOINT;
 	relay_config_release(req->config);
 	req->config = relay_config_share(relay->config);
 	req->route = route;
 	req->organisation = organisation;
-	req->service = relay_pool(route, req->spread);
+	req->service = relay_route_service(route, req->split_hash);
 	return ERR_NONE;
 }
 
@@ -256,8 +258,8 @@
 static void
 attempts_end(relay_request_t *req, err_code_t not_run, const char *why)
 {
-	if (req->failure_kept && !req->begun) {
-		answer_pass(req);
+	if (req->failure_buffered && !req->response_started) {
+		response_forward(req);
 		return;
 	}
 	request_fail(
@@ -276,7 +278,7 @@
 		attempts_end(req, code, "permit");
 		return;
 	}
-	if (request_left_ms(req) < LEFT_MIN_MS) {
+	if (request_remaining_ms(req) < LEFT_MIN_MS) {
 		attempts_end(req, ERR_OVERLOAD, "no_time_left");
 		return;
 	}
@@ -284,43 +286,45 @@
 		attempts_end(req, ERR_QUARANTINED, "quarantined");
 		return;
 	}
-	req->attempt.model = relay_model(req);
-	if (relay_ask(req))
+	req->attempt.model = relay_model_select(req);
+	if (relay_query_owners(req))
 		return;
-	if (!relay_place(req, req->model_index, &place, &why)) {
+	if (!relay_choose_endpoint(req, req->model_index, &place, &why)) {
 		attempts_end(req,
-		    place.cold > 0 ? ERR_WARMING_UP : ERR_NO_ENDPOINT, why);
+		    place.cold_skipped > 0 ? ERR_WARMING_UP : ERR_NO_ENDPOINT,
+		    why);
 		return;
 	}
-	relay_ask_end(req);
-	if (!relay_suspect_fits(req)) {
-		if (!relay_suspect_waits(req))
+	relay_query_end(req);
+	if (!relay_suspect_may_send(req)) {
+		if (!relay_suspect_await_probe(req))
 			attempts_end(req, ERR_NO_ENDPOINT, "last_endpoint");
 		return;
 	}
-	req->place = place;
-	strcpy(req->endpoint_id, place.endpoint->facts.id);
+	req->placement = place;
+	strcpy(req->last_endpoint_id, place.endpoint->facts.id);
 	if (!connection_get(req, place.endpoint)) {
 		attempts_end(req, ERR_NO_ENDPOINT, "no_socket");
 		return;
 	}
 	rollout = rollouts_find(req->relay->rollouts, req->service);
 	if (rollout != NULL && rollout->order.number != 0) {
-		req->attempt.is_new = rollout_is_new(rollout, place.endpoint);
-		req->attempt.on_trial = rollout_on_trial(rollout);
+		req->attempt.new_version =
+		    rollout_is_new(rollout, place.endpoint);
+		req->attempt.rollout_saturating = rollout_on_trial(rollout);
 	}
 	relay_warmup_acquire(req);
-	if (place.cold > 0)
+	if (place.cold_skipped > 0)
 		stats_add(&req->relay->stats, STAT_COLD_PASSED_OVER, 1);
-	req->attempt.place = place;
-	relay_place_note(req, &place, req->model_index);
+	req->attempt.placement = place;
+	relay_placement_record(req, &place, req->model_index);
 	session_note(req);
 	attempt_log(req);
 	attempt_send(req);
 }
 
 bool
-attempt_ready(relay_request_t *req)
+attempt_may_send(relay_request_t *req)
 {
 	const relay_t *relay = req->relay;
 	const endpoint_t *endpoint = req->attempt.endpoint;
@@ -332,7 +336,7 @@
 	if (req->config == relay->config && endpoint->present &&
 	    endpoint_accepts_requests(endpoint) && relay_warmup_acquire(req) &&
 	    !relay_quarantine_refuses(req) &&
-	    relay_permit(relay, &req->arrival, msg->target, &route,
+	    relay_authorize(relay, &req->arrival, msg->target, &route,
 		&organisation) == ERR_NONE)
 		return true;
 	attempt_cancel(req);
@@ -341,26 +345,26 @@
 }
 
 static bool
-may_repeat(relay_request_t *req, attempt_end_t end)
+may_repeat(relay_request_t *req, attempt_outcome_t end)
 {
 	relay_t *relay = req->relay;
 
 	if (end == ATTEMPT_NOT_SENT && req->sends == 0)
-		return req->connects < CONNECTS_FAILED_MAX;
+		return req->connects_failed < CONNECTS_FAILED_MAX;
 	if (req->sends >= req->route->attempts ||
-	    req->connects >= CONNECTS_FAILED_MAX)
+	    req->connects_failed >= CONNECTS_FAILED_MAX)
 		return false;
 	if (req->may_have_run && !request_idempotent(req))
 		return false;
-	if (req->begun && !req->have_event)
+	if (req->response_started && !req->has_last_event_id)
 		return false;
-	if (request_left_ms(req) < LEFT_MIN_MS)
+	if (request_remaining_ms(req) < LEFT_MIN_MS)
 		return false;
-	if (end == ATTEMPT_UNKNOWN && relay_suspect_stops(req)) {
+	if (end == ATTEMPT_UNKNOWN && relay_suspect_forbids_retry(req)) {
 		stats_add(&relay->stats, STAT_SUSPECTS_STOPPED, 1);
 		return false;
 	}
-	if (!relay_repeat_allowed(relay, req->service)) {
+	if (!relay_retry_acquire(relay, req->service)) {
 		stats_add(&relay->stats, STAT_REPEATS_DENIED, 1);
 		return false;
 	}
@@ -369,40 +373,40 @@
 }
 
 static void
-outcome_count(relay_request_t *req, attempt_end_t end)
+outcome_count(relay_request_t *req, attempt_outcome_t end)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
 	relay_stats_t *stats = &req->relay->stats;
 
 	switch (end) {
 	case ATTEMPT_NOT_SENT:
-		req->connects++;
+		req->connects_failed++;
 		stats_add(stats, STAT_CONNECTS_FAILED, 1);
 		relay_warmup_connect_failed(req);
-		if (!req->attempt.refused) {
+		if (!req->attempt.connection_refused) {
 			endpoint_failed(endpoint);
 			break;
 		}
 		endpoint_refused_connection(endpoint);
-		relay_attempt_refused(req);
+		relay_attempt_connection_refused(req);
 		break;
 	case ATTEMPT_NOT_RUN:
 		stats_add(stats, STAT_NOT_RUN, 1);
-		if (req->attempt.answer.wrong_endpoint)
+		if (req->attempt.response.wrong_endpoint)
 			endpoint_superseded(endpoint);
 		break;
 	case ATTEMPT_UNKNOWN:
 		stats_add(stats, STAT_BROKEN, 1);
 		endpoint_failed(endpoint);
 		relay_guard_suspect(req);
-		if (req->attempt.broke)
-			relay_attempt_broke(req);
+		if (req->attempt.connection_lost)
+			relay_attempt_connection_lost(req);
 		break;
 	case ATTEMPT_FAILED:
-		relay_attempt_survived(req);
+		relay_attempt_completed(req);
 		relay_guard_failed(req);
 		break;
-	case ATTEMPT_DROPPED:
+	case ATTEMPT_ESCALATED:
 		stats_add(stats, STAT_ESCALATED, 1);
 		endpoint_worked(endpoint);
 		break;
@@ -410,7 +414,8 @@
 }
 
 void
-attempt_over(relay_request_t *req, attempt_end_t end, const char *why)
+attempt_retry_or_fail(
+    relay_request_t *req, attempt_outcome_t end, const char *why)
 {
 	attempt_t *attempt = &req->attempt;
 
@@ -420,20 +425,23 @@
 	    "last_event=%" PRId64 " model=%s confidence=%d running=%u "
 	    "waiting=%u digest=%016" PRIx64,
 	    req->arrival.id, attempt->endpoint->facts.id, why, (int)end,
-	    req->sends, attempt->kept, req->begun, req->last_event,
-	    attempt->model != NULL ? attempt->model : "-", req->confidence,
-	    attempt->endpoint->load.running, attempt->endpoint->load.waiting,
-	    end == ATTEMPT_UNKNOWN ? relay_digest(req) : 0);
-	if (req->tried_len < TRIED_MAX && end != ATTEMPT_DROPPED)
-		req->tried[req->tried_len++] = attempt->endpoint->hash;
+	    req->sends, attempt->reused, req->response_started,
+	    req->last_event_id, attempt->model != NULL ? attempt->model : "-",
+	    req->confidence, attempt->endpoint->load.running,
+	    attempt->endpoint->load.waiting,
+	    end == ATTEMPT_UNKNOWN ? relay_request_digest(req) : 0);
+	if (req->tried_endpoints_len < TRIED_ENDPOINTS_MAX &&
+	    end != ATTEMPT_ESCALATED)
+		req->tried_endpoints[req->tried_endpoints_len++] =
+		    attempt->endpoint->hash;
 	if (end == ATTEMPT_NOT_RUN || end == ATTEMPT_FAILED)
 		attempt_release(req);
 	else
 		attempt_cancel(req);
 	event_scan_reset(&req->scan);
-	req->failure_kept |= end == ATTEMPT_FAILED;
+	req->failure_buffered |= end == ATTEMPT_FAILED;
 	if (may_repeat(req, end)) {
-		if (req->begun)
+		if (req->response_started)
 			stats_add(&req->relay->stats, STAT_RESUMED, 1);
 		attempt_begin(req);
 		return;
@@ -442,9 +450,9 @@
 }
 
 void
-attempt_answered(relay_request_t *req)
+attempt_succeeded(relay_request_t *req)
 {
 	endpoint_worked(req->attempt.endpoint);
-	relay_attempt_survived(req);
+	relay_attempt_completed(req);
 	relay_guard_answered(req);
 }
--- a/moortack/relay/relay_permit.c
+++ b/moortack/relay/relay_authorize.c
@@ -1,7 +1,7 @@
 #include "relay_request.h"
 
 const char *
-relay_pool(const relay_route_t *route, uint64_t spread)
+relay_route_service(const relay_route_t *route, uint64_t spread)
 {
 	uint64_t sum = 0;
 	uint64_t at;
@@ -21,12 +21,13 @@
 
 /* What an arrival may do. @return ERR_NONE, or why it is refused */
 err_code_t
-relay_permit(const relay_t *relay, const arrival_t *arrival, const char *target,
-    const relay_route_t **route, const relay_organisation_t **organisation)
+relay_authorize(const relay_t *relay, const arrival_t *arrival,
+    const char *target, const relay_route_t **route,
+    const relay_organisation_t **organisation)
 {
 	const relay_config_t *config = relay->config;
 	int64_t age_ms = row_watch_age_ms(relay->config_watch);
-	bool doubt = age_ms > relay->bounds.doubt_ms;
+	bool doubt = age_ms > relay->bounds.config_stale_ms;
 
 	*organisation = NULL;
 	if (config == NULL)
@@ -36,9 +37,9 @@
 		return doubt ? ERR_CONFIG_STALE : ERR_NOT_FOUND;
 	if (!config->keys_used || (*route)->anonymous)
 		return ERR_NONE;
-	if (age_ms > relay->bounds.key_fresh_ms)
+	if (age_ms > relay->bounds.key_max_age_ms)
 		return ERR_CONFIG_STALE;
-	if (arrival->key != NULL && !arrival->several_keys)
+	if (arrival->key != NULL && !arrival->multiple_keys)
 		*organisation = relay_config_key(config, arrival->key);
 	if (*organisation == NULL)
 		return doubt ? ERR_CONFIG_STALE : ERR_AUTHENTICATION;
--- a/moortack/relay/relay_candidates.c
+++ b/moortack/relay/relay_candidates.c
@@ -26,8 +26,8 @@
 static bool
 was_tried(const relay_request_t *req, const endpoint_t *endpoint)
 {
-	for (size_t i = 0; i < req->tried_len; i++) {
-		if (req->tried[i] == endpoint->hash)
+	for (size_t i = 0; i < req->tried_endpoints_len; i++) {
+		if (req->tried_endpoints[i] == endpoint->hash)
 			return true;
 	}
 	return false;
@@ -43,7 +43,7 @@
 
 	if (service == NULL)
 		return CONNECTIONS_MIN;
-	share = service->connections_max / req->relay->daemons_most;
+	share = service->connections_max / req->relay->daemons_max_seen;
 	return share > CONNECTIONS_MIN ? share : CONNECTIONS_MIN;
 }
 
@@ -97,8 +97,9 @@
 	const relay_t *relay = req->relay;
 	uint32_t connections = connections_share(req);
 	warmup_snapshot_t warmup;
-	size_t from = endpoint_group_from(
-	    group, req->shared != 0 ? req->shared : req->spread);
+	size_t from = endpoint_group_from(group,
+	    req->shared_prefix_hash != 0 ? req->shared_prefix_hash
+					 : req->split_hash);
 
 	out->len = 0;
 	relay_warmup_snapshot(req, &warmup);
@@ -114,7 +115,7 @@
 		}
 		out->endpoints[out->len] = one;
 		out->seen[out->len++] = (choose_candidate_t){.hash = one->hash,
-		    .load = endpoint_load_now(one, relay->daemons_most),
+		    .load = endpoint_load_now(one, relay->daemons_max_seen),
 		    .slots = one->facts.slots,
 		    .same_zone = strcmp(one->facts.zone, relay->zone) == 0,
 		    .ejected = endpoint_ejected(one)};
@@ -150,7 +151,7 @@
 trial_size(const relay_request_t *req, const endpoint_group_t *group,
     const candidates_t *set, double share)
 {
-	double under_way = group->in_flight_mean * req->relay->daemons_most;
+	double under_way = group->in_flight_mean * req->relay->daemons_max_seen;
 	double each = TRIAL_PART * set->seen[0].slots;
 
 	return each > 0 ? (size_t)ceil(under_way * share / each) : set->len;
@@ -191,7 +192,7 @@
 	if (rollout == NULL || rollout->order.number == 0)
 		return VERSION_ANY;
 	return rollout_prefers_new(
-		   rollout, req->spread, req->arrival.session != NULL)
+		   rollout, req->split_hash, req->arrival.session != NULL)
 	    ? VERSION_NEW
 	    : VERSION_OLD;
 }
--- a/moortack/relay/relay_crashes.c
+++ b/moortack/relay/relay_crashes.c
@@ -76,7 +76,7 @@
 {
 	relay_request_t *req, *next;
 
-	for (req = relay->first; req != NULL; req = next) {
+	for (req = relay->requests; req != NULL; req = next) {
 		next = req->next;
 		if (!req->awaits_probe)
 			continue;
@@ -106,7 +106,7 @@
 attempt_note(relay_request_t *req, crash_evidence_t *evidence)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
-	broken_attempt_t attempt = {.digest = relay_digest(req),
+	broken_attempt_t attempt = {.digest = relay_request_digest(req),
 	    .incarnation = endpoint->short_hash,
 	    .version = quarantine_version_of(endpoint),
 	    .at = clock_elapsed(req->relay->clock)};
@@ -119,7 +119,7 @@
 }
 
 void
-relay_attempt_broke(relay_request_t *req)
+relay_attempt_connection_lost(relay_request_t *req)
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 
@@ -129,18 +129,18 @@
 }
 
 void
-relay_attempt_left(relay_request_t *req)
+relay_attempt_abandoned(relay_request_t *req)
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 
 	if (attempt_note(req, &self->left) &&
-	    quarantine_crashes(&self->table, relay_digest(req)) > 0)
+	    quarantine_crashes(&self->table, relay_request_digest(req)) > 0)
 		crash_probe_begin(&self->probes, req->relay->base,
 		    req->attempt.endpoint, PROBE_LEFT_MS, on_probed, self);
 }
 
 void
-relay_attempt_refused(const relay_request_t *req)
+relay_attempt_connection_refused(const relay_request_t *req)
 {
 	const endpoint_t *endpoint = req->attempt.endpoint;
 
--- a/moortack/relay/relay_guard.c
+++ b/moortack/relay/relay_guard.c
@@ -20,9 +20,9 @@
 event_gap_ms(const relay_request_t *req)
 {
 	int64_t us = timespec_us_between(
-	    req->events_since, clock_elapsed(req->relay->clock));
+	    req->first_event_at, clock_elapsed(req->relay->clock));
 
-	return (double)us / US_PER_MS / (req->events - 1);
+	return (double)us / US_PER_MS / (req->attempt_events - 1);
 }
 
 /* The roll-out whose guard is told of the attempt, or NULL. */
@@ -47,9 +47,9 @@
 	    .model = attempt->model != NULL
 		? XXH3_64bits(attempt->model, strlen(attempt->model))
 		: 0,
-	    .fresh = attempt->is_new,
+	    .fresh = attempt->new_version,
 	    .stream = req->route->kind == ROUTE_STREAM,
-	    .counted = attempt->counted,
+	    .counted = attempt->guard_counted,
 	    .ms = ms};
 }
 
@@ -59,8 +59,8 @@
 static bool
 tells(const relay_request_t *req, guard_sign_t sign)
 {
-	return sign == GUARD_FAILED || !req->attempt.is_new ||
-	    !req->attempt.on_trial;
+	return sign == GUARD_FAILED || !req->attempt.new_version ||
+	    !req->attempt.rollout_saturating;
 }
 
 static void
@@ -72,7 +72,7 @@
 	if (rollout != NULL && tells(req, sign) &&
 	    version_guard_take(
 		&rollout->guard, &answer, clock_elapsed(req->relay->clock)))
-		req->attempt.counted = true;
+		req->attempt.guard_counted = true;
 }
 
 void
@@ -100,28 +100,29 @@
 static double
 beyond_wait(const relay_request_t *req, double ms)
 {
-	return fmax(ms - req->attempt.place.wait_ms, 0);
+	return fmax(ms - req->attempt.placement.queue_wait_ms, 0);
 }
 
 void
 relay_guard_begun(relay_request_t *req)
 {
-	if (!req->attempt.counted)
-		sign_tell(
-		    req, GUARD_BEGUN, beyond_wait(req, req->attempt.first_ms));
+	if (!req->attempt.guard_counted)
+		sign_tell(req, GUARD_BEGUN,
+		    beyond_wait(req, req->attempt.first_byte_ms));
 }
 
 static void
 paced_tell(relay_request_t *req)
 {
-	req->attempt.paced = true;
+	req->attempt.event_rate_reported = true;
 	sign_tell(req, GUARD_PACED, event_gap_ms(req));
 }
 
 void
 relay_guard_event(relay_request_t *req)
 {
-	if (!req->attempt.paced && req->events == PACED_EVENTS)
+	if (!req->attempt.event_rate_reported &&
+	    req->attempt_events == PACED_EVENTS)
 		paced_tell(req);
 }
 
@@ -129,7 +130,8 @@
 relay_guard_answered(relay_request_t *req)
 {
 	relay_guard_begun(req);
-	if (!req->attempt.paced && req->events >= PACED_EVENTS_MIN)
+	if (!req->attempt.event_rate_reported &&
+	    req->attempt_events >= PACED_EVENTS_MIN)
 		paced_tell(req);
 }
 
@@ -157,12 +159,12 @@
 {
 	struct timespec now = clock_elapsed(relay->clock);
 
-	for (relay_request_t *req = relay->first; req != NULL;
+	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		const attempt_t *attempt = &req->attempt;
 
 		if (attempt->endpoint != NULL && attempt->sent &&
-		    !attempt->headed && !attempt->counted)
+		    !attempt->head_received && !attempt->guard_counted)
 			sign_tell(req, GUARD_OVERDUE,
 			    beyond_wait(req,
 				(double)timespec_ms_between(
--- a/moortack/relay/relay_model.c
+++ b/moortack/relay/relay_model.c
@@ -3,24 +3,24 @@
 
 #include "relay_request.h"
 
-relay_model_t *
-relay_model_known(const relay_request_t *req, const char *name)
+service_model_t *
+relay_model_find(const relay_request_t *req, const char *name)
 {
-	relay_budget_t *counts = relay_counts(req->relay, req->service);
+	service_state_t *counts = relay_service_state(req->relay, req->service);
 	uint64_t hash = XXH3_64bits(name, strlen(name));
-	relay_model_t *model;
+	service_model_t *model;
 
 	/* Names that callers bring are not to fill the table. */
 	if (counts == NULL || !req->arrival.any_model)
 		return NULL;
 	for (size_t i = 0; i < counts->models_len; i++) {
-		if (counts->models[i].name == hash)
+		if (counts->models[i].name_hash == hash)
 			return &counts->models[i];
 	}
 	if (counts->models_len == MODELS_MAX)
 		return NULL;
 	model = &counts->models[counts->models_len++];
-	*model = (relay_model_t){.name = hash};
+	*model = (service_model_t){.name_hash = hash};
 	return model;
 }
 
@@ -38,19 +38,20 @@
 static double
 objective_left_ms(const relay_request_t *req)
 {
-	return (double)req->route->objective_ms - request_tried_ms(req);
+	return (double)req->route->objective_ms -
+	    request_since_first_try_ms(req);
 }
 
 const char *
-relay_model(relay_request_t *req)
+relay_model_select(relay_request_t *req)
 {
 	const relay_route_t *route = req->route;
 
 	if (!req->arrival.any_model || route->models_len == 0)
 		return NULL;
 	/* An answer that goes on keeps its model. */
-	if (req->model != NULL && req->begun)
-		return req->model;
+	if (req->response_model != NULL && req->response_started)
+		return req->response_model;
 	if (!req->model_chosen) {
 		req->model_index = model_first(route->models_len);
 		req->model_chosen = true;
@@ -61,36 +62,37 @@
 }
 
 bool
-relay_model_carry(relay_request_t *req, const relay_route_t *route)
+relay_model_rebind(relay_request_t *req, const relay_route_t *route)
 {
-	const char *named = req->model;
+	const char *named = req->response_model;
 
 	if (named == NULL)
 		return true;
-	req->model = NULL;
+	req->response_model = NULL;
 	for (size_t i = 0; i < route->models_len; i++) {
 		if (strcmp(route->models[i].name, named) != 0)
 			continue;
-		req->model = route->models[i].name;
+		req->response_model = route->models[i].name;
 		req->model_index = i;
 	}
-	return req->model != NULL || !req->begun;
+	return req->response_model != NULL || !req->response_started;
 }
 
 /* Answers that are late already, though they have not begun. */
 static void
 late_note(relay_t *relay)
 {
-	for (relay_request_t *req = relay->first; req != NULL;
+	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		attempt_t *attempt = &req->attempt;
-		relay_model_t *model;
+		service_model_t *model;
 
-		if (!attempt->sent || attempt->headed || attempt->late_told ||
-		    attempt->model == NULL || objective_left_ms(req) >= 0)
+		if (!attempt->sent || attempt->head_received ||
+		    attempt->late_recorded || attempt->model == NULL ||
+		    objective_left_ms(req) >= 0)
 			continue;
-		attempt->late_told = true;
-		model = relay_model_known(req, attempt->model);
+		attempt->late_recorded = true;
+		model = relay_model_find(req, attempt->model);
 		if (model != NULL)
 			model_record_take(&model->record, false);
 	}
@@ -101,29 +103,30 @@
 {
 	attempt_t *attempt = &req->attempt;
 	bool largest = req->model_index + 1 == req->route->models_len;
-	relay_model_t *model = relay_model_known(req, attempt->model);
+	service_model_t *model = relay_model_find(req, attempt->model);
 
 	if (model == NULL)
 		return;
-	prefill_rate_take(&model->pace, attempt->place.unread,
-	    attempt->first_ms > attempt->place.wait_ms
-		? attempt->first_ms - attempt->place.wait_ms
+	prefill_rate_take(&model->prefill_rate,
+	    attempt->placement.uncached_tokens,
+	    attempt->first_byte_ms > attempt->placement.queue_wait_ms
+		? attempt->first_byte_ms - attempt->placement.queue_wait_ms
 		: 0);
-	if (!attempt->late_told)
+	if (!attempt->late_recorded)
 		model_record_take(&model->record, objective_left_ms(req) >= 0);
 	if (req->model_index == 0)
-		req->smallest_estimate = req->confidence;
+		req->smallest_confidence = req->confidence;
 	else
-		model_record_judge(&model->record, req->smallest_estimate,
+		model_record_judge(&model->record, req->smallest_confidence,
 		    req->confidence, largest);
 }
 
 void
-relay_model_unanswered(relay_request_t *req)
+relay_model_no_response(relay_request_t *req)
 {
 	const attempt_t *attempt = &req->attempt;
-	relay_model_t *model = attempt->model != NULL
-	    ? relay_model_known(req, attempt->model)
+	service_model_t *model = attempt->model != NULL
+	    ? relay_model_find(req, attempt->model)
 	    : NULL;
 	double waited_ms;
 
@@ -132,19 +135,20 @@
 	waited_ms = (double)timespec_ms_between(
 	    attempt->sent_at, clock_elapsed(req->relay->clock));
 	/* Only a wait that is longer than expected says something. */
-	waited_ms -= attempt->place.wait_ms;
-	if (waited_ms > prefill_rate_ms(&model->pace, attempt->place.unread))
-		prefill_rate_take(
-		    &model->pace, attempt->place.unread, waited_ms);
+	waited_ms -= attempt->placement.queue_wait_ms;
+	if (waited_ms > prefill_rate_ms(&model->prefill_rate,
+			    attempt->placement.uncached_tokens))
+		prefill_rate_take(&model->prefill_rate,
+		    attempt->placement.uncached_tokens, waited_ms);
 }
 
 static void
 option_fill(relay_request_t *req, size_t index, model_option_t *option)
 {
 	const route_model_t *named = &req->route->models[index];
-	const relay_model_t *model = relay_model_known(req, named->name);
+	const service_model_t *model = relay_model_find(req, named->name);
 	bool largest = index + 1 == req->route->models_len;
-	static const relay_model_t unknown;
+	static const service_model_t unknown;
 	placement_t place;
 	const char *why;
 
@@ -152,15 +156,15 @@
 		model = &unknown;
 	*option = (model_option_t){.cost = named->cost,
 	    .good = model_record_good(
-		&model->record, req->smallest_estimate, largest),
+		&model->record, req->smallest_confidence, largest),
 	    .on_time = model_record_on_time(&model->record),
 	    .first_ms = -1};
-	if (relay_place(req, index, &place, &why))
-		option->first_ms = place.first_ms;
+	if (relay_choose_endpoint(req, index, &place, &why))
+		option->first_ms = place.first_byte_ms;
 }
 
 void
-relay_model_judge(relay_request_t *req)
+relay_model_evaluate(relay_request_t *req)
 {
 	const relay_route_t *route = req->route;
 	model_moment_t moment = {.model = req->model_index,
@@ -176,13 +180,13 @@
 	if (model_is_sure(req->confidence))
 		return;
 	moment.repeat_left = req->sends < route->attempts &&
-	    relay_repeat_plenty(req->relay, req->service);
+	    relay_retry_has_spare(req->relay, req->service);
 	for (size_t i = moment.model + 1; i < moment.models; i++)
 		option_fill(req, i, &moment.options[i]);
 	next = model_next(&moment);
 	if (next == req->model_index)
 		return;
 	req->model_index = next;
-	req->dropped_ms = (double)request_age_ms(req);
-	attempt_over(req, ATTEMPT_DROPPED, "low_confidence");
+	req->escalated_ms = (double)request_age_ms(req);
+	attempt_retry_or_fail(req, ATTEMPT_ESCALATED, "low_confidence");
 }
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -126,7 +126,7 @@
 {
 	if (!rollouts_active(&node->rollouts))
 		return;
-	relay_sessions_note(&node->relay);
+	relay_sessions_record(&node->relay);
 	if (node->source.following)
 		sessions_take(node);
 	else
@@ -185,15 +185,15 @@
 	    (double)node->settings.grace_ms;
 
 	if (part >= LEAVE_STREAMS_PART)
-		node->relay.leaving = true;
+		node->relay.refusing_streams = true;
 	if (part >= LEAVE_LISTEN_PART)
 		http_inbound_refuse(node->relay.server);
 	if (part < LEAVE_MAX_PART &&
-	    (part < LEAVE_LISTEN_PART || node->relay.under_way > 0 ||
+	    (part < LEAVE_LISTEN_PART || node->relay.in_flight > 0 ||
 		node->members.writing))
 		return;
 	event_line(&node->log, "stop", "under_way=%u part=%.2f",
-	    node->relay.under_way, part);
+	    node->relay.in_flight, part);
 	if (node->gone != NULL)
 		node->gone(node->gone_arg);
 	node->gone = NULL;
@@ -205,8 +205,8 @@
 	node->suspensions++;
 	event_line(&node->log, "suspended",
 	    "ms=%" PRId64 " under_way=%u config_age_ms=%" PRId64, suspended_ms,
-	    node->relay.under_way, row_watch_age_ms(node->relay.config_watch));
-	relay_woken(&node->relay);
+	    node->relay.in_flight, row_watch_age_ms(node->relay.config_watch));
+	relay_vm_resumed(&node->relay);
 }
 
 static void
@@ -221,7 +221,7 @@
 	if (suspended_ms > 0)
 		woken(node, suspended_ms);
 	event_log_tick(&node->log);
-	relay_open(&node->relay);
+	relay_accept_when_ready(&node->relay);
 	relay_rows_lapsed_end(node);
 	relay_rows_earlier_take(node);
 	relay_evacuations_expire(node);
@@ -337,8 +337,8 @@
 	    .orders = orders,
 	    .states = &node->source.watches[ROW_TABLE_OWN].watch,
 	    .log = &node->log,
-	    .on_old = relay_on_old,
-	    .first_version = relay_first_version,
+	    .on_old = relay_old_version_in_flight,
+	    .first_version = relay_group_base_version,
 	    .relay = &node->relay};
 	session_memory_init(&node->rollouts.served, node->settings.session_ms);
 	session_memory_init(&node->rollouts.heard, node->settings.session_ms);
@@ -346,8 +346,8 @@
 	    .clock = ports->clock,
 	    .rng = ports->rng,
 	    .log = &node->log,
-	    .callers = ports->callers,
-	    .endpoint_words = ports->endpoints,
+	    .caller_dialect = ports->callers,
+	    .endpoint_dialect = ports->endpoints,
 	    .endpoints = &node->endpoints,
 	    .members = &node->members,
 	    .gossip = &node->gossip,
@@ -427,7 +427,7 @@
 	    settings->endpoints_pause_ms;
 	event_line(&node->log, "reload",
 	    "key_fresh_ms=%" PRId64 " grace_ms=%" PRId64,
-	    settings->bounds.key_fresh_ms, settings->grace_ms);
+	    settings->bounds.key_max_age_ms, settings->grace_ms);
 }
 
 void
@@ -439,10 +439,10 @@
 	node->leaving_since = clock_elapsed(node->ports.clock);
 	node->gone = gone;
 	node->gone_arg = arg;
-	event_line(&node->log, "leave", "under_way=%u", node->relay.under_way);
+	event_line(&node->log, "leave", "under_way=%u", node->relay.in_flight);
 	membership_set_state(&node->members, MEMBER_LEAVING);
 	row_source_leave(&node->source);
-	relay_leave(&node->relay);
+	relay_drain(&node->relay);
 }
 
 bool
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -99,22 +99,22 @@
 }
 
 void
-relay_attempt_survived(relay_request_t *req)
+relay_attempt_completed(relay_request_t *req)
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 	gossip_message_t message = {.kind = GOSSIP_CLEARED, .digests_len = 1};
 
 	if (HASH_COUNT(self->table.suspects) == 0 ||
-	    quarantine_crashes(&self->table, relay_digest(req)) == 0)
+	    quarantine_crashes(&self->table, relay_request_digest(req)) == 0)
 		return;
-	message.digests[0] = relay_digest(req);
+	message.digests[0] = relay_request_digest(req);
 	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " crashes=0 endpoint=%s how=cleared",
-	    relay_digest(req), req->endpoint_id);
-	if (req->on_trial)
+	    relay_request_digest(req), req->last_endpoint_id);
+	if (req->quarantine_trial)
 		gossip_tell_each(req->relay->gossip, &message);
 	quarantine_tell(self, &message);
-	cleared_take(self, relay_digest(req), "run");
+	cleared_take(self, relay_request_digest(req), "run");
 }
 
 void
@@ -249,11 +249,12 @@
 
 	(void)fd;
 	(void)what;
-	for (req = self->relay->first; req != NULL; req = next) {
+	for (req = self->relay->requests; req != NULL; req = next) {
 		next = req->next;
-		suspect = quarantine_find(&self->table, relay_digest(req));
+		suspect =
+		    quarantine_find(&self->table, relay_request_digest(req));
 		if (quarantine_is_held(suspect) && !suspect->stopped &&
-		    !req->on_trial)
+		    !req->quarantine_trial)
 			request_stop(req);
 	}
 	for (suspect = self->table.suspects; suspect != NULL;
--- a/moortack/relay/relay_answer.c
+++ b/moortack/relay/relay_response.c
@@ -20,7 +20,7 @@
 static char *
 head_lines(const http_msg_t *msg)
 {
-	char *text = malloc(HEAD_TEXT_MAX);
+	char *text = malloc(RESPONSE_HEAD_MAX);
 	size_t len = 0;
 
 	if (text == NULL)
@@ -32,9 +32,9 @@
 
 		if (http_field_is_hop(msg, field->name))
 			continue;
-		more = snprintf(text + len, HEAD_TEXT_MAX - len, "%s: %s\r\n",
-		    field->name, field->value);
-		if (more < 0 || (size_t)more >= HEAD_TEXT_MAX - len) {
+		more = snprintf(text + len, RESPONSE_HEAD_MAX - len,
+		    "%s: %s\r\n", field->name, field->value);
+		if (more < 0 || (size_t)more >= RESPONSE_HEAD_MAX - len) {
 			free(text);
 			return NULL;
 		}
@@ -46,25 +46,25 @@
 static void
 first_observe(relay_request_t *req)
 {
-	if (req->first_ms > 0)
+	if (req->first_byte_ms > 0)
 		return;
-	req->first_ms = (double)request_age_ms(req);
-	stats_observe(&req->relay->stats.first_ms, req->first_ms);
+	req->first_byte_ms = (double)request_age_ms(req);
+	stats_observe(&req->relay->stats.first_byte_ms, req->first_byte_ms);
 }
 
 static void
 answer_begin(relay_request_t *req)
 {
-	req->begun = true;
-	req->model = req->attempt.model;
+	req->response_started = true;
+	req->response_model = req->attempt.model;
 	first_observe(req);
-	http_inbound_begin(req->caller, req->status, req->head);
+	http_inbound_begin(req->caller, req->status, req->response_head);
 }
 
 static bool
 on_ready(void *arg)
 {
-	return attempt_ready(arg);
+	return attempt_may_send(arg);
 }
 
 static void
@@ -81,9 +81,9 @@
 		stats_observe(
 		    &relay->stats.added_ms, (double)request_age_ms(req));
 	req->sends++;
-	req->events = 0;
+	req->attempt_events = 0;
 	req->may_have_run = true;
-	req->unknown_sends++;
+	req->unresolved_sends++;
 	stats_add(&relay->stats, STAT_ATTEMPTS, 1);
 	attempt_watch_silence(req);
 }
@@ -93,47 +93,48 @@
 {
 	relay_request_t *req = arg;
 	attempt_t *attempt = &req->attempt;
-	endpoint_answer_t *answer = &attempt->answer;
+	endpoint_response_t *answer = &attempt->response;
 
-	req->relay->endpoint_words->read(msg, &req->arrival, answer);
-	if (answer->unnamed && attempt->kept && !request_idempotent(req))
-		answer->other_request = true;
-	if (answer->other_request) {
+	req->relay->endpoint_dialect->read(msg, &req->arrival, answer);
+	if (answer->id_missing && attempt->reused && !request_idempotent(req))
+		answer->id_mismatch = true;
+	if (answer->id_mismatch) {
 		stats_add(&req->relay->stats, STAT_STRAY_ANSWERS, 1);
-		attempt_over(req, ATTEMPT_UNKNOWN, "stray_answer");
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "stray_answer");
 		return;
 	}
-	attempt->headed = true;
-	attempt_heard(req);
-	prefill_queue_begun(&attempt->endpoint->unread, &attempt->ticket,
+	attempt->head_received = true;
+	attempt_bytes_received(req);
+	prefill_queue_begun(&attempt->endpoint->unread, &attempt->prefill_entry,
 	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
 	relay_guard_alive(req);
-	attempt->first_ms = (double)timespec_ms_between(
+	attempt->first_byte_ms = (double)timespec_ms_between(
 	    attempt->sent_at, clock_elapsed(req->relay->clock));
-	if (answer->load_told)
+	if (answer->has_load)
 		endpoint_told_load(attempt->endpoint, &answer->load);
 	if (answer->not_run || answer->wrong_endpoint)
 		return;
 	if (req->route->kind == ROUTE_STREAM && success(msg->status) &&
-	    answer->genuine)
+	    answer->has_signature)
 		relay_guard_begun(req);
-	if (req->begun) {
-		if (!success(msg->status) || !answer->genuine)
-			attempt_over(req, ATTEMPT_UNKNOWN, "resume_refused");
+	if (req->response_started) {
+		if (!success(msg->status) || !answer->has_signature)
+			attempt_retry_or_fail(
+			    req, ATTEMPT_UNKNOWN, "resume_refused");
 		return;
 	}
-	evbuffer_drain(req->kept, evbuffer_get_length(req->kept));
-	req->failure_kept = false;
-	free(req->head);
-	req->head = head_lines(msg);
+	evbuffer_drain(req->buffered, evbuffer_get_length(req->buffered));
+	req->failure_buffered = false;
+	free(req->response_head);
+	req->response_head = head_lines(msg);
 	req->status = msg->status;
 	req->streaming = req->route->kind == ROUTE_STREAM &&
-	    success(msg->status) && answer->genuine;
+	    success(msg->status) && answer->has_signature;
 	req->confidence = answer->confidence;
-	if (req->head == NULL)
-		attempt_over(req, ATTEMPT_UNKNOWN, "head_too_large");
+	if (req->response_head == NULL)
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "head_too_large");
 	else if (req->streaming)
-		relay_model_judge(req);
+		relay_model_evaluate(req);
 }
 
 static void
@@ -142,15 +143,15 @@
 	struct timespec now = clock_elapsed(req->relay->clock);
 	double pause_ms;
 
-	if (req->events++ == 0)
-		req->events_since = now;
+	if (req->attempt_events++ == 0)
+		req->first_event_at = now;
 	stats_add(&req->relay->stats, STAT_EVENTS, 1);
-	if (req->begun) {
-		pause_ms = (double)timespec_ms_between(req->event_at, now);
-		if (pause_ms > req->pause_ms)
-			req->pause_ms = pause_ms;
+	if (req->response_started) {
+		pause_ms = (double)timespec_ms_between(req->last_event_at, now);
+		if (pause_ms > req->max_event_gap_ms)
+			req->max_event_gap_ms = pause_ms;
 	}
-	req->event_at = now;
+	req->last_event_at = now;
 	relay_guard_event(req);
 }
 
@@ -161,24 +162,25 @@
 	scanned_event_t event;
 
 	while (event_scan_next(&req->scan, &event)) {
-		if (event.has_id && req->have_event &&
-		    event.id <= req->last_event) {
-			attempt_over(
+		if (event.has_id && req->has_last_event_id &&
+		    event.id <= req->last_event_id) {
+			attempt_retry_or_fail(
 			    req, ATTEMPT_UNKNOWN, "event_out_of_order");
 			return false;
 		}
 		if (event.has_id) {
-			req->have_event = true;
-			req->last_event = event.id;
+			req->has_last_event_id = true;
+			req->last_event_id = event.id;
 		}
-		evbuffer_remove_buffer(req->scan.partial, req->kept, event.len);
+		evbuffer_remove_buffer(
+		    req->scan.partial, req->buffered, event.len);
 		event_note(req);
 	}
-	if (evbuffer_get_length(req->kept) == 0)
+	if (evbuffer_get_length(req->buffered) == 0)
 		return true;
-	if (!req->begun)
+	if (!req->response_started)
 		answer_begin(req);
-	http_inbound_write(req->caller, req->kept);
+	http_inbound_write(req->caller, req->buffered);
 	return true;
 }
 
@@ -195,27 +197,29 @@
 on_body(void *arg, const char *bytes, size_t len)
 {
 	relay_request_t *req = arg;
-	const endpoint_answer_t *answer = &req->attempt.answer;
+	const endpoint_response_t *answer = &req->attempt.response;
 
-	attempt_heard(req);
+	attempt_bytes_received(req);
 	if (answer->not_run || answer->wrong_endpoint)
 		return;
 	if (req->streaming) {
 		if (!event_scan_add(&req->scan, bytes, len)) {
-			attempt_over(req, ATTEMPT_UNKNOWN, "event_too_large");
+			attempt_retry_or_fail(
+			    req, ATTEMPT_UNKNOWN, "event_too_large");
 			return;
 		}
-		if (events_pass(req) && req->begun)
+		if (events_pass(req) && req->response_started)
 			caller_behind(req);
 		return;
 	}
-	evbuffer_add(req->kept, bytes, len);
-	if (!req->begun &&
-	    evbuffer_get_length(req->kept) > req->relay->bounds.body_kept)
+	evbuffer_add(req->buffered, bytes, len);
+	if (!req->response_started &&
+	    evbuffer_get_length(req->buffered) >
+		req->relay->bounds.body_buffer_max)
 		answer_begin(req);
-	if (!req->begun)
+	if (!req->response_started)
 		return;
-	http_inbound_write(req->caller, req->kept);
+	http_inbound_write(req->caller, req->buffered);
 	caller_behind(req);
 }
 
@@ -224,13 +228,13 @@
 {
 	http_inbound_t *caller = req->caller;
 
-	if (event_scan_open(&req->scan)) {
-		attempt_over(req, ATTEMPT_UNKNOWN, "event_cut");
+	if (event_scan_has_partial(&req->scan)) {
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "event_cut");
 		return;
 	}
-	if (!req->begun)
+	if (!req->response_started)
 		answer_begin(req);
-	attempt_answered(req);
+	attempt_succeeded(req);
 	attempt_release(req);
 	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
 	request_end(req, "answered", "whole_stream");
@@ -239,16 +243,16 @@
 
 /* Pass on an answer that was kept whole. */
 void
-answer_pass(relay_request_t *req)
+response_forward(relay_request_t *req)
 {
 	http_inbound_t *caller = req->caller;
-	struct evbuffer *body = req->kept;
-	char *head = req->head;
+	struct evbuffer *body = req->buffered;
+	char *head = req->response_head;
 	int status = req->status;
 
 	first_observe(req);
-	req->kept = NULL;
-	req->head = NULL;
+	req->buffered = NULL;
+	req->response_head = NULL;
 	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
 	request_end(req, "answered", "whole");
 	http_inbound_answer(caller, status, head, body);
@@ -259,42 +263,43 @@
 static void
 kept_done(relay_request_t *req)
 {
-	const endpoint_answer_t *answer = &req->attempt.answer;
+	const endpoint_response_t *answer = &req->attempt.response;
 	http_inbound_t *caller = req->caller;
 
-	if (success(req->status) && (!answer->genuine || answer->encoded)) {
-		attempt_over(req, ATTEMPT_UNKNOWN, "not_genuine");
+	if (success(req->status) &&
+	    (!answer->has_signature || answer->encoded)) {
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "not_genuine");
 		return;
 	}
-	if (req->begun) {
-		attempt_answered(req);
+	if (req->response_started) {
+		attempt_succeeded(req);
 		attempt_release(req);
 		request_end(req, "answered", "passed_on");
 		http_inbound_end(caller);
 		return;
 	}
 	if (req->status >= STATUS_SERVER_ERROR) {
-		attempt_over(req, ATTEMPT_FAILED, "endpoint_failed");
+		attempt_retry_or_fail(req, ATTEMPT_FAILED, "endpoint_failed");
 		return;
 	}
-	req->model = req->attempt.model;
-	attempt_answered(req);
+	req->response_model = req->attempt.model;
+	attempt_succeeded(req);
 	attempt_release(req);
-	answer_pass(req);
+	response_forward(req);
 }
 
 static void
 on_done(void *arg)
 {
 	relay_request_t *req = arg;
-	const endpoint_answer_t *answer = &req->attempt.answer;
+	const endpoint_response_t *answer = &req->attempt.response;
 
 	if (answer->not_run || answer->wrong_endpoint) {
-		req->unknown_sends--;
-		req->may_have_run = req->unknown_sends > 0;
+		req->unresolved_sends--;
+		req->may_have_run = req->unresolved_sends > 0;
 		if (answer->wrong_endpoint)
 			stats_add(&req->relay->stats, STAT_WRONG_ENDPOINT, 1);
-		attempt_over(req, ATTEMPT_NOT_RUN,
+		attempt_retry_or_fail(req, ATTEMPT_NOT_RUN,
 		    answer->wrong_endpoint ? "wrong_endpoint" : "not_run");
 	} else if (req->streaming) {
 		stream_done(req);
@@ -309,34 +314,34 @@
 	relay_request_t *req = arg;
 	attempt_t *attempt = &req->attempt;
 
-	if (failure == HTTP_OUTBOUND_NO_ANSWER && attempt->kept) {
+	if (failure == HTTP_OUTBOUND_NO_ANSWER && attempt->reused) {
 		endpoint_drop_links(attempt->endpoint);
-		req->kept_dead = true;
+		req->avoid_reuse = true;
 	}
-	attempt->broke = failure == HTTP_OUTBOUND_NO_ANSWER ||
+	attempt->connection_lost = failure == HTTP_OUTBOUND_NO_ANSWER ||
 	    failure == HTTP_OUTBOUND_BROKEN;
-	attempt->refused = failure == HTTP_OUTBOUND_REFUSED;
+	attempt->connection_refused = failure == HTTP_OUTBOUND_REFUSED;
 	switch (failure) {
 	case HTTP_OUTBOUND_NOT_SENT:
-		attempt_over(req, ATTEMPT_NOT_SENT, "connect");
+		attempt_retry_or_fail(req, ATTEMPT_NOT_SENT, "connect");
 		break;
 	case HTTP_OUTBOUND_REFUSED:
-		attempt_over(req, ATTEMPT_NOT_SENT, "refused");
+		attempt_retry_or_fail(req, ATTEMPT_NOT_SENT, "refused");
 		break;
 	case HTTP_OUTBOUND_NO_ANSWER:
-		attempt_over(req, ATTEMPT_UNKNOWN, "no_answer");
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "no_answer");
 		break;
 	case HTTP_OUTBOUND_BROKEN:
-		attempt_over(req, ATTEMPT_UNKNOWN, "broken");
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "broken");
 		break;
 	}
 }
 
-const http_outbound_ops_t answer_ops = {
+const http_outbound_ops_t response_ops = {
     on_ready, on_sent, on_head, on_body, on_done, on_failed};
 
 void
-answer_drained(relay_request_t *req)
+response_drained(relay_request_t *req)
 {
 	if (!req->paused || req->attempt.endpoint == NULL)
 		return;
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -242,7 +242,7 @@
 	(void)whole;
 	if (table == ROW_TABLE_ENDPOINTS)
 		endpoint_set_learn(&node->endpoints);
-	relay_open(&node->relay);
+	relay_accept_when_ready(&node->relay);
 	if (table != ROW_TABLE_OWN)
 		return;
 	if (!node->members_read)
@@ -252,8 +252,8 @@
 	daemons = membership_count(&node->members);
 	/* Bounds that daemons share are cut by the most ever seen: too many
 	 * costs little, too few breaks them. */
-	if (daemons > node->relay.daemons_most)
-		node->relay.daemons_most = daemons;
+	if (daemons > node->relay.daemons_max_seen)
+		node->relay.daemons_max_seen = daemons;
 }
 
 static void
--- a/moortack/relay/relay_select.c
+++ b/moortack/relay/relay_select.c
@@ -21,9 +21,10 @@
 slope_of(const relay_request_t *req, size_t index)
 {
 	const relay_route_t *route = req->route;
-	const relay_model_t *known =
-	    relay_model_known(req, relay_model_name(req, index));
-	double slope = known != NULL ? prefill_rate_slope(&known->pace) : -1;
+	const service_model_t *known =
+	    relay_model_find(req, relay_model_name(req, index));
+	double slope =
+	    known != NULL ? prefill_rate_slope(&known->prefill_rate) : -1;
 	double most;
 
 	if (slope >= 0)
@@ -66,10 +67,12 @@
 
 /* Tokens that the endpoint keeps, as this daemon and the owner know. */
 static uint32_t
-told_kept(
-    const prefix_list_t *prefixes, const asked_endpoint_t *told, uint32_t known)
+told_kept(const prefix_list_t *prefixes, const queried_endpoint_t *told,
+    uint32_t known)
 {
-	size_t count = told->kept < prefixes->len ? told->kept : prefixes->len;
+	size_t count = told->cached_prefixes < prefixes->len
+	    ? told->cached_prefixes
+	    : prefixes->len;
 	uint32_t tokens = count > 0 ? prefixes->tokens[count - 1] : 0;
 
 	return tokens > known ? tokens : known;
@@ -85,7 +88,8 @@
 	size_t count = 0;
 
 	for (size_t i = 0; i < set->len; i++) {
-		kept[i] = relay_ask_told(req, index, set->seen[i].hash) != NULL;
+		kept[i] =
+		    relay_query_result(req, index, set->seen[i].hash) != NULL;
 		count += kept[i];
 	}
 	if (count > 0)
@@ -107,16 +111,16 @@
 
 	for (size_t i = 0; i < set->len; i++) {
 		choose_candidate_t *one = &set->seen[i];
-		const asked_endpoint_t *told =
-		    relay_ask_told(req, index, one->hash);
+		const queried_endpoint_t *told =
+		    relay_query_result(req, index, one->hash);
 		uint32_t kept = prefix_memory_kept(
-		    &relay->prefixes, prefixes, one->hash, now_ms);
+		    &relay->prefix_index, prefixes, one->hash, now_ms);
 		uint32_t shared_unread;
 
 		one->wait_ms = prefill_queue_wait_ms(
 		    &set->endpoints[i]->unread, (double)now_ms);
 		if (told != NULL) {
-			one->wait_ms = fmax(one->wait_ms, told->wait_ms);
+			one->wait_ms = fmax(one->wait_ms, told->queue_wait_ms);
 			kept = told_kept(prefixes, told, kept);
 		}
 		shared_unread = shared > kept ? shared - kept : 0;
@@ -128,13 +132,13 @@
 }
 
 double
-relay_read_ms(const relay_request_t *req)
+relay_prefill_ms(const relay_request_t *req)
 {
 	return slope_of(req, req->model_index) * req->arrival.tokens_in;
 }
 
 bool
-relay_place(
+relay_choose_endpoint(
     relay_request_t *req, size_t index, placement_t *out, const char **why)
 {
 	static candidates_t candidates;
@@ -142,44 +146,45 @@
 	const char *model = relay_model_name(req, index);
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
 	choose_wish_t wish = {.prompt = req->arrival.parts_len > 0,
-	    .affinity = req->shared ^ model_hash,
+	    .affinity = req->shared_prefix_hash ^ model_hash,
 	    .first_keeps = req->relay->gossip->unheard,
 	    .dice = req->relay->rng->next(req->relay->rng),
 	    .zone_bonus = ZONE_BONUS};
-	const relay_model_t *known = relay_model_known(req, model);
+	const service_model_t *known = relay_model_find(req, model);
 	size_t chosen;
 
-	*out = (placement_t){.first_ms = -1};
+	*out = (placement_t){.first_byte_ms = -1};
 	if (!candidates_of(req, &candidates, why)) {
-		out->cold = candidates.cold;
+		out->cold_skipped = candidates.cold;
 		return false;
 	}
 	if (wish.prompt) {
 		prefix_list_fill(&prefixes, &req->arrival, model_hash);
-		out->told = told_keep(req, index, &candidates);
-		if (out->told > 0)
+		out->owner_reports = told_keep(req, index, &candidates);
+		if (out->owner_reports > 0)
 			wish.first_keeps = 0;
 		prompt_see(req, &prefixes, index, &candidates);
 	}
 	/* What may crash it is kept from where most others run. */
-	if (relay_suspected(req))
+	if (relay_request_suspected(req))
 		wish.prompt = false;
 	chosen = choose_endpoint(candidates.seen, candidates.len, &wish);
 	if (chosen == SIZE_MAX)
 		return false;
 	out->endpoint = candidates.endpoints[chosen];
 	out->candidates = candidates.len;
-	out->cold = candidates.cold;
+	out->cold_skipped = candidates.cold;
 	out->load = candidates.seen[chosen].load;
-	out->wait_ms = candidates.seen[chosen].wait_ms;
-	out->read_ms =
+	out->queue_wait_ms = candidates.seen[chosen].wait_ms;
+	out->prefill_ms =
 	    fmin(slope_of(req, index) * candidates.seen[chosen].unread,
 		PREFILL_QUEUE_PROMPT_MAX_MS);
-	out->unread = candidates.seen[chosen].unread;
+	out->uncached_tokens = candidates.seen[chosen].unread;
 	if (known != NULL)
-		out->first_ms = prefill_rate_ms(&known->pace, out->unread);
-	if (out->first_ms >= 0)
-		out->first_ms += out->wait_ms;
+		out->first_byte_ms =
+		    prefill_rate_ms(&known->prefill_rate, out->uncached_tokens);
+	if (out->first_byte_ms >= 0)
+		out->first_byte_ms += out->queue_wait_ms;
 	return true;
 }
 
@@ -189,16 +194,17 @@
 {
 	gossip_message_t message = {.kind = GOSSIP_SENT,
 	    .endpoint = place->endpoint->short_hash,
-	    .read_ms = (uint32_t)place->read_ms};
+	    .read_ms = (uint32_t)place->prefill_ms};
 
-	if (!gossip_worth(relay->gossip, place->read_ms))
+	if (!gossip_worth(relay->gossip, place->prefill_ms))
 		return;
-	relay_gossip_prefixes(&message, prefixes);
+	relay_gossip_add_prefixes(&message, prefixes);
 	gossip_tell(relay->gossip, place->endpoint->facts.zone, &message);
 }
 
 void
-relay_place_note(relay_request_t *req, const placement_t *place, size_t index)
+relay_placement_record(
+    relay_request_t *req, const placement_t *place, size_t index)
 {
 	static prefix_list_t prefixes;
 	const char *model = relay_model_name(req, index);
@@ -210,8 +216,8 @@
 	prefix_list_fill(
 	    &prefixes, &req->arrival, XXH3_64bits(model, strlen(model)));
 	prefix_memory_note(
-	    &relay->prefixes, &prefixes, place->endpoint->hash, now_ms);
-	prefill_queue_add(&place->endpoint->unread, &req->attempt.ticket,
-	    place->read_ms, (double)now_ms);
+	    &relay->prefix_index, &prefixes, place->endpoint->hash, now_ms);
+	prefill_queue_add(&place->endpoint->unread, &req->attempt.prefill_entry,
+	    place->prefill_ms, (double)now_ms);
 	message_tell(relay, place, &prefixes);
 }
--- a/moortack/relay/relay_counts.c
+++ b/moortack/relay/relay_service_state.c
@@ -11,18 +11,18 @@
  * 10 days, each within the noise). */
 #define REPEATS_KEPT 0.05
 
-relay_budget_t *
-relay_counts(relay_t *relay, const char *service)
+service_state_t *
+relay_service_state(relay_t *relay, const char *service)
 {
-	relay_budget_t *budget;
+	service_state_t *budget;
 
-	HASH_FIND_STR(relay->budgets, service, budget);
+	HASH_FIND_STR(relay->service_states, service, budget);
 	if (budget == NULL && strlen(service) < ENDPOINT_NAME_SIZE) {
 		budget = calloc(1, sizeof(*budget));
 		if (budget == NULL)
 			return NULL;
 		strcpy(budget->service, service);
-		HASH_ADD_STR(relay->budgets, service, budget);
+		HASH_ADD_STR(relay->service_states, service, budget);
 	}
 	return budget;
 }
@@ -30,28 +30,29 @@
 static retry_share_t *
 budget_of(relay_t *relay, const char *service)
 {
-	relay_budget_t *budget = relay_counts(relay, service);
+	service_state_t *budget = relay_service_state(relay, service);
 
-	return budget != NULL ? &budget->share : NULL;
+	return budget != NULL ? &budget->retry_share : NULL;
 }
 
 bool
-relay_repeat_allowed(relay_t *relay, const char *service)
+relay_retry_acquire(relay_t *relay, const char *service)
 {
 	retry_share_t *share = budget_of(relay, service);
 
 	return share != NULL &&
 	    retry_share_spend(share, &relay->bounds.retries,
-		relay->daemons_most, clock_elapsed(relay->clock));
+		relay->daemons_max_seen, clock_elapsed(relay->clock));
 }
 
 bool
-relay_repeat_plenty(relay_t *relay, const char *service)
+relay_retry_has_spare(relay_t *relay, const char *service)
 {
 	retry_share_t *share = budget_of(relay, service);
 
 	return share != NULL &&
-	    retry_share_left(share, &relay->bounds.retries, relay->daemons_most,
+	    retry_share_remaining(share, &relay->bounds.retries,
+		relay->daemons_max_seen,
 		clock_elapsed(relay->clock)) > REPEATS_KEPT;
 }
 
@@ -61,18 +62,18 @@
 	retry_share_t *share = budget_of(relay, service);
 
 	if (share != NULL)
-		retry_share_request(share, &relay->bounds.retries, now);
+		retry_share_add_request(share, &relay->bounds.retries, now);
 }
 
 double
-relay_tried_before_ms(
+relay_earlier_tries_ms(
     relay_t *relay, const relay_route_t *route, int64_t deadline_ms)
 {
-	relay_callers_t *callers;
+	route_callers_t *callers;
 
-	HASH_FIND_STR(relay->callers_known, route->name, callers);
+	HASH_FIND_STR(relay->route_callers, route->name, callers);
 	if (callers == NULL) {
-		if (HASH_COUNT(relay->callers_known) >= ROUTES_KNOWN_MAX)
+		if (HASH_COUNT(relay->route_callers) >= ROUTES_KNOWN_MAX)
 			return 0;
 		callers = calloc(1, sizeof(*callers));
 		if (callers == NULL)
@@ -82,26 +83,26 @@
 			free(callers);
 			return 0;
 		}
-		HASH_ADD_KEYPTR(hh, relay->callers_known, callers->route,
+		HASH_ADD_KEYPTR(hh, relay->route_callers, callers->route,
 		    strlen(callers->route), callers);
 	}
-	return first_try_take(&callers->tries, deadline_ms);
+	return first_try_take(&callers->retry_age, deadline_ms);
 }
 
 void
-relay_counts_finish(relay_t *relay)
+relay_service_states_finish(relay_t *relay)
 {
-	relay_callers_t *callers, *callers_next;
-	relay_budget_t *budget, *budget_next;
+	route_callers_t *callers, *callers_next;
+	service_state_t *budget, *budget_next;
 
-	HASH_ITER(hh, relay->budgets, budget, budget_next)
+	HASH_ITER(hh, relay->service_states, budget, budget_next)
 	{
-		HASH_DEL(relay->budgets, budget);
+		HASH_DEL(relay->service_states, budget);
 		free(budget);
 	}
-	HASH_ITER(hh, relay->callers_known, callers, callers_next)
+	HASH_ITER(hh, relay->route_callers, callers, callers_next)
 	{
-		HASH_DEL(relay->callers_known, callers);
+		HASH_DEL(relay->route_callers, callers);
 		free(callers->route);
 		free(callers);
 	}
--- a/moortack/relay/relay_stats.c
+++ b/moortack/relay/relay_stats.c
@@ -9,7 +9,7 @@
 } stat_info_t;
 
 /* In the order of relay_counter_t. */
-static const stat_info_t infos[STATS] = {
+static const stat_info_t infos[RELAY_COUNTERS] = {
     {"requests", "Whole requests taken from callers."},
     {"answered", "Whole answers of endpoints passed on."},
     {"refused", "Requests refused that have not run."},
@@ -42,31 +42,32 @@
 void
 stats_add(relay_stats_t *stats, relay_counter_t counter, uint64_t by)
 {
-	stats->values[counter] += by;
+	stats->counters[counter] += by;
 }
 
-static stats_end_t *
+static stats_outcome_t *
 end_of(relay_stats_t *stats, const char *outcome, const char *why)
 {
-	stats_end_t *end;
+	stats_outcome_t *end;
 
-	for (size_t i = 0; i < stats->ends_len; i++) {
-		end = &stats->ends[i];
+	for (size_t i = 0; i < stats->outcomes_len; i++) {
+		end = &stats->outcomes[i];
 		if (strcmp(end->outcome, outcome) == 0 &&
 		    strcmp(end->why, why) == 0)
 			return end;
 	}
-	if (stats->ends_len == STATS_ENDS_MAX)
+	if (stats->outcomes_len == STATS_OUTCOMES_MAX)
 		return NULL;
-	end = &stats->ends[stats->ends_len++];
-	*end = (stats_end_t){.outcome = outcome, .why = why};
+	end = &stats->outcomes[stats->outcomes_len++];
+	*end = (stats_outcome_t){.outcome = outcome, .why = why};
 	return end;
 }
 
 void
-stats_end(relay_stats_t *stats, const char *outcome, const char *why, bool late)
+stats_count_outcome(
+    relay_stats_t *stats, const char *outcome, const char *why, bool late)
 {
-	stats_end_t *end = end_of(stats, outcome, why);
+	stats_outcome_t *end = end_of(stats, outcome, why);
 
 	if (end == NULL)
 		return;
@@ -84,8 +85,8 @@
 	    "# HELP moortack_relay_late_total Of these, begun after the "
 	    "route's objective.\n"
 	    "# TYPE moortack_relay_late_total counter\n");
-	for (size_t i = 0; i < stats->ends_len; i++) {
-		const stats_end_t *end = &stats->ends[i];
+	for (size_t i = 0; i < stats->outcomes_len; i++) {
+		const stats_outcome_t *end = &stats->outcomes[i];
 
 		evbuffer_add_printf(out,
 		    "moortack_relay_ended_total{outcome=\"%s\",why=\"%s\"} "
@@ -133,13 +134,13 @@
 void
 stats_write(const relay_stats_t *stats, struct evbuffer *out)
 {
-	for (int i = 0; i < STATS; i++) {
+	for (int i = 0; i < RELAY_COUNTERS; i++) {
 		evbuffer_add_printf(out,
 		    "# HELP moortack_relay_%s_total %s\n"
 		    "# TYPE moortack_relay_%s_total counter\n"
 		    "moortack_relay_%s_total %" PRIu64 "\n",
 		    infos[i].name, infos[i].help, infos[i].name, infos[i].name,
-		    stats->values[i]);
+		    stats->counters[i]);
 	}
 	evbuffer_add_printf(
 	    out, "# TYPE moortack_relay_failures_total counter\n");
@@ -151,7 +152,7 @@
 			    err_info((err_code_t)i)->name, stats->failures[i]);
 	}
 	ends_write(stats, out);
-	histogram_write(&stats->first_ms, "first", out);
-	histogram_write(&stats->whole_ms, "whole", out);
+	histogram_write(&stats->first_byte_ms, "first", out);
+	histogram_write(&stats->complete_ms, "whole", out);
 	histogram_write(&stats->added_ms, "added", out);
 }
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -17,7 +17,7 @@
 	    " how=%s",
 	    digest, req->arrival.id, quarantine_crashes(table, digest),
 	    quarantine_left_ms(table, digest),
-	    req->on_trial ? "tried" : "refused");
+	    req->quarantine_trial ? "tried" : "refused");
 }
 
 bool
@@ -26,15 +26,15 @@
 	relay_quarantine_t *self = &req->relay->quarantine;
 	uint64_t digest;
 
-	if (self->table.held == 0 || req->on_trial)
+	if (self->table.held == 0 || req->quarantine_trial)
 		return false;
-	digest = relay_digest(req);
+	digest = relay_request_digest(req);
 	if (!quarantine_is_held(quarantine_find(&self->table, digest)))
 		return false;
-	req->on_trial = quarantine_admits(
+	req->quarantine_trial = quarantine_admits(
 	    &self->table, digest, gossip_owns(req->relay->gossip, digest));
 	decision_log(req, digest);
-	return !req->on_trial;
+	return !req->quarantine_trial;
 }
 
 /* Crashes that count against the request, and those that may turn out so. */
@@ -45,18 +45,18 @@
 
 	if (HASH_COUNT(self->table.suspects) == 0 && self->evidence.len == 0)
 		return 0;
-	return quarantine_crashes(&self->table, relay_digest(req)) +
-	    crash_evidence_of(&self->evidence, relay_digest(req));
+	return quarantine_crashes(&self->table, relay_request_digest(req)) +
+	    crash_evidence_of(&self->evidence, relay_request_digest(req));
 }
 
 bool
-relay_suspected(relay_request_t *req)
+relay_request_suspected(relay_request_t *req)
 {
 	return suspicion_of(req) > 0;
 }
 
 bool
-relay_suspect_stops(relay_request_t *req)
+relay_suspect_forbids_retry(relay_request_t *req)
 {
 	return suspicion_of(req) >= SUSPICION_STOPS;
 }
@@ -80,7 +80,7 @@
 /* A caller's new try is one of up to a hundred requests that were under way at
  * an endpoint that crashed: not the one that crashed it, most likely. */
 bool
-relay_suspect_fits(relay_request_t *req)
+relay_suspect_may_send(relay_request_t *req)
 {
 	size_t suspicion = suspicion_of(req);
 
@@ -89,11 +89,11 @@
 }
 
 bool
-relay_suspect_waits(relay_request_t *req)
+relay_suspect_await_probe(relay_request_t *req)
 {
 	const relay_quarantine_t *self = &req->relay->quarantine;
 
 	req->awaits_probe = self->probes != NULL &&
-	    crash_evidence_of(&self->evidence, relay_digest(req)) > 0;
+	    crash_evidence_of(&self->evidence, relay_request_digest(req)) > 0;
 	return req->awaits_probe;
 }
--- a/moortack/relay/retry_share.c
+++ b/moortack/relay/retry_share.c
@@ -43,7 +43,7 @@
 }
 
 void
-retry_share_request(
+retry_share_add_request(
     retry_share_t *share, const retry_bounds_t *bounds, struct timespec now)
 {
 	share_slide(share, bounds, now);
@@ -56,7 +56,7 @@
     const retry_share_t *share, const retry_bounds_t *bounds, uint32_t daemons)
 {
 	return SAFE_SHARE *
-	    (bounds->floor / (daemons > 0 ? daemons : 1) +
+	    (bounds->min_retries / (daemons > 0 ? daemons : 1) +
 		bounds->ratio * sum(share->requests));
 }
 
@@ -72,7 +72,7 @@
 }
 
 double
-retry_share_left(retry_share_t *share, const retry_bounds_t *bounds,
+retry_share_remaining(retry_share_t *share, const retry_bounds_t *bounds,
     uint32_t daemons, struct timespec now)
 {
 	double most;
--- a/test/fuzz/events_fuzz.c
+++ b/test/fuzz/events_fuzz.c
@@ -42,7 +42,7 @@
 			    event.has_id ? event.id : -1;
 		}
 	}
-	result->open = event_scan_open(&scan);
+	result->open = event_scan_has_partial(&scan);
 	event_scan_finish(&scan);
 	FUZZ_CHECK(memcmp(result->text, bytes, result->len) == 0);
 	FUZZ_CHECK(result->open == (result->len < len));
--- a/test/fuzz/retries_fuzz.c
+++ b/test/fuzz/retries_fuzz.c
@@ -44,7 +44,7 @@
 			break;
 		case 1:
 			requests[requests_len++] = now_ms;
-			retry_share_request(&share, &bounds, now);
+			retry_share_add_request(&share, &bounds, now);
 			break;
 		default:
 			if (!retry_share_spend(&share, &bounds, DAEMONS, now))
@@ -52,7 +52,7 @@
 			retries[retries_len++] = now_ms;
 			FUZZ_CHECK(
 			    since(retries, retries_len, now_ms - WINDOW_MS) <=
-			    bounds.floor / DAEMONS +
+			    bounds.min_retries / DAEMONS +
 				bounds.ratio *
 				    since(requests, requests_len,
 					now_ms - REQUESTS_MS));
--- a/test/platform/decoders_test.c
+++ b/test/platform/decoders_test.c
@@ -474,7 +474,7 @@
 	    .endpoint = &facts,
 	    .organisation = "t1",
 	    .model = "m0",
-	    .left_ms = 900,
+	    .remaining_ms = 900,
 	    .rank = 2,
 	    .has_body = true,
 	    .body_len = 3};
@@ -500,7 +500,7 @@
 	assert_true(platform_callers.read(&heads.msg, &arrival, &err));
 	assert_true(arrival.any_model);
 	assert_int_equal(arrival.parts_len, 2);
-	assert_int_equal(arrival.tokens_out, 90);
+	assert_int_equal(arrival.tokens_out_max, 90);
 	assert_int_equal(arrival.deadline_ms, 1500);
 	platform_endpoints.write(&attempt, out);
 	evbuffer_add(out, "", 1);
@@ -526,7 +526,7 @@
 {
 	heads_t heads = {.msg = {.status = 200, .keep_alive = true}};
 	arrival_t arrival = {.id = "id1"};
-	endpoint_answer_t answer;
+	endpoint_response_t answer;
 
 	(void)state;
 	head_add(&heads, "Moortack-Attempt-Id", "id1");
@@ -534,21 +534,21 @@
 	head_add(&heads, "Moortack-Replica-Load", "3,1,8");
 	head_add(&heads, "Keep-Alive", "timeout=4");
 	platform_endpoints.read(&heads.msg, &arrival, &answer);
-	assert_true(answer.genuine);
-	assert_false(answer.other_request);
+	assert_true(answer.has_signature);
+	assert_false(answer.id_mismatch);
 	assert_int_equal(answer.load.waiting, 1);
 	assert_in_range(answer.idle_max_ms, 3000, 4000);
 	strcpy(arrival.id, "id2");
 	platform_endpoints.read(&heads.msg, &arrival, &answer);
-	assert_true(answer.other_request);
+	assert_true(answer.id_mismatch);
 	heads.msg.fields_len = 0;
 	platform_endpoints.read(&heads.msg, &arrival, &answer);
-	assert_true(answer.other_request);
+	assert_true(answer.id_mismatch);
 	heads.msg.status = 503;
 	head_add(&heads, "Moortack-Not-Executed", "1");
 	platform_endpoints.read(&heads.msg, &arrival, &answer);
 	assert_true(answer.not_run);
-	assert_false(answer.other_request);
+	assert_false(answer.id_mismatch);
 }
 
 int
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -66,7 +66,7 @@
 	chooser->relay = (relay_t){.clock = &chooser->clock.source,
 	    .endpoints = &chooser->endpoints,
 	    .rollouts = &chooser->rollouts,
-	    .daemons_most = 2};
+	    .daemons_max_seen = 2};
 	chooser->request = (relay_request_t){.relay = &chooser->relay,
 	    .config = relay_config_new(1),
 	    .service = "lm"};
@@ -93,7 +93,7 @@
 {
 	const char *why;
 
-	chooser->request.shared = shared;
+	chooser->request.shared_prefix_hash = shared;
 	assert_true(
 	    candidates_of(&chooser->request, &chooser->candidates, &why));
 	return chooser->candidates.len;
@@ -230,7 +230,7 @@
 	rollout_of(one, &watch, part);
 	group = endpoint_set_group(&one->endpoints, "lm");
 	group->in_flight_mean = under_way;
-	one->relay.daemons_most = 1;
+	one->relay.daemons_max_seen = 1;
 	len = weighed(one, 0);
 	HASH_CLEAR(hh, one->rollouts.all);
 	chooser_end(one);
--- a/test/unit/relay_counts_test.c
+++ b/test/unit/relay_counts_test.c
@@ -52,7 +52,7 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
 	relay_t relay = {.clock = &clock.source,
-	    .daemons_most = DAEMONS,
+	    .daemons_max_seen = DAEMONS,
 	    .bounds = {.retries = {0.9, 10000, 222}}};
 	uint64_t state = seed << 32;
 	double now_s = 0;
@@ -67,11 +67,11 @@
 		if (draw(&state) >= LARGER_PART)
 			continue;
 		played->wanted++;
-		if (!relay_repeat_plenty(&relay, SERVICE) ||
-		    !relay_repeat_allowed(&relay, SERVICE))
+		if (!relay_retry_has_spare(&relay, SERVICE) ||
+		    !relay_retry_acquire(&relay, SERVICE))
 			played->denied++;
 	}
-	relay_counts_finish(&relay);
+	relay_service_states_finish(&relay);
 }
 
 static void
@@ -94,17 +94,17 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
 	relay_t relay = {.clock = &clock.source,
-	    .daemons_most = 1,
+	    .daemons_max_seen = 1,
 	    .bounds = {.retries = {0.9, 10000, 20}}};
 
 	(void)state;
 	for (int i = 0; i < 100; i++)
 		relay_count_request(&relay, SERVICE, clock.now);
-	while (relay_repeat_plenty(&relay, SERVICE))
-		assert_true(relay_repeat_allowed(&relay, SERVICE));
+	while (relay_retry_has_spare(&relay, SERVICE))
+		assert_true(relay_retry_acquire(&relay, SERVICE));
 	for (int i = 0; i < 4; i++)
-		assert_true(relay_repeat_allowed(&relay, SERVICE));
-	relay_counts_finish(&relay);
+		assert_true(relay_retry_acquire(&relay, SERVICE));
+	relay_service_states_finish(&relay);
 }
 
 int
--- a/test/unit/relay_decisions_test.c
+++ b/test/unit/relay_decisions_test.c
@@ -217,7 +217,7 @@
 		spent++;
 	assert_int_equal(spent, 1);
 	for (int i = 0; i < 100; i++)
-		retry_share_request(&share, &bounds, now);
+		retry_share_add_request(&share, &bounds, now);
 	while (retry_share_spend(&share, &bounds, 9, now))
 		spent++;
 	assert_in_range(spent, 40, 52);
@@ -456,7 +456,7 @@
 			}
 		}
 		assert_int_equal(found, 3);
-		assert_true(event_scan_open(&scan));
+		assert_true(event_scan_has_partial(&scan));
 		event_scan_finish(&scan);
 	}
 }
