--- a/moortack/relay/attempt_silence.c
+++ b/moortack/relay/attempt_silence.c
@@ -3,11 +3,11 @@
 /* Part of the objective after which a kept connection without an answer counts
  * as silent: the rest is twice what such a request takes on the users' sheets.
  */
-#define SILENCE_PART 0.6
+#define SILENCE_OBJECTIVE_SHARE 0.6
 /* What an endpoint sent before it ended, and started again, comes at once; its
  * entry comes from its next start, hundreds of milliseconds later. An attempt
  * there that has heard nothing for this long gets nothing more. */
-#define ENDED_QUIET_MS 100
+#define RESTARTED_QUIET_MS 100
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 
@@ -15,7 +15,7 @@
  * being full: only what may be repeated at once is given up for it, while there
  * is another attempt. */
 static bool
-silence_counts(const relay_request_t *req)
+silence_applies(const relay_request_t *req)
 {
 	const attempt_t *attempt = &req->attempt;
 	const endpoint_load_t *load = &attempt->endpoint->load;
@@ -25,15 +25,15 @@
 	    (load->slots == 0 || load->running < load->slots);
 }
 
-static void silence_wait(relay_request_t *, int64_t ms);
+static void silence_timer_start(relay_request_t *, int64_t ms);
 
 /* Nothing more comes of a process that has ended, but for what its slow caller
  * has not let this daemon read yet. */
 static void
-ended_quiet(relay_request_t *req)
+restarted_endpoint_silent(relay_request_t *req)
 {
 	if (req->paused)
-		silence_wait(req, ENDED_QUIET_MS);
+		silence_timer_start(req, RESTARTED_QUIET_MS);
 	else
 		attempt_retry_or_fail(
 		    req, ATTEMPT_UNKNOWN, "endpoint_restarted");
@@ -47,7 +47,7 @@
 	(void)fd;
 	(void)what;
 	if (req->attempt.endpoint_restarted) {
-		ended_quiet(req);
+		restarted_endpoint_silent(req);
 		return;
 	}
 	/* Without a repeat, an answer that is merely late is all there is. */
@@ -59,7 +59,7 @@
 }
 
 static void
-silence_wait(relay_request_t *req, int64_t ms)
+silence_timer_start(relay_request_t *req, int64_t ms)
 {
 	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
@@ -73,17 +73,18 @@
 void
 attempt_watch_silence(relay_request_t *req)
 {
-	int64_t ms = (int64_t)((double)req->route->objective_ms * SILENCE_PART);
+	int64_t ms = (int64_t)((double)req->route->objective_ms *
+	    SILENCE_OBJECTIVE_SHARE);
 
-	if (ms > 0 && silence_counts(req))
-		silence_wait(req, ms);
+	if (ms > 0 && silence_applies(req))
+		silence_timer_start(req, ms);
 }
 
 void
 attempt_bytes_received(relay_request_t *req)
 {
 	if (req->attempt.endpoint_restarted)
-		silence_wait(req, ENDED_QUIET_MS);
+		silence_timer_start(req, RESTARTED_QUIET_MS);
 	else if (req->silence_timer != NULL)
 		event_del(req->silence_timer);
 }
@@ -97,6 +98,6 @@
 		if (req->attempt.endpoint != endpoint || !req->attempt.sent)
 			continue;
 		req->attempt.endpoint_restarted = true;
-		silence_wait(req, ENDED_QUIET_MS);
+		silence_timer_start(req, RESTARTED_QUIET_MS);
 	}
 }
--- a/moortack/relay/event_scan.c
+++ b/moortack/relay/event_scan.c
@@ -33,7 +33,7 @@
 
 /* Length of the line's end at @p at: 1, 2, or 0 if there is none. */
 static size_t
-line_end(const char *text, size_t at, size_t len)
+line_end_len(const char *text, size_t at, size_t len)
 {
 	if (at < len && text[at] == '\n')
 		return 1;
@@ -43,21 +43,21 @@
 }
 
 static void
-id_read(const char *line, size_t len, scanned_event_t *event)
+id_parse(const char *line, size_t len, scanned_event_t *event)
 {
-	static const char name[] = "id:";
+	static const char prefix[] = "id:";
 	char text[24];
-	size_t from = sizeof(name) - 1;
+	size_t start = sizeof(prefix) - 1;
 	char *end;
 
-	if (len < from || memcmp(line, name, from) != 0)
+	if (len < start || memcmp(line, prefix, start) != 0)
 		return;
-	if (from < len && line[from] == ' ')
-		from++;
-	if (len - from >= sizeof(text) || len == from)
+	if (start < len && line[start] == ' ')
+		start++;
+	if (len - start >= sizeof(text) || len == start)
 		return;
-	memcpy(text, line + from, len - from);
-	text[len - from] = '\0';
+	memcpy(text, line + start, len - start);
+	text[len - start] = '\0';
 	event->id = strtoll(text, &end, 10);
 	event->has_id = end != text && (*end == '\0' || *end == '\r');
 }
@@ -68,22 +68,23 @@
 	size_t len = evbuffer_get_length(scan->partial);
 	const char *text =
 	    (const char *)evbuffer_pullup(scan->partial, (ev_ssize_t)len);
-	size_t line = 0;
+	size_t line_start = 0;
 
 	*event = (scanned_event_t){0};
-	while (line < len) {
-		size_t ended = line_end(text, line, len);
-		const char *stop;
+	while (line_start < len) {
+		size_t end_len = line_end_len(text, line_start, len);
+		const char *newline;
 
-		if (ended > 0 && line > 0) {
-			event->len = line + ended;
+		if (end_len > 0 && line_start > 0) {
+			event->len = line_start + end_len;
 			return true;
 		}
-		stop = memchr(text + line, '\n', len - line);
-		if (stop == NULL)
+		newline = memchr(text + line_start, '\n', len - line_start);
+		if (newline == NULL)
 			return false;
-		id_read(text + line, (size_t)(stop - text) - line, event);
-		line = (size_t)(stop - text) + 1;
+		id_parse(text + line_start,
+		    (size_t)(newline - text) - line_start, event);
+		line_start = (size_t)(newline - text) + 1;
 	}
 	return false;
 }
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -13,17 +13,17 @@
 /* When a refused caller is told to come back: soon where the cause passes
  * soon, later where the platform's store has to come back first; spread over
  * callers. Small against the objectives, so that a second try can meet them. */
-#define RETRY_SOON_MS 60
-#define RETRY_STORE_MS 600
-#define RETRY_SPREAD_MS 120
+#define RETRY_AFTER_MS 60
+#define RETRY_AFTER_STORE_MS 600
+#define RETRY_AFTER_JITTER_MS 120
 /* After its start a daemon knows enough to serve in some 30 ms while the store
  * answers; connections wait for it in the kernel this long at most. */
-#define OPEN_LATEST_MS 300
-#define REFUSAL_HEAD_SIZE 128
-#define SESSION_MARK_SHIFT 32
+#define ACCEPT_DELAY_MAX_MS 300
+#define ERROR_HEAD_SIZE 128
+#define SESSION_TAG_SHIFT 32
 /* Connections of callers at the same time: the users' smallest VMs have 4,100
  * descriptors, and endpoints need some of them. */
-#define CONNECTIONS_MAX 2500
+#define CALLER_CONNECTIONS_MAX 2500
 
 int64_t
 request_age_ms(const relay_request_t *req)
@@ -67,23 +67,24 @@
 retry_after_ms(relay_t *relay, err_code_t code)
 {
 	int64_t ms = code == ERR_CONFIG_STALE || code == ERR_NOT_READY
-	    ? RETRY_STORE_MS
-	    : RETRY_SOON_MS;
+	    ? RETRY_AFTER_STORE_MS
+	    : RETRY_AFTER_MS;
 
 	if (code == ERR_WARMING_UP)
 		ms = relay_warmup_next_slot_ms(relay);
 
-	return ms + rng_below(relay->rng, RETRY_SPREAD_MS);
+	return ms + rng_below(relay->rng, RETRY_AFTER_JITTER_MS);
 }
 
 /* Tell a failure of our own: its type, and when to come back if that helps.
  * @param ms until then */
 static void
-caller_tell(relay_t *relay, http_inbound_t *caller, err_code_t code, int64_t ms)
+caller_send_error(
+    relay_t *relay, http_inbound_t *caller, err_code_t code, int64_t ms)
 {
 	const err_info_t *info = err_info(code);
 	struct evbuffer *body = evbuffer_new();
-	char head[REFUSAL_HEAD_SIZE] = "Content-Type: application/json\r\n";
+	char head[ERROR_HEAD_SIZE] = "Content-Type: application/json\r\n";
 
 	relay->stats.failures[code]++;
 	if (info->retry)
@@ -127,10 +128,10 @@
 
 /* Tells sessions apart in the log; 0: none. */
 static uint32_t
-session_mark(const relay_request_t *req)
+session_tag(const relay_request_t *req)
 {
 	return req->arrival.session != NULL
-	    ? (uint32_t)(req->split_hash >> SESSION_MARK_SHIFT)
+	    ? (uint32_t)(req->split_hash >> SESSION_TAG_SHIFT)
 	    : 0;
 }
 
@@ -169,7 +170,7 @@
 	    row_watch_age_ms(relay->endpoint_watch), req->last_endpoint_id,
 	    req->placement.load, req->placement.candidates,
 	    req->placement.owner_reports, req->placement.queue_wait_ms,
-	    session_mark(req));
+	    session_tag(req));
 	request_free(req);
 }
 
@@ -194,11 +195,11 @@
 	stats_add(&relay->stats,
 	    err_info(code)->ran == ERR_NOT_RUN ? STAT_REFUSED : STAT_FAILED, 1);
 	request_end(req, err_info(code)->name, why);
-	caller_tell(relay, caller, code, ms);
+	caller_send_error(relay, caller, code, ms);
 }
 
 static void
-on_limit(evutil_socket_t fd, short what, void *arg)
+on_time_limit(evutil_socket_t fd, short what, void *arg)
 {
 	relay_request_t *req = arg;
 
@@ -216,7 +217,7 @@
 /* What hashes alike goes to the same pool and version: a session, or else the
  * request by itself. */
 static uint64_t
-spread_of(const arrival_t *arrival)
+arrival_split_hash(const arrival_t *arrival)
 {
 	const char *text =
 	    arrival->session != NULL ? arrival->session : arrival->id;
@@ -226,7 +227,7 @@
 
 /* The last part is the request's own. */
 static uint64_t
-shared_of(const arrival_t *arrival)
+arrival_shared_prefix_hash(const arrival_t *arrival)
 {
 	size_t len = arrival->parts_len > 1 ? arrival->parts_len - 1
 					    : arrival->parts_len;
@@ -239,7 +240,7 @@
 }
 
 static int64_t
-limit_of(const relay_route_t *route, const arrival_t *arrival)
+arrival_time_limit_ms(const relay_route_t *route, const arrival_t *arrival)
 {
 	int64_t limit = route->timeout_ms > 0 ? route->timeout_ms : INT32_MAX;
 
@@ -249,7 +250,7 @@
 }
 
 static bool
-limit_set(relay_request_t *req, int64_t ms)
+time_limit_set(relay_request_t *req, int64_t ms)
 {
 	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
@@ -257,12 +258,12 @@
 }
 
 static bool
-limit_start(relay_request_t *req)
+time_limit_start(relay_request_t *req)
 {
 	req->time_limit_timer =
-	    event_new(req->relay->base, -1, 0, on_limit, req);
+	    event_new(req->relay->base, -1, 0, on_time_limit, req);
 	return req->time_limit_timer != NULL &&
-	    limit_set(req, req->time_limit_ms);
+	    time_limit_set(req, req->time_limit_ms);
 }
 
 void
@@ -272,7 +273,7 @@
 	     req = req->next) {
 		int64_t left = request_remaining_ms(req);
 
-		limit_set(req, left > 0 ? left : 0);
+		time_limit_set(req, left > 0 ? left : 0);
 	}
 }
 
@@ -290,10 +291,10 @@
 	req->config = relay_config_share(relay->config);
 	req->route = route;
 	req->organisation = organisation;
-	req->split_hash = spread_of(arrival);
-	req->shared_prefix_hash = shared_of(arrival);
+	req->split_hash = arrival_split_hash(arrival);
+	req->shared_prefix_hash = arrival_shared_prefix_hash(arrival);
 	req->received_at = clock_elapsed(relay->clock);
-	req->time_limit_ms = limit_of(route, arrival);
+	req->time_limit_ms = arrival_time_limit_ms(route, arrival);
 	req->smallest_confidence = -1;
 	req->earlier_tries_ms =
 	    relay_earlier_tries_ms(relay, route, arrival->deadline_ms);
@@ -305,7 +306,7 @@
 	req->body = evbuffer_new();
 	req->buffered = evbuffer_new();
 	if (req->body == NULL || req->buffered == NULL ||
-	    !event_scan_init(&req->scan) || !limit_start(req)) {
+	    !event_scan_init(&req->scan) || !time_limit_start(req)) {
 		request_free(req);
 		return NULL;
 	}
@@ -325,7 +326,7 @@
 	    id, err_info(code)->name, why,
 	    relay->config != NULL ? relay->config->version : 0,
 	    row_watch_age_ms(relay->config_watch), relay->in_flight);
-	caller_tell(relay, caller, code, retry_after_ms(relay, code));
+	caller_send_error(relay, caller, code, retry_after_ms(relay, code));
 }
 
 static void
@@ -373,7 +374,7 @@
 }
 
 static void
-on_gone(void *arg, http_inbound_t *caller)
+on_caller_gone(void *arg, http_inbound_t *caller)
 {
 	relay_t *relay = arg;
 	relay_request_t *req = http_inbound_user(caller);
@@ -396,7 +397,7 @@
 }
 
 static void
-on_refused(void *arg, const err_t *err)
+on_bad_message(void *arg, const err_t *err)
 {
 	relay_t *relay = arg;
 
@@ -408,17 +409,17 @@
 }
 
 static const http_inbound_ops_t inbound_ops = {
-    on_request, on_gone, on_drained, on_refused};
+    on_request, on_caller_gone, on_drained, on_bad_message};
 
 static void
-limits_set(relay_t *relay)
+inbound_limits_set(relay_t *relay)
 {
 	const relay_config_t *config = relay->config;
 	const http_inbound_limits_t limits = {.head_max = config->head_max,
 	    .body_max = config->body_max,
 	    .read_ms = config->read_ms,
 	    .idle_ms = config->idle_ms,
-	    .connections = CONNECTIONS_MAX};
+	    .connections = CALLER_CONNECTIONS_MAX};
 
 	http_inbound_limit(relay->server, &limits);
 }
@@ -437,7 +438,7 @@
 	if (config == NULL)
 		return err_set(err, ERR_MEMORY, "out of memory");
 	relay->config = config;
-	limits_set(relay);
+	inbound_limits_set(relay);
 	relay->config = NULL;
 	relay_config_release(config);
 	relay->daemons_max_seen = 1;
@@ -474,7 +475,7 @@
 	    HASH_COUNT(config->routes), HASH_COUNT(config->services));
 	relay_config_release(relay->config);
 	relay->config = config;
-	limits_set(relay);
+	inbound_limits_set(relay);
 }
 
 bool
@@ -496,7 +497,7 @@
 	    timespec_ms_between(relay->started_at, clock_elapsed(relay->clock));
 
 	if (relay->accepting ||
-	    (!relay_ready(relay) && age_ms < OPEN_LATEST_MS))
+	    (!relay_ready(relay) && age_ms < ACCEPT_DELAY_MAX_MS))
 		return;
 	relay->accepting = true;
 	http_inbound_hold(relay->server, false);
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -6,13 +6,13 @@
 #include <xxhash.h>
 
 /* An endpoint that accepts takes a few ms; one that is gone never does. */
-#define CONNECT_MS 300
+#define CONNECT_TIMEOUT_MS 300
 #define CONNECTS_FAILED_MAX 4
 /* With less time left, no endpoint can answer. */
-#define LEFT_MIN_MS 10
+#define REMAINING_MIN_MS 10
 /* How long a kept connection is trusted when the endpoint names no time: its
  * own is under a second then. */
-#define IDLE_UNNAMED_MS 350
+#define IDLE_DEFAULT_MS 350
 /* A request that must not be lost to a connection that died unseen goes only
  * on one that was used this recently. */
 #define IDLE_UNSAFE_MS 500
@@ -21,7 +21,7 @@
 /* Whether the attempt is at an endpoint that a roll-out under way replaces, or
  * that the next one will. */
 static bool
-attempt_on_old(const relay_request_t *req)
+attempt_on_old_version(const relay_request_t *req)
 {
 	const endpoint_t *endpoint = req->attempt.endpoint;
 	const rollout_t *rollout =
@@ -33,9 +33,9 @@
 
 /* The session is served by that version as long as the attempt lasts. */
 static void
-session_note(const relay_request_t *req)
+session_record(const relay_request_t *req)
 {
-	if (req->arrival.session != NULL && attempt_on_old(req))
+	if (req->arrival.session != NULL && attempt_on_old_version(req))
 		rollouts_note_old(req->relay->rollouts, req->split_hash);
 }
 
@@ -45,7 +45,7 @@
 	for (const relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		if (req->attempt.endpoint != NULL)
-			session_note(req);
+			session_record(req);
 	}
 }
 
@@ -82,7 +82,7 @@
 
 /* The attempt no longer weighs on its endpoint. */
 static void
-attempt_uncount(relay_request_t *req)
+attempt_release_load(relay_request_t *req)
 {
 	attempt_t *attempt = &req->attempt;
 
@@ -90,7 +90,7 @@
 	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
 	if (!req->attempt.sent)
 		return;
-	session_note(req);
+	session_record(req);
 	endpoint_let_go(req->attempt.endpoint);
 }
 
@@ -115,7 +115,7 @@
 		relay_model_no_response(req);
 	if (attempt->sent && !attempt->connection_lost && !attempt->completed)
 		relay_attempt_abandoned(req);
-	attempt_uncount(req);
+	attempt_release_load(req);
 	attempt->endpoint->connections--;
 	http_outbound_free(attempt->conn);
 	attempt_clear(req);
@@ -127,7 +127,7 @@
 	attempt_t *attempt = &req->attempt;
 	int64_t idle_ms = attempt->response.idle_max_ms > 0
 	    ? attempt->response.idle_max_ms
-	    : IDLE_UNNAMED_MS;
+	    : IDLE_DEFAULT_MS;
 
 	attempt->completed = true;
 	if (!http_outbound_reusable(attempt->conn) ||
@@ -135,13 +135,13 @@
 		attempt_cancel(req);
 		return;
 	}
-	attempt_uncount(req);
+	attempt_release_load(req);
 	endpoint_keep_link(attempt->endpoint, attempt->conn, idle_ms);
 	attempt_clear(req);
 }
 
 static bool
-connection_get(relay_request_t *req, endpoint_t *endpoint)
+connection_acquire(relay_request_t *req, endpoint_t *endpoint)
 {
 	attempt_t *attempt = &req->attempt;
 	relay_t *relay = req->relay;
@@ -159,7 +159,7 @@
 		stats_add(&relay->stats, STAT_CONNECTIONS, 1);
 		attempt->conn =
 		    http_outbound_new(relay->base, &endpoint->facts.address,
-			CONNECT_MS, relay->bounds.silence_timeout_ms);
+			CONNECT_TIMEOUT_MS, relay->bounds.silence_timeout_ms);
 		if (attempt->conn == NULL)
 			return false;
 		endpoint->connections++;
@@ -169,7 +169,7 @@
 }
 
 static int
-rank_of(const relay_request_t *req)
+request_rank(const relay_request_t *req)
 {
 	int rank = req->route->rank;
 
@@ -185,7 +185,7 @@
 	const http_msg_t *msg = http_inbound_request(req->caller);
 	struct evbuffer *head = evbuffer_new();
 	struct evbuffer *body = evbuffer_new();
-	attempt_head_t words = {.request = msg,
+	attempt_head_t info = {.request = msg,
 	    .arrival = &req->arrival,
 	    .endpoint = &attempt->endpoint->facts,
 	    .organisation =
@@ -194,13 +194,13 @@
 	    .remaining_ms = request_remaining_ms(req),
 	    .resume = req->response_started,
 	    .last_event_id = req->last_event_id,
-	    .rank = rank_of(req),
+	    .rank = request_rank(req),
 	    .body_len = evbuffer_get_length(req->body),
 	    .has_body =
 		http_msg_field(msg, "Content-Length") != NULL || msg->chunked};
 
-	req->relay->endpoint_dialect->write(&words, head);
-	if (words.body_len > 0)
+	req->relay->endpoint_dialect->write(&info, head);
+	if (info.body_len > 0)
 		evbuffer_add_buffer_reference(body, req->body);
 	http_outbound_send(attempt->conn, &response_ops, req, head, body,
 	    strcmp(msg->method, "HEAD") == 0);
@@ -213,7 +213,7 @@
 static void
 attempt_log(const relay_request_t *req)
 {
-	const placement_t *place = &req->attempt.placement;
+	const placement_t *placement = &req->attempt.placement;
 	const relay_t *relay = req->relay;
 
 	event_line(relay->log, "attempt",
@@ -221,19 +221,21 @@
 	    "of=%zu cold=%zu told=%zu load=%.0f wait_ms=%.0f read_ms=%.0f "
 	    "first_ms=%.0f "
 	    "left_ms=%" PRId64 " config=%" PRIu64 " endpoints_age_ms=%" PRId64,
-	    req->arrival.id, req->last_endpoint_id, place->endpoint->facts.zone,
+	    req->arrival.id, req->last_endpoint_id,
+	    placement->endpoint->facts.zone,
 	    req->attempt.model != NULL ? req->attempt.model : "-",
 	    req->sends + req->connects_failed + 1, req->attempt.reused,
-	    req->response_started, place->candidates, place->cold_skipped,
-	    place->owner_reports, place->load, place->queue_wait_ms,
-	    place->prefill_ms, place->first_byte_ms, request_remaining_ms(req),
+	    req->response_started, placement->candidates,
+	    placement->cold_skipped, placement->owner_reports, placement->load,
+	    placement->queue_wait_ms, placement->prefill_ms,
+	    placement->first_byte_ms, request_remaining_ms(req),
 	    req->config->version, row_watch_age_ms(relay->endpoint_watch));
 }
 
 /* The configuration may have changed since the request was taken: the one in
  * force now decides what may be sent. */
 static err_code_t
-permit_again(relay_request_t *req)
+request_reauthorize(relay_request_t *req)
 {
 	relay_t *relay = req->relay;
 	const http_msg_t *msg = http_inbound_request(req->caller);
@@ -256,69 +258,70 @@
 
 /* No further attempt: tell what is known of those before. */
 static void
-attempts_end(relay_request_t *req, err_code_t not_run, const char *why)
+request_conclude(relay_request_t *req, err_code_t not_run_code, const char *why)
 {
 	if (req->failure_buffered && !req->response_started) {
 		response_forward(req);
 		return;
 	}
 	request_fail(
-	    req, req->may_have_run ? ERR_UNKNOWN_OUTCOME : not_run, why);
+	    req, req->may_have_run ? ERR_UNKNOWN_OUTCOME : not_run_code, why);
 }
 
 void
 attempt_begin(relay_request_t *req)
 {
-	err_code_t code = permit_again(req);
+	err_code_t code = request_reauthorize(req);
 	rollout_t *rollout;
-	placement_t place;
+	placement_t placement;
 	const char *why;
 
 	if (code != ERR_NONE) {
-		attempts_end(req, code, "permit");
+		request_conclude(req, code, "permit");
 		return;
 	}
-	if (request_remaining_ms(req) < LEFT_MIN_MS) {
-		attempts_end(req, ERR_OVERLOAD, "no_time_left");
+	if (request_remaining_ms(req) < REMAINING_MIN_MS) {
+		request_conclude(req, ERR_OVERLOAD, "no_time_left");
 		return;
 	}
 	if (relay_quarantine_refuses(req)) {
-		attempts_end(req, ERR_QUARANTINED, "quarantined");
+		request_conclude(req, ERR_QUARANTINED, "quarantined");
 		return;
 	}
 	req->attempt.model = relay_model_select(req);
 	if (relay_query_owners(req))
 		return;
-	if (!relay_choose_endpoint(req, req->model_index, &place, &why)) {
-		attempts_end(req,
-		    place.cold_skipped > 0 ? ERR_WARMING_UP : ERR_NO_ENDPOINT,
+	if (!relay_choose_endpoint(req, req->model_index, &placement, &why)) {
+		request_conclude(req,
+		    placement.cold_skipped > 0 ? ERR_WARMING_UP
+					       : ERR_NO_ENDPOINT,
 		    why);
 		return;
 	}
 	relay_query_end(req);
 	if (!relay_suspect_may_send(req)) {
 		if (!relay_suspect_await_probe(req))
-			attempts_end(req, ERR_NO_ENDPOINT, "last_endpoint");
+			request_conclude(req, ERR_NO_ENDPOINT, "last_endpoint");
 		return;
 	}
-	req->placement = place;
-	strcpy(req->last_endpoint_id, place.endpoint->facts.id);
-	if (!connection_get(req, place.endpoint)) {
-		attempts_end(req, ERR_NO_ENDPOINT, "no_socket");
+	req->placement = placement;
+	strcpy(req->last_endpoint_id, placement.endpoint->facts.id);
+	if (!connection_acquire(req, placement.endpoint)) {
+		request_conclude(req, ERR_NO_ENDPOINT, "no_socket");
 		return;
 	}
 	rollout = rollouts_find(req->relay->rollouts, req->service);
 	if (rollout != NULL && rollout->order.number != 0) {
 		req->attempt.new_version =
-		    rollout_is_new(rollout, place.endpoint);
+		    rollout_is_new(rollout, placement.endpoint);
 		req->attempt.rollout_saturating = rollout_on_trial(rollout);
 	}
 	relay_warmup_acquire(req);
-	if (place.cold_skipped > 0)
+	if (placement.cold_skipped > 0)
 		stats_add(&req->relay->stats, STAT_COLD_PASSED_OVER, 1);
-	req->attempt.placement = place;
-	relay_placement_record(req, &place, req->model_index);
-	session_note(req);
+	req->attempt.placement = placement;
+	relay_placement_record(req, &placement, req->model_index);
+	session_record(req);
 	attempt_log(req);
 	attempt_send(req);
 }
@@ -345,11 +348,11 @@
 }
 
 static bool
-may_repeat(relay_request_t *req, attempt_outcome_t end)
+may_retry(relay_request_t *req, attempt_outcome_t outcome)
 {
 	relay_t *relay = req->relay;
 
-	if (end == ATTEMPT_NOT_SENT && req->sends == 0)
+	if (outcome == ATTEMPT_NOT_SENT && req->sends == 0)
 		return req->connects_failed < CONNECTS_FAILED_MAX;
 	if (req->sends >= req->route->attempts ||
 	    req->connects_failed >= CONNECTS_FAILED_MAX)
@@ -358,9 +361,9 @@
 		return false;
 	if (req->response_started && !req->has_last_event_id)
 		return false;
-	if (request_remaining_ms(req) < LEFT_MIN_MS)
+	if (request_remaining_ms(req) < REMAINING_MIN_MS)
 		return false;
-	if (end == ATTEMPT_UNKNOWN && relay_suspect_forbids_retry(req)) {
+	if (outcome == ATTEMPT_UNKNOWN && relay_suspect_forbids_retry(req)) {
 		stats_add(&relay->stats, STAT_SUSPECTS_STOPPED, 1);
 		return false;
 	}
@@ -373,12 +376,12 @@
 }
 
 static void
-outcome_count(relay_request_t *req, attempt_outcome_t end)
+outcome_record(relay_request_t *req, attempt_outcome_t outcome)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
 	relay_stats_t *stats = &req->relay->stats;
 
-	switch (end) {
+	switch (outcome) {
 	case ATTEMPT_NOT_SENT:
 		req->connects_failed++;
 		stats_add(stats, STAT_CONNECTS_FAILED, 1);
@@ -415,38 +418,38 @@
 
 void
 attempt_retry_or_fail(
-    relay_request_t *req, attempt_outcome_t end, const char *why)
+    relay_request_t *req, attempt_outcome_t outcome, const char *why)
 {
 	attempt_t *attempt = &req->attempt;
 
-	outcome_count(req, end);
+	outcome_record(req, outcome);
 	event_line(req->relay->log, "attempt_over",
 	    "id=%s endpoint=%s why=%s end=%d sends=%u kept=%d begun=%d "
 	    "last_event=%" PRId64 " model=%s confidence=%d running=%u "
 	    "waiting=%u digest=%016" PRIx64,
-	    req->arrival.id, attempt->endpoint->facts.id, why, (int)end,
+	    req->arrival.id, attempt->endpoint->facts.id, why, (int)outcome,
 	    req->sends, attempt->reused, req->response_started,
 	    req->last_event_id, attempt->model != NULL ? attempt->model : "-",
 	    req->confidence, attempt->endpoint->load.running,
 	    attempt->endpoint->load.waiting,
-	    end == ATTEMPT_UNKNOWN ? relay_request_digest(req) : 0);
+	    outcome == ATTEMPT_UNKNOWN ? relay_request_digest(req) : 0);
 	if (req->tried_endpoints_len < TRIED_ENDPOINTS_MAX &&
-	    end != ATTEMPT_ESCALATED)
+	    outcome != ATTEMPT_ESCALATED)
 		req->tried_endpoints[req->tried_endpoints_len++] =
 		    attempt->endpoint->hash;
-	if (end == ATTEMPT_NOT_RUN || end == ATTEMPT_FAILED)
+	if (outcome == ATTEMPT_NOT_RUN || outcome == ATTEMPT_FAILED)
 		attempt_release(req);
 	else
 		attempt_cancel(req);
 	event_scan_reset(&req->scan);
-	req->failure_buffered |= end == ATTEMPT_FAILED;
-	if (may_repeat(req, end)) {
+	req->failure_buffered |= outcome == ATTEMPT_FAILED;
+	if (may_retry(req, outcome)) {
 		if (req->response_started)
 			stats_add(&req->relay->stats, STAT_RESUMED, 1);
 		attempt_begin(req);
 		return;
 	}
-	attempts_end(req, ERR_OVERLOAD, why);
+	request_conclude(req, ERR_OVERLOAD, why);
 }
 
 void
--- a/moortack/relay/relay_authorize.c
+++ b/moortack/relay/relay_authorize.c
@@ -1,20 +1,20 @@
 #include "relay_request.h"
 
 const char *
-relay_route_service(const relay_route_t *route, uint64_t spread)
+relay_route_service(const relay_route_t *route, uint64_t split_hash)
 {
-	uint64_t sum = 0;
-	uint64_t at;
+	uint64_t total_weight = 0;
+	uint64_t offset;
 
 	for (size_t i = 0; i < route->pools_len; i++)
-		sum += route->pools[i].weight;
-	if (sum == 0)
+		total_weight += route->pools[i].weight;
+	if (total_weight == 0)
 		return NULL;
-	at = spread % sum;
+	offset = split_hash % total_weight;
 	for (size_t i = 0; i < route->pools_len; i++) {
-		if (at < route->pools[i].weight)
+		if (offset < route->pools[i].weight)
 			return route->pools[i].service;
-		at -= route->pools[i].weight;
+		offset -= route->pools[i].weight;
 	}
 	return NULL;
 }
@@ -27,14 +27,14 @@
 {
 	const relay_config_t *config = relay->config;
 	int64_t age_ms = row_watch_age_ms(relay->config_watch);
-	bool doubt = age_ms > relay->bounds.config_stale_ms;
+	bool stale = age_ms > relay->bounds.config_stale_ms;
 
 	*organisation = NULL;
 	if (config == NULL)
 		return ERR_NOT_READY;
 	*route = relay_config_route(config, arrival->host, target);
 	if (*route == NULL)
-		return doubt ? ERR_CONFIG_STALE : ERR_NOT_FOUND;
+		return stale ? ERR_CONFIG_STALE : ERR_NOT_FOUND;
 	if (!config->keys_used || (*route)->anonymous)
 		return ERR_NONE;
 	if (age_ms > relay->bounds.key_max_age_ms)
@@ -42,6 +42,6 @@
 	if (arrival->key != NULL && !arrival->multiple_keys)
 		*organisation = relay_config_key(config, arrival->key);
 	if (*organisation == NULL)
-		return doubt ? ERR_CONFIG_STALE : ERR_AUTHENTICATION;
+		return stale ? ERR_CONFIG_STALE : ERR_AUTHENTICATION;
 	return ERR_NONE;
 }
--- a/moortack/relay/relay_request.h
+++ b/moortack/relay/relay_request.h
@@ -278,7 +278,7 @@
 /** Whether the budget has room beyond what failures may need soon. */
 bool relay_retry_has_spare(relay_t *, const char *service);
 /** The service that a request with this hash goes to, or NULL. */
-const char *relay_route_service(const relay_route_t *, uint64_t spread);
+const char *relay_route_service(const relay_route_t *, uint64_t split_hash);
 /** What an arrival may do now. @return ERR_NONE, or why it is refused */
 err_code_t relay_authorize(const relay_t *, const arrival_t *,
     const char *target, const relay_route_t **, const relay_organisation_t **);
--- a/moortack/relay/relay_response.c
+++ b/moortack/relay/relay_response.c
@@ -5,20 +5,20 @@
 #include <string.h>
 
 /* An endpoint is not read while its caller has this much to take. */
-#define CALLER_BEHIND_MAX (256U << 10)
+#define CALLER_PENDING_MAX (256U << 10)
 #define STATUS_OK 200
-#define STATUS_MULTIPLE 300
+#define STATUS_MULTIPLE_CHOICES 300
 #define STATUS_SERVER_ERROR 500
 
 static bool
-success(int status)
+status_is_success(int status)
 {
-	return status >= STATUS_OK && status < STATUS_MULTIPLE;
+	return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES;
 }
 
 /* The endpoint's header lines, less those of its connection. */
 static char *
-head_lines(const http_msg_t *msg)
+response_head_format(const http_msg_t *msg)
 {
 	char *text = malloc(RESPONSE_HEAD_MAX);
 	size_t len = 0;
@@ -28,23 +28,23 @@
 	text[0] = '\0';
 	for (size_t i = 0; i < msg->fields_len; i++) {
 		const http_field_t *field = &msg->fields[i];
-		int more;
+		int written;
 
 		if (http_field_is_hop(msg, field->name))
 			continue;
-		more = snprintf(text + len, RESPONSE_HEAD_MAX - len,
+		written = snprintf(text + len, RESPONSE_HEAD_MAX - len,
 		    "%s: %s\r\n", field->name, field->value);
-		if (more < 0 || (size_t)more >= RESPONSE_HEAD_MAX - len) {
+		if (written < 0 || (size_t)written >= RESPONSE_HEAD_MAX - len) {
 			free(text);
 			return NULL;
 		}
-		len += (size_t)more;
+		len += (size_t)written;
 	}
 	return text;
 }
 
 static void
-first_observe(relay_request_t *req)
+first_byte_observe(relay_request_t *req)
 {
 	if (req->first_byte_ms > 0)
 		return;
@@ -53,11 +53,11 @@
 }
 
 static void
-answer_begin(relay_request_t *req)
+response_start(relay_request_t *req)
 {
 	req->response_started = true;
 	req->response_model = req->attempt.model;
-	first_observe(req);
+	first_byte_observe(req);
 	http_inbound_begin(req->caller, req->status, req->response_head);
 }
 
@@ -93,12 +93,12 @@
 {
 	relay_request_t *req = arg;
 	attempt_t *attempt = &req->attempt;
-	endpoint_response_t *answer = &attempt->response;
+	endpoint_response_t *response = &attempt->response;
 
-	req->relay->endpoint_dialect->read(msg, &req->arrival, answer);
-	if (answer->id_missing && attempt->reused && !request_idempotent(req))
-		answer->id_mismatch = true;
-	if (answer->id_mismatch) {
+	req->relay->endpoint_dialect->read(msg, &req->arrival, response);
+	if (response->id_missing && attempt->reused && !request_idempotent(req))
+		response->id_mismatch = true;
+	if (response->id_mismatch) {
 		stats_add(&req->relay->stats, STAT_STRAY_ANSWERS, 1);
 		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "stray_answer");
 		return;
@@ -110,15 +110,15 @@
 	relay_guard_alive(req);
 	attempt->first_byte_ms = (double)timespec_ms_between(
 	    attempt->sent_at, clock_elapsed(req->relay->clock));
-	if (answer->has_load)
-		endpoint_told_load(attempt->endpoint, &answer->load);
-	if (answer->not_run || answer->wrong_endpoint)
+	if (response->has_load)
+		endpoint_told_load(attempt->endpoint, &response->load);
+	if (response->not_run || response->wrong_endpoint)
 		return;
-	if (req->route->kind == ROUTE_STREAM && success(msg->status) &&
-	    answer->has_signature)
+	if (req->route->kind == ROUTE_STREAM &&
+	    status_is_success(msg->status) && response->has_signature)
 		relay_guard_begun(req);
 	if (req->response_started) {
-		if (!success(msg->status) || !answer->has_signature)
+		if (!status_is_success(msg->status) || !response->has_signature)
 			attempt_retry_or_fail(
 			    req, ATTEMPT_UNKNOWN, "resume_refused");
 		return;
@@ -126,11 +126,11 @@
 	evbuffer_drain(req->buffered, evbuffer_get_length(req->buffered));
 	req->failure_buffered = false;
 	free(req->response_head);
-	req->response_head = head_lines(msg);
+	req->response_head = response_head_format(msg);
 	req->status = msg->status;
 	req->streaming = req->route->kind == ROUTE_STREAM &&
-	    success(msg->status) && answer->has_signature;
-	req->confidence = answer->confidence;
+	    status_is_success(msg->status) && response->has_signature;
+	req->confidence = response->confidence;
 	if (req->response_head == NULL)
 		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "head_too_large");
 	else if (req->streaming)
@@ -138,7 +138,7 @@
 }
 
 static void
-event_note(relay_request_t *req)
+event_record(relay_request_t *req)
 {
 	struct timespec now = clock_elapsed(req->relay->clock);
 	double pause_ms;
@@ -157,7 +157,7 @@
 
 /* Pass on the events that are whole. @return false: the attempt is over */
 static bool
-events_pass(relay_request_t *req)
+events_forward(relay_request_t *req)
 {
 	scanned_event_t event;
 
@@ -174,20 +174,20 @@
 		}
 		evbuffer_remove_buffer(
 		    req->scan.partial, req->buffered, event.len);
-		event_note(req);
+		event_record(req);
 	}
 	if (evbuffer_get_length(req->buffered) == 0)
 		return true;
 	if (!req->response_started)
-		answer_begin(req);
+		response_start(req);
 	http_inbound_write(req->caller, req->buffered);
 	return true;
 }
 
 static void
-caller_behind(relay_request_t *req)
+endpoint_pause_if_caller_slow(relay_request_t *req)
 {
-	if (http_inbound_pending(req->caller) < CALLER_BEHIND_MAX)
+	if (http_inbound_pending(req->caller) < CALLER_PENDING_MAX)
 		return;
 	req->paused = true;
 	http_outbound_pause(req->attempt.conn, true);
@@ -197,10 +197,10 @@
 on_body(void *arg, const char *bytes, size_t len)
 {
 	relay_request_t *req = arg;
-	const endpoint_response_t *answer = &req->attempt.response;
+	const endpoint_response_t *response = &req->attempt.response;
 
 	attempt_bytes_received(req);
-	if (answer->not_run || answer->wrong_endpoint)
+	if (response->not_run || response->wrong_endpoint)
 		return;
 	if (req->streaming) {
 		if (!event_scan_add(&req->scan, bytes, len)) {
@@ -208,23 +208,23 @@
 			    req, ATTEMPT_UNKNOWN, "event_too_large");
 			return;
 		}
-		if (events_pass(req) && req->response_started)
-			caller_behind(req);
+		if (events_forward(req) && req->response_started)
+			endpoint_pause_if_caller_slow(req);
 		return;
 	}
 	evbuffer_add(req->buffered, bytes, len);
 	if (!req->response_started &&
 	    evbuffer_get_length(req->buffered) >
 		req->relay->bounds.body_buffer_max)
-		answer_begin(req);
+		response_start(req);
 	if (!req->response_started)
 		return;
 	http_inbound_write(req->caller, req->buffered);
-	caller_behind(req);
+	endpoint_pause_if_caller_slow(req);
 }
 
 static void
-stream_done(relay_request_t *req)
+stream_complete(relay_request_t *req)
 {
 	http_inbound_t *caller = req->caller;
 
@@ -233,7 +233,7 @@
 		return;
 	}
 	if (!req->response_started)
-		answer_begin(req);
+		response_start(req);
 	attempt_succeeded(req);
 	attempt_release(req);
 	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
@@ -250,7 +250,7 @@
 	char *head = req->response_head;
 	int status = req->status;
 
-	first_observe(req);
+	first_byte_observe(req);
 	req->buffered = NULL;
 	req->response_head = NULL;
 	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
@@ -261,13 +261,13 @@
 }
 
 static void
-kept_done(relay_request_t *req)
+response_complete(relay_request_t *req)
 {
-	const endpoint_response_t *answer = &req->attempt.response;
+	const endpoint_response_t *response = &req->attempt.response;
 	http_inbound_t *caller = req->caller;
 
-	if (success(req->status) &&
-	    (!answer->has_signature || answer->encoded)) {
+	if (status_is_success(req->status) &&
+	    (!response->has_signature || response->encoded)) {
 		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "not_genuine");
 		return;
 	}
@@ -292,19 +292,19 @@
 on_done(void *arg)
 {
 	relay_request_t *req = arg;
-	const endpoint_response_t *answer = &req->attempt.response;
+	const endpoint_response_t *response = &req->attempt.response;
 
-	if (answer->not_run || answer->wrong_endpoint) {
+	if (response->not_run || response->wrong_endpoint) {
 		req->unresolved_sends--;
 		req->may_have_run = req->unresolved_sends > 0;
-		if (answer->wrong_endpoint)
+		if (response->wrong_endpoint)
 			stats_add(&req->relay->stats, STAT_WRONG_ENDPOINT, 1);
 		attempt_retry_or_fail(req, ATTEMPT_NOT_RUN,
-		    answer->wrong_endpoint ? "wrong_endpoint" : "not_run");
+		    response->wrong_endpoint ? "wrong_endpoint" : "not_run");
 	} else if (req->streaming) {
-		stream_done(req);
+		stream_complete(req);
 	} else {
-		kept_done(req);
+		response_complete(req);
 	}
 }
 
--- a/moortack/relay/relay_service_state.c
+++ b/moortack/relay/relay_service_state.c
@@ -4,35 +4,35 @@
 #include "relay_request.h"
 
 /* Routes whose callers are told apart: those of some configurations. */
-#define ROUTES_KNOWN_MAX 4096
+#define ROUTES_TRACKED_MAX 4096
 /* Part of the retry budget that is kept for failures. With 0.25 a daemon that
  * takes a few streams a second had no room for one larger model in forty, and
  * the worth of three of the users' sheets was 0.003 to 0.005 less (15, 15 and
  * 10 days, each within the noise). */
-#define REPEATS_KEPT 0.05
+#define RETRY_RESERVE_SHARE 0.05
 
 service_state_t *
 relay_service_state(relay_t *relay, const char *service)
 {
-	service_state_t *budget;
+	service_state_t *state;
 
-	HASH_FIND_STR(relay->service_states, service, budget);
-	if (budget == NULL && strlen(service) < ENDPOINT_NAME_SIZE) {
-		budget = calloc(1, sizeof(*budget));
-		if (budget == NULL)
+	HASH_FIND_STR(relay->service_states, service, state);
+	if (state == NULL && strlen(service) < ENDPOINT_NAME_SIZE) {
+		state = calloc(1, sizeof(*state));
+		if (state == NULL)
 			return NULL;
-		strcpy(budget->service, service);
-		HASH_ADD_STR(relay->service_states, service, budget);
+		strcpy(state->service, service);
+		HASH_ADD_STR(relay->service_states, service, state);
 	}
-	return budget;
+	return state;
 }
 
 static retry_share_t *
 budget_of(relay_t *relay, const char *service)
 {
-	service_state_t *budget = relay_service_state(relay, service);
+	service_state_t *state = relay_service_state(relay, service);
 
-	return budget != NULL ? &budget->retry_share : NULL;
+	return state != NULL ? &state->retry_share : NULL;
 }
 
 bool
@@ -53,7 +53,7 @@
 	return share != NULL &&
 	    retry_share_remaining(share, &relay->bounds.retries,
 		relay->daemons_max_seen,
-		clock_elapsed(relay->clock)) > REPEATS_KEPT;
+		clock_elapsed(relay->clock)) > RETRY_RESERVE_SHARE;
 }
 
 void
@@ -73,7 +73,7 @@
 
 	HASH_FIND_STR(relay->route_callers, route->name, callers);
 	if (callers == NULL) {
-		if (HASH_COUNT(relay->route_callers) >= ROUTES_KNOWN_MAX)
+		if (HASH_COUNT(relay->route_callers) >= ROUTES_TRACKED_MAX)
 			return 0;
 		callers = calloc(1, sizeof(*callers));
 		if (callers == NULL)
@@ -93,12 +93,12 @@
 relay_service_states_finish(relay_t *relay)
 {
 	route_callers_t *callers, *callers_next;
-	service_state_t *budget, *budget_next;
+	service_state_t *state, *state_next;
 
-	HASH_ITER(hh, relay->service_states, budget, budget_next)
+	HASH_ITER(hh, relay->service_states, state, state_next)
 	{
-		HASH_DEL(relay->service_states, budget);
-		free(budget);
+		HASH_DEL(relay->service_states, state);
+		free(state);
 	}
 	HASH_ITER(hh, relay->route_callers, callers, callers_next)
 	{
--- a/moortack/relay/relay_stats.c
+++ b/moortack/relay/relay_stats.c
@@ -3,13 +3,13 @@
 #include <inttypes.h>
 #include <string.h>
 
-typedef struct stat_info {
+typedef struct counter_info {
 	const char *name;
 	const char *help;
-} stat_info_t;
+} counter_info_t;
 
 /* In the order of relay_counter_t. */
-static const stat_info_t infos[RELAY_COUNTERS] = {
+static const counter_info_t counter_infos[RELAY_COUNTERS] = {
     {"requests", "Whole requests taken from callers."},
     {"answered", "Whole answers of endpoints passed on."},
     {"refused", "Requests refused that have not run."},
@@ -36,7 +36,7 @@
 };
 
 /* Upper bounds in ms: around the objectives of the users, 100 to 3,000. */
-static const double bounds[STATS_BUCKETS] = {
+static const double bucket_bounds[STATS_BUCKETS] = {
     1, 2, 5, 10, 25, 50, 100, 150, 250, 500, 1000, 1500, 3000, 10000};
 
 void
@@ -46,37 +46,37 @@
 }
 
 static stats_outcome_t *
-end_of(relay_stats_t *stats, const char *outcome, const char *why)
+outcome_get(relay_stats_t *stats, const char *outcome, const char *why)
 {
-	stats_outcome_t *end;
+	stats_outcome_t *entry;
 
 	for (size_t i = 0; i < stats->outcomes_len; i++) {
-		end = &stats->outcomes[i];
-		if (strcmp(end->outcome, outcome) == 0 &&
-		    strcmp(end->why, why) == 0)
-			return end;
+		entry = &stats->outcomes[i];
+		if (strcmp(entry->outcome, outcome) == 0 &&
+		    strcmp(entry->why, why) == 0)
+			return entry;
 	}
 	if (stats->outcomes_len == STATS_OUTCOMES_MAX)
 		return NULL;
-	end = &stats->outcomes[stats->outcomes_len++];
-	*end = (stats_outcome_t){.outcome = outcome, .why = why};
-	return end;
+	entry = &stats->outcomes[stats->outcomes_len++];
+	*entry = (stats_outcome_t){.outcome = outcome, .why = why};
+	return entry;
 }
 
 void
 stats_count_outcome(
     relay_stats_t *stats, const char *outcome, const char *why, bool late)
 {
-	stats_outcome_t *end = end_of(stats, outcome, why);
+	stats_outcome_t *entry = outcome_get(stats, outcome, why);
 
-	if (end == NULL)
+	if (entry == NULL)
 		return;
-	end->count++;
-	end->late += late;
+	entry->count++;
+	entry->late += late;
 }
 
 static void
-ends_write(const relay_stats_t *stats, struct evbuffer *out)
+outcomes_write(const relay_stats_t *stats, struct evbuffer *out)
 {
 	evbuffer_add_printf(out,
 	    "# HELP moortack_relay_ended_total Requests by outcome and "
@@ -86,15 +86,15 @@
 	    "route's objective.\n"
 	    "# TYPE moortack_relay_late_total counter\n");
 	for (size_t i = 0; i < stats->outcomes_len; i++) {
-		const stats_outcome_t *end = &stats->outcomes[i];
+		const stats_outcome_t *entry = &stats->outcomes[i];
 
 		evbuffer_add_printf(out,
 		    "moortack_relay_ended_total{outcome=\"%s\",why=\"%s\"} "
 		    "%" PRIu64 "\n"
 		    "moortack_relay_late_total{outcome=\"%s\",why=\"%s\"} "
 		    "%" PRIu64 "\n",
-		    end->outcome, end->why, end->count, end->outcome, end->why,
-		    end->late);
+		    entry->outcome, entry->why, entry->count, entry->outcome,
+		    entry->why, entry->late);
 	}
 }
 
@@ -103,7 +103,7 @@
 {
 	size_t i = 0;
 
-	while (i < STATS_BUCKETS && ms > bounds[i])
+	while (i < STATS_BUCKETS && ms > bucket_bounds[i])
 		i++;
 	histogram->counts[i]++;
 	histogram->sum_ms += ms;
@@ -121,7 +121,7 @@
 		total += histogram->counts[i];
 		evbuffer_add_printf(out,
 		    "moortack_relay_%s_ms_bucket{le=\"%g\"} %" PRIu64 "\n",
-		    name, bounds[i], total);
+		    name, bucket_bounds[i], total);
 	}
 	total += histogram->counts[STATS_BUCKETS];
 	evbuffer_add_printf(out,
@@ -139,7 +139,8 @@
 		    "# HELP moortack_relay_%s_total %s\n"
 		    "# TYPE moortack_relay_%s_total counter\n"
 		    "moortack_relay_%s_total %" PRIu64 "\n",
-		    infos[i].name, infos[i].help, infos[i].name, infos[i].name,
+		    counter_infos[i].name, counter_infos[i].help,
+		    counter_infos[i].name, counter_infos[i].name,
 		    stats->counters[i]);
 	}
 	evbuffer_add_printf(
@@ -151,7 +152,7 @@
 			    "%" PRIu64 "\n",
 			    err_info((err_code_t)i)->name, stats->failures[i]);
 	}
-	ends_write(stats, out);
+	outcomes_write(stats, out);
 	histogram_write(&stats->first_byte_ms, "first", out);
 	histogram_write(&stats->complete_ms, "whole", out);
 	histogram_write(&stats->added_ms, "added", out);
--- a/moortack/relay/retry_share.c
+++ b/moortack/relay/retry_share.c
@@ -9,10 +9,10 @@
 #define WINDOW_SLICES (RETRY_SLICES - 1)
 /* Part of the budget that is spent: daemons count apart, and some are seen
  * late. */
-#define SAFE_SHARE 0.85
+#define BUDGET_SAFETY_FACTOR 0.85
 
 static void
-share_slide(
+share_advance(
     retry_share_t *share, const retry_bounds_t *bounds, struct timespec now)
 {
 	int64_t width = bounds->window_ms / WINDOW_SLICES;
@@ -24,16 +24,16 @@
 	if (steps > RETRY_SLICES)
 		steps = RETRY_SLICES;
 	for (int64_t i = 0; i < steps; i++) {
-		size_t at = (size_t)((slice - i) % RETRY_SLICES);
+		size_t index = (size_t)((slice - i) % RETRY_SLICES);
 
-		share->requests[at] = 0;
-		share->retries[at] = 0;
+		share->requests[index] = 0;
+		share->retries[index] = 0;
 	}
 	share->slice = slice;
 }
 
 static uint32_t
-sum(const uint32_t *counts)
+counts_sum(const uint32_t *counts)
 {
 	uint32_t total = 0;
 
@@ -46,26 +46,27 @@
 retry_share_add_request(
     retry_share_t *share, const retry_bounds_t *bounds, struct timespec now)
 {
-	share_slide(share, bounds, now);
+	share_advance(share, bounds, now);
 	share->requests[share->slice % RETRY_SLICES]++;
 }
 
 /* Retries that this daemon may make in the window. */
 static double
-allowed(
+retries_allowed(
     const retry_share_t *share, const retry_bounds_t *bounds, uint32_t daemons)
 {
-	return SAFE_SHARE *
+	return BUDGET_SAFETY_FACTOR *
 	    (bounds->min_retries / (daemons > 0 ? daemons : 1) +
-		bounds->ratio * sum(share->requests));
+		bounds->ratio * counts_sum(share->requests));
 }
 
 bool
 retry_share_spend(retry_share_t *share, const retry_bounds_t *bounds,
     uint32_t daemons, struct timespec now)
 {
-	share_slide(share, bounds, now);
-	if (sum(share->retries) + 1 > allowed(share, bounds, daemons))
+	share_advance(share, bounds, now);
+	if (counts_sum(share->retries) + 1 >
+	    retries_allowed(share, bounds, daemons))
 		return false;
 	share->retries[share->slice % RETRY_SLICES]++;
 	return true;
@@ -75,9 +76,9 @@
 retry_share_remaining(retry_share_t *share, const retry_bounds_t *bounds,
     uint32_t daemons, struct timespec now)
 {
-	double most;
+	double limit;
 
-	share_slide(share, bounds, now);
-	most = allowed(share, bounds, daemons);
-	return most > 0 ? 1 - sum(share->retries) / most : 0;
+	share_advance(share, bounds, now);
+	limit = retries_allowed(share, bounds, daemons);
+	return limit > 0 ? 1 - counts_sum(share->retries) / limit : 0;
 }
--- a/test/fuzz/retries_fuzz.c
+++ b/test/fuzz/retries_fuzz.c
@@ -16,7 +16,7 @@
 static int64_t requests[EVENTS_MAX], retries[EVENTS_MAX];
 
 static double
-since(const int64_t *times, size_t len, int64_t from)
+count_since(const int64_t *times, size_t len, int64_t from)
 {
 	double count = 0;
 
@@ -50,11 +50,11 @@
 			if (!retry_share_spend(&share, &bounds, DAEMONS, now))
 				break;
 			retries[retries_len++] = now_ms;
-			FUZZ_CHECK(
-			    since(retries, retries_len, now_ms - WINDOW_MS) <=
+			FUZZ_CHECK(count_since(retries, retries_len,
+				       now_ms - WINDOW_MS) <=
 			    bounds.min_retries / DAEMONS +
 				bounds.ratio *
-				    since(requests, requests_len,
+				    count_since(requests, requests_len,
 					now_ms - REQUESTS_MS));
 		}
 	}
--- a/test/unit/relay_counts_test.c
+++ b/test/unit/relay_counts_test.c
@@ -22,13 +22,13 @@
 #define DAEMONS 91
 #define STREAMS_PER_S 3.3
 /* Once the rush is over. */
-#define LATER_PART 0.75
-#define RUSH_S 20
-#define RUN_S 40
-#define LARGER_PART 0.5
+#define LATER_RATE_SHARE 0.75
+#define PEAK_S 20
+#define DURATION_S 40
+#define LARGER_MODEL_SHARE 0.5
 #define SEEDS 20
 /* Of the streams that want a larger model. */
-#define DENIED_MOST 0.01
+#define DENIED_SHARE_MAX 0.01
 #define SERVICE "lm"
 #define DRAW_RANGE 4294967296.0
 
@@ -42,13 +42,13 @@
 	return ((double)(uint32_t)hash + 0.5) / DRAW_RANGE;
 }
 
-typedef struct played {
+typedef struct simulation {
 	double wanted;
 	double denied;
-} played_t;
+} simulation_t;
 
 static void
-load_play(uint64_t seed, played_t *played)
+load_simulate(uint64_t seed, simulation_t *total)
 {
 	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
 	relay_t relay = {.clock = &clock.source,
@@ -57,40 +57,39 @@
 	uint64_t state = seed << 32;
 	double now_s = 0;
 
-	while (now_s < RUN_S) {
+	while (now_s < DURATION_S) {
 		double per_s =
-		    STREAMS_PER_S * (now_s < RUSH_S ? 1 : LATER_PART);
+		    STREAMS_PER_S * (now_s < PEAK_S ? 1 : LATER_RATE_SHARE);
 
 		now_s += -log(draw(&state)) / per_s;
 		clock.now = timespec_of_ms(1000000 + (int64_t)(1000 * now_s));
 		relay_count_request(&relay, SERVICE, clock.now);
-		if (draw(&state) >= LARGER_PART)
+		if (draw(&state) >= LARGER_MODEL_SHARE)
 			continue;
-		played->wanted++;
+		total->wanted++;
 		if (!relay_retry_has_spare(&relay, SERVICE) ||
 		    !relay_retry_acquire(&relay, SERVICE))
-			played->denied++;
+			total->denied++;
 	}
 	relay_service_states_finish(&relay);
 }
 
 static void
-larger_models_are_asked_where_they_are_wanted(void **state)
+larger_models_are_rarely_denied(void **state)
 {
-	played_t played = {0};
+	simulation_t total = {0};
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++)
-		load_play(seed, &played);
-	print_message(
-	    "%.0f wanted, %.0f denied\n", played.wanted, played.denied);
-	assert_true(played.denied <= DENIED_MOST * played.wanted);
+		load_simulate(seed, &total);
+	print_message("%.0f wanted, %.0f denied\n", total.wanted, total.denied);
+	assert_true(total.denied <= DENIED_SHARE_MAX * total.wanted);
 }
 
 /* Something is left for failures: a repeat is allowed when no more larger
  * models are asked. */
 static void
-a_part_is_kept_for_failures(void **state)
+budget_is_reserved_for_failures(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
 	relay_t relay = {.clock = &clock.source,
@@ -111,8 +110,8 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(larger_models_are_asked_where_they_are_wanted),
-	    cmocka_unit_test(a_part_is_kept_for_failures),
+	    cmocka_unit_test(larger_models_are_rarely_denied),
+	    cmocka_unit_test(budget_is_reserved_for_failures),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
