--- a/include/moortack/relay/relay.h
+++ b/include/moortack/relay/relay.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The relay: takes opaque requests of callers, and passes each on to an
- * endpoint of its route under what the configuration in force allows.
+ * The relay: accepts callers' requests, whose bodies it does not interpret, and
+ * forwards each to an endpoint of its route if the current configuration
+ * permits it.
  */
 #ifndef MOORTACK_RELAY_RELAY_H
 #define MOORTACK_RELAY_RELAY_H
@@ -26,33 +27,34 @@
 #include "moortack/replication/membership.h"
 #include "moortack/replication/row_watch.h"
 
-/** Bounds that the deployment sets. */
+/** Limits set by the deployment. */
 typedef struct relay_bounds {
-	int64_t key_max_age_ms;	 /**< the configuration's age at which requests
-				  with a key stop */
-	int64_t config_stale_ms; /**< its age at which nothing is denied: what
-			    isn't known may be new */
+	int64_t key_max_age_ms;	 /**< requests with a key are refused while the
+				    configuration is older */
+	int64_t config_stale_ms; /**< with an older configuration, an unknown
+				    route or key is reported as
+				    ERR_CONFIG_STALE: it may be new */
 	retry_bounds_t retries;
 	warmup_bounds_t warmup;
-	uint32_t body_buffer_max;   /**< bytes of an answer kept before it is
-			       passed on */
-	uint32_t requests_max;	    /**< under way at the same time */
-	int64_t silence_timeout_ms; /**< an endpoint's connection that is silent
-			       for longer is given up */
-	int64_t reused_silence_timeout_ms; /**< the same while a request that
-				     may be repeated is sent on a kept one */
+	uint32_t body_buffer_max;   /**< bytes of a response that are buffered
+				       before it is forwarded */
+	uint32_t requests_max;	    /**< in flight at the same time */
+	int64_t silence_timeout_ms; /**< an endpoint's connection is closed
+				       after this long without data */
+	int64_t reused_silence_timeout_ms; /**< the same for a reused connection
+					      with an idempotent request */
 } relay_bounds_t;
 
 typedef struct relay_request relay_request_t;
 
-/** What is known of a model of a service. */
+/** Statistics of one model of a service. */
 typedef struct service_model {
-	uint64_t name_hash; /**< hash of it */
+	uint64_t name_hash;
 	model_record_t record;
 	prefill_rate_t prefill_rate;
 } service_model_t;
 
-/** What is counted for each service. */
+/** Retry budget and model statistics of one service. */
 typedef struct service_state {
 	char service[ENDPOINT_NAME_SIZE];
 	retry_share_t retry_share;
@@ -61,9 +63,9 @@
 	UT_hash_handle hh;
 } service_state_t;
 
-/** What is known of the callers of a route. */
+/** Estimate of how long ago the callers of a route first tried. */
 typedef struct route_callers {
-	char *route; /**< its name */
+	char *route; /**< name of the route */
 	first_try_t retry_age;
 	UT_hash_handle hh;
 } route_callers_t;
@@ -77,78 +79,89 @@
 	const endpoint_dialect_t *endpoint_dialect;
 	endpoint_set_t *endpoints;
 	membership_t *members;
-	gossip_t *gossip; /**< of other daemons' sends */
+	gossip_t *gossip; /**< prompts that other daemons sent */
 	rollouts_t *rollouts;
-	const row_watch_t *config_watch; /**< how old the configuration is */
-	const row_watch_t *endpoint_watch;
+	const row_watch_t *config_watch;   /**< for the configuration's age */
+	const row_watch_t *endpoint_watch; /**< and the endpoints' */
 	char zone[ENDPOINT_NAME_SIZE];
 	relay_bounds_t bounds;
-	relay_config_t *config; /**< NULL: none yet */
+	relay_config_t *config; /**< NULL: none received yet */
 	relay_stats_t stats;
 	service_state_t *service_states;
 	route_callers_t *route_callers;
-	prefix_memory_t prefix_index; /**< what endpoints were sent */
+	prefix_memory_t prefix_index; /**< prompts sent to endpoints */
 	http_inbound_server_t *server;
-	relay_request_t *requests;
+	relay_request_t *requests; /**< in flight, a linked list */
 	uint32_t in_flight;
-	uint32_t daemons_max_seen;  /**< seen; shares of bounds are cut by it */
-	bool accepting;		    /**< new connections are taken */
-	struct timespec started_at; /**< since when it listens */
-	uint32_t last_query_number; /**< number of the last one */
-	bool refusing_streams;	    /**< new streams are sent elsewhere */
+	uint32_t daemons_max_seen;  /**< largest number of daemons seen;
+				       fleet-wide limits are divided by it */
+	bool accepting;		    /**< new connections are accepted */
+	struct timespec started_at; /**< when it began to listen */
+	uint32_t last_query_number; /**< of owner_query_t */
+	bool refusing_streams; /**< new streams are refused, so that callers go
+				  to another daemon */
 	relay_quarantine_t quarantine;
 	warmup_daemons_t warmup_daemons;
 };
 
+/** Listen and initialise what the owner did not fill in.
+ * @return false with @p err set: cannot listen, or out of memory */
 bool relay_init(relay_t *, const http_address_t *listen, err_t *);
+/** Abort all requests and free what relay_init() allocated. */
 void relay_finish(relay_t *);
 
-/** Put a configuration in force; its reference is taken over. An older one
- * than that in force is dropped. */
+/** Make a configuration the current one, and take over the caller's reference.
+ * One that is not newer than the current one is released instead. */
 void relay_configure(relay_t *, relay_config_t *);
 
-/** Take new connections as soon as enough is known to serve, and before long in
- * any case: who comes a moment too early after a restart is served, not
- * refused. Called at each change of what is known, and a few times a second. */
+/** Accept connections once the daemon is ready to serve, or at the latest after
+ * a bounded delay. Until then connections wait in the kernel, so that callers
+ * that connect right after a restart are served instead of refused. Called when
+ * new rows arrive, and a few times a second. */
 void relay_accept_when_ready(relay_t *);
 
-/** The endpoint's process has ended, and another one goes by its id: what was
- * sent to it gets no answer beyond what is on the way already. */
+/** The endpoint's process has ended, and a new one has taken over its id:
+ * requests sent to the old process get no response data beyond what is already
+ * in transit. */
 void relay_endpoint_restarted(relay_t *, const endpoint_t *);
 
-/** The VM was suspended, and timers did not run: the time limits of requests
- * are those of their callers, who waited. */
+/** The VM was suspended, and timers did not run: restart the time limits of all
+ * requests with what is left for their callers, who kept waiting. */
 void relay_vm_resumed(relay_t *);
 
-/** Whether enough is known to serve. */
+/** Whether the configuration, endpoints and states of roll-outs are known and
+ * recent enough to serve requests. */
 bool relay_ready(const relay_t *);
 
-/** Remember the sessions whose requests are under way: a roll-out does not move
- * them. */
+/** Record the sessions whose requests are in flight at an old version: a
+ * roll-out does not move them. */
 void relay_sessions_record(const relay_t *);
 
-/** Tell the guards of roll-outs which answers are overdue; called a few times a
- * second. */
+/** Report overdue responses to the canary analysis of roll-outs; called a few
+ * times a second. */
 void relay_guard_look(relay_t *);
 
-/** Requests under way at endpoints that a roll-out replaces; the argument is a
- * relay. */
+/** Number of requests in flight at endpoints that a roll-out replaces.
+ * @param relay a relay_t */
 uint32_t relay_old_version_in_flight(const void *relay, const rollout_t *);
-/** The version of a service that most of its endpoints had at first. */
+
+/** The version that most endpoints of a service had at first; "": not known.
+ * @param relay a relay_t */
 const char *relay_group_base_version(const void *relay, const char *service);
 
-/** What other daemons tell and ask of prompts; the argument is a relay. */
+/** Callbacks for messages of other daemons about prompts and crashes; their
+ * argument is a relay_t. */
 extern const gossip_ops_t relay_gossip_ops;
 
-/** Number of endpoints that are cold. */
+/** Number of cold endpoints. */
 uint32_t relay_cold_endpoints(const relay_t *);
 
-/** Update the daemons among which the quotas of cold endpoints are divided;
- * called a few times a second.
+/** Update the set of daemons among which the quotas of cold endpoints are
+ * divided; called a few times a second.
  * @param first_read the daemons' rows were just read for the first time */
 void relay_warmup_tick(relay_t *, bool first_read);
 
-/** Take no new streams, and close connections behind their answers. */
+/** Close each caller's connection after its next response. */
 void relay_drain(relay_t *);
 
 #endif
--- a/moortack/relay/relay_request.h
+++ b/moortack/relay/relay_request.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * One request's life, shared by the relay's files: taken (relay.c), sent
- * (relay_attempt.c), placed (relay_select.c), answered (relay_response.c).
+ * State of one request, shared by the relay's files: accepted (relay.c),
+ * placed, sent (relay_attempt.c), responded to (relay_response.c).
  */
 #ifndef MOORTACK_RELAY_RELAY_REQUEST_H
 #define MOORTACK_RELAY_RELAY_REQUEST_H
@@ -9,283 +9,313 @@
 #include "moortack/relay/event_scan.h"
 #include "moortack/relay/relay.h"
 
+/** Endpoints that a request remembers as tried. */
 #define TRIED_ENDPOINTS_MAX 8
-/** Endpoints whose owners are asked before a prompt is placed. Of short
- * prompts at 40 requests a second for each twelve endpoints, 98.7 in 100 begin
- * in time with two, 99.9 with three, 100.0 with five (90 daemons in
- * bench/placing.c, three seeds). */
+/** Endpoints whose owners are queried before a prompt is placed. Of short
+ * prompts, at 40 requests a second per twelve endpoints, 98.7 % of the
+ * responses start in time with two, 99.9 % with three, 100.0 % with five
+ * (bench/placing.c with 90 daemons, three seeds). */
 #define OWNERS_QUERIED_MAX 3
+/** Bytes of a response's header lines. */
 #define RESPONSE_HEAD_MAX 4096
 
-/** How an attempt ended, as far as a further one is concerned. */
+/** How an attempt ended, which decides whether the request may be retried. */
 typedef enum attempt_outcome {
-	ATTEMPT_NOT_SENT,  /**< no byte left */
-	ATTEMPT_NOT_RUN,   /**< the endpoint says that it did not run it */
-	ATTEMPT_UNKNOWN,   /**< it may have run, without a whole answer */
-	ATTEMPT_FAILED,	   /**< it ran, and its answer is a failure */
-	ATTEMPT_ESCALATED, /**< its answer is left for a larger model's */
+	ATTEMPT_NOT_SENT,  /**< no byte was sent */
+	ATTEMPT_NOT_RUN,   /**< the endpoint reports that it did not run it */
+	ATTEMPT_UNKNOWN,   /**< it may have run; the response is incomplete */
+	ATTEMPT_FAILED,	   /**< it ran, and the response is a server error */
+	ATTEMPT_ESCALATED, /**< discarded for a larger model's response */
 } attempt_outcome_t;
 
-/** Where an attempt goes, and what is expected of it. */
+/** The endpoint chosen for an attempt, and the expected times there. */
 typedef struct placement {
 	endpoint_t *endpoint;
-	size_t candidates;   /**< that it was chosen from */
-	size_t cold_skipped; /**< cold endpoints left out, with no share left */
-	double load;	     /**< requests that it was thought to hold */
-	uint32_t uncached_tokens; /**< tokens that it has to read */
-	double queue_wait_ms;	  /**< before it begins to */
-	size_t owner_reports;	  /**< endpoints of which an owner told */
-	double prefill_ms;	  /**< of its time that this takes */
-	double first_byte_ms; /**< until the answer begins; negative: unknown */
+	size_t candidates;	  /**< endpoints that it was chosen from */
+	size_t cold_skipped;	  /**< cold, without a share left in the slot */
+	double load;		  /**< estimated requests at the endpoint */
+	uint32_t uncached_tokens; /**< of the prompt, to be prefilled */
+	double queue_wait_ms;	  /**< until the prefill starts */
+	size_t owner_reports; /**< candidates with a report of their owner */
+	double prefill_ms;    /**< time that the prefill takes */
+	double first_byte_ms; /**< to the response; negative: unknown */
 } placement_t;
 
-/** The attempt under way. */
+/** The attempt in progress. */
 typedef struct attempt {
-	endpoint_t *endpoint; /**< held; NULL: none under way */
+	endpoint_t *endpoint; /**< holds a reference; NULL: no attempt */
 	http_outbound_t *conn;
 	endpoint_response_t response;
 	struct timespec sent_at;
-	const char *model; /**< named by the router; NULL: the caller's */
+	const char *model; /**< chosen by the router; NULL: the caller's */
 	placement_t placement;
-	read_ticket_t prefill_entry; /**< while the endpoint has to read it */
-	bool sent;		     /**< bytes may have left */
-	bool reused;	      /**< on a connection that was used before */
-	double first_byte_ms; /**< from the send to the answer's first byte */
-	bool head_received;   /**< the answer's head came */
-	bool endpoint_restarted;  /**< the process that it was sent to has ended
-				   */
-	bool new_version;	  /**< of a roll-out's new version */
-	bool rollout_saturating;  /**< whose endpoints were being filled */
-	bool guard_counted;	  /**< by the guard of a roll-out */
-	bool event_rate_reported; /**< the same, the pace of its events */
-	bool late_recorded;	  /**< told to the record of models as late */
-	bool connection_lost;	  /**< its connection ended before its answer */
-	bool connection_refused;  /**< nothing listens at its endpoint */
-	bool completed;		  /**< its answer has come to its end */
-	bool warmup_acquired;	  /**< counted against its cold endpoint */
-	int64_t warmup_slot;	  /**< slot in which it was counted */
+	read_ticket_t prefill_entry; /**< in the endpoint's prefill queue */
+	bool sent;		     /**< bytes may have been sent */
+	bool reused;		     /**< sent over an idle connection */
+	double first_byte_ms; /**< from the send to the response's head */
+	bool head_received;
+	bool endpoint_restarted; /**< the process has ended since the send */
+	bool new_version; /**< at an endpoint of a roll-out's new version */
+	bool rollout_saturating;  /**< the roll-out was saturating its first
+				     endpoints */
+	bool guard_counted;	  /**< by the canary analysis */
+	bool event_rate_reported; /**< to the canary analysis */
+	bool late_recorded;	  /**< in the model's statistics */
+	bool connection_lost;	  /**< before the response was complete */
+	bool connection_refused; /**< by the endpoint's host: nothing listens */
+	bool completed;		 /**< the response was complete */
+	bool warmup_acquired;	 /**< counted against the quota of its cold
+				    endpoint */
+	int64_t warmup_slot;	 /**< slot in which it was counted */
 } attempt_t;
 
-/** What the owner of an endpoint says of it. */
+/** The response of an endpoint's owner to a query. */
 typedef struct queried_endpoint {
-	uint64_t hash;
-	bool responded;	      /**< else no answer yet */
-	double queue_wait_ms; /**< until it begins to read one more prompt */
-	uint32_t cached_prefixes; /**< beginnings of the prompt that it keeps */
+	uint64_t hash; /**< of the endpoint */
+	bool responded;
+	double queue_wait_ms; /**< until the endpoint starts to prefill one more
+				 prompt */
+	uint32_t cached_prefixes; /**< of the prompt, at the endpoint */
 } queried_endpoint_t;
 
-/** What is asked before an attempt is placed. */
+/** The query to the owners of endpoints before an attempt is placed. */
 typedef struct owner_query {
-	uint32_t number;    /**< 0: nothing is asked */
-	size_t model_index; /**< index of the route's models */
+	uint32_t number;    /**< 0: no query */
+	size_t model_index; /**< index in the route's models */
 	queried_endpoint_t endpoints[OWNERS_QUERIED_MAX];
 	size_t len;
-	size_t pending;	     /**< without an answer */
-	struct event *timer; /**< until nothing more is waited for */
+	size_t pending;	     /**< endpoints without a response */
+	struct event *timer; /**< ends the wait for responses */
 } owner_query_t;
 
+/** A request that was accepted and has not ended. */
 struct relay_request {
 	relay_t *relay;
 	http_inbound_t *caller;
 	arrival_t arrival;
-	relay_config_t *config; /**< under which it was taken */
+	relay_config_t *config; /**< under which it is handled; a reference */
 	const relay_route_t *route;
 	const relay_organisation_t *organisation;
 	const char *service;
-	uint64_t
-	    split_hash; /**< hash that places it among pools and versions */
-	uint64_t shared_prefix_hash; /**< hash of the prompt parts that others
-					have too */
-	uint64_t digest; /**< see relay_request_digest(); 0: not made yet */
+	uint64_t split_hash;	     /**< picks the service and version */
+	uint64_t shared_prefix_hash; /**< of the prompt's parts but the last */
+	uint64_t digest; /**< see relay_request_digest(); 0: not known yet */
 	struct timespec received_at;
-	double earlier_tries_ms; /**< from the caller's first try until then */
-	int64_t time_limit_ms;	 /**< after taken */
+	double earlier_tries_ms; /**< from the caller's first try to
+				    received_at, estimated */
+	int64_t time_limit_ms;	 /**< after received_at */
 	struct event *time_limit_timer;
-	bool quarantine_trial; /**< it was refused, and is tried again */
-	bool awaits_probe;     /**< of the endpoint that broke off last */
-	bool avoid_reuse; /**< a kept connection was silent: others may be, too
-			   */
-	struct event *silence_timer; /**< the kept connection may be dead; NULL:
-				  not looked for */
-	struct evbuffer *body;	     /**< kept for a repeat */
+	bool quarantine_trial; /**< its digest is quarantined; this is a trial
+				  run */
+	bool awaits_probe;     /**< of an endpoint whose connection was lost */
+	bool avoid_reuse; /**< a reused connection was silent, others may be
+			     too: open new ones */
+	struct event *silence_timer; /**< checks whether the connection is
+					silent; NULL: not needed so far */
+	struct evbuffer *body;	     /**< for retries */
 	attempt_t attempt;
-	owner_query_t owner_query; /**< for the next attempt */
-	uint64_t
-	    tried_endpoints[TRIED_ENDPOINTS_MAX]; /**< hashes of endpoints */
+	owner_query_t owner_query; /**< before the next attempt */
+	uint64_t tried_endpoints[TRIED_ENDPOINTS_MAX]; /**< hashes */
 	size_t tried_endpoints_len;
-	uint32_t sends;		  /**< attempts whose bytes may have left */
-	uint32_t connects_failed; /**< failed ones */
-	char last_endpoint_id[ENDPOINT_NAME_SIZE]; /**< last one chosen */
+	uint32_t sends; /**< attempts of which bytes may have been sent */
+	uint32_t connects_failed; /**< attempts that did not get a connection */
+	char last_endpoint_id[ENDPOINT_NAME_SIZE]; /**< the last one chosen */
 	placement_t placement;			   /**< of the last attempt */
-	uint32_t unresolved_sends; /**< of which no answer says not run */
+	uint32_t unresolved_sends; /**< sends not reported as not run */
 	bool may_have_run;
-	/* The answer. */
+	/* The response. */
 	int status;
 	char *response_head;	   /**< header lines for the caller */
-	struct evbuffer *buffered; /**< body not passed on yet */
+	struct evbuffer *buffered; /**< body that was not forwarded yet */
 	event_scan_t scan;
-	bool failure_buffered; /**< an endpoint's own failure, passed on if no
-			      further attempt does better */
-	bool streaming;	       /**< the answer is passed on by events */
-	bool response_started; /**< its head has gone to the caller */
-	bool paused; /**< the endpoint is not read: the caller is slow */
+	bool failure_buffered; /**< a server error is in the buffer, and is
+				  forwarded if no further attempt succeeds */
+	bool streaming;	       /**< the response is forwarded event by event */
+	bool response_started; /**< its head was sent to the caller */
+	bool paused; /**< no data is read from the endpoint, since the caller is
+			slow */
 	bool has_last_event_id;
-	int64_t last_event_id; /**< id of the last one passed on */
-	double first_byte_ms;
-	double escalated_ms; /**< age when the last answer was left for a larger
-			      model's; 0: none was */
-	double max_event_gap_ms; /**< longest between two events passed on */
-	struct timespec last_event_at; /**< when the last event came */
-	uint32_t attempt_events; /**< passed on of the attempt under way */
-	struct timespec first_event_at; /**< when the first of them came */
-	const char *response_model;	/**< that began the answer; config's */
-	size_t model_index; /**< of the route's models, for the next attempt */
+	int64_t last_event_id; /**< of the last event forwarded */
+	double first_byte_ms;  /**< from received_at; 0: not started */
+	double escalated_ms; /**< age at the last escalation to a larger model;
+				0: none */
+	double max_event_gap_ms;	/**< between two events forwarded */
+	struct timespec last_event_at;	/**< last one received */
+	uint32_t attempt_events;	/**< events of the current attempt */
+	struct timespec first_event_at; /**< first of these received */
+	const char *response_model;	/**< started the response; config's */
+	size_t model_index; /**< in the route's models, for the next attempt */
 	bool model_chosen;
-	int confidence;		 /**< of the model, 0 to 100; -1: not told */
-	int smallest_confidence; /**< of the smallest model's answer; -1: none
-				  */
+	int confidence; /**< of the model in its response, 0 to 100; -1: not
+			   reported */
+	int smallest_confidence; /**< of the smallest model, as above */
 	relay_request_t *next;
 	relay_request_t *prev;
 };
 
-/** Milliseconds since the request was taken. */
+/** Milliseconds since the request was received. */
 int64_t request_age_ms(const relay_request_t *);
-/** Milliseconds since the caller's first try, as far as the wire tells. */
+/** Milliseconds since the caller's first try, estimated from the deadline that
+ * it sent. */
 double request_since_first_try_ms(const relay_request_t *);
-/** Milliseconds that are left for the answer. */
+/** Milliseconds left until the time limit; negative: it has passed. */
 int64_t request_remaining_ms(const relay_request_t *);
 
-/** The name that the request has whenever it comes again; 0: the fleet's
- * secret is not known yet. */
+/** Keyed hash that identifies equal requests; 0: the fleet's secret is not
+ * known yet. */
 uint64_t relay_request_digest(relay_request_t *);
 
-/** Whether a repeat does no harm. */
+/** Whether the request may safely run more than once. */
 bool request_idempotent(const relay_request_t *);
 
-/** Give up: the final answer goes out at once. */
+/** End the request with an error response, or abort a response that has
+ * started. */
 void request_fail(relay_request_t *, err_code_t, const char *why);
-/** The answer has gone out whole, or was broken off: forget the request. */
+/** Log, count and free the request. The response to its caller is sent or
+ * aborted separately. */
 void request_end(relay_request_t *, const char *outcome, const char *why);
 
-/** Choose an endpoint and send; fails the request if none is to be had. */
+/** Choose an endpoint and send the request; fails the request if there is none.
+ */
 void attempt_begin(relay_request_t *);
-/** The attempt's connection is up: whether its request may still be sent; if
- * not, another attempt was begun or the request has failed. */
+/** Check again, once the attempt's connection is established, whether the
+ * request may be sent. If not, another attempt was started or the request has
+ * failed. */
 bool attempt_may_send(relay_request_t *);
-/** Its request has left: look whether its connection is silent. */
+/** The request was sent: start to watch its connection for silence. */
 void attempt_watch_silence(relay_request_t *);
-/** Bytes of its answer came. */
+/** Data of the response was received: the connection is not silent. */
 void attempt_bytes_received(relay_request_t *);
-/** Give up the attempt under way, without a word to the caller. */
+/** Cancel the attempt in progress; nothing is sent to the caller. */
 void attempt_cancel(relay_request_t *);
-/** The attempt ended without a whole answer: try again, or fail. */
+/** The attempt ended without a complete response: retry, or fail the request.
+ * @param why cause for the log, a static text */
 void
 attempt_retry_or_fail(relay_request_t *, attempt_outcome_t, const char *why);
-/** The attempt's connection is at rest: keep it if it can be used again. */
+/** The response was received completely: keep the connection if it can be
+ * reused. */
 void attempt_release(relay_request_t *);
 
-/** Ask the owners of the endpoints that stand first for the request's prompt.
- * @return whether an answer has to be waited for: attempt_begin() is called
- * again then */
+/** Query the owners of the endpoints that rank first for the request's prompt.
+ * @return whether responses have to be awaited: attempt_begin() is called again
+ * then */
 bool relay_query_owners(relay_request_t *);
-/** Forget the question and what was told. */
+/** Clear the query and its responses. */
 void relay_query_end(relay_request_t *);
-/** Put the beginnings that others share into a message. */
+/** Add to a message the prefixes that other requests may share: all but the
+ * complete prompt. */
 void relay_gossip_add_prefixes(gossip_message_t *, const prefix_list_t *);
-/** How long an endpoint takes to read the request's prompt at most, ms. */
+/** Milliseconds that an endpoint needs to prefill the request's prompt with
+ * nothing cached. */
 double relay_prefill_ms(const relay_request_t *);
-/** What the owner told of the endpoint, or NULL. */
+/** The owner's response for the endpoint, or NULL.
+ * @param model index in the route's models */
 const queried_endpoint_t *
 relay_query_result(const relay_request_t *, size_t model, uint64_t endpoint);
 
 /** Choose an endpoint for the request's next attempt.
- * @param model index of the route's models, where the router chooses it
+ * @param model index in the route's models, if the router chooses the model
  * @param why set if there is none
  * @return whether there is one */
 bool relay_choose_endpoint(
     relay_request_t *, size_t model, placement_t *, const char **why);
-/** The request is sent there. */
+/** Record that the request is sent there, and report it to other daemons. */
 void
 relay_placement_record(relay_request_t *, const placement_t *, size_t model);
-/** The model that the router names for the next attempt, or NULL. */
+/** The model that the router chooses for the next attempt; NULL: the caller's.
+ */
 const char *relay_model_select(relay_request_t *);
 
-/** The guard of a roll-out is told of the attempt's answer: it has begun, its
- * next event came, it ended in good order, or it is a failure. */
+/** Report the attempt's response to the canary analysis of its roll-out: it has
+ * started, its next event was received, it is complete, or it is a failure. */
 void relay_guard_begun(relay_request_t *);
 void relay_guard_event(relay_request_t *);
 void relay_guard_answered(relay_request_t *);
 void relay_guard_failed(relay_request_t *);
-/** An answer that broke off or never came: told once the endpoint
- * answers again, since one that died says nothing of its version. */
+/** The response is incomplete or missing. The failure is reported once the
+ * endpoint responds again: if it is down, that says nothing about its version.
+ */
 void relay_guard_suspect(relay_request_t *);
-/** The attempt's endpoint answers: what broke before was not its death. */
+/** The attempt's endpoint responds, so it is not down: report its deferred
+ * failures. */
 void relay_guard_alive(relay_request_t *);
 
-/** The attempt's connection ended before its answer: its endpoint may have
- * crashed. */
+/** The attempt's connection was lost before the response was complete: the
+ * endpoint may have crashed. */
 void relay_attempt_connection_lost(relay_request_t *);
-/** The attempt is given up while it may run, which it may do for a moment more.
- */
+/** The attempt is cancelled after its request was sent; the endpoint may run it
+ * for a moment more. */
 void relay_attempt_abandoned(relay_request_t *);
-/** Nothing listens at the attempt's endpoint. */
+/** The connection to the attempt's endpoint was refused. */
 void relay_attempt_connection_refused(const relay_request_t *);
-/** The attempt ran without a crash. */
+/** The attempt ran without crashing its endpoint. */
 void relay_attempt_completed(relay_request_t *);
-/** Whether it is refused since endpoints crash under it. */
+/** Whether the request is refused because it crashes endpoints. */
 bool relay_quarantine_refuses(relay_request_t *);
-/** Whether an endpoint crashed under it, or may have. */
+/** Whether an endpoint crashed while it ran the request, or may have. */
 bool relay_request_suspected(relay_request_t *);
-/** Whether it is not sent again by itself: so many did. */
+/** Whether so many endpoints crashed while they ran the request that it is not
+ * retried unless its caller does. */
 bool relay_suspect_forbids_retry(relay_request_t *);
-/** Whether an endpoint of its service would be left if it crashed one more. */
+/** Whether the service would have an endpoint left if the request crashed one
+ * more. */
 bool relay_suspect_may_send(relay_request_t *);
-/** Whether it is known soon if the last one crashed under it: attempt_begin()
- * is called again then. */
+/** Wait for the result of a crash probe of the request's last endpoint, if
+ * there is one: attempt_begin() is called again then.
+ * @return false: nothing to wait for */
 bool relay_suspect_await_probe(relay_request_t *);
 
-/** The endpoint has answered in good order. */
+/** The endpoint has sent a complete response. */
 void attempt_succeeded(relay_request_t *);
-/** Pass on an answer that was kept whole. */
+/** Forward a response that was buffered completely, and end the request. */
 void response_forward(relay_request_t *);
 
-/** Forget what was counted. */
+/** Free the states of all services and routes. */
 void relay_service_states_finish(relay_t *);
-/** What is counted for a service, or NULL. */
+/** The state of a service, created if needed; NULL: out of memory, or the name
+ * is too long. */
 service_state_t *relay_service_state(relay_t *, const char *service);
-/** The model's name, or "": the route's with that index where the router
- * chooses, else the caller's. */
+/** Name of the route's model with that index if the router chooses the model,
+ * else of the caller's model; "": none. */
 const char *relay_model_name(const relay_request_t *, size_t index);
-/** What is known of a model of the request's service, or NULL: the caller named
- * it, or there are more than a route may name. */
+/** Statistics of a model of the request's service, created if needed; NULL: the
+ * caller chose the model, there are MODELS_MAX others, or out of memory. */
 service_model_t *relay_model_find(const relay_request_t *, const char *name);
-/** The request goes on under a new configuration, which owns the names of its
- * models. @return false: its answer has begun with a model that the new one
- * does not name */
+/** Look up the request's model in the route of a new configuration, which owns
+ * the model's name from then on.
+ * @return false: the response has started with a model that the new
+ * configuration does not name */
 bool relay_model_rebind(relay_request_t *, const relay_route_t *);
-/** The head of a stream came: take note of it, and ask a larger model if that
- * is better; the attempt is over then. */
+/** The head of a streamed response was received: update the model's statistics,
+ * and escalate to a larger model if that is better. The attempt has ended
+ * then. */
 void relay_model_evaluate(relay_request_t *);
-/** The attempt ends before the head of its answer came. */
+/** The attempt ends before the head of its response was received. */
 void relay_model_no_response(relay_request_t *);
-/** How long ago the caller first tried; each request is asked about once. */
+/** Estimate in milliseconds how long ago the caller first tried. It updates the
+ * route's estimate, so call it once for each request. */
 double
 relay_earlier_tries_ms(relay_t *, const relay_route_t *, int64_t deadline_ms);
-/** A request came for the service: retries are a part of these. */
+/** Count a request for the service, which adds to its retry budget. */
 void relay_count_request(relay_t *, const char *service, struct timespec now);
-/** Whether the retry budget of the service allows one more; it is spent. */
+/** Acquire a retry from the budget of the service.
+ * @return false: none is left */
 bool relay_retry_acquire(relay_t *, const char *service);
-/** Whether the budget has room beyond what failures may need soon. */
+/** Whether the retry budget has more left than is reserved for failures. */
 bool relay_retry_has_spare(relay_t *, const char *service);
-/** The service that a request with this hash goes to, or NULL. */
+/** The service that receives a request with this hash, by the weights of the
+ * route's pools; NULL: all weights are 0. */
 const char *relay_route_service(const relay_route_t *, uint64_t split_hash);
-/** What an arrival may do now. @return ERR_NONE, or why it is refused */
+/** Find the route of a request, and the organisation by its key, under the
+ * current configuration.
+ * @return ERR_NONE, or why the request is refused */
 err_code_t relay_authorize(const relay_t *, const arrival_t *,
     const char *target, const relay_route_t **, const relay_organisation_t **);
 
-/** Parts of the answer as they arrive. */
+/** Callbacks for an attempt's connection; their argument is a request. */
 extern const http_outbound_ops_t response_ops;
-/** The caller has taken what was written. */
+/** All data written to the caller has been sent: resume reading from the
+ * endpoint. */
 void response_drained(relay_request_t *);
 
 #endif
