--- a/include/moortack/relay/relay_stats.h
+++ b/include/moortack/relay/relay_stats.h
@@ -11,8 +11,10 @@
 
 #include "common/err.h"
 
+/** Buckets with an upper bound. */
 #define STATS_BUCKETS 14
 
+/** Each has an entry of counter_infos in relay_stats.c. */
 typedef enum relay_counter {
 	STAT_REQUESTS,
 	STAT_ANSWERED,
@@ -37,41 +39,48 @@
 	STAT_CRASH_PROBES,
 	STAT_COLD_SENDS,
 	STAT_COLD_PASSED_OVER,
-	RELAY_COUNTERS /* count */
+	RELAY_COUNTERS /* number of counters */
 } relay_counter_t;
 
-/** Requests by the time they took. */
+/** Requests by duration; the last count is of those beyond all bounds. */
 typedef struct stats_histogram {
 	uint64_t counts[STATS_BUCKETS + 1];
 	double sum_ms;
 } stats_histogram_t;
 
+/** Distinct pairs of outcome and cause. */
 #define STATS_OUTCOMES_MAX 64
 
-/** How requests ended, and why. */
+/** Requests that ended with one outcome and cause. */
 typedef struct stats_outcome {
-	const char *outcome; /**< static */
-	const char *why;     /**< static */
+	const char *outcome; /**< static text */
+	const char *why;     /**< static text */
 	uint64_t count;
-	uint64_t late; /**< of these, begun after the route's objective */
+	uint64_t late; /**< of these, with a response later than the route's
+			  objective */
 } stats_outcome_t;
 
 typedef struct relay_stats {
 	uint64_t counters[RELAY_COUNTERS];
-	uint64_t failures[ERR_CODES]; /**< by type */
+	uint64_t failures[ERR_CODES]; /**< error responses by err_code_t */
 	stats_outcome_t outcomes[STATS_OUTCOMES_MAX];
 	size_t outcomes_len;
-	stats_histogram_t first_byte_ms; /**< until the answer's first byte */
-	stats_histogram_t complete_ms;	 /**< until its last */
-	stats_histogram_t added_ms; /**< from the whole request to its send */
+	/* Milliseconds since a request was received. */
+	stats_histogram_t first_byte_ms; /**< to the first byte */
+	stats_histogram_t complete_ms;	 /**< to the end */
+	stats_histogram_t added_ms;	 /**< to the first send */
 } relay_stats_t;
 
 void stats_add(relay_stats_t *, relay_counter_t, uint64_t by);
-/** A request has ended. Texts are static; beyond STATS_OUTCOMES_MAX pairs of
- * them none is told apart. */
+/** Count a request that has ended. The texts are static. Once there are
+ * STATS_OUTCOMES_MAX pairs of outcome and cause, further pairs are not counted.
+ * @param late the response started after the route's objective, counted from
+ * the caller's first try */
 void stats_count_outcome(
     relay_stats_t *, const char *outcome, const char *why, bool late);
+/** Add a duration. */
 void stats_observe(stats_histogram_t *, double ms);
+/** Append everything in the Prometheus text format. */
 void stats_write(const relay_stats_t *, struct evbuffer *out);
 
 #endif
--- a/moortack/relay/event_scan.c
+++ b/moortack/relay/event_scan.c
@@ -31,7 +31,7 @@
 	return evbuffer_add(scan->partial, bytes, len) == 0;
 }
 
-/* Length of the line's end at @p at: 1, 2, or 0 if there is none. */
+/* Length of the line terminator at @p at: 1, 2, or 0 if there is none. */
 static size_t
 line_end_len(const char *text, size_t at, size_t len)
 {
--- a/moortack/relay/retry_share.c
+++ b/moortack/relay/retry_share.c
@@ -4,11 +4,11 @@
 
 #include "common/clock_source.h"
 
-/* The window slides by slices: one more than fit is counted, so that no span
- * of the window's length holds more than the bound. */
+/* The window moves by whole slices. One slice more than its length is counted,
+ * so that no interval of the window's length exceeds the limit. */
 #define WINDOW_SLICES (RETRY_SLICES - 1)
-/* Part of the budget that is spent: daemons count apart, and some are seen
- * late. */
+/* Part of the budget that may be spent: each daemon counts for itself, and
+ * learns late of new daemons. */
 #define BUDGET_SAFETY_FACTOR 0.85
 
 static void
