--- a/include/moortack/relay/dialect.h
+++ b/include/moortack/relay/dialect.h
@@ -62,7 +62,7 @@
 
 /** The head of an endpoint's response, decoded. */
 typedef struct endpoint_response {
-	bool id_mismatch; /**< it names another request than the one sent */
+	bool id_mismatch; /**< it is not for the request that was sent */
 	bool id_missing;  /**< it names no request */
 	bool not_run; /**< the endpoint reports that it did not run the request
 		       */
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -10,19 +10,17 @@
 
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
-/* When a refused caller is told to come back: soon where the cause passes
- * soon, later where the platform's store has to come back first; spread over
- * callers. Small against the objectives, so that a second try can meet them. */
+/* Retry-After, with jitter: longer if the store has to be available again
+ * first. Small against the objectives, so that a second try can meet them. */
 #define RETRY_AFTER_MS 60
 #define RETRY_AFTER_STORE_MS 600
 #define RETRY_AFTER_JITTER_MS 120
-/* After its start a daemon knows enough to serve in some 30 ms while the store
- * answers; connections wait for it in the kernel this long at most. */
-#define ACCEPT_DELAY_MAX_MS 300
+/* A daemon is ready to serve about 30 ms after its start if the store is
+ * available. Connections wait in the kernel for it no longer than this. */
+#define ACCEPT_MAX_MS 300
 #define ERROR_HEAD_SIZE 128
 #define SESSION_TAG_SHIFT 32
-/* Connections of callers at the same time: the users' smallest VMs have 4,100
- * descriptors, and endpoints need some of them. */
+/* The users' smallest VMs have 4,100 descriptors; endpoints need some. */
 #define CALLER_CONNECTIONS_MAX 2500
 
 int64_t
@@ -76,11 +74,9 @@
 	return ms + rng_below(relay->rng, RETRY_AFTER_JITTER_MS);
 }
 
-/* Tell a failure of our own: its type, and when to come back if that helps.
- * @param ms until then */
+/* Send an error response, with Retry-After if a retry may succeed. */
 static void
-caller_send_error(
-    relay_t *relay, http_inbound_t *caller, err_code_t code, int64_t ms)
+error_send(relay_t *relay, http_inbound_t *caller, err_code_t code, int64_t ms)
 {
 	const err_info_t *info = err_info(code);
 	struct evbuffer *body = evbuffer_new();
@@ -126,7 +122,7 @@
 	free(req);
 }
 
-/* Tells sessions apart in the log; 0: none. */
+/* Distinguishes sessions in the log; 0: no session. */
 static uint32_t
 session_tag(const relay_request_t *req)
 {
@@ -148,12 +144,10 @@
 	event_line(relay->log, "request",
 	    "id=%s route=%s service=%s organisation=%s outcome=%s why=%s "
 	    "status=%d sends=%u connects_failed=%u model=%s confidence=%d "
-	    "tokens=%u,%u,%u ms=%.0f "
-	    "first_ms=%.0f before_ms=%.0f objective_ms=%" PRId64
-	    " pause_ms=%.0f "
-	    "pause_most_ms=%" PRId64 " dropped_ms=%.0f limit_ms=%" PRId64
-	    " config=%" PRIu64 " config_age_ms=%" PRId64
-	    " endpoints_age_ms=%" PRId64
+	    "tokens=%u,%u,%u ms=%.0f first_ms=%.0f before_ms=%.0f "
+	    "objective_ms=%" PRId64 " pause_ms=%.0f pause_most_ms=%" PRId64
+	    " dropped_ms=%.0f limit_ms=%" PRId64 " config=%" PRIu64
+	    " config_age_ms=%" PRId64 " endpoints_age_ms=%" PRId64
 	    " endpoint=%s load=%.0f of=%zu told=%zu wait_ms=%.0f"
 	    " session=%08" PRIx32,
 	    req->arrival.id, req->route->name,
@@ -195,7 +189,7 @@
 	stats_add(&relay->stats,
 	    err_info(code)->ran == ERR_NOT_RUN ? STAT_REFUSED : STAT_FAILED, 1);
 	request_end(req, err_info(code)->name, why);
-	caller_send_error(relay, caller, code, ms);
+	error_send(relay, caller, code, ms);
 }
 
 static void
@@ -214,8 +208,7 @@
 	    req, req->may_have_run ? ERR_TIMEOUT : ERR_OVERLOAD, "time_limit");
 }
 
-/* What hashes alike goes to the same pool and version: a session, or else the
- * request by itself. */
+/* Keeps the requests of a session on the same service and version. */
 static uint64_t
 arrival_split_hash(const arrival_t *arrival)
 {
@@ -225,7 +218,7 @@
 	return XXH3_64bits(text, strlen(text));
 }
 
-/* The last part is the request's own. */
+/* The last part is not shared with other requests. */
 static uint64_t
 arrival_shared_prefix_hash(const arrival_t *arrival)
 {
@@ -326,7 +319,7 @@
 	    id, err_info(code)->name, why,
 	    relay->config != NULL ? relay->config->version : 0,
 	    row_watch_age_ms(relay->config_watch), relay->in_flight);
-	caller_send_error(relay, caller, code, retry_after_ms(relay, code));
+	error_send(relay, caller, code, retry_after_ms(relay, code));
 }
 
 static void
@@ -433,7 +426,7 @@
 	    http_inbound_listen(relay->base, listen, &inbound_ops, relay, err);
 	if (relay->server == NULL)
 		return false;
-	/* Defaults until a configuration is there. */
+	/* Default limits until a configuration is received. */
 	config = relay_config_new(0);
 	if (config == NULL)
 		return err_set(err, ERR_MEMORY, "out of memory");
@@ -481,8 +474,7 @@
 bool
 relay_ready(const relay_t *relay)
 {
-	/* Without the states of roll-outs it is not known which version an
-	 * order replaces. */
+	/* Without a roll-out's state, the version it replaces is unknown. */
 	return relay->config != NULL && !relay->refusing_streams &&
 	    relay->endpoints->endpoints != NULL &&
 	    relay->rollouts->states->settled_once &&
@@ -496,8 +488,7 @@
 	int64_t age_ms =
 	    timespec_ms_between(relay->started_at, clock_elapsed(relay->clock));
 
-	if (relay->accepting ||
-	    (!relay_ready(relay) && age_ms < ACCEPT_DELAY_MAX_MS))
+	if (relay->accepting || (!relay_ready(relay) && age_ms < ACCEPT_MAX_MS))
 		return;
 	relay->accepting = true;
 	http_inbound_hold(relay->server, false);
--- a/moortack/relay/relay_authorize.c
+++ b/moortack/relay/relay_authorize.c
@@ -19,7 +19,6 @@
 	return NULL;
 }
 
-/* What an arrival may do. @return ERR_NONE, or why it is refused */
 err_code_t
 relay_authorize(const relay_t *relay, const arrival_t *arrival,
     const char *target, const relay_route_t **route,
