--- a/moortack/relay/attempt_silence.c
+++ b/moortack/relay/attempt_silence.c
@@ -1,19 +1,20 @@
 #include "relay_request.h"
 
-/* Part of the objective after which a kept connection without an answer counts
- * as silent: the rest is twice what such a request takes on the users' sheets.
- */
+/* Part of the objective after which a reused connection without a response is
+ * silent. What is left of the objective is twice what such a request takes in
+ * the users' deployments. */
 #define SILENCE_OBJECTIVE_SHARE 0.6
-/* What an endpoint sent before it ended, and started again, comes at once; its
- * entry comes from its next start, hundreds of milliseconds later. An attempt
- * there that has heard nothing for this long gets nothing more. */
+/* What a process sent before it ended is received at once. The entry that
+ * reports its end is written by the next process at its start, hundreds of
+ * milliseconds later. An attempt at the old process that has received nothing
+ * for this long gets no further data. */
 #define RESTARTED_QUIET_MS 100
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 
-/* A silent connection can't be told from a slow endpoint, but by the latter's
- * being full: only what may be repeated at once is given up for it, while there
- * is another attempt. */
+/* A dead connection looks like a slow endpoint, except that a slow one reports
+ * that it is full. So only attempts of requests that are safe to repeat are
+ * given up, as long as another attempt is left. */
 static bool
 silence_applies(const relay_request_t *req)
 {
@@ -27,8 +28,8 @@
 
 static void silence_timer_start(relay_request_t *, int64_t ms);
 
-/* Nothing more comes of a process that has ended, but for what its slow caller
- * has not let this daemon read yet. */
+/* No further data is received from a process that has ended, unless reading was
+ * paused because the caller is slow. */
 static void
 restarted_endpoint_silent(relay_request_t *req)
 {
@@ -50,7 +51,7 @@
 		restarted_endpoint_silent(req);
 		return;
 	}
-	/* Without a repeat, an answer that is merely late is all there is. */
+	/* Without a retry left, a late response is the only one to be had. */
 	if (!relay_retry_has_spare(req->relay, req->service))
 		return;
 	endpoint_drop_links(req->attempt.endpoint);
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -5,21 +5,21 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* An endpoint that accepts takes a few ms; one that is gone never does. */
+/* An endpoint that is up accepts within a few ms, one that is down never. */
 #define CONNECT_TIMEOUT_MS 300
 #define CONNECTS_FAILED_MAX 4
-/* With less time left, no endpoint can answer. */
+/* With less time left, no endpoint can respond. */
 #define REMAINING_MIN_MS 10
-/* How long a kept connection is trusted when the endpoint names no time: its
- * own is under a second then. */
+/* How long an idle connection is used if the endpoint does not announce its
+ * idle timeout, which is under a second then. */
 #define IDLE_DEFAULT_MS 350
-/* A request that must not be lost to a connection that died unseen goes only
- * on one that was used this recently. */
+/* A request that is not idempotent must not be lost on a connection that was
+ * closed unnoticed: it reuses only one that was idle for less than this. */
 #define IDLE_UNSAFE_MS 500
 #define RANK_MAX 9
 
-/* Whether the attempt is at an endpoint that a roll-out under way replaces, or
- * that the next one will. */
+/* Whether the attempt is at an endpoint that a roll-out in progress replaces,
+ * or that the next roll-out will replace. */
 static bool
 attempt_on_old_version(const relay_request_t *req)
 {
@@ -31,7 +31,7 @@
 	    !rollout_is_new(rollout, endpoint);
 }
 
-/* The session is served by that version as long as the attempt lasts. */
+/* The session is served by the old version as long as the attempt lasts. */
 static void
 session_record(const relay_request_t *req)
 {
@@ -80,7 +80,7 @@
 	return group->base_version;
 }
 
-/* The attempt no longer weighs on its endpoint. */
+/* The attempt no longer counts as load of its endpoint. */
 static void
 attempt_release_load(relay_request_t *req)
 {
@@ -208,8 +208,8 @@
 	evbuffer_free(body);
 }
 
-/* The decision, before anything comes of it: of a request that is under way
- * when its VM is lost this is all that stays. */
+/* Log the decision before the request is sent: if the VM is lost with the
+ * request in flight, nothing else is left of it. */
 static void
 attempt_log(const relay_request_t *req)
 {
@@ -232,8 +232,8 @@
 	    req->config->version, row_watch_age_ms(relay->endpoint_watch));
 }
 
-/* The configuration may have changed since the request was taken: the one in
- * force now decides what may be sent. */
+/* The configuration may have changed since the request was received: the
+ * current one decides what may be sent. */
 static err_code_t
 request_reauthorize(relay_request_t *req)
 {
@@ -256,7 +256,7 @@
 	return ERR_NONE;
 }
 
-/* No further attempt: tell what is known of those before. */
+/* There is no further attempt: respond with the outcome of those before. */
 static void
 request_conclude(relay_request_t *req, err_code_t not_run_code, const char *why)
 {
@@ -335,7 +335,8 @@
 	const relay_organisation_t *organisation;
 	const relay_route_t *route;
 
-	/* The process may have stood still while it connected. */
+	/* This daemon may have been suspended while it connected, and all of
+	 * this may have changed. */
 	if (req->config == relay->config && endpoint->present &&
 	    endpoint_accepts_requests(endpoint) && relay_warmup_acquire(req) &&
 	    !relay_quarantine_refuses(req) &&
--- a/moortack/relay/relay_response.c
+++ b/moortack/relay/relay_response.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An endpoint is not read while its caller has this much to take. */
+/* An endpoint is not read while this many bytes are pending for its caller. */
 #define CALLER_PENDING_MAX (256U << 10)
 #define STATUS_OK 200
 #define STATUS_MULTIPLE_CHOICES 300
@@ -16,7 +16,7 @@
 	return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES;
 }
 
-/* The endpoint's header lines, less those of its connection. */
+/* The endpoint's header lines without hop-by-hop headers. */
 static char *
 response_head_format(const http_msg_t *msg)
 {
@@ -155,7 +155,8 @@
 	relay_guard_event(req);
 }
 
-/* Pass on the events that are whole. @return false: the attempt is over */
+/* Forward the complete events.
+ * @return false: the attempt has ended */
 static bool
 events_forward(relay_request_t *req)
 {
@@ -241,7 +242,6 @@
 	http_inbound_end(caller);
 }
 
-/* Pass on an answer that was kept whole. */
 void
 response_forward(relay_request_t *req)
 {
--- a/moortack/relay/relay_service_state.c
+++ b/moortack/relay/relay_service_state.c
@@ -6,10 +6,10 @@
 /* Routes with an estimate of their callers' first tries: enough for those of
  * several configurations, since none is removed. */
 #define ROUTES_TRACKED_MAX 4096
-/* Part of the retry budget that is reserved for failures. With 0.25, a daemon
- * that receives a few streams a second had no retry left for one in forty
- * escalations to a larger model, and three of the users' sheets scored 0.003 to
- * 0.005 less (15, 15 and 10 days, each within the noise). */
+/* Part of the retry budget that is reserved for failures. 0.25 left a daemon
+ * that receives a few streams a second no retry for one escalation to a larger
+ * model in forty, and lowered the benchmark score of three deployments by 0.003
+ * to 0.005 (15, 15 and 10 days, each within the noise). */
 #define RETRY_RESERVE_SHARE 0.05
 
 service_state_t *
