--- a/test/fuzz/events_fuzz.c
+++ b/test/fuzz/events_fuzz.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Events of a stream are found alike however it is cut, and no byte is lost or
- * made up.
+ * The same events are found in a stream however it is split into pieces, and no
+ * byte is lost or added.
  */
 #include <string.h>
 
@@ -16,7 +16,7 @@
 	size_t len;
 	int64_t ids[EVENTS_MAX];
 	size_t events;
-	bool open;
+	bool incomplete;
 } result_t;
 
 static void
@@ -42,10 +42,10 @@
 			    event.has_id ? event.id : -1;
 		}
 	}
-	result->open = event_scan_has_partial(&scan);
+	result->incomplete = event_scan_has_partial(&scan);
 	event_scan_finish(&scan);
 	FUZZ_CHECK(memcmp(result->text, bytes, result->len) == 0);
-	FUZZ_CHECK(result->open == (result->len < len));
+	FUZZ_CHECK(result->incomplete == (result->len < len));
 }
 
 int
@@ -59,7 +59,7 @@
 	scan_in_pieces(bytes + 1, len - 1, 1 + bytes[0] % 7, &pieces);
 	FUZZ_CHECK(whole.events == pieces.events);
 	FUZZ_CHECK(whole.len == pieces.len);
-	FUZZ_CHECK(whole.open == pieces.open);
+	FUZZ_CHECK(whole.incomplete == pieces.incomplete);
 	FUZZ_CHECK(memcmp(whole.ids, pieces.ids,
 		       whole.events * sizeof(whole.ids[0])) == 0);
 	return 0;
--- a/test/fuzz/retries_fuzz.c
+++ b/test/fuzz/retries_fuzz.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Retries of one daemon stay within its share in every span of the window's
- * length, whatever comes when; the oracle keeps all times.
+ * The retries of one daemon stay within its share in every interval of the
+ * window's length, for any sequence of requests and retries. The reference
+ * model stores the times of all of them.
  */
 #include "common/clock_source.h"
 #include "input.h"
@@ -10,7 +11,7 @@
 #define EVENTS_MAX 4096
 #define WINDOW_MS 10000
 #define DAEMONS 4
-/* The window is kept in slices, so that requests count a little longer. */
+/* The window consists of slices, so that requests count a little longer. */
 #define REQUESTS_MS (WINDOW_MS * 11 / 10)
 
 static int64_t requests[EVENTS_MAX], retries[EVENTS_MAX];
--- a/test/platform/decision_logged.lua
+++ b/test/platform/decision_logged.lua
@@ -1,5 +1,5 @@
--- A request that is under way when its VM is lost: the decision on it was written
--- when it was made, with what it was made from.
+-- A VM is lost with a request in flight: the choice of the endpoint was logged
+-- when it was made, with what it was based on.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -17,7 +17,7 @@
 
 w:faults(1, {hold = true})
 local call = words.begin(d, "/scan/1", {method = "GET", id = "underway"})
-lib.wait_until("the decision is written", function()
+lib.wait_until("the decision is logged", function()
   return line_of("underway") ~= nil
 end)
 d:kill()
--- a/test/platform/framing.lua
+++ b/test/platform/framing.lua
@@ -1,6 +1,6 @@
--- Bytes that could be read as two messages, through the real daemon: refused,
--- the connection is closed behind the answer, and nothing of it runs. Proper
--- ones with unusual framing are served.
+-- Request smuggling: input that can be parsed as one or as two messages is
+-- refused, its connection is closed after the response, and no part of it runs.
+-- Valid messages with unusual framing are served.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -18,15 +18,16 @@
     method or "POST", target or "/book/1", number, lines)
 end
 
--- Send bytes and read until the answer's head is there, and a while longer.
-local function exchange(bytes, answers)
+-- Send bytes, read until the heads of all responses were received, and then for
+-- 150 ms more.
+local function exchange(bytes, responses)
   local socket = run.connect(d.callers)
   local text = ""
   run.write(socket, bytes)
-  lib.wait_until("an answer", function()
+  lib.wait_until("a response", function()
     text = text .. run.read(socket)
     local _, count = text:gsub("HTTP/1.1 %d+", "")
-    return count >= (answers or 1)
+    return count >= (responses or 1)
   end)
   run.sleep(150)
   return text .. run.read(socket)
@@ -38,22 +39,22 @@
   lib.check(text:match("^HTTP/1.1 400 "), "%s: %s", what, text)
   lib.check(text:match("Connection: close"), "%s is not closed", what)
   local _, count = text:gsub("HTTP/1.1 %d+", "")
-  lib.equal(count, 1, "answers to " .. what)
+  lib.equal(count, 1, "responses to " .. what)
   lib.equal(#w:runs(1), before, "runs after " .. what)
 end
 
-local function served(what, bytes, answers)
+local function served(what, bytes, responses)
   local before = #w:runs(1)
-  local text = exchange(bytes, answers)
+  local text = exchange(bytes, responses)
   lib.check(text:match("^HTTP/1.1 200 "), "%s: %s", what, text)
-  lib.equal(#w:runs(1), before + (answers or 1), "runs of " .. what)
+  lib.equal(#w:runs(1), before + (responses or 1), "runs of " .. what)
 end
 
 refused("two lengths", head("Content-Length: 4\r\nContent-Length: " ..
   #HIDDEN .. "\r\n") .. HIDDEN)
-refused("a spaced colon", head("Content-Length : " .. #HIDDEN .. "\r\n") ..
-  HIDDEN)
-refused("a length beside chunks", head("Content-Length: 5\r\n" ..
+refused("a space before the colon",
+  head("Content-Length : " .. #HIDDEN .. "\r\n") .. HIDDEN)
+refused("a length together with chunks", head("Content-Length: 5\r\n" ..
   "Transfer-Encoding: chunked\r\n") .. "0\r\n\r\n" .. HIDDEN)
 refused("an unknown encoding", head("Transfer-Encoding: xchunked\r\n") ..
   "0\r\n\r\n" .. HIDDEN)
@@ -74,20 +75,20 @@
 served("two requests at once", head("Content-Length: 4\r\n") .. "abcd" ..
   head("Content-Length: 2\r\n") .. "ef", 2)
 
--- What a caller sends in pieces is one request.
+-- A request that is received in small pieces is one request.
 local socket = run.connect(d.callers)
 local before = #w:runs(1)
 for piece in (head("Content-Length: 4\r\n") .. "abcd"):gmatch("..?.?") do
   run.write(socket, piece)
 end
 local text = ""
-lib.wait_until("an answer to pieces", function()
+lib.wait_until("a response to a request in pieces", function()
   text = text .. run.read(socket)
   return text:match("^HTTP/1.1 200 ") ~= nil
 end)
 lib.equal(#w:runs(1), before + 1, "runs of a request in pieces")
 
--- Headers beyond the configured bound.
+-- Headers longer than the configured limit.
 local large = exchange(head("X: " .. string.rep("x", 70000) .. "\r\n"))
 lib.check(large:match("^HTTP/1.1 431 "), "a large head: %.60s", large)
 lib.say("ok")
--- a/test/platform/hangup.lua
+++ b/test/platform/hangup.lua
@@ -1,9 +1,9 @@
--- A daemon that was told to read its settings again while it was still starting
--- ended at once: nothing took that signal yet, and its default is to end. Found
--- by the soak, in which a daemon that was started again never became ready.
+-- SIGHUP, which reloads the settings, terminated a daemon that was still
+-- starting: no handler was installed yet, and the signal's default action is to
+-- terminate. Found by the soak test, where a restarted daemon never became ready.
 --
--- Here the settings come through a pipe: once that is open, the daemon runs and
--- waits for them.
+-- The settings are read from a pipe here: once the daemon has opened it, it is
+-- running and waits for them.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -11,14 +11,14 @@
 local text, path = w:settings(1)
 local pipe = path .. ".pipe"
 
-lib.check(os.execute("mkfifo '" .. pipe .. "'"), "no pipe")
+lib.check(os.execute("mkfifo '" .. pipe .. "'"), "cannot create the pipe")
 local d = w:start(1, pipe)
 local file = assert(io.open(pipe, "w"))
 d:signal("HUP")
 run.sleep(100)
 file:write(text)
 file:close()
--- From now on it is a file.
+-- Later reads get a regular file.
 file = assert(io.open(path, "w"))
 file:write(text)
 file:close()
--- a/test/platform/leaving_first.lua
+++ b/test/platform/leaving_first.lua
@@ -1,44 +1,48 @@
--- The daemon that reads the store for all others is told to stop while it still
--- has work: the others hear of changes as soon as before.
+-- The daemon that reads the store for all others, the root of the tree, gets
+-- SIGTERM while it still has a request in flight: the others receive changes as
+-- soon as before.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
 local DAEMONS = 4
--- Far below the time that the users give for an endpoint's leaving.
+-- Far below the time that the users allow for an endpoint to drain.
 local KNOWN_MS = 1500
 local w = words.world(2, DAEMONS)
 
-local function first()
+local function find_root()
   for _, daemon in ipairs(w.daemons) do
     if words.metric(daemon, "following") == 0 then return daemon end
   end
 end
 
-lib.wait_until("all others follow one", function()
-  local readers = 0
+lib.wait_until("all other daemons follow one", function()
+  local roots = 0
   for _, daemon in ipairs(w.daemons) do
-    if words.metric(daemon, "following") == 0 then readers = readers + 1 end
+    if words.metric(daemon, "following") == 0 then roots = roots + 1 end
   end
-  return readers == 1
+  return roots == 1
 end)
 for i = 1, 2 do w:faults(i, {events = 60, pause_ms = 50}) end
-local reader = first()
-local call = words.begin(reader, "/stream/a")
-lib.wait_until("its stream runs", function() return w:ran(call.id) > 0 end)
-reader:signal("TERM")
--- Its word that it leaves is in the store, and nobody else reads that yet.
-lib.wait_until("it is not ready", function() return not words.ready(reader) end)
+local root = find_root()
+local call = words.begin(root, "/stream/a")
+lib.wait_until("its stream is in progress", function()
+  return w:ran(call.id) > 0
+end)
+root:signal("TERM")
+-- Its row in the store says that it leaves, and no other daemon reads the store
+-- yet.
+lib.wait_until("it is not ready", function() return not words.ready(root) end)
 run.sleep(400)
 w:replica(1, "v1", "draining")
-lib.wait_until("the others know of the endpoint that leaves", function()
+lib.wait_until("the others know of the draining endpoint", function()
   for _, daemon in ipairs(w.daemons) do
-    if daemon ~= reader and
+    if daemon ~= root and
         words.metric(daemon, "endpoints_leaving") ~= 1 then
       return false
     end
   end
   return true
 end, KNOWN_MS)
-lib.check(words.whole(call:finish().body, 60), "the stream is cut")
-lib.equal(reader:wait(), 0, "its exit status")
+lib.check(words.whole(call:finish().body, 60), "the stream is truncated")
+lib.equal(root:wait(), 0, "its exit status")
 lib.say("ok")
--- a/test/platform/silent.lua
+++ b/test/platform/silent.lua
@@ -1,6 +1,6 @@
--- Kept connections to endpoints fall silent for good, without a reset, while new
--- ones work: what may be repeated is answered elsewhere, what may run once has its
--- true outcome.
+-- Idle connections to endpoints stop passing data for good, without a reset,
+-- while new ones work: an idempotent request is retried and succeeds, an unsafe
+-- one is reported with its true outcome.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -16,12 +16,13 @@
   end
   for i = 1, 2 do w:silence(i) end
   local scan = words.call(d, "/scan/2", {method = "GET", deadline = 4000})
-  lib.equal(scan.status, 200, "a scan on a connection that is silent")
+  lib.equal(scan.status, 200, "a scan on a silent connection")
 end
 lib.check(words.metric(d, "repeats_total") >= ROUNDS,
-  "repeated only %d times", words.metric(d, "repeats_total"))
+  "only %d retries", words.metric(d, "repeats_total"))
 
--- A booking that was sent on such a connection may have run: no promise is made.
+-- A booking that was sent on such a connection may have run: it is not reported
+-- as not run.
 for _ = 1, 8 do words.call(d, "/book/1") end
 for i = 1, 2 do w:silence(i) end
 local booked = words.call(d, "/book/2", {deadline = 1500})
--- a/test/platform/whole_path.lua
+++ b/test/platform/whole_path.lua
@@ -1,13 +1,13 @@
--- The whole path over the platform's wire: callers ask where to connect,
--- requests run once on an endpoint of their route under their organisation,
--- streams come whole, and what is not allowed is refused.
+-- The whole request path in the platform's protocol: callers look up where to
+-- connect, requests run once on an endpoint of their route with their
+-- organisation, streams are complete, and unauthorised requests are refused.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
 local w = words.world(2, 3)
 local d = w.daemons
 
-lib.wait_until("all daemons are named", function()
+lib.wait_until("all daemons are listed", function()
   return #words.addresses(d[1]) == 3 and #words.addresses(d[3]) == 3
 end)
 lib.wait_until("daemons follow one another", function()
@@ -19,11 +19,11 @@
 lib.equal(booked.status, 200, "a booking")
 lib.equal(booked.body, "done\n", "its body")
 lib.equal(w:ran(booked.id), 1, "runs of the booking")
-for _, one in ipairs(w:all_runs()) do
-  lib.equal(one.uri, "/book/7?shelf=2", "path and query")
-  lib.equal(one["Moortack-Tenant-Id"], "t1", "organisation")
-  lib.equal(one["Moortack-Credential"], nil, "the key stays here")
-  lib.equal(one.body_len, 4, "length of the body")
+for _, request in ipairs(w:all_runs()) do
+  lib.equal(request.uri, "/book/7?shelf=2", "path and query")
+  lib.equal(request["Moortack-Tenant-Id"], "t1", "organisation")
+  lib.equal(request["Moortack-Credential"], nil, "the key is not forwarded")
+  lib.equal(request.body_len, 4, "length of the body")
 end
 
 local stream = words.call(d[2], "/stream/a")
@@ -35,7 +35,7 @@
 lib.equal(words.call(d[1], "/open/1", {key = false}).status, 200, "anonymous")
 lib.equal(words.call(d[1], "/other/1").status, 404, "unknown route")
 
--- A key that is taken away is refused by every daemon soon.
+-- A key that is removed is soon refused by every daemon.
 w:configure({"k2"})
 for i = 1, 3 do
   lib.wait_until("the key is refused", function()
@@ -45,9 +45,9 @@
     {method = "GET", key = "k2"}).status, 200, "the other key")
 end
 
--- Replicas that leave get no new work.
+-- A draining replica gets no new requests.
 w:replica(1, "v1", "draining")
-lib.wait_until("the leaving replica is known", function()
+lib.wait_until("the draining replica is known", function()
   local before = #w:runs(1)
   for _ = 1, 12 do words.call(d[2], "/scan/2", {key = "k2"}) end
   return #w:runs(1) == before
--- a/test/unit/relay_counts_test.c
+++ b/test/unit/relay_counts_test.c
@@ -1,10 +1,11 @@
 /**
  * @file
- * How much of the budget for repeats is there for larger models, as loads play
- * it: a daemon of a large fleet takes a few streams a second, so that its own
- * share is used unevenly, and when fewer come than before its repeats are
- * counted against the fewer. Answers were kept that a larger model would have
- * made better: 131 of 828 in two seconds of a day on which a roll-out ended.
+ * The part of the retry budget that is available for escalations to larger
+ * models, under a simulated load. A daemon of a large fleet receives a few
+ * streams a second, so that its own share is used unevenly, and when the rate
+ * falls, its earlier retries are counted against fewer requests. Escalations
+ * were denied then, although a larger model would have given a better response:
+ * 131 of 828 in two seconds of a day on which a roll-out ended.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,7 +22,7 @@
 
 #define DAEMONS 91
 #define STREAMS_PER_S 3.3
-/* Once the rush is over. */
+/* Rate after the peak, as a share of STREAMS_PER_S. */
 #define LATER_RATE_SHARE 0.75
 #define PEAK_S 20
 #define DURATION_S 40
@@ -86,8 +87,7 @@
 	assert_true(total.denied <= DENIED_SHARE_MAX * total.wanted);
 }
 
-/* Something is left for failures: a repeat is allowed when no more larger
- * models are asked. */
+/* Retries are left for failures when no more escalations are allowed. */
 static void
 budget_is_reserved_for_failures(void **state)
 {
