--- a/moortack/relay/attempt_silence.c
+++ b/moortack/relay/attempt_silence.c
@@ -1,41 +1,43 @@
 #include "relay_request.h"
 
-/* Part of the objective after which a kept connection without an answer counts
- * as silent: the rest is twice what such a request takes on the users' sheets.
- */
-#define SILENCE_PART 0.6
-/* What an endpoint sent before it ended, and started again, comes at once; its
- * entry comes from its next start, hundreds of milliseconds later. An attempt
- * there that has heard nothing for this long gets nothing more. */
-#define ENDED_QUIET_MS 100
+/* Part of the objective after which a reused connection without a response is
+ * silent. What is left of the objective is twice what such a request takes in
+ * the users' deployments. */
+#define SILENCE_OBJECTIVE_SHARE 0.6
+/* What a process sent before it ended is received at once. The entry that
+ * reports its end is written by the next process at its start, hundreds of
+ * milliseconds later. An attempt at the old process that has received nothing
+ * for this long gets no further data. */
+#define RESTARTED_QUIET_MS 100
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 
-/* A silent connection can't be told from a slow endpoint, but by the latter's
- * being full: only what may be repeated at once is given up for it, while there
- * is another attempt. */
+/* A dead connection looks like a slow endpoint, except that a slow one reports
+ * that it is full. So only attempts of requests that are safe to repeat are
+ * given up, as long as another attempt is left. */
 static bool
-silence_counts(const relay_request_t *req)
+silence_applies(const relay_request_t *req)
 {
 	const attempt_t *attempt = &req->attempt;
 	const endpoint_load_t *load = &attempt->endpoint->load;
 
-	return attempt->kept && req->route->kind == ROUTE_SAFE &&
+	return attempt->reused && req->route->kind == ROUTE_SAFE &&
 	    req->sends < req->route->attempts && load->waiting == 0 &&
 	    (load->slots == 0 || load->running < load->slots);
 }
 
-static void silence_wait(relay_request_t *, int64_t ms);
+static void silence_timer_start(relay_request_t *, int64_t ms);
 
-/* Nothing more comes of a process that has ended, but for what its slow caller
- * has not let this daemon read yet. */
+/* No further data is received from a process that has ended, unless reading was
+ * paused because the caller is slow. */
 static void
-ended_quiet(relay_request_t *req)
+restarted_endpoint_silent(relay_request_t *req)
 {
 	if (req->paused)
-		silence_wait(req, ENDED_QUIET_MS);
+		silence_timer_start(req, RESTARTED_QUIET_MS);
 	else
-		attempt_over(req, ATTEMPT_UNKNOWN, "endpoint_restarted");
+		attempt_retry_or_fail(
+		    req, ATTEMPT_UNKNOWN, "endpoint_restarted");
 }
 
 static void
@@ -45,58 +47,59 @@
 
 	(void)fd;
 	(void)what;
-	if (req->attempt.ended) {
-		ended_quiet(req);
+	if (req->attempt.endpoint_restarted) {
+		restarted_endpoint_silent(req);
 		return;
 	}
-	/* Without a repeat, an answer that is merely late is all there is. */
-	if (!relay_repeat_plenty(req->relay, req->service))
+	/* Without a retry left, a late response is the only one to be had. */
+	if (!relay_retry_has_spare(req->relay, req->service))
 		return;
 	endpoint_close_idle(req->attempt.endpoint);
-	req->kept_dead = true;
-	attempt_over(req, ATTEMPT_UNKNOWN, "silent");
+	req->avoid_reuse = true;
+	attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "silent");
 }
 
 static void
-silence_wait(relay_request_t *req, int64_t ms)
+silence_timer_start(relay_request_t *req, int64_t ms)
 {
 	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
-	if (req->silence == NULL)
-		req->silence =
+	if (req->silence_timer == NULL)
+		req->silence_timer =
 		    event_new(req->relay->base, -1, 0, on_silence, req);
-	if (req->silence != NULL)
-		event_add(req->silence, &delay);
+	if (req->silence_timer != NULL)
+		event_add(req->silence_timer, &delay);
 }
 
 void
 attempt_watch_silence(relay_request_t *req)
 {
-	int64_t ms = (int64_t)((double)req->route->objective_ms * SILENCE_PART);
+	int64_t ms = (int64_t)((double)req->route->objective_ms *
+	    SILENCE_OBJECTIVE_SHARE);
 
-	if (ms > 0 && silence_counts(req))
-		silence_wait(req, ms);
+	if (ms > 0 && silence_applies(req))
+		silence_timer_start(req, ms);
 }
 
 void
-attempt_heard(relay_request_t *req)
+attempt_bytes_received(relay_request_t *req)
 {
-	if (req->attempt.ended)
-		silence_wait(req, ENDED_QUIET_MS);
-	else if (req->silence != NULL)
-		event_del(req->silence);
+	if (req->attempt.endpoint_restarted)
+		silence_timer_start(req, RESTARTED_QUIET_MS);
+	else if (req->silence_timer != NULL)
+		event_del(req->silence_timer);
 }
 
 void
-relay_endpoint_ended(relay_t *relay, const endpoint_t *endpoint)
+relay_endpoint_restarted(relay_t *relay, const endpoint_t *endpoint)
 {
 	relay_quarantine_endpoint_crashed(
 	    &relay->quarantine, endpoint, "restarted");
-	for (relay_request_t *req = relay->first; req != NULL;
+	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		if (req->attempt.endpoint != endpoint || !req->attempt.sent)
 			continue;
-		req->attempt.ended = true;
-		silence_wait(req, ENDED_QUIET_MS);
+		req->attempt.endpoint_restarted = true;
+		silence_timer_start(req, RESTARTED_QUIET_MS);
 	}
 }
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -89,7 +89,7 @@
 	    previous->info.leaving != info->leaving)
 		entry_log(node, info, order);
 	if (order == INCARNATION_LATER)
-		relay_endpoint_ended(&node->relay, previous);
+		relay_endpoint_restarted(&node->relay, previous);
 	endpoint = endpoint_set_update(&node->endpoints, info);
 	if (!was_lapsed || endpoint == NULL)
 		return;
@@ -203,7 +203,7 @@
 		endpoint_t *previous =
 		    endpoint_set_find(&node->endpoints, info.id);
 
-		relay_endpoint_ended(&node->relay, previous);
+		relay_endpoint_restarted(&node->relay, previous);
 		endpoint_set_remove(&node->endpoints, previous);
 		endpoint_apply(node, &info, true);
 		lapsed_rows_hold_back(node);
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -5,23 +5,23 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* An endpoint that accepts takes a few ms; one that is gone never does. */
-#define CONNECT_MS 300
+/* An endpoint that is up accepts within a few ms, one that is down never. */
+#define CONNECT_TIMEOUT_MS 300
 #define CONNECTS_FAILED_MAX 4
-/* With less time left, no endpoint can answer. */
-#define LEFT_MIN_MS 10
-/* How long a kept connection is trusted when the endpoint names no time: its
- * own is under a second then. */
-#define IDLE_UNNAMED_MS 350
-/* A request that must not be lost to a connection that died unseen goes only
- * on one that was used this recently. */
+/* With less time left, no endpoint can respond. */
+#define REMAINING_MIN_MS 10
+/* How long an idle connection is used if the endpoint does not announce its
+ * idle timeout, which is under a second then. */
+#define IDLE_DEFAULT_MS 350
+/* A request that is not idempotent must not be lost on a connection that was
+ * closed unnoticed: it reuses only one that was idle for less than this. */
 #define IDLE_UNSAFE_MS 500
 #define RANK_MAX 9
 
-/* Whether the attempt is at an endpoint that a roll-out under way replaces, or
- * that the next one will. */
+/* Whether the attempt is at an endpoint that a roll-out in progress replaces,
+ * or that the next roll-out will replace. */
 static bool
-attempt_on_old(const relay_request_t *req)
+attempt_on_old_version(const relay_request_t *req)
 {
 	const endpoint_t *endpoint = req->attempt.endpoint;
 	const rollout_t *rollout =
@@ -31,31 +31,32 @@
 	    !rollout_is_new_version(rollout, endpoint);
 }
 
-/* The session is served by that version as long as the attempt lasts. */
+/* The session is served by the old version as long as the attempt lasts. */
 static void
-session_note(const relay_request_t *req)
+session_record(const relay_request_t *req)
 {
-	if (req->arrival.session != NULL && attempt_on_old(req))
-		rollouts_record_old_session(req->relay->rollouts, req->spread);
+	if (req->arrival.session != NULL && attempt_on_old_version(req))
+		rollouts_record_old_session(
+		    req->relay->rollouts, req->split_hash);
 }
 
 void
-relay_sessions_note(const relay_t *relay)
+relay_sessions_record(const relay_t *relay)
 {
-	for (const relay_request_t *req = relay->first; req != NULL;
+	for (const relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		if (req->attempt.endpoint != NULL)
-			session_note(req);
+			session_record(req);
 	}
 }
 
 uint32_t
-relay_on_old(const void *arg, const rollout_t *rollout)
+relay_old_version_in_flight(const void *arg, const rollout_t *rollout)
 {
 	const relay_t *relay = arg;
 	uint32_t count = 0;
 
-	for (const relay_request_t *req = relay->first; req != NULL;
+	for (const relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		const endpoint_t *endpoint = req->attempt.endpoint;
 
@@ -69,7 +70,7 @@
 }
 
 const char *
-relay_first_version(const void *arg, const char *service)
+relay_group_base_version(const void *arg, const char *service)
 {
 	const relay_t *relay = arg;
 	endpoint_group_t *group =
@@ -81,26 +82,26 @@
 	return group->base_version;
 }
 
-/* The attempt no longer weighs on its endpoint. */
+/* The attempt no longer counts as load of its endpoint. */
 static void
-attempt_uncount(relay_request_t *req)
+attempt_release_load(relay_request_t *req)
 {
 	attempt_t *attempt = &req->attempt;
 
 	prefill_queue_cancel(&attempt->endpoint->prefill_queue,
-	    &attempt->ticket,
+	    &attempt->prefill_entry,
 	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
 	if (!req->attempt.sent)
 		return;
-	session_note(req);
+	session_record(req);
 	endpoint_request_ended(req->attempt.endpoint);
 }
 
 static void
 attempt_clear(relay_request_t *req)
 {
-	if (req->silence != NULL)
-		event_del(req->silence);
+	if (req->silence_timer != NULL)
+		event_del(req->silence_timer);
 	endpoint_release(req->attempt.endpoint);
 	req->attempt = (attempt_t){0};
 }
@@ -110,14 +111,14 @@
 {
 	attempt_t *attempt = &req->attempt;
 
-	relay_ask_end(req);
+	relay_query_end(req);
 	if (attempt->endpoint == NULL)
 		return;
-	if (attempt->sent && !attempt->headed)
-		relay_model_unanswered(req);
-	if (attempt->sent && !attempt->broke && !attempt->whole)
-		relay_attempt_left(req);
-	attempt_uncount(req);
+	if (attempt->sent && !attempt->head_received)
+		relay_model_no_response(req);
+	if (attempt->sent && !attempt->connection_lost && !attempt->completed)
+		relay_attempt_abandoned(req);
+	attempt_release_load(req);
 	attempt->endpoint->connections--;
 	http_outbound_free(attempt->conn);
 	attempt_clear(req);
@@ -127,39 +128,42 @@
 attempt_release(relay_request_t *req)
 {
 	attempt_t *attempt = &req->attempt;
-	int64_t idle_ms = attempt->answer.idle_max_ms > 0
-	    ? attempt->answer.idle_max_ms
-	    : IDLE_UNNAMED_MS;
+	int64_t idle_ms = attempt->response.idle_max_ms > 0
+	    ? attempt->response.idle_max_ms
+	    : IDLE_DEFAULT_MS;
 
-	attempt->whole = true;
-	if (!http_outbound_reusable(attempt->conn) || attempt->answer.leaving) {
+	attempt->completed = true;
+	if (!http_outbound_reusable(attempt->conn) ||
+	    attempt->response.closes_connection) {
 		attempt_cancel(req);
 		return;
 	}
-	attempt_uncount(req);
+	attempt_release_load(req);
 	endpoint_keep_connection(attempt->endpoint, attempt->conn, idle_ms);
 	attempt_clear(req);
 }
 
 static bool
-connection_get(relay_request_t *req, endpoint_t *endpoint)
+connection_acquire(relay_request_t *req, endpoint_t *endpoint)
 {
 	attempt_t *attempt = &req->attempt;
 	relay_t *relay = req->relay;
 	int64_t max_ms = request_idempotent(req) ? INT64_MAX : IDLE_UNSAFE_MS;
 
-	attempt->conn =
-	    req->kept_dead ? NULL : endpoint_take_connection(endpoint, max_ms);
-	attempt->kept = attempt->conn != NULL;
-	if (attempt->kept)
+	attempt->conn = req->avoid_reuse
+	    ? NULL
+	    : endpoint_take_connection(endpoint, max_ms);
+	attempt->reused = attempt->conn != NULL;
+	if (attempt->reused)
 		http_outbound_set_silent(attempt->conn,
-		    request_idempotent(req) ? relay->bounds.silent_repeat_ms
-					    : relay->bounds.silent_ms);
+		    request_idempotent(req)
+			? relay->bounds.reused_silence_timeout_ms
+			: relay->bounds.silence_timeout_ms);
 	if (attempt->conn == NULL) {
 		stats_add(&relay->stats, STAT_CONNECTIONS, 1);
 		attempt->conn =
 		    http_outbound_new(relay->base, &endpoint->info.address,
-			CONNECT_MS, relay->bounds.silent_ms);
+			CONNECT_TIMEOUT_MS, relay->bounds.silence_timeout_ms);
 		if (attempt->conn == NULL)
 			return false;
 		endpoint->connections++;
@@ -169,7 +173,7 @@
 }
 
 static int
-rank_of(const relay_request_t *req)
+request_rank(const relay_request_t *req)
 {
 	int rank = req->route->rank;
 
@@ -185,35 +189,35 @@
 	const http_msg_t *msg = http_inbound_request(req->caller);
 	struct evbuffer *head = evbuffer_new();
 	struct evbuffer *body = evbuffer_new();
-	attempt_head_t words = {.request = msg,
+	attempt_head_t info = {.request = msg,
 	    .arrival = &req->arrival,
 	    .endpoint = &attempt->endpoint->info,
 	    .organisation =
 		req->organisation != NULL ? req->organisation->name : NULL,
 	    .model = attempt->model,
-	    .left_ms = request_left_ms(req),
-	    .resume = req->begun,
-	    .resume_after = req->last_event,
-	    .rank = rank_of(req),
+	    .remaining_ms = request_remaining_ms(req),
+	    .resume = req->response_started,
+	    .last_event_id = req->last_event_id,
+	    .rank = request_rank(req),
 	    .body_len = evbuffer_get_length(req->body),
 	    .has_body =
 		http_msg_field(msg, "Content-Length") != NULL || msg->chunked};
 
-	req->relay->endpoint_words->write(&words, head);
-	if (words.body_len > 0)
+	req->relay->endpoint_dialect->write(&info, head);
+	if (info.body_len > 0)
 		evbuffer_add_buffer_reference(body, req->body);
-	http_outbound_send(attempt->conn, &answer_ops, req, head, body,
+	http_outbound_send(attempt->conn, &response_ops, req, head, body,
 	    strcmp(msg->method, "HEAD") == 0);
 	evbuffer_free(head);
 	evbuffer_free(body);
 }
 
-/* The decision, before anything comes of it: of a request that is under way
- * when its VM is lost this is all that stays. */
+/* Log the decision before the request is sent: if the VM is lost with the
+ * request in flight, nothing else is left of it. */
 static void
 attempt_log(const relay_request_t *req)
 {
-	const placement_t *place = &req->attempt.place;
+	const placement_t *placement = &req->attempt.placement;
 	const relay_t *relay = req->relay;
 
 	event_line(relay->log, "attempt",
@@ -221,109 +225,114 @@
 	    "of=%zu cold=%zu told=%zu load=%.0f wait_ms=%.0f read_ms=%.0f "
 	    "first_ms=%.0f "
 	    "left_ms=%" PRId64 " config=%" PRIu64 " endpoints_age_ms=%" PRId64,
-	    req->arrival.id, req->endpoint_id, place->endpoint->info.zone,
+	    req->arrival.id, req->last_endpoint_id,
+	    placement->endpoint->info.zone,
 	    req->attempt.model != NULL ? req->attempt.model : "-",
-	    req->sends + req->connects + 1, req->attempt.kept, req->begun,
-	    place->candidates, place->cold, place->told, place->load,
-	    place->wait_ms, place->read_ms, place->first_ms,
-	    request_left_ms(req), req->config->version,
-	    row_watch_age_ms(relay->endpoint_watch));
+	    req->sends + req->connects_failed + 1, req->attempt.reused,
+	    req->response_started, placement->candidates,
+	    placement->cold_skipped, placement->owner_reports, placement->load,
+	    placement->queue_wait_ms, placement->prefill_ms,
+	    placement->first_byte_ms, request_remaining_ms(req),
+	    req->config->version, row_watch_age_ms(relay->endpoint_watch));
 }
 
-/* The configuration may have changed since the request was taken: the one in
- * force now decides what may be sent. */
+/* The configuration may have changed since the request was received: the
+ * current one decides what may be sent. */
 static err_code_t
-permit_again(relay_request_t *req)
+request_reauthorize(relay_request_t *req)
 {
 	relay_t *relay = req->relay;
 	const http_msg_t *msg = http_inbound_request(req->caller);
 	const relay_organisation_t *organisation;
 	const relay_route_t *route;
-	err_code_t code = relay_permit(
+	err_code_t code = relay_authorize(
 	    relay, &req->arrival, msg->target, &route, &organisation);
 
 	if (code != ERR_NONE || req->config == relay->config)
 		return code;
-	if (!relay_model_carry(req, route))
+	if (!relay_model_rebind(req, route))
 		return ERR_NO_ENDPOINT;
 	relay_config_release(req->config);
 	req->config = relay_config_share(relay->config);
 	req->route = route;
 	req->organisation = organisation;
-	req->service = relay_pool(route, req->spread);
+	req->service = relay_route_service(route, req->split_hash);
 	return ERR_NONE;
 }
 
-/* No further attempt: tell what is known of those before. */
+/* There is no further attempt: respond with the outcome of those before. */
 static void
-attempts_end(relay_request_t *req, err_code_t not_run, const char *why)
+request_conclude(relay_request_t *req, err_code_t not_run_code, const char *why)
 {
-	if (req->failure_kept && !req->begun) {
-		answer_pass(req);
+	if (req->failure_buffered && !req->response_started) {
+		response_forward(req);
 		return;
 	}
 	request_fail(
-	    req, req->may_have_run ? ERR_UNKNOWN_OUTCOME : not_run, why);
+	    req, req->may_have_run ? ERR_UNKNOWN_OUTCOME : not_run_code, why);
 }
 
 void
 attempt_begin(relay_request_t *req)
 {
-	err_code_t code = permit_again(req);
+	err_code_t code = request_reauthorize(req);
 	rollout_t *rollout;
-	placement_t place;
+	placement_t placement;
 	const char *why;
 
 	if (code != ERR_NONE) {
-		attempts_end(req, code, "permit");
+		request_conclude(req, code, "permit");
 		return;
 	}
-	if (request_left_ms(req) < LEFT_MIN_MS) {
-		attempts_end(req, ERR_OVERLOAD, "no_time_left");
+	if (request_remaining_ms(req) < REMAINING_MIN_MS) {
+		request_conclude(req, ERR_OVERLOAD, "no_time_left");
 		return;
 	}
 	if (relay_quarantine_refuses(req)) {
-		attempts_end(req, ERR_QUARANTINED, "quarantined");
+		request_conclude(req, ERR_QUARANTINED, "quarantined");
 		return;
 	}
-	req->attempt.model = relay_model(req);
-	if (relay_ask(req))
+	req->attempt.model = relay_model_select(req);
+	if (relay_query_owners(req))
 		return;
-	if (!relay_place(req, req->model_index, &place, &why)) {
-		attempts_end(req,
-		    place.cold > 0 ? ERR_WARMING_UP : ERR_NO_ENDPOINT, why);
+	if (!relay_choose_endpoint(req, req->model_index, &placement, &why)) {
+		request_conclude(req,
+		    placement.cold_skipped > 0 ? ERR_WARMING_UP
+					       : ERR_NO_ENDPOINT,
+		    why);
 		return;
 	}
-	relay_ask_end(req);
-	if (!relay_suspect_fits(req)) {
-		if (!relay_suspect_waits(req))
-			attempts_end(req, ERR_NO_ENDPOINT, "last_endpoint");
+	relay_query_end(req);
+	if (!relay_suspect_may_send(req)) {
+		if (!relay_suspect_await_probe(req))
+			request_conclude(req, ERR_NO_ENDPOINT, "last_endpoint");
 		return;
 	}
-	req->place = place;
-	strcpy(req->endpoint_id, place.endpoint->info.id);
-	if (!connection_get(req, place.endpoint)) {
-		attempts_end(req, ERR_NO_ENDPOINT, "no_socket");
+	req->placement = placement;
+	strcpy(req->last_endpoint_id, placement.endpoint->info.id);
+	if (!connection_acquire(req, placement.endpoint)) {
+		request_conclude(req, ERR_NO_ENDPOINT, "no_socket");
 		return;
 	}
 	rollout = rollouts_find(req->relay->rollouts, req->service);
 	if (rollout != NULL && rollout->order.number != 0) {
-		req->attempt.is_new =
-		    rollout_is_new_version(rollout, place.endpoint);
-		req->attempt.on_trial = rollout_is_saturating(rollout);
+		req->attempt.new_version =
+		    rollout_is_new_version(rollout, placement.endpoint);
+		req->attempt.rollout_saturating =
+		    rollout_is_saturating(rollout);
 	}
 	relay_warmup_acquire(req);
-	if (place.cold > 0)
+	if (placement.cold_skipped > 0)
 		stats_add(&req->relay->stats, STAT_COLD_PASSED_OVER, 1);
-	req->attempt.place = place;
-	relay_place_note(req, &place, req->model_index);
-	session_note(req);
+	req->attempt.placement = placement;
+	relay_placement_record(req, &placement, req->model_index);
+	session_record(req);
 	attempt_log(req);
 	attempt_send(req);
 }
 
 bool
-attempt_ready(relay_request_t *req)
+attempt_may_send(relay_request_t *req)
 {
 	const relay_t *relay = req->relay;
 	const endpoint_t *endpoint = req->attempt.endpoint;
@@ -331,11 +340,12 @@
 	const relay_organisation_t *organisation;
 	const relay_route_t *route;
 
-	/* The process may have stood still while it connected. */
+	/* This daemon may have been suspended while it connected, and all of
+	 * this may have changed. */
 	if (req->config == relay->config && endpoint->in_set &&
 	    endpoint_accepts_requests(endpoint) && relay_warmup_acquire(req) &&
 	    !relay_quarantine_refuses(req) &&
-	    relay_permit(relay, &req->arrival, msg->target, &route,
+	    relay_authorize(relay, &req->arrival, msg->target, &route,
 		&organisation) == ERR_NONE)
 		return true;
 	attempt_cancel(req);
@@ -344,26 +354,26 @@
 }
 
 static bool
-may_repeat(relay_request_t *req, attempt_end_t end)
+may_retry(relay_request_t *req, attempt_outcome_t outcome)
 {
 	relay_t *relay = req->relay;
 
-	if (end == ATTEMPT_NOT_SENT && req->sends == 0)
-		return req->connects < CONNECTS_FAILED_MAX;
+	if (outcome == ATTEMPT_NOT_SENT && req->sends == 0)
+		return req->connects_failed < CONNECTS_FAILED_MAX;
 	if (req->sends >= req->route->attempts ||
-	    req->connects >= CONNECTS_FAILED_MAX)
+	    req->connects_failed >= CONNECTS_FAILED_MAX)
 		return false;
 	if (req->may_have_run && !request_idempotent(req))
 		return false;
-	if (req->begun && !req->have_event)
+	if (req->response_started && !req->has_last_event_id)
 		return false;
-	if (request_left_ms(req) < LEFT_MIN_MS)
+	if (request_remaining_ms(req) < REMAINING_MIN_MS)
 		return false;
-	if (end == ATTEMPT_UNKNOWN && relay_suspect_stops(req)) {
+	if (outcome == ATTEMPT_UNKNOWN && relay_suspect_forbids_retry(req)) {
 		stats_add(&relay->stats, STAT_SUSPECTS_STOPPED, 1);
 		return false;
 	}
-	if (!relay_repeat_allowed(relay, req->service)) {
+	if (!relay_retry_acquire(relay, req->service)) {
 		stats_add(&relay->stats, STAT_REPEATS_DENIED, 1);
 		return false;
 	}
@@ -372,40 +382,40 @@
 }
 
 static void
-outcome_count(relay_request_t *req, attempt_end_t end)
+outcome_record(relay_request_t *req, attempt_outcome_t outcome)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
 	relay_stats_t *stats = &req->relay->stats;
 
-	switch (end) {
+	switch (outcome) {
 	case ATTEMPT_NOT_SENT:
-		req->connects++;
+		req->connects_failed++;
 		stats_add(stats, STAT_CONNECTS_FAILED, 1);
 		relay_warmup_connect_failed(req);
-		if (!req->attempt.refused) {
+		if (!req->attempt.connection_refused) {
 			endpoint_record_failure(endpoint);
 			break;
 		}
 		endpoint_record_refused(endpoint);
-		relay_attempt_refused(req);
+		relay_attempt_connection_refused(req);
 		break;
 	case ATTEMPT_NOT_RUN:
 		stats_add(stats, STAT_NOT_RUN, 1);
-		if (req->attempt.answer.wrong_endpoint)
+		if (req->attempt.response.wrong_endpoint)
 			endpoint_record_superseded(endpoint);
 		break;
 	case ATTEMPT_UNKNOWN:
 		stats_add(stats, STAT_BROKEN, 1);
 		endpoint_record_failure(endpoint);
 		relay_canary_defer_failure(req);
-		if (req->attempt.broke)
-			relay_attempt_broke(req);
+		if (req->attempt.connection_lost)
+			relay_attempt_connection_lost(req);
 		break;
 	case ATTEMPT_FAILED:
-		relay_attempt_survived(req);
+		relay_attempt_completed(req);
 		relay_canary_failed(req);
 		break;
-	case ATTEMPT_DROPPED:
+	case ATTEMPT_ESCALATED:
 		stats_add(stats, STAT_ESCALATED, 1);
 		endpoint_record_success(endpoint);
 		break;
@@ -413,41 +423,45 @@
 }
 
 void
-attempt_over(relay_request_t *req, attempt_end_t end, const char *why)
+attempt_retry_or_fail(
+    relay_request_t *req, attempt_outcome_t outcome, const char *why)
 {
 	attempt_t *attempt = &req->attempt;
 
-	outcome_count(req, end);
+	outcome_record(req, outcome);
 	event_line(req->relay->log, "attempt_over",
 	    "id=%s endpoint=%s why=%s end=%d sends=%u kept=%d begun=%d "
 	    "last_event=%" PRId64 " model=%s confidence=%d running=%u "
 	    "waiting=%u digest=%016" PRIx64,
-	    req->arrival.id, attempt->endpoint->info.id, why, (int)end,
-	    req->sends, attempt->kept, req->begun, req->last_event,
-	    attempt->model != NULL ? attempt->model : "-", req->confidence,
-	    attempt->endpoint->load.running, attempt->endpoint->load.waiting,
-	    end == ATTEMPT_UNKNOWN ? relay_digest(req) : 0);
-	if (req->tried_len < TRIED_MAX && end != ATTEMPT_DROPPED)
-		req->tried[req->tried_len++] = attempt->endpoint->hash;
-	if (end == ATTEMPT_NOT_RUN || end == ATTEMPT_FAILED)
+	    req->arrival.id, attempt->endpoint->info.id, why, (int)outcome,
+	    req->sends, attempt->reused, req->response_started,
+	    req->last_event_id, attempt->model != NULL ? attempt->model : "-",
+	    req->confidence, attempt->endpoint->load.running,
+	    attempt->endpoint->load.waiting,
+	    outcome == ATTEMPT_UNKNOWN ? relay_request_digest(req) : 0);
+	if (req->tried_endpoints_len < TRIED_ENDPOINTS_MAX &&
+	    outcome != ATTEMPT_ESCALATED)
+		req->tried_endpoints[req->tried_endpoints_len++] =
+		    attempt->endpoint->hash;
+	if (outcome == ATTEMPT_NOT_RUN || outcome == ATTEMPT_FAILED)
 		attempt_release(req);
 	else
 		attempt_cancel(req);
 	event_scan_reset(&req->scan);
-	req->failure_kept |= end == ATTEMPT_FAILED;
-	if (may_repeat(req, end)) {
-		if (req->begun)
+	req->failure_buffered |= outcome == ATTEMPT_FAILED;
+	if (may_retry(req, outcome)) {
+		if (req->response_started)
 			stats_add(&req->relay->stats, STAT_RESUMED, 1);
 		attempt_begin(req);
 		return;
 	}
-	attempts_end(req, ERR_OVERLOAD, why);
+	request_conclude(req, ERR_OVERLOAD, why);
 }
 
 void
-attempt_answered(relay_request_t *req)
+attempt_succeeded(relay_request_t *req)
 {
 	endpoint_record_success(req->attempt.endpoint);
-	relay_attempt_survived(req);
+	relay_attempt_completed(req);
 	relay_canary_completed(req);
 }
--- /dev/null
+++ b/moortack/relay/relay_authorize.c
@@ -0,0 +1,46 @@
+#include "relay_request.h"
+
+const char *
+relay_route_service(const relay_route_t *route, uint64_t split_hash)
+{
+	uint64_t total_weight = 0;
+	uint64_t offset;
+
+	for (size_t i = 0; i < route->pools_len; i++)
+		total_weight += route->pools[i].weight;
+	if (total_weight == 0)
+		return NULL;
+	offset = split_hash % total_weight;
+	for (size_t i = 0; i < route->pools_len; i++) {
+		if (offset < route->pools[i].weight)
+			return route->pools[i].service;
+		offset -= route->pools[i].weight;
+	}
+	return NULL;
+}
+
+err_code_t
+relay_authorize(const relay_t *relay, const arrival_t *arrival,
+    const char *target, const relay_route_t **route,
+    const relay_organisation_t **organisation)
+{
+	const relay_config_t *config = relay->config;
+	int64_t age_ms = row_watch_age_ms(relay->config_watch);
+	bool stale = age_ms > relay->bounds.config_stale_ms;
+
+	*organisation = NULL;
+	if (config == NULL)
+		return ERR_NOT_READY;
+	*route = relay_config_route(config, arrival->host, target);
+	if (*route == NULL)
+		return stale ? ERR_CONFIG_STALE : ERR_NOT_FOUND;
+	if (!config->keys_used || (*route)->anonymous)
+		return ERR_NONE;
+	if (age_ms > relay->bounds.key_max_age_ms)
+		return ERR_CONFIG_STALE;
+	if (arrival->key != NULL && !arrival->multiple_keys)
+		*organisation = relay_config_key(config, arrival->key);
+	if (*organisation == NULL)
+		return stale ? ERR_CONFIG_STALE : ERR_AUTHENTICATION;
+	return ERR_NONE;
+}
--- a/moortack/relay/relay_canary.c
+++ b/moortack/relay/relay_canary.c
@@ -22,9 +22,9 @@
 event_gap_ms(const relay_request_t *req)
 {
 	int64_t us = timespec_us_between(
-	    req->events_since, clock_elapsed(req->relay->clock));
+	    req->first_event_at, clock_elapsed(req->relay->clock));
 
-	return (double)us / US_PER_MS / (req->events - 1);
+	return (double)us / US_PER_MS / (req->attempt_events - 1);
 }
 
 /* The roll-out whose analysis the attempt is reported to, or NULL. */
@@ -49,9 +49,9 @@
 	    .model = attempt->model != NULL
 		? XXH3_64bits(attempt->model, strlen(attempt->model))
 		: 0,
-	    .is_new = attempt->is_new,
+	    .is_new = attempt->new_version,
 	    .stream = req->route->kind == ROUTE_STREAM,
-	    .counted = attempt->counted,
+	    .counted = attempt->guard_counted,
 	    .ms = ms};
 }
 
@@ -62,8 +62,8 @@
 static bool
 signal_counts(const relay_request_t *req, canary_signal_t signal)
 {
-	return signal == CANARY_FAILED || !req->attempt.is_new ||
-	    !req->attempt.on_trial;
+	return signal == CANARY_FAILED || !req->attempt.new_version ||
+	    !req->attempt.rollout_saturating;
 }
 
 static void
@@ -75,7 +75,7 @@
 	if (rollout != NULL && signal_counts(req, signal) &&
 	    canary_analysis_observe(&rollout->canary, &observation,
 		clock_elapsed(req->relay->clock)))
-		req->attempt.counted = true;
+		req->attempt.guard_counted = true;
 }
 
 void
@@ -105,28 +105,29 @@
 static double
 without_queue_wait(const relay_request_t *req, double ms)
 {
-	return fmax(ms - req->attempt.place.wait_ms, 0);
+	return fmax(ms - req->attempt.placement.queue_wait_ms, 0);
 }
 
 void
 relay_canary_first_byte(relay_request_t *req)
 {
-	if (!req->attempt.counted)
+	if (!req->attempt.guard_counted)
 		signal_report(req, CANARY_FIRST_BYTE,
-		    without_queue_wait(req, req->attempt.first_ms));
+		    without_queue_wait(req, req->attempt.first_byte_ms));
 }
 
 static void
 gap_report(relay_request_t *req)
 {
-	req->attempt.paced = true;
+	req->attempt.event_rate_reported = true;
 	signal_report(req, CANARY_EVENT_GAP, event_gap_ms(req));
 }
 
 void
 relay_canary_event(relay_request_t *req)
 {
-	if (!req->attempt.paced && req->events == GAP_EVENTS)
+	if (!req->attempt.event_rate_reported &&
+	    req->attempt_events == GAP_EVENTS)
 		gap_report(req);
 }
 
@@ -134,7 +135,8 @@
 relay_canary_completed(relay_request_t *req)
 {
 	relay_canary_first_byte(req);
-	if (!req->attempt.paced && req->events >= GAP_EVENTS_MIN)
+	if (!req->attempt.event_rate_reported &&
+	    req->attempt_events >= GAP_EVENTS_MIN)
 		gap_report(req);
 }
 
@@ -163,12 +165,12 @@
 {
 	struct timespec now = clock_elapsed(relay->clock);
 
-	for (relay_request_t *req = relay->first; req != NULL;
+	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
 		const attempt_t *attempt = &req->attempt;
 
 		if (attempt->endpoint != NULL && attempt->sent &&
-		    !attempt->headed && !attempt->counted)
+		    !attempt->head_received && !attempt->guard_counted)
 			signal_report(req, CANARY_OVERDUE,
 			    without_queue_wait(req,
 				(double)timespec_ms_between(
--- a/moortack/relay/relay_candidates.c
+++ b/moortack/relay/relay_candidates.c
@@ -28,8 +28,8 @@
 static bool
 was_tried(const relay_request_t *req, const endpoint_t *endpoint)
 {
-	for (size_t i = 0; i < req->tried_len; i++) {
-		if (req->tried[i] == endpoint->hash)
+	for (size_t i = 0; i < req->tried_endpoints_len; i++) {
+		if (req->tried_endpoints[i] == endpoint->hash)
 			return true;
 	}
 	return false;
@@ -45,7 +45,7 @@
 
 	if (service == NULL)
 		return CONNECTIONS_MIN;
-	share = service->connections_max / req->relay->daemons_most;
+	share = service->connections_max / req->relay->daemons_max_seen;
 	return share > CONNECTIONS_MIN ? share : CONNECTIONS_MIN;
 }
 
@@ -101,8 +101,9 @@
 	const relay_t *relay = req->relay;
 	uint32_t connections = connections_share(req);
 	warmup_snapshot_t warmup;
-	size_t start = endpoint_group_lower_bound(
-	    group, req->shared != 0 ? req->shared : req->spread);
+	size_t start = endpoint_group_lower_bound(group,
+	    req->shared_prefix_hash != 0 ? req->shared_prefix_hash
+					 : req->split_hash);
 
 	out->len = 0;
 	relay_warmup_snapshot(req, &warmup);
@@ -119,8 +120,8 @@
 		out->endpoints[out->len] = endpoint;
 		out->inputs[out->len++] = (endpoint_candidate_t){
 		    .hash = endpoint->hash,
-		    .load =
-			endpoint_estimate_load(endpoint, relay->daemons_most),
+		    .load = endpoint_estimate_load(
+			endpoint, relay->daemons_max_seen),
 		    .slots = endpoint->info.slots,
 		    .same_zone = strcmp(endpoint->info.zone, relay->zone) == 0,
 		    .ejected = endpoint_is_ejected(endpoint)};
@@ -156,7 +157,7 @@
 trial_size(const relay_request_t *req, const endpoint_group_t *group,
     const candidates_t *set, double share)
 {
-	double in_flight = group->in_flight_mean * req->relay->daemons_most;
+	double in_flight = group->in_flight_mean * req->relay->daemons_max_seen;
 	double per_endpoint = TRIAL_FILL * set->inputs[0].slots;
 
 	return per_endpoint > 0 ? (size_t)ceil(in_flight * share / per_endpoint)
@@ -199,7 +200,7 @@
 	if (rollout == NULL || rollout->order.number == 0)
 		return VERSION_ANY;
 	return rollout_prefers_new(
-		   rollout, req->spread, req->arrival.session != NULL)
+		   rollout, req->split_hash, req->arrival.session != NULL)
 	    ? VERSION_NEW
 	    : VERSION_OLD;
 }
--- a/moortack/relay/relay_crashes.c
+++ b/moortack/relay/relay_crashes.c
@@ -84,7 +84,7 @@
 {
 	relay_request_t *req, *next;
 
-	for (req = relay->first; req != NULL; req = next) {
+	for (req = relay->requests; req != NULL; req = next) {
 		next = req->next;
 		if (!req->awaits_probe)
 			continue;
@@ -120,7 +120,7 @@
 attempt_record(relay_request_t *req, unresolved_attempts_t *attempts)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
-	unresolved_attempt_t attempt = {.digest = relay_digest(req),
+	unresolved_attempt_t attempt = {.digest = relay_request_digest(req),
 	    .incarnation = endpoint->short_hash,
 	    .version = endpoint_version_hash(endpoint),
 	    .ended_at = clock_elapsed(req->relay->clock)};
@@ -134,7 +134,7 @@
 }
 
 void
-relay_attempt_broke(relay_request_t *req)
+relay_attempt_connection_lost(relay_request_t *req)
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 
@@ -144,19 +144,19 @@
 }
 
 void
-relay_attempt_left(relay_request_t *req)
+relay_attempt_abandoned(relay_request_t *req)
 {
 	relay_quarantine_t *self = &req->relay->quarantine;
 
 	if (attempt_record(req, &self->abandoned) &&
-	    quarantine_crash_count(&self->table, relay_digest(req)) > 0)
+	    quarantine_crash_count(&self->table, relay_request_digest(req)) > 0)
 		crash_probe_schedule(&self->probes, req->relay->base,
 		    req->attempt.endpoint, ABANDONED_PROBE_DELAY_MS,
 		    on_probe_done, self);
 }
 
 void
-relay_attempt_refused(const relay_request_t *req)
+relay_attempt_connection_refused(const relay_request_t *req)
 {
 	const endpoint_t *endpoint = req->attempt.endpoint;
 
--- a/moortack/relay/relay_owner_query.c
+++ b/moortack/relay/relay_owner_query.c
@@ -11,7 +11,8 @@
 #define US_PER_MS 1000
 
 void
-relay_gossip_prefixes(gossip_message_t *message, const prefix_list_t *prefixes)
+relay_gossip_add_prefixes(
+    gossip_message_t *message, const prefix_list_t *prefixes)
 {
 	while (message->prefixes_len + 1 < prefixes->len &&
 	    message->prefixes_len < GOSSIP_MESSAGE_PREFIXES_MAX) {
@@ -22,23 +23,24 @@
 }
 
 void
-relay_ask_end(relay_request_t *req)
+relay_query_end(relay_request_t *req)
 {
-	if (req->question.limit != NULL)
-		event_free(req->question.limit);
-	req->question = (placing_question_t){0};
+	if (req->owner_query.timer != NULL)
+		event_free(req->owner_query.timer);
+	req->owner_query = (owner_query_t){0};
 }
 
-const asked_endpoint_t *
-relay_ask_told(const relay_request_t *req, size_t model, uint64_t endpoint)
+const queried_endpoint_t *
+relay_query_result(const relay_request_t *req, size_t model, uint64_t endpoint)
 {
-	const placing_question_t *query = &req->question;
+	const owner_query_t *query = &req->owner_query;
 
-	if (query->number == 0 || query->model != model)
+	if (query->number == 0 || query->model_index != model)
 		return NULL;
 	for (size_t i = 0; i < query->len; i++) {
-		if (query->of[i].hash == endpoint && query->of[i].told)
-			return &query->of[i];
+		if (query->endpoints[i].hash == endpoint &&
+		    query->endpoints[i].responded)
+			return &query->endpoints[i];
 	}
 	return NULL;
 }
@@ -50,7 +52,7 @@
 
 	(void)fd;
 	(void)what;
-	req->question.open = 0;
+	req->owner_query.pending = 0;
 	attempt_begin(req);
 }
 
@@ -60,45 +62,45 @@
 owner_query(relay_request_t *req, const endpoint_t *endpoint,
     const prefix_list_t *prefixes)
 {
-	placing_question_t *query = &req->question;
-	asked_endpoint_t *queried = &query->of[query->len++];
+	owner_query_t *query = &req->owner_query;
+	queried_endpoint_t *queried = &query->endpoints[query->len++];
 	gossip_message_t message = {.kind = GOSSIP_QUERY,
 	    .endpoint_hash = endpoint->short_hash,
 	    .query_id = query->number};
 
-	relay_gossip_prefixes(&message, prefixes);
-	*queried = (asked_endpoint_t){.hash = endpoint->hash};
+	relay_gossip_add_prefixes(&message, prefixes);
+	*queried = (queried_endpoint_t){.hash = endpoint->hash};
 	if (gossip_query(req->relay->gossip, endpoint->info.zone, &message))
-		query->open++;
+		query->pending++;
 	else
-		queried->told = true;
+		queried->responded = true;
 }
 
 static bool
 responses_wait(relay_request_t *req)
 {
 	struct timeval time = {0, RESPONSE_TIMEOUT_MS * US_PER_MS};
-	placing_question_t *query = &req->question;
+	owner_query_t *query = &req->owner_query;
 
-	if (query->open == 0)
+	if (query->pending == 0)
 		return false;
-	query->limit = event_new(req->relay->base, -1, 0, on_timeout, req);
-	if (query->limit != NULL && event_add(query->limit, &time) == 0)
+	query->timer = event_new(req->relay->base, -1, 0, on_timeout, req);
+	if (query->timer != NULL && event_add(query->timer, &time) == 0)
 		return true;
-	query->open = 0;
+	query->pending = 0;
 	return false;
 }
 
 static uint32_t
 next_query_id(relay_t *relay)
 {
-	if (++relay->questions == 0)
-		relay->questions++;
-	return relay->questions;
+	if (++relay->last_query_number == 0)
+		relay->last_query_number++;
+	return relay->last_query_number;
 }
 
 bool
-relay_ask(relay_request_t *req)
+relay_query_owners(relay_request_t *req)
 {
 	static candidates_t candidates;
 	static prefix_list_t prefixes;
@@ -106,22 +108,22 @@
 	const char *model = relay_model_name(req, req->model_index);
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
 	const choice_criteria_t criteria = {
-	    .affinity = req->shared ^ model_hash};
-	size_t ranked[ASKED_MAX];
+	    .affinity = req->shared_prefix_hash ^ model_hash};
+	size_t ranked[OWNERS_QUERIED_MAX];
 	const char *why;
 	size_t len;
 
 	/* The owners were queried before: they have responded, or the timeout
 	 * has passed. */
-	if (req->question.number != 0 || req->arrival.parts_len == 0 ||
-	    !gossip_may_query(relay->gossip, relay_read_ms(req)) ||
+	if (req->owner_query.number != 0 || req->arrival.parts_len == 0 ||
+	    !gossip_may_query(relay->gossip, relay_prefill_ms(req)) ||
 	    !candidates_collect(req, &candidates, &why))
 		return false;
 	prefix_list_fill(&prefixes, &req->arrival, model_hash);
-	req->question = (placing_question_t){
-	    .number = next_query_id(relay), .model = req->model_index};
-	len = endpoint_rank_by_affinity(
-	    candidates.inputs, candidates.len, &criteria, ranked, ASKED_MAX);
+	req->owner_query = (owner_query_t){
+	    .number = next_query_id(relay), .model_index = req->model_index};
+	len = endpoint_rank_by_affinity(candidates.inputs, candidates.len,
+	    &criteria, ranked, OWNERS_QUERIED_MAX);
 	for (size_t i = 0; i < len; i++)
 		owner_query(req, candidates.endpoints[ranked[i]], &prefixes);
 	return responses_wait(req);
@@ -141,7 +143,8 @@
 		return;
 	memcpy(prefixes.hashes, message->prefixes,
 	    message->prefixes_len * sizeof(message->prefixes[0]));
-	prefix_index_add(&relay->prefixes, &prefixes, endpoint->hash, now_ms);
+	prefix_index_add(
+	    &relay->prefix_index, &prefixes, endpoint->hash, now_ms);
 	prefill_queue_add_remote(
 	    &endpoint->prefill_queue, message->prefill_ms, (double)now_ms);
 }
@@ -160,7 +163,7 @@
 	memcpy(prefixes.hashes, query->prefixes,
 	    query->prefixes_len * sizeof(query->prefixes[0]));
 	response->cached_prefixes = (uint32_t)prefix_index_match_count(
-	    &relay->prefixes, &prefixes, endpoint->hash, now_ms);
+	    &relay->prefix_index, &prefixes, endpoint->hash, now_ms);
 	response->queue_wait_ms = (uint32_t)prefill_queue_wait_ms(
 	    &endpoint->prefill_queue, (double)now_ms);
 	return true;
@@ -169,9 +172,10 @@
 static relay_request_t *
 querying_request_find(const relay_t *relay, uint32_t query_id)
 {
-	for (relay_request_t *req = relay->first; req != NULL;
+	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
-		if (req->question.open > 0 && req->question.number == query_id)
+		if (req->owner_query.pending > 0 &&
+		    req->owner_query.number == query_id)
 			return req;
 	}
 	return NULL;
@@ -184,18 +188,18 @@
 
 	if (req == NULL)
 		return;
-	for (size_t i = 0; i < req->question.len; i++) {
-		asked_endpoint_t *queried = &req->question.of[i];
+	for (size_t i = 0; i < req->owner_query.len; i++) {
+		queried_endpoint_t *queried = &req->owner_query.endpoints[i];
 
 		if ((uint32_t)queried->hash != response->endpoint_hash ||
-		    queried->told)
+		    queried->responded)
 			continue;
-		queried->told = true;
-		queried->wait_ms = response->queue_wait_ms;
-		queried->kept = response->cached_prefixes;
-		req->question.open--;
+		queried->responded = true;
+		queried->queue_wait_ms = response->queue_wait_ms;
+		queried->cached_prefixes = response->cached_prefixes;
+		req->owner_query.pending--;
 	}
-	if (req->question.open == 0)
+	if (req->owner_query.pending == 0)
 		attempt_begin(req);
 }
 
--- /dev/null
+++ b/moortack/relay/relay_response.c
@@ -0,0 +1,351 @@
+#include "relay_request.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+/* An endpoint is not read while this many bytes are pending for its caller. */
+#define CALLER_PENDING_MAX (256U << 10)
+#define STATUS_OK 200
+#define STATUS_MULTIPLE_CHOICES 300
+#define STATUS_SERVER_ERROR 500
+
+static bool
+status_is_success(int status)
+{
+	return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES;
+}
+
+/* The endpoint's header lines without hop-by-hop headers. */
+static char *
+response_head_format(const http_msg_t *msg)
+{
+	char *text = malloc(RESPONSE_HEAD_MAX);
+	size_t len = 0;
+
+	if (text == NULL)
+		return NULL;
+	text[0] = '\0';
+	for (size_t i = 0; i < msg->fields_len; i++) {
+		const http_field_t *field = &msg->fields[i];
+		int written;
+
+		if (http_field_is_hop(msg, field->name))
+			continue;
+		written = snprintf(text + len, RESPONSE_HEAD_MAX - len,
+		    "%s: %s\r\n", field->name, field->value);
+		if (written < 0 || (size_t)written >= RESPONSE_HEAD_MAX - len) {
+			free(text);
+			return NULL;
+		}
+		len += (size_t)written;
+	}
+	return text;
+}
+
+static void
+first_byte_observe(relay_request_t *req)
+{
+	if (req->first_byte_ms > 0)
+		return;
+	req->first_byte_ms = (double)request_age_ms(req);
+	stats_observe(&req->relay->stats.first_byte_ms, req->first_byte_ms);
+}
+
+static void
+response_start(relay_request_t *req)
+{
+	req->response_started = true;
+	req->response_model = req->attempt.model;
+	first_byte_observe(req);
+	http_inbound_begin(req->caller, req->status, req->response_head);
+}
+
+static bool
+on_ready(void *arg)
+{
+	return attempt_may_send(arg);
+}
+
+static void
+on_sent(void *arg)
+{
+	relay_request_t *req = arg;
+	attempt_t *attempt = &req->attempt;
+	relay_t *relay = req->relay;
+
+	attempt->sent = true;
+	attempt->sent_at = clock_elapsed(relay->clock);
+	endpoint_request_started(attempt->endpoint);
+	if (req->sends == 0)
+		stats_observe(
+		    &relay->stats.added_ms, (double)request_age_ms(req));
+	req->sends++;
+	req->attempt_events = 0;
+	req->may_have_run = true;
+	req->unresolved_sends++;
+	stats_add(&relay->stats, STAT_ATTEMPTS, 1);
+	attempt_watch_silence(req);
+}
+
+static void
+on_head(void *arg, const http_msg_t *msg)
+{
+	relay_request_t *req = arg;
+	attempt_t *attempt = &req->attempt;
+	endpoint_response_t *response = &attempt->response;
+
+	req->relay->endpoint_dialect->read(msg, &req->arrival, response);
+	if (response->id_missing && attempt->reused && !request_idempotent(req))
+		response->id_mismatch = true;
+	if (response->id_mismatch) {
+		stats_add(&req->relay->stats, STAT_STRAY_ANSWERS, 1);
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "stray_answer");
+		return;
+	}
+	attempt->head_received = true;
+	attempt_bytes_received(req);
+	prefill_queue_complete(&attempt->endpoint->prefill_queue,
+	    &attempt->prefill_entry,
+	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
+	relay_canary_endpoint_alive(req);
+	attempt->first_byte_ms = (double)timespec_ms_between(
+	    attempt->sent_at, clock_elapsed(req->relay->clock));
+	if (response->has_load)
+		endpoint_record_load(attempt->endpoint, &response->load);
+	if (response->not_run || response->wrong_endpoint)
+		return;
+	if (req->route->kind == ROUTE_STREAM &&
+	    status_is_success(msg->status) && response->has_signature)
+		relay_canary_first_byte(req);
+	if (req->response_started) {
+		if (!status_is_success(msg->status) || !response->has_signature)
+			attempt_retry_or_fail(
+			    req, ATTEMPT_UNKNOWN, "resume_refused");
+		return;
+	}
+	evbuffer_drain(req->buffered, evbuffer_get_length(req->buffered));
+	req->failure_buffered = false;
+	free(req->response_head);
+	req->response_head = response_head_format(msg);
+	req->status = msg->status;
+	req->streaming = req->route->kind == ROUTE_STREAM &&
+	    status_is_success(msg->status) && response->has_signature;
+	req->confidence = response->confidence;
+	if (req->response_head == NULL)
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "head_too_large");
+	else if (req->streaming)
+		relay_model_evaluate(req);
+}
+
+static void
+event_record(relay_request_t *req)
+{
+	struct timespec now = clock_elapsed(req->relay->clock);
+	double pause_ms;
+
+	if (req->attempt_events++ == 0)
+		req->first_event_at = now;
+	stats_add(&req->relay->stats, STAT_EVENTS, 1);
+	if (req->response_started) {
+		pause_ms = (double)timespec_ms_between(req->last_event_at, now);
+		if (pause_ms > req->max_event_gap_ms)
+			req->max_event_gap_ms = pause_ms;
+	}
+	req->last_event_at = now;
+	relay_canary_event(req);
+}
+
+/* Forward the complete events.
+ * @return false: the attempt has ended */
+static bool
+events_forward(relay_request_t *req)
+{
+	scanned_event_t event;
+
+	while (event_scan_next(&req->scan, &event)) {
+		if (event.has_id && req->has_last_event_id &&
+		    event.id <= req->last_event_id) {
+			attempt_retry_or_fail(
+			    req, ATTEMPT_UNKNOWN, "event_out_of_order");
+			return false;
+		}
+		if (event.has_id) {
+			req->has_last_event_id = true;
+			req->last_event_id = event.id;
+		}
+		evbuffer_remove_buffer(
+		    req->scan.partial, req->buffered, event.len);
+		event_record(req);
+	}
+	if (evbuffer_get_length(req->buffered) == 0)
+		return true;
+	if (!req->response_started)
+		response_start(req);
+	http_inbound_write(req->caller, req->buffered);
+	return true;
+}
+
+static void
+endpoint_pause_if_caller_slow(relay_request_t *req)
+{
+	if (http_inbound_pending(req->caller) < CALLER_PENDING_MAX)
+		return;
+	req->paused = true;
+	http_outbound_pause(req->attempt.conn, true);
+}
+
+static void
+on_body(void *arg, const char *bytes, size_t len)
+{
+	relay_request_t *req = arg;
+	const endpoint_response_t *response = &req->attempt.response;
+
+	attempt_bytes_received(req);
+	if (response->not_run || response->wrong_endpoint)
+		return;
+	if (req->streaming) {
+		if (!event_scan_add(&req->scan, bytes, len)) {
+			attempt_retry_or_fail(
+			    req, ATTEMPT_UNKNOWN, "event_too_large");
+			return;
+		}
+		if (events_forward(req) && req->response_started)
+			endpoint_pause_if_caller_slow(req);
+		return;
+	}
+	evbuffer_add(req->buffered, bytes, len);
+	if (!req->response_started &&
+	    evbuffer_get_length(req->buffered) >
+		req->relay->bounds.body_buffer_max)
+		response_start(req);
+	if (!req->response_started)
+		return;
+	http_inbound_write(req->caller, req->buffered);
+	endpoint_pause_if_caller_slow(req);
+}
+
+static void
+stream_complete(relay_request_t *req)
+{
+	http_inbound_t *caller = req->caller;
+
+	if (event_scan_has_partial(&req->scan)) {
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "event_cut");
+		return;
+	}
+	if (!req->response_started)
+		response_start(req);
+	attempt_succeeded(req);
+	attempt_release(req);
+	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
+	request_end(req, "answered", "whole_stream");
+	http_inbound_end(caller);
+}
+
+void
+response_forward(relay_request_t *req)
+{
+	http_inbound_t *caller = req->caller;
+	struct evbuffer *body = req->buffered;
+	char *head = req->response_head;
+	int status = req->status;
+
+	first_byte_observe(req);
+	req->buffered = NULL;
+	req->response_head = NULL;
+	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
+	request_end(req, "answered", "whole");
+	http_inbound_answer(caller, status, head, body);
+	evbuffer_free(body);
+	free(head);
+}
+
+static void
+response_complete(relay_request_t *req)
+{
+	const endpoint_response_t *response = &req->attempt.response;
+	http_inbound_t *caller = req->caller;
+
+	if (status_is_success(req->status) &&
+	    (!response->has_signature || response->encoded)) {
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "not_genuine");
+		return;
+	}
+	if (req->response_started) {
+		attempt_succeeded(req);
+		attempt_release(req);
+		request_end(req, "answered", "passed_on");
+		http_inbound_end(caller);
+		return;
+	}
+	if (req->status >= STATUS_SERVER_ERROR) {
+		attempt_retry_or_fail(req, ATTEMPT_FAILED, "endpoint_failed");
+		return;
+	}
+	req->response_model = req->attempt.model;
+	attempt_succeeded(req);
+	attempt_release(req);
+	response_forward(req);
+}
+
+static void
+on_done(void *arg)
+{
+	relay_request_t *req = arg;
+	const endpoint_response_t *response = &req->attempt.response;
+
+	if (response->not_run || response->wrong_endpoint) {
+		req->unresolved_sends--;
+		req->may_have_run = req->unresolved_sends > 0;
+		if (response->wrong_endpoint)
+			stats_add(&req->relay->stats, STAT_WRONG_ENDPOINT, 1);
+		attempt_retry_or_fail(req, ATTEMPT_NOT_RUN,
+		    response->wrong_endpoint ? "wrong_endpoint" : "not_run");
+	} else if (req->streaming) {
+		stream_complete(req);
+	} else {
+		response_complete(req);
+	}
+}
+
+static void
+on_failed(void *arg, http_outbound_failure_t failure)
+{
+	relay_request_t *req = arg;
+	attempt_t *attempt = &req->attempt;
+
+	if (failure == HTTP_OUTBOUND_NO_ANSWER && attempt->reused) {
+		endpoint_close_idle(attempt->endpoint);
+		req->avoid_reuse = true;
+	}
+	attempt->connection_lost = failure == HTTP_OUTBOUND_NO_ANSWER ||
+	    failure == HTTP_OUTBOUND_BROKEN;
+	attempt->connection_refused = failure == HTTP_OUTBOUND_REFUSED;
+	switch (failure) {
+	case HTTP_OUTBOUND_NOT_SENT:
+		attempt_retry_or_fail(req, ATTEMPT_NOT_SENT, "connect");
+		break;
+	case HTTP_OUTBOUND_REFUSED:
+		attempt_retry_or_fail(req, ATTEMPT_NOT_SENT, "refused");
+		break;
+	case HTTP_OUTBOUND_NO_ANSWER:
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "no_answer");
+		break;
+	case HTTP_OUTBOUND_BROKEN:
+		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "broken");
+		break;
+	}
+}
+
+const http_outbound_ops_t response_ops = {
+    on_ready, on_sent, on_head, on_body, on_done, on_failed};
+
+void
+response_drained(relay_request_t *req)
+{
+	if (!req->paused || req->attempt.endpoint == NULL)
+		return;
+	req->paused = false;
+	http_outbound_pause(req->attempt.conn, false);
+}
--- a/moortack/relay/relay_select.c
+++ b/moortack/relay/relay_select.c
@@ -22,10 +22,10 @@
 prefill_ms_per_token(const relay_request_t *req, size_t index)
 {
 	const relay_route_t *route = req->route;
-	const relay_model_t *known_model =
-	    relay_model_known(req, relay_model_name(req, index));
+	const service_model_t *known_model =
+	    relay_model_find(req, relay_model_name(req, index));
 	double ms_per_token = known_model != NULL
-	    ? prefill_rate_ms_per_token(&known_model->pace)
+	    ? prefill_rate_ms_per_token(&known_model->prefill_rate)
 	    : -1;
 	double max_cost;
 
@@ -74,10 +74,11 @@
  * daemon's estimate. */
 static uint32_t
 reported_cached_tokens(const prefix_list_t *prefixes,
-    const asked_endpoint_t *report, uint32_t known)
+    const queried_endpoint_t *report, uint32_t known)
 {
-	size_t count =
-	    report->kept < prefixes->len ? report->kept : prefixes->len;
+	size_t count = report->cached_prefixes < prefixes->len
+	    ? report->cached_prefixes
+	    : prefixes->len;
 	uint32_t tokens = count > 0 ? prefixes->tokens[count - 1] : 0;
 
 	return tokens > known ? tokens : known;
@@ -95,7 +96,7 @@
 
 	for (size_t i = 0; i < set->len; i++) {
 		keep[i] =
-		    relay_ask_told(req, index, set->inputs[i].hash) != NULL;
+		    relay_query_result(req, index, set->inputs[i].hash) != NULL;
 		count += keep[i];
 	}
 	if (count > 0)
@@ -117,17 +118,17 @@
 
 	for (size_t i = 0; i < set->len; i++) {
 		endpoint_candidate_t *candidate = &set->inputs[i];
-		const asked_endpoint_t *report =
-		    relay_ask_told(req, index, candidate->hash);
+		const queried_endpoint_t *report =
+		    relay_query_result(req, index, candidate->hash);
 		uint32_t cached = prefix_index_cached_tokens(
-		    &relay->prefixes, prefixes, candidate->hash, now_ms);
+		    &relay->prefix_index, prefixes, candidate->hash, now_ms);
 		uint32_t shared_uncached;
 
 		candidate->queue_wait_ms = prefill_queue_wait_ms(
 		    &set->endpoints[i]->prefill_queue, (double)now_ms);
 		if (report != NULL) {
-			candidate->queue_wait_ms =
-			    fmax(candidate->queue_wait_ms, report->wait_ms);
+			candidate->queue_wait_ms = fmax(
+			    candidate->queue_wait_ms, report->queue_wait_ms);
 			cached =
 			    reported_cached_tokens(prefixes, report, cached);
 		}
@@ -144,14 +145,14 @@
 }
 
 double
-relay_read_ms(const relay_request_t *req)
+relay_prefill_ms(const relay_request_t *req)
 {
 	return prefill_ms_per_token(req, req->model_index) *
 	    req->arrival.tokens_in;
 }
 
 bool
-relay_place(
+relay_choose_endpoint(
     relay_request_t *req, size_t index, placement_t *out, const char **why)
 {
 	static candidates_t candidates;
@@ -159,46 +160,47 @@
 	const char *model = relay_model_name(req, index);
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
 	choice_criteria_t criteria = {.has_prompt = req->arrival.parts_len > 0,
-	    .affinity = req->shared ^ model_hash,
+	    .affinity = req->shared_prefix_hash ^ model_hash,
 	    .first_cached = req->relay->gossip->unheard_share,
 	    .tie_breaker = req->relay->rng->next(req->relay->rng),
 	    .cross_zone_penalty = CROSS_ZONE_PENALTY};
-	const relay_model_t *known_model = relay_model_known(req, model);
+	const service_model_t *known_model = relay_model_find(req, model);
 	size_t chosen;
 
-	*out = (placement_t){.first_ms = -1};
+	*out = (placement_t){.first_byte_ms = -1};
 	if (!candidates_collect(req, &candidates, why)) {
-		out->cold = candidates.cold_skipped;
+		out->cold_skipped = candidates.cold_skipped;
 		return false;
 	}
 	if (criteria.has_prompt) {
 		prefix_list_fill(&prefixes, &req->arrival, model_hash);
-		out->told = candidates_filter_reported(req, index, &candidates);
-		if (out->told > 0)
+		out->owner_reports =
+		    candidates_filter_reported(req, index, &candidates);
+		if (out->owner_reports > 0)
 			criteria.first_cached = 0;
 		candidates_estimate(req, &prefixes, index, &candidates);
 	}
 	/* A request suspected of crashing endpoints avoids those with the most
 	 * requests. */
-	if (relay_suspected(req))
+	if (relay_request_suspected(req))
 		criteria.has_prompt = false;
 	chosen = endpoint_choose(candidates.inputs, candidates.len, &criteria);
 	if (chosen == SIZE_MAX)
 		return false;
 	out->endpoint = candidates.endpoints[chosen];
 	out->candidates = candidates.len;
-	out->cold = candidates.cold_skipped;
+	out->cold_skipped = candidates.cold_skipped;
 	out->load = candidates.inputs[chosen].load;
-	out->wait_ms = candidates.inputs[chosen].queue_wait_ms;
-	out->read_ms = fmin(prefill_ms_per_token(req, index) *
+	out->queue_wait_ms = candidates.inputs[chosen].queue_wait_ms;
+	out->prefill_ms = fmin(prefill_ms_per_token(req, index) *
 		candidates.inputs[chosen].uncached_tokens,
 	    PREFILL_QUEUE_PROMPT_MAX_MS);
-	out->unread = candidates.inputs[chosen].uncached_tokens;
+	out->uncached_tokens = candidates.inputs[chosen].uncached_tokens;
 	if (known_model != NULL)
-		out->first_ms =
-		    prefill_rate_first_byte_ms(&known_model->pace, out->unread);
-	if (out->first_ms >= 0)
-		out->first_ms += out->wait_ms;
+		out->first_byte_ms = prefill_rate_first_byte_ms(
+		    &known_model->prefill_rate, out->uncached_tokens);
+	if (out->first_byte_ms >= 0)
+		out->first_byte_ms += out->queue_wait_ms;
 	return true;
 }
 
@@ -208,16 +210,16 @@
 {
 	gossip_message_t message = {.kind = GOSSIP_PROMPT_SENT,
 	    .endpoint_hash = placement->endpoint->short_hash,
-	    .prefill_ms = (uint32_t)placement->read_ms};
+	    .prefill_ms = (uint32_t)placement->prefill_ms};
 
-	if (!gossip_should_send(relay->gossip, placement->read_ms))
+	if (!gossip_should_send(relay->gossip, placement->prefill_ms))
 		return;
-	relay_gossip_prefixes(&message, prefixes);
+	relay_gossip_add_prefixes(&message, prefixes);
 	gossip_send(relay->gossip, placement->endpoint->info.zone, &message);
 }
 
 void
-relay_place_note(
+relay_placement_record(
     relay_request_t *req, const placement_t *placement, size_t index)
 {
 	static prefix_list_t prefixes;
@@ -230,8 +232,8 @@
 	prefix_list_fill(
 	    &prefixes, &req->arrival, XXH3_64bits(model, strlen(model)));
 	prefix_index_add(
-	    &relay->prefixes, &prefixes, placement->endpoint->hash, now_ms);
+	    &relay->prefix_index, &prefixes, placement->endpoint->hash, now_ms);
 	prefill_queue_add(&placement->endpoint->prefill_queue,
-	    &req->attempt.ticket, placement->read_ms, (double)now_ms);
+	    &req->attempt.prefill_entry, placement->prefill_ms, (double)now_ms);
 	prompt_publish(relay, placement, &prefixes);
 }
--- a/moortack/relay/relay_stats.c
+++ b/moortack/relay/relay_stats.c
@@ -3,97 +3,101 @@
 #include <inttypes.h>
 #include <string.h>
 
-typedef struct stat_info {
+typedef struct counter_info {
 	const char *name;
 	const char *help;
-} stat_info_t;
+} counter_info_t;
 
 /* In the order of relay_counter_t. */
-static const stat_info_t infos[STATS] = {
-    {"requests", "Whole requests taken from callers."},
-    {"answered", "Whole answers of endpoints passed on."},
-    {"refused", "Requests refused that have not run."},
+static const counter_info_t counter_infos[RELAY_COUNTERS] = {
+    {"requests", "Complete requests received from callers."},
+    {"answered", "Complete responses of endpoints forwarded."},
+    {"refused", "Requests refused without having run."},
     {"failed", "Requests that failed and may have run."},
-    {"callers_gone", "Callers that left before their answer was whole."},
+    {"callers_gone",
+	"Callers that disconnected before their response was complete."},
     {"attempts", "Requests sent to endpoints."},
-    {"repeats", "Attempts after the first of a request."},
-    {"repeats_denied", "Repeats that the budget did not allow."},
-    {"not_run", "Answers of endpoints that say not run."},
-    {"wrong_endpoint", "Answers of another incarnation at an address."},
-    {"stray_answers", "Answers that belong to another request."},
+    {"repeats", "Retries of requests."},
+    {"repeats_denied", "Retries that the retry budget did not allow."},
+    {"not_run", "Responses reporting that the request was not run."},
+    {"wrong_endpoint", "Responses of another incarnation at an address."},
+    {"stray_answers", "Responses that belong to another request."},
     {"connections", "Connections opened to endpoints."},
     {"connects_failed", "Connections that could not be opened."},
-    {"broken", "Answers that broke off, or never came."},
-    {"resumed", "Streams taken up at another endpoint."},
-    {"streams_cut", "Streams broken off towards their caller."},
-    {"events", "Events of streams passed on."},
-    {"bad_messages", "Messages of callers that are no proper request."},
-    {"escalated", "Answers dropped and asked of a larger model."},
-    {"suspects_stopped", "Requests not sent again since endpoints crashed."},
-    {"crash_probes", "Looks whether an endpoint that broke off listens."},
+    {"broken", "Responses that were incomplete or missing."},
+    {"resumed", "Streams resumed at another endpoint."},
+    {"streams_cut", "Streams to callers that were cut off."},
+    {"events", "Events of streams forwarded."},
+    {"bad_messages", "Malformed requests of callers."},
+    {"escalated", "Responses discarded to ask a larger model."},
+    {"suspects_stopped",
+	"Requests not retried because they seem to crash endpoints."},
+    {"crash_probes", "Probes of endpoints whose connection was lost."},
     {"cold_sends", "Requests sent to cold endpoints."},
-    {"cold_passed_over", "Attempts for which cold endpoints were left out."},
+    {"cold_passed_over", "Attempts for which cold endpoints were passed over."},
 };
 
-/* Upper bounds in ms: around the objectives of the users, 100 to 3,000. */
-static const double bounds[STATS_BUCKETS] = {
+/* Upper bounds in milliseconds, around the users' objectives of 100 to 3,000.
+ */
+static const double bucket_bounds[STATS_BUCKETS] = {
     1, 2, 5, 10, 25, 50, 100, 150, 250, 500, 1000, 1500, 3000, 10000};
 
 void
 stats_add(relay_stats_t *stats, relay_counter_t counter, uint64_t by)
 {
-	stats->values[counter] += by;
+	stats->counters[counter] += by;
 }
 
-static stats_end_t *
-end_of(relay_stats_t *stats, const char *outcome, const char *why)
+static stats_outcome_t *
+outcome_get(relay_stats_t *stats, const char *outcome, const char *why)
 {
-	stats_end_t *end;
+	stats_outcome_t *entry;
 
-	for (size_t i = 0; i < stats->ends_len; i++) {
-		end = &stats->ends[i];
-		if (strcmp(end->outcome, outcome) == 0 &&
-		    strcmp(end->why, why) == 0)
-			return end;
+	for (size_t i = 0; i < stats->outcomes_len; i++) {
+		entry = &stats->outcomes[i];
+		if (strcmp(entry->outcome, outcome) == 0 &&
+		    strcmp(entry->why, why) == 0)
+			return entry;
 	}
-	if (stats->ends_len == STATS_ENDS_MAX)
+	if (stats->outcomes_len == STATS_OUTCOMES_MAX)
 		return NULL;
-	end = &stats->ends[stats->ends_len++];
-	*end = (stats_end_t){.outcome = outcome, .why = why};
-	return end;
+	entry = &stats->outcomes[stats->outcomes_len++];
+	*entry = (stats_outcome_t){.outcome = outcome, .why = why};
+	return entry;
 }
 
 void
-stats_end(relay_stats_t *stats, const char *outcome, const char *why, bool late)
+stats_count_outcome(
+    relay_stats_t *stats, const char *outcome, const char *why, bool late)
 {
-	stats_end_t *end = end_of(stats, outcome, why);
+	stats_outcome_t *entry = outcome_get(stats, outcome, why);
 
-	if (end == NULL)
+	if (entry == NULL)
 		return;
-	end->count++;
-	end->late += late;
+	entry->count++;
+	entry->late += late;
 }
 
 static void
-ends_write(const relay_stats_t *stats, struct evbuffer *out)
+outcomes_write(const relay_stats_t *stats, struct evbuffer *out)
 {
 	evbuffer_add_printf(out,
 	    "# HELP moortack_relay_ended_total Requests by outcome and "
 	    "cause.\n"
 	    "# TYPE moortack_relay_ended_total counter\n"
-	    "# HELP moortack_relay_late_total Of these, begun after the "
+	    "# HELP moortack_relay_late_total Of these, started after the "
 	    "route's objective.\n"
 	    "# TYPE moortack_relay_late_total counter\n");
-	for (size_t i = 0; i < stats->ends_len; i++) {
-		const stats_end_t *end = &stats->ends[i];
+	for (size_t i = 0; i < stats->outcomes_len; i++) {
+		const stats_outcome_t *entry = &stats->outcomes[i];
 
 		evbuffer_add_printf(out,
 		    "moortack_relay_ended_total{outcome=\"%s\",why=\"%s\"} "
 		    "%" PRIu64 "\n"
 		    "moortack_relay_late_total{outcome=\"%s\",why=\"%s\"} "
 		    "%" PRIu64 "\n",
-		    end->outcome, end->why, end->count, end->outcome, end->why,
-		    end->late);
+		    entry->outcome, entry->why, entry->count, entry->outcome,
+		    entry->why, entry->late);
 	}
 }
 
@@ -102,7 +106,7 @@
 {
 	size_t i = 0;
 
-	while (i < STATS_BUCKETS && ms > bounds[i])
+	while (i < STATS_BUCKETS && ms > bucket_bounds[i])
 		i++;
 	histogram->counts[i]++;
 	histogram->sum_ms += ms;
@@ -120,7 +124,7 @@
 		total += histogram->counts[i];
 		evbuffer_add_printf(out,
 		    "moortack_relay_%s_ms_bucket{le=\"%g\"} %" PRIu64 "\n",
-		    name, bounds[i], total);
+		    name, bucket_bounds[i], total);
 	}
 	total += histogram->counts[STATS_BUCKETS];
 	evbuffer_add_printf(out,
@@ -133,13 +137,14 @@
 void
 stats_write(const relay_stats_t *stats, struct evbuffer *out)
 {
-	for (int i = 0; i < STATS; i++) {
+	for (int i = 0; i < RELAY_COUNTERS; i++) {
 		evbuffer_add_printf(out,
 		    "# HELP moortack_relay_%s_total %s\n"
 		    "# TYPE moortack_relay_%s_total counter\n"
 		    "moortack_relay_%s_total %" PRIu64 "\n",
-		    infos[i].name, infos[i].help, infos[i].name, infos[i].name,
-		    stats->values[i]);
+		    counter_infos[i].name, counter_infos[i].help,
+		    counter_infos[i].name, counter_infos[i].name,
+		    stats->counters[i]);
 	}
 	evbuffer_add_printf(
 	    out, "# TYPE moortack_relay_failures_total counter\n");
@@ -150,8 +155,8 @@
 			    "%" PRIu64 "\n",
 			    err_info((err_code_t)i)->name, stats->failures[i]);
 	}
-	ends_write(stats, out);
-	histogram_write(&stats->first_ms, "first", out);
-	histogram_write(&stats->whole_ms, "whole", out);
+	outcomes_write(stats, out);
+	histogram_write(&stats->first_byte_ms, "first", out);
+	histogram_write(&stats->complete_ms, "whole", out);
 	histogram_write(&stats->added_ms, "added", out);
 }
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -18,7 +18,7 @@
 	    " how=%s",
 	    digest, req->arrival.id, quarantine_crash_count(table, digest),
 	    quarantine_remaining_ms(table, digest),
-	    req->on_trial ? "tried" : "refused");
+	    req->quarantine_trial ? "tried" : "refused");
 }
 
 bool
@@ -27,15 +27,15 @@
 	relay_quarantine_t *self = &req->relay->quarantine;
 	uint64_t digest;
 
-	if (self->table.quarantined_count == 0 || req->on_trial)
+	if (self->table.quarantined_count == 0 || req->quarantine_trial)
 		return false;
-	digest = relay_digest(req);
+	digest = relay_request_digest(req);
 	if (!suspect_is_quarantined(quarantine_find(&self->table, digest)))
 		return false;
-	req->on_trial = quarantine_admit(&self->table, digest,
+	req->quarantine_trial = quarantine_admit(&self->table, digest,
 	    gossip_owns_digest(req->relay->gossip, digest));
 	decision_log(req, digest);
-	return !req->on_trial;
+	return !req->quarantine_trial;
 }
 
 /* Number of crashes recorded for the request, and of interrupted attempts that
@@ -47,18 +47,19 @@
 
 	if (HASH_COUNT(self->table.suspects) == 0 && self->interrupted.len == 0)
 		return 0;
-	return quarantine_crash_count(&self->table, relay_digest(req)) +
-	    unresolved_attempts_count(&self->interrupted, relay_digest(req));
+	return quarantine_crash_count(&self->table, relay_request_digest(req)) +
+	    unresolved_attempts_count(
+		&self->interrupted, relay_request_digest(req));
 }
 
 bool
-relay_suspected(relay_request_t *req)
+relay_request_suspected(relay_request_t *req)
 {
 	return suspicion_count(req) > 0;
 }
 
 bool
-relay_suspect_stops(relay_request_t *req)
+relay_suspect_forbids_retry(relay_request_t *req)
 {
 	return suspicion_count(req) >= RETRY_SUSPICION_LIMIT;
 }
@@ -85,7 +86,7 @@
  * requests were in flight at the endpoint that crashed, so this one most likely
  * was not the cause. */
 bool
-relay_suspect_fits(relay_request_t *req)
+relay_suspect_may_send(relay_request_t *req)
 {
 	size_t suspicion = suspicion_count(req);
 
@@ -94,12 +95,12 @@
 }
 
 bool
-relay_suspect_waits(relay_request_t *req)
+relay_suspect_await_probe(relay_request_t *req)
 {
 	const relay_quarantine_t *self = &req->relay->quarantine;
 
 	req->awaits_probe = self->probes != NULL &&
-	    unresolved_attempts_count(&self->interrupted, relay_digest(req)) >
-		0;
+	    unresolved_attempts_count(
+		&self->interrupted, relay_request_digest(req)) > 0;
 	return req->awaits_probe;
 }
--- a/test/fuzz/retries_fuzz.c
+++ b/test/fuzz/retries_fuzz.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Retries of one daemon stay within its share in every span of the window's
- * length, whatever comes when; the oracle keeps all times.
+ * The retries of one daemon stay within its share in every interval of the
+ * window's length, for any sequence of requests and retries. The reference
+ * model stores the times of all of them.
  */
 #include "common/clock_source.h"
 #include "input.h"
@@ -10,13 +11,13 @@
 #define EVENTS_MAX 4096
 #define WINDOW_MS 10000
 #define DAEMONS 4
-/* The window is kept in slices, so that requests count a little longer. */
+/* The window consists of slices, so that requests count a little longer. */
 #define REQUESTS_MS (WINDOW_MS * 11 / 10)
 
 static int64_t requests[EVENTS_MAX], retries[EVENTS_MAX];
 
 static double
-since(const int64_t *times, size_t len, int64_t from)
+count_since(const int64_t *times, size_t len, int64_t from)
 {
 	double count = 0;
 
@@ -44,17 +45,17 @@
 			break;
 		case 1:
 			requests[requests_len++] = now_ms;
-			retry_share_request(&share, &bounds, now);
+			retry_share_add_request(&share, &bounds, now);
 			break;
 		default:
 			if (!retry_share_spend(&share, &bounds, DAEMONS, now))
 				break;
 			retries[retries_len++] = now_ms;
-			FUZZ_CHECK(
-			    since(retries, retries_len, now_ms - WINDOW_MS) <=
-			    bounds.floor / DAEMONS +
+			FUZZ_CHECK(count_since(retries, retries_len,
+				       now_ms - WINDOW_MS) <=
+			    bounds.min_retries / DAEMONS +
 				bounds.ratio *
-				    since(requests, requests_len,
+				    count_since(requests, requests_len,
 					now_ms - REQUESTS_MS));
 		}
 	}
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -66,7 +66,7 @@
 	daemon->relay = (relay_t){.clock = &daemon->clock.source,
 	    .endpoints = &daemon->endpoints,
 	    .rollouts = &daemon->rollouts,
-	    .daemons_most = 2};
+	    .daemons_max_seen = 2};
 	daemon->request = (relay_request_t){.relay = &daemon->relay,
 	    .config = relay_config_new(1),
 	    .service = "lm"};
@@ -93,7 +93,7 @@
 {
 	const char *why;
 
-	daemon->request.shared = shared;
+	daemon->request.shared_prefix_hash = shared;
 	assert_true(
 	    candidates_collect(&daemon->request, &daemon->candidates, &why));
 	return daemon->candidates.len;
@@ -233,7 +233,7 @@
 	rollout_add(daemon, &watch, part);
 	group = endpoint_set_find_group(&daemon->endpoints, "lm");
 	group->in_flight_mean = in_flight;
-	daemon->relay.daemons_most = 1;
+	daemon->relay.daemons_max_seen = 1;
 	len = candidates_count(daemon, 0);
 	HASH_CLEAR(hh, daemon->rollouts.by_service);
 	daemon_free(daemon);
