--- a/moortack/relay/relay_stats.c
+++ b/moortack/relay/relay_stats.c
@@ -10,31 +10,29 @@
 
 /* In the order of relay_counter_t. */
 static const counter_info_t counter_infos[RELAY_COUNTERS] = {
-    {"requests", "Complete requests received from callers."},
-    {"answered", "Complete responses of endpoints forwarded."},
-    {"refused", "Requests refused without having run."},
+    {"requests", "Whole requests taken from callers."},
+    {"answered", "Whole answers of endpoints passed on."},
+    {"refused", "Requests refused that have not run."},
     {"failed", "Requests that failed and may have run."},
-    {"callers_gone",
-	"Callers that disconnected before their response was complete."},
+    {"callers_gone", "Callers that left before their answer was whole."},
     {"attempts", "Requests sent to endpoints."},
-    {"repeats", "Retries of requests."},
-    {"repeats_denied", "Retries that the retry budget did not allow."},
-    {"not_run", "Responses reporting that the request was not run."},
-    {"wrong_endpoint", "Responses of another incarnation at an address."},
-    {"stray_answers", "Responses that belong to another request."},
+    {"repeats", "Attempts after the first of a request."},
+    {"repeats_denied", "Repeats that the budget did not allow."},
+    {"not_run", "Answers of endpoints that say not run."},
+    {"wrong_endpoint", "Answers of another incarnation at an address."},
+    {"stray_answers", "Answers that belong to another request."},
     {"connections", "Connections opened to endpoints."},
     {"connects_failed", "Connections that could not be opened."},
-    {"broken", "Responses that were incomplete or missing."},
-    {"resumed", "Streams resumed at another endpoint."},
-    {"streams_cut", "Streams to callers that were cut off."},
-    {"events", "Events of streams forwarded."},
-    {"bad_messages", "Malformed requests of callers."},
-    {"escalated", "Responses discarded to ask a larger model."},
-    {"suspects_stopped",
-	"Requests not retried because they seem to crash endpoints."},
-    {"crash_probes", "Probes of endpoints whose connection was lost."},
+    {"broken", "Answers that broke off, or never came."},
+    {"resumed", "Streams taken up at another endpoint."},
+    {"streams_cut", "Streams broken off towards their caller."},
+    {"events", "Events of streams passed on."},
+    {"bad_messages", "Messages of callers that are no proper request."},
+    {"escalated", "Answers dropped and asked of a larger model."},
+    {"suspects_stopped", "Requests not sent again since endpoints crashed."},
+    {"crash_probes", "Looks whether an endpoint that broke off listens."},
     {"cold_sends", "Requests sent to cold endpoints."},
-    {"cold_passed_over", "Attempts for which cold endpoints were passed over."},
+    {"cold_passed_over", "Attempts for which cold endpoints were left out."},
 };
 
 /* Upper bounds in milliseconds, around the users' objectives of 100 to 3,000.
@@ -85,7 +83,7 @@
 	    "# HELP moortack_relay_ended_total Requests by outcome and "
 	    "cause.\n"
 	    "# TYPE moortack_relay_ended_total counter\n"
-	    "# HELP moortack_relay_late_total Of these, started after the "
+	    "# HELP moortack_relay_late_total Of these, begun after the "
 	    "route's objective.\n"
 	    "# TYPE moortack_relay_late_total counter\n");
 	for (size_t i = 0; i < stats->outcomes_len; i++) {
