--- a/include/moortack/exchange/deferred.h
+++ b/include/moortack/exchange/deferred.h
@@ -21,13 +21,13 @@
 void deferred_collect(front_t *, struct evhttp_request *, const char *id);
 
 /** Runs of the job that broke off so far. */
-uint32_t deferred_broken(const deferred_job_t *);
+uint32_t deferred_interrupted_attempts(const deferred_job_t *);
 
 /** Look for jobs that nobody holds, now and then. */
 void deferred_tick(front_t *);
 
 /** A job's exchange ended with a whole answer. */
-void deferred_done(exchange_t *, const bill_t *bill);
+void deferred_completed(exchange_t *, const bill_t *bill);
 
 /** A job's exchange ended without one: it goes back, or is given up. */
 void deferred_failed(exchange_t *, const err_t *err);
--- a/include/moortack/exchange/exchange.h
+++ b/include/moortack/exchange/exchange.h
@@ -23,12 +23,12 @@
 #define EXCHANGE_PATH_SIZE 256
 
 typedef enum exchange_phase {
-	PHASE_CLAIM,  /**< its key is being bound to a ticket */
-	PHASE_WAIT,   /**< for an endpoint with room */
-	PHASE_TICKET, /**< an endpoint is held; its witnesses are asked */
-	PHASE_SENT,   /**< an attempt is under way */
-	PHASE_RESUME, /**< a cut stream is taken up again */
-	PHASE_BILL,   /**< the answer is whole; its bill is being held */
+	PHASE_CLAIM,   /**< its key is being bound to a ticket */
+	PHASE_QUEUED,  /**< for an endpoint with room */
+	PHASE_REDEEM,  /**< an endpoint is held; its witnesses are asked */
+	PHASE_SENT,    /**< an attempt is under way */
+	PHASE_RESUME,  /**< a cut stream is taken up again */
+	PHASE_BILLING, /**< the answer is whole; its bill is being held */
 } exchange_phase_t;
 
 typedef struct front front_t;
@@ -46,80 +46,81 @@
 	char organisation[CONFIG_NAME_SIZE];
 	char model[CONFIG_NAME_SIZE];
 	char version[CONFIG_NAME_SIZE];
-	bool engine;	 /**< a model engine; else a plain service */
-	bool stream;	 /**< the caller wants events */
+	bool is_engine;	 /**< a model engine; else a plain service */
+	bool streaming;	 /**< the caller wants events */
 	bool idempotent; /**< may be sent again */
 	char path[EXCHANGE_PATH_SIZE]; /**< at the endpoint */
 	json_t *body;		       /**< what the caller sent */
-	struct timespec begun;
+	struct timespec started_at;
 
 	session_t session;
-	bool session_given; /**< it came with a token */
+	bool existing_session; /**< it came with a token */
 
 	/* At most once. */
-	bool keyed;   /**< it has a ticket */
-	bool settled; /**< what its ticket says is known */
-	bool granted; /**< both witnesses let this attempt go */
+	bool at_most_once;  /**< it has a ticket */
+	bool known_not_run; /**< what its ticket says is known */
+	bool granted;	    /**< both witnesses let this attempt go */
 	ticket_t ticket;
 	redeem_t redeem;
 	uint64_t attempt_id;
 
 	/* The attempt under way. */
 	uint32_t attempts;
-	uint32_t broken; /**< of them, those that may have run, without an
-			    answer */
-	handle_t tried[EXCHANGE_ATTEMPTS_MAX];
+	uint32_t interrupted_attempts; /**< of them, those that may have run,
+			    without an answer */
+	handle_t tried_endpoints[EXCHANGE_ATTEMPTS_MAX];
 	handle_t endpoint; /**< HANDLE_NONE: none is held */
 	char endpoint_address[ENDPOINT_ADDRESS_SIZE];
 	char endpoint_place[CONFIG_NAME_SIZE];
 	upstream_t *upstream;
 	struct evhttp_request *upstream_req;
 	struct timespec sent_at;
-	bool ran;	  /**< an attempt may have run */
-	int64_t first_ms; /**< until its first byte; -1: none yet */
+	bool may_have_run;     /**< an attempt may have run */
+	int64_t first_byte_ms; /**< until its first byte; -1: none yet */
 	int resumes;
 
 	/* The cascade, when the caller left the model open. */
-	bool open_model;
-	int step;	   /**< place of its model, from the cheapest */
+	bool auto_model;
+	int cascade_step;  /**< place of its model, from the cheapest */
 	double confidence; /**< of the answer; -1: none was given */
-	bill_line_t lines[BILL_LINES_MAX]; /**< runs before this one */
-	uint32_t line_count;
+	bill_line_t bill_lines[BILL_LINES_MAX]; /**< runs before this one */
+	uint32_t bill_line_count;
 
 	/* The answer. */
-	bool reply_started; /**< bytes went to the caller */
+	bool response_started; /**< bytes went to the caller */
 	int status;
 	sse_t sse;
-	struct evbuffer *answer; /**< of a plain answer */
+	struct evbuffer *response_body; /**< of a plain answer */
 	uint64_t tokens_in;
 } exchange_t;
 
 /** Begin a chat completion. The request is answered in the end. */
-void exchange_chat(front_t *, struct evhttp_request *);
+void exchange_chat_start(front_t *, struct evhttp_request *);
 
 /** Begin a deferred chat request; there is no caller. @param body shared
  * @return false with @p err filled when it can't begin */
-bool exchange_job_begin(front_t *, deferred_job_t *, const char *organisation,
+bool exchange_job_start(front_t *, deferred_job_t *, const char *organisation,
     json_t *body, int64_t deadline_ms, err_t *err);
 
 /** Whether somebody still wants the answer. */
-bool exchange_wanted(const exchange_t *);
+bool exchange_has_recipient(const exchange_t *);
 
 /** Begin a call of a plain service. @param path what follows the prefix */
-void exchange_service(front_t *, struct evhttp_request *, const char *path);
+void
+exchange_service_start(front_t *, struct evhttp_request *, const char *path);
 
 /** Put the exchange on the version that a new session on its model gets.
  * @return false with @p err filled when there is none */
-bool exchange_version_set(exchange_t *, handle_t organisation, err_t *err);
+bool exchange_version_select(exchange_t *, handle_t organisation, err_t *err);
 
 /** Try to give a waiting exchange an endpoint. */
-void exchange_try(exchange_t *);
+void exchange_dispatch(exchange_t *);
 
 /** Go on with an exchange whose endpoint is held and whose ticket is good. */
 void exchange_send(exchange_t *);
 
 /** Take up a cut stream where it stopped. @return false: it can't be */
-bool exchange_resume(exchange_t *);
+bool exchange_stream_resume(exchange_t *);
 
 /** Send the caller's body upstream; or, while resuming, ask for the rest. */
 bool exchange_upstream_start(exchange_t *);
@@ -128,13 +129,13 @@
 void exchange_upstream_cancel(exchange_t *);
 
 /** The endpoint's answer is whole. */
-void exchange_whole(exchange_t *);
+void exchange_response_completed(exchange_t *);
 
 /** Add what the answer says of itself: session, version, place, request. */
-void exchange_answer_headers(exchange_t *);
+void exchange_response_headers_add(exchange_t *);
 
 /** The bill is kept: the caller may have the end of the answer. */
-void exchange_billed(exchange_t *);
+void exchange_bill_recorded(exchange_t *);
 
 /** The attempt failed. @param ran whether the endpoint may have run it */
 void
@@ -144,43 +145,44 @@
 void exchange_fail(exchange_t *, err_code_t, const char *detail);
 
 /** Take note of one observation of a version. */
-void exchange_learn(front_t *, const char *organisation, const char *version,
-    guard_signal_t, bool bad);
+void exchange_guard_observe(front_t *, const char *organisation,
+    const char *version, guard_signal_t, bool bad);
 
 /** The endpoint answered whole: teach the guard, and have it rated. */
-void exchange_learn_answer(exchange_t *);
+void exchange_response_record(exchange_t *);
 
 /** The endpoint failed in a way that speaks of the version. */
-void exchange_learn_failure(exchange_t *);
+void exchange_failure_record(exchange_t *);
 
 /** Whether a better model is asked because the answer isn't good enough; if
  * so, the exchange goes on with it. */
-bool exchange_cascade_up(exchange_t *);
+bool exchange_cascade_escalate(exchange_t *);
 
 /** Choose the first model of a request that leaves it open.
  * @return false with @p err filled */
-bool exchange_cascade_begin(exchange_t *, handle_t organisation, err_t *err);
+bool exchange_cascade_start(exchange_t *, handle_t organisation, err_t *err);
 
 /** The line of the bill for the run that just ended. */
-void exchange_line(const exchange_t *, bill_line_t *out);
+void exchange_bill_line(const exchange_t *, bill_line_t *out);
 
 /** Let go of the endpoint that is held. */
 void exchange_endpoint_release(exchange_t *);
 
 /** Ask the witnesses to let the attempt go. */
-void exchange_redeem(exchange_t *);
+void exchange_ticket_redeem(exchange_t *);
 
 /** A witness answered. */
-void exchange_witness(exchange_t *, int which, bool lost, witness_state_t,
-    int status, const char *answer);
+void exchange_witness_responded(exchange_t *, int which, bool lost,
+    witness_state_t, int status, const char *answer);
 
 /** Tell both witnesses that the attempt will never be sent. */
-void exchange_unsent(exchange_t *);
+void exchange_unsent_report(exchange_t *);
 
 /** Tell both witnesses the outcome. */
-void exchange_outcome(exchange_t *, int status, const char *body, size_t len);
+void
+exchange_outcome_report(exchange_t *, int status, const char *body, size_t len);
 
 /** Free it and answer nothing more. */
-void exchange_end(exchange_t *);
+void exchange_free(exchange_t *);
 
 #endif
--- a/include/moortack/exchange/sse.h
+++ b/include/moortack/exchange/sse.h
@@ -17,14 +17,14 @@
 	struct evbuffer *partial; /**< bytes of an event not yet whole */
 	uint64_t tokens;	  /**< token events passed on */
 	bool done;		  /**< the end mark was read */
-	bool bad;		  /**< an event was too long */
+	bool event_too_long;	  /**< an event was too long */
 } sse_t;
 
 bool sse_init(sse_t *);
 void sse_finish(sse_t *);
 
 /** Forget a partial event, when the stream is taken up from elsewhere. */
-void sse_restart(sse_t *);
+void sse_partial_discard(sse_t *);
 
 /** Take bytes from @p in and add the whole events, without the end mark, to
  * @p out. */
--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -52,7 +52,7 @@
 }
 
 bool
-arrival_pass(arrival_t *arrival, err_t *err)
+arrival_admit(arrival_t *arrival, err_t *err)
 {
 	front_t *front = arrival->front;
 
@@ -92,7 +92,7 @@
 }
 
 bool
-arrival_deadline(arrival_t *arrival, exchange_t *exchange, err_t *err)
+arrival_deadline_parse(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
 	const char *text = http_request_header(arrival->req, DEADLINE_HEADER);
 	long long ms = arrival->front->options->deadline_ms;
--- a/moortack/exchange/arrival.h
+++ b/moortack/exchange/arrival.h
@@ -20,12 +20,12 @@
 
 /** Everything that can be refused without the body, cheapest first. Fills the
  * organisation and the class. */
-bool arrival_pass(arrival_t *, err_t *err);
+bool arrival_admit(arrival_t *, err_t *err);
 
 /** Answer that it may not come in, or not like this. */
 void arrival_refuse(front_t *, struct evhttp_request *, const err_t *);
 
 /** Set the exchange's deadline from its header. */
-bool arrival_deadline(arrival_t *, exchange_t *, err_t *err);
+bool arrival_deadline_parse(arrival_t *, exchange_t *, err_t *err);
 
 #endif
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -26,8 +26,8 @@
 {
 	struct timespec now = clock_elapsed(exchange->front->process.clock);
 
-	if (exchange->first_ms < 0)
-		exchange->first_ms =
+	if (exchange->first_byte_ms < 0)
+		exchange->first_byte_ms =
 		    timespec_ms_between(exchange->sent_at, now);
 }
 
@@ -49,7 +49,7 @@
 }
 
 void
-exchange_answer_headers(exchange_t *exchange)
+exchange_response_headers_add(exchange_t *exchange)
 {
 	struct evhttp_request *req = exchange->req;
 
@@ -70,9 +70,9 @@
 		return;
 	sse_feed(&exchange->sse, in, out);
 	if (evbuffer_get_length(out) > 0 && exchange->req != NULL) {
-		if (!exchange->reply_started) {
-			exchange->reply_started = true;
-			exchange_answer_headers(exchange);
+		if (!exchange->response_started) {
+			exchange->response_started = true;
+			exchange_response_headers_add(exchange);
 			http_answer_header(
 			    exchange->req, "Content-Type", "text/event-stream");
 			evhttp_send_reply_start(exchange->req, STATUS_OK, "OK");
@@ -91,25 +91,25 @@
 	if (evhttp_request_get_response_code(upstream_req) != STATUS_OK)
 		return;
 	first_byte_note(exchange);
-	if (exchange->stream) {
+	if (exchange->streaming) {
 		events_pass(exchange, in);
 		return;
 	}
-	if (exchange->answer == NULL)
-		exchange->answer = evbuffer_new();
-	if (exchange->answer != NULL &&
-	    evbuffer_get_length(exchange->answer) < ANSWER_MAX)
-		evbuffer_add_buffer(exchange->answer, in);
+	if (exchange->response_body == NULL)
+		exchange->response_body = evbuffer_new();
+	if (exchange->response_body != NULL &&
+	    evbuffer_get_length(exchange->response_body) < ANSWER_MAX)
+		evbuffer_add_buffer(exchange->response_body, in);
 }
 
 static void
 upstream_done_stream(exchange_t *exchange)
 {
 	if (exchange->sse.done) {
-		exchange_whole(exchange);
+		exchange_response_completed(exchange);
 		return;
 	}
-	if (!exchange_resume(exchange))
+	if (!exchange_stream_resume(exchange))
 		exchange_attempt_failed(
 		    exchange, true, true, "the stream ended before its end");
 }
@@ -118,16 +118,16 @@
 static void
 upstream_done_plain(exchange_t *exchange)
 {
-	size_t len = exchange->answer != NULL
-	    ? evbuffer_get_length(exchange->answer)
+	size_t len = exchange->response_body != NULL
+	    ? evbuffer_get_length(exchange->response_body)
 	    : 0;
 	json_t *body = len > 0
-	    ? json_loadb(
-		  (char *)evbuffer_pullup(exchange->answer, -1), len, 0, NULL)
+	    ? json_loadb((char *)evbuffer_pullup(exchange->response_body, -1),
+		  len, 0, NULL)
 	    : NULL;
 	json_t *usage = json_object_get(body, "usage");
 
-	if (body == NULL || (exchange->engine && usage == NULL)) {
+	if (body == NULL || (exchange->is_engine && usage == NULL)) {
 		json_decref(body);
 		exchange_attempt_failed(
 		    exchange, true, true, "the answer was not whole");
@@ -141,7 +141,7 @@
 		exchange->confidence =
 		    json_number_value(json_object_get(usage, "confidence"));
 	json_decref(body);
-	exchange_whole(exchange);
+	exchange_response_completed(exchange);
 }
 
 static bool
@@ -162,7 +162,7 @@
 	snprintf(why, sizeof(why), "the endpoint answered %d", status);
 	exchange->status = status;
 	if (status == STATUS_OK) {
-		if (exchange->stream)
+		if (exchange->streaming)
 			upstream_done_stream(exchange);
 		else
 			upstream_done_plain(exchange);
@@ -197,7 +197,7 @@
 		if (!connected && exchange->phase != PHASE_RESUME)
 			exchange_attempt_failed(
 			    exchange, false, true, "it cannot be reached");
-		else if (!exchange_resume(exchange))
+		else if (!exchange_stream_resume(exchange))
 			exchange_attempt_failed(
 			    exchange, true, true, "the connection broke");
 		return;
@@ -215,7 +215,7 @@
 	json_t *body = json_copy(exchange->body);
 	char *text;
 
-	if (exchange->engine)
+	if (exchange->is_engine)
 		json_object_set_new(
 		    body, "model", json_string(exchange->version));
 	text = json_dumps(body, JSON_COMPACT);
@@ -290,11 +290,11 @@
 
 	if (body == NULL)
 		return false;
-	exchange->ran = true;
+	exchange->may_have_run = true;
 	started =
 	    upstream_start(exchange, EVHTTP_REQ_POST, exchange->path, body);
 	if (!started)
-		exchange->ran = false;
+		exchange->may_have_run = false;
 	free(body);
 	return started;
 }
@@ -328,13 +328,13 @@
 }
 
 bool
-exchange_resume(exchange_t *exchange)
+exchange_stream_resume(exchange_t *exchange)
 {
 	static const struct timeval wait = {0, RESUME_WAIT_MS * 1000};
 	front_t *front = exchange->front;
 	resume_call_t *call;
 
-	if (!exchange->engine || !exchange->stream ||
+	if (!exchange->is_engine || !exchange->streaming ||
 	    exchange->resumes >= RESUMES_MAX)
 		return false;
 	call = malloc(sizeof(*call));
@@ -343,7 +343,7 @@
 	*call = (resume_call_t){front, exchange->tag};
 	exchange->resumes++;
 	exchange->phase = PHASE_RESUME;
-	sse_restart(&exchange->sse);
+	sse_partial_discard(&exchange->sse);
 	counter_add(front->process.counters, COUNTER_RESUMES, 1);
 	timeline_add(front->process.timeline, EVENT_STREAM_RESUMED,
 	    exchange->id, "after %" PRIu64 " tokens", exchange->sse.tokens);
@@ -371,7 +371,7 @@
 	    .path = path,
 	    .timeout_ms = (int)exchange->front->options->store_timeout_ms};
 
-	if (!exchange->engine ||
+	if (!exchange->is_engine ||
 	    !http_address_parse(exchange->endpoint_address, &address))
 		return;
 	attempt_name(exchange, name);
@@ -397,13 +397,13 @@
 static bool
 may_retry(exchange_t *exchange, bool ran)
 {
-	if (exchange->reply_started || !exchange_wanted(exchange) ||
+	if (exchange->response_started || !exchange_has_recipient(exchange) ||
 	    exchange->attempts >= EXCHANGE_ATTEMPTS_MAX ||
 	    exchange->front->stopping)
 		return false;
 	if (ran &&
-	    (!exchange->idempotent || exchange->keyed ||
-		exchange->broken >= BROKEN_MAX))
+	    (!exchange->idempotent || exchange->at_most_once ||
+		exchange->interrupted_attempts >= BROKEN_MAX))
 		return false;
 	return retry_budget_spend(&exchange->front->retries);
 }
@@ -418,7 +418,7 @@
 	timeline_add(front->process.timeline, EVENT_ATTEMPT_FAILED,
 	    exchange->id, "%.47s", why);
 	if (ran && health)
-		exchange_learn_failure(exchange);
+		exchange_failure_record(exchange);
 	if (health && exchange->endpoint != HANDLE_NONE) {
 		if (endpoint_fail(&front->fleet, exchange->endpoint, now)) {
 			counter_add(
@@ -430,20 +430,20 @@
 		exchange->endpoint = HANDLE_NONE;
 	}
 	exchange_endpoint_release(exchange);
-	exchange->ran = ran;
-	exchange->broken += ran;
-	if (exchange->answer != NULL)
-		evbuffer_drain(
-		    exchange->answer, evbuffer_get_length(exchange->answer));
+	exchange->may_have_run = ran;
+	exchange->interrupted_attempts += ran;
+	if (exchange->response_body != NULL)
+		evbuffer_drain(exchange->response_body,
+		    evbuffer_get_length(exchange->response_body));
 	if (may_retry(exchange, ran)) {
-		exchange->ran = false;
-		exchange_try(exchange);
+		exchange->may_have_run = false;
+		exchange_dispatch(exchange);
 		return;
 	}
 	exchange_fail(exchange,
-	    !ran			  ? ERR_NO_ENDPOINT
-		: exchange->reply_started ? ERR_STREAM_CUT
-		: exchange->keyed	  ? ERR_UNKNOWN_OUTCOME
-					  : ERR_ENDPOINT_FAILED,
+	    !ran			     ? ERR_NO_ENDPOINT
+		: exchange->response_started ? ERR_STREAM_CUT
+		: exchange->at_most_once     ? ERR_UNKNOWN_OUTCOME
+					     : ERR_ENDPOINT_FAILED,
 	    why);
 }
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -30,8 +30,8 @@
 		    "the key's ticket was sealed with a key that is gone");
 		return;
 	}
-	exchange->phase = PHASE_WAIT;
-	exchange_try(exchange);
+	exchange->phase = PHASE_QUEUED;
+	exchange_dispatch(exchange);
 }
 
 static bool
@@ -74,9 +74,9 @@
 	const char *ticket = http_request_header(arrival->req, TICKET_HEADER);
 	const char *key = http_request_header(arrival->req, KEY_HEADER);
 
-	exchange->phase = PHASE_WAIT;
-	exchange->keyed = ticket != NULL || key != NULL;
-	if (!exchange->keyed && !exchange->idempotent)
+	exchange->phase = PHASE_QUEUED;
+	exchange->at_most_once = ticket != NULL || key != NULL;
+	if (!exchange->at_most_once && !exchange->idempotent)
 		return err_set(err, ERR_TICKET_REQUIRED,
 		    "%s may not be repeated: send a " TICKET_HEADER
 		    " or an " KEY_HEADER,
@@ -112,7 +112,7 @@
 		session_begin(front, exchange);
 		return true;
 	}
-	exchange->session_given = true;
+	exchange->existing_session = true;
 	return session_open(&front->keyring, text, exchange->organisation,
 	    timespec_ms(clock_wall(front->process.clock)), &exchange->session,
 	    err);
@@ -157,10 +157,10 @@
 static bool
 open_model_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
-	if (!exchange->session_given)
-		return exchange_cascade_begin(
+	if (!exchange->existing_session)
+		return exchange_cascade_start(
 		    exchange, arrival->organisation, err);
-	exchange->open_model = false;
+	exchange->auto_model = false;
 	snprintf(exchange->model, sizeof(exchange->model), "%.*s",
 	    (int)strcspn(exchange->session.version, "@"),
 	    exchange->session.version);
@@ -170,9 +170,9 @@
 static bool
 version_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
-	if (exchange->open_model && !open_model_take(arrival, exchange, err))
+	if (exchange->auto_model && !open_model_take(arrival, exchange, err))
 		return false;
-	if (exchange->session_given) {
+	if (exchange->existing_session) {
 		size_t len = strlen(exchange->model);
 
 		if (strncmp(exchange->session.version, exchange->model, len) !=
@@ -185,7 +185,7 @@
 		    sizeof(exchange->version));
 		return true;
 	}
-	return exchange_version_set(exchange, arrival->organisation, err);
+	return exchange_version_select(exchange, arrival->organisation, err);
 }
 
 /* Room for an exchange, with what its organisation's entry says. */
@@ -206,7 +206,7 @@
 	retry_budget_earn(&front->retries);
 	exchange->confidence = -1;
 	exchange->req = arrival->req;
-	exchange->begun = arrival->now;
+	exchange->started_at = arrival->now;
 	exchange->waiter.class = arrival->class;
 	exchange->waiter.since = arrival->now;
 	memcpy(exchange->organisation,
@@ -232,8 +232,9 @@
 	evhttp_request_free(req);
 	counter_add(front->process.counters, COUNTER_CALLERS_GONE, 1);
 	/* What may not be repeated runs on, so that its outcome is known. */
-	if (exchange->phase == PHASE_BILL ||
-	    (exchange->keyed && !exchange->engine && exchange->granted))
+	if (exchange->phase == PHASE_BILLING ||
+	    (exchange->at_most_once && !exchange->is_engine &&
+		exchange->granted))
 		return;
 	exchange_fail(exchange, ERR_STREAM_CUT, "the caller has gone");
 }
@@ -245,8 +246,8 @@
 	    exchange->id, "%.20s %.24s", exchange->organisation,
 	    exchange->version);
 	http_request_watch(arrival->req, caller_gone, exchange);
-	if (exchange->phase == PHASE_WAIT)
-		exchange_try(exchange);
+	if (exchange->phase == PHASE_QUEUED)
+		exchange_dispatch(exchange);
 }
 
 static void
@@ -254,7 +255,7 @@
 {
 	if (exchange != NULL) {
 		exchange->req = NULL;
-		exchange_end(exchange);
+		exchange_free(exchange);
 	}
 	arrival_refuse(arrival->front, arrival->req, err);
 }
@@ -272,8 +273,8 @@
 	(void)path;
 	if (!sse_init(&exchange->sse))
 		return err_set(err, ERR_MEMORY, "no memory");
-	exchange->engine = true;
-	exchange->stream =
+	exchange->is_engine = true;
+	exchange->streaming =
 	    json_is_true(json_object_get(exchange->body, "stream"));
 	if (model == NULL || json_array_size(messages) == 0)
 		return err_set(err, ERR_BAD_REQUEST,
@@ -281,7 +282,7 @@
 	snprintf(
 	    exchange->path, sizeof(exchange->path), "/v1/chat/completions");
 	if (strcmp(model, OPEN_MODEL) == 0) {
-		exchange->open_model = true;
+		exchange->auto_model = true;
 		exchange->idempotent = true;
 		return true;
 	}
@@ -297,7 +298,7 @@
 }
 
 bool
-exchange_wanted(const exchange_t *exchange)
+exchange_has_recipient(const exchange_t *exchange)
 {
 	return exchange->req != NULL || exchange->job != NULL;
 }
@@ -317,7 +318,7 @@
 	if (exchange == NULL ||
 	    (exchange->body = http_request_json(arrival->req, &err)) == NULL ||
 	    !body_take(arrival, exchange, path, &err) ||
-	    !arrival_deadline(arrival, exchange, &err) ||
+	    !arrival_deadline_parse(arrival, exchange, &err) ||
 	    !session_take(arrival, exchange, &err) ||
 	    !version_take(arrival, exchange, &err) ||
 	    !key_take(arrival, exchange, &err)) {
@@ -328,14 +329,14 @@
 }
 
 void
-exchange_chat(front_t *front, struct evhttp_request *req)
+exchange_chat_start(front_t *front, struct evhttp_request *req)
 {
 	arrival_t arrival = {.front = front,
 	    .req = req,
 	    .now = clock_elapsed(front->process.clock)};
 	err_t err;
 
-	if (!arrival_pass(&arrival, &err))
+	if (!arrival_admit(&arrival, &err))
 		arrival_refuse(front, req, &err);
 	else if (asks_for_later(req))
 		deferred_accept(front, req);
@@ -344,7 +345,7 @@
 }
 
 bool
-exchange_job_begin(front_t *front, deferred_job_t *job,
+exchange_job_start(front_t *front, deferred_job_t *job,
     const char *organisation, json_t *body, int64_t deadline_ms, err_t *err)
 {
 	arrival_t arrival = {.front = front,
@@ -365,14 +366,14 @@
 	session_begin(front, exchange);
 	if (!chat_body_take(&arrival, exchange, NULL, err) ||
 	    !version_take(&arrival, exchange, err)) {
-		exchange_end(exchange);
+		exchange_free(exchange);
 		return false;
 	}
 	exchange->job = job;
-	exchange->broken = deferred_broken(job);
-	exchange->phase = PHASE_WAIT;
+	exchange->interrupted_attempts = deferred_interrupted_attempts(job);
+	exchange->phase = PHASE_QUEUED;
 	exchange->waiter.deadline = timespec_after_ms(arrival.now, deadline_ms);
-	exchange_try(exchange);
+	exchange_dispatch(exchange);
 	return true;
 }
 
@@ -404,7 +405,8 @@
 }
 
 void
-exchange_service(front_t *front, struct evhttp_request *req, const char *path)
+exchange_service_start(
+    front_t *front, struct evhttp_request *req, const char *path)
 {
 	arrival_t arrival = {.front = front,
 	    .req = req,
@@ -412,7 +414,7 @@
 	    .now = clock_elapsed(front->process.clock)};
 	err_t err;
 
-	if (!arrival_pass(&arrival, &err))
+	if (!arrival_admit(&arrival, &err))
 		arrival_refuse(front, req, &err);
 	else
 		exchange_start(&arrival, service_body_take, path);
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -127,12 +127,12 @@
 }
 
 void
-deferred_done(exchange_t *exchange, const bill_t *bill)
+deferred_completed(exchange_t *exchange, const bill_t *bill)
 {
 	deferred_job_t *job = exchange->job;
-	json_t *answer =
-	    json_loadb((const char *)evbuffer_pullup(exchange->answer, -1),
-		evbuffer_get_length(exchange->answer), 0, NULL);
+	json_t *answer = json_loadb(
+	    (const char *)evbuffer_pullup(exchange->response_body, -1),
+	    evbuffer_get_length(exchange->response_body), 0, NULL);
 	bill_t named = *bill;
 
 	exchange->job = NULL;
@@ -172,7 +172,7 @@
 }
 
 uint32_t
-deferred_broken(const deferred_job_t *job)
+deferred_interrupted_attempts(const deferred_job_t *job)
 {
 	return (uint32_t)json_integer_value(
 	    json_object_get(job->row, "broken"));
@@ -189,7 +189,7 @@
 	default:
 		return json_integer_value(json_object_get(job->row, "tries")) >=
 		    TRIES_MAX ||
-		    deferred_broken(job) >= BROKEN_MAX;
+		    deferred_interrupted_attempts(job) >= BROKEN_MAX;
 	}
 }
 
@@ -208,7 +208,8 @@
 	deferred_job_t *job = exchange->job;
 
 	exchange->job = NULL;
-	json_object_set_new(job->row, "broken", json_integer(exchange->broken));
+	json_object_set_new(
+	    job->row, "broken", json_integer(exchange->interrupted_attempts));
 	job_failed(job, err);
 }
 
@@ -231,7 +232,7 @@
 		job_free(job);
 		return;
 	}
-	if (!exchange_job_begin(job->front, job,
+	if (!exchange_job_start(job->front, job,
 		json_string_value(json_object_get(job->row, "organisation")),
 		json_object_get(job->row, "body"), run_ms(job->front), &err))
 		job_failed(job, &err);
--- a/moortack/exchange/dispatch.c
+++ b/moortack/exchange/dispatch.c
@@ -21,7 +21,7 @@
 	if (*exchange->session.endpoint != '\0')
 		query->hint =
 		    fleet_find(&front->fleet, exchange->session.endpoint);
-	memcpy(query->avoid, exchange->tried, sizeof(query->avoid));
+	memcpy(query->avoid, exchange->tried_endpoints, sizeof(query->avoid));
 	return query->organisation != HANDLE_NONE &&
 	    query->version != HANDLE_NONE;
 }
@@ -47,7 +47,7 @@
 }
 
 bool
-exchange_version_set(exchange_t *exchange, handle_t organisation, err_t *err)
+exchange_version_select(exchange_t *exchange, handle_t organisation, err_t *err)
 {
 	const config_t *config = exchange->front->config;
 	handle_t version = version_choose(exchange, organisation);
@@ -72,9 +72,9 @@
 		return true;
 	/* A session stays, unless its organisation would rather have it
 	 * moved off a version that the guard stopped. */
-	if (exchange->session_given && !fallback)
+	if (exchange->existing_session && !fallback)
 		return false;
-	if (!exchange->session_given && version->state == VERSION_DRAINING)
+	if (!exchange->existing_session && version->state == VERSION_DRAINING)
 		return true;
 	stopped = guard_stopped(&exchange->front->learn.guard,
 	    exchange->front->config, exchange->organisation);
@@ -99,13 +99,13 @@
 	if (!version_closed(exchange, config_version_at(config, version),
 		version, fallback))
 		return true;
-	if (exchange->session_given && !fallback)
+	if (exchange->existing_session && !fallback)
 		return err_set(err, ERR_VERSION_WITHDRAWN,
 		    "the session's version %s was withdrawn",
 		    exchange->version);
-	if (!exchange_version_set(exchange, organisation, err))
+	if (!exchange_version_select(exchange, organisation, err))
 		return false;
-	exchange->session_given = false;
+	exchange->existing_session = false;
 	return true;
 }
 
@@ -138,7 +138,7 @@
 {
 	front_t *front = exchange->front;
 
-	exchange->phase = PHASE_WAIT;
+	exchange->phase = PHASE_QUEUED;
 	if (exchange->waiter.queued)
 		return;
 	exchange->waiter.pool = admission_pool(exchange->model);
@@ -148,7 +148,7 @@
 }
 
 void
-exchange_try(exchange_t *exchange)
+exchange_dispatch(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 	balance_query_t query;
@@ -178,8 +178,8 @@
 	}
 	admission_leave(&front->admission, &exchange->waiter);
 	endpoint_hold(exchange, picked);
-	if (exchange->keyed && !exchange->granted)
-		exchange_redeem(exchange);
+	if (exchange->at_most_once && !exchange->granted)
+		exchange_ticket_redeem(exchange);
 	else
 		exchange_send(exchange);
 }
@@ -225,7 +225,7 @@
 	}
 	exchange->phase = PHASE_SENT;
 	exchange->sent_at = clock_elapsed(front->process.clock);
-	exchange->tried[exchange->attempts++] = exchange->endpoint;
+	exchange->tried_endpoints[exchange->attempts++] = exchange->endpoint;
 	counter_add(front->process.counters, COUNTER_ATTEMPTS, 1);
 	if (exchange->attempts > 1)
 		counter_add(front->process.counters, COUNTER_RETRIES, 1);
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -11,12 +11,12 @@
 static const char end_mark[] = "data: [DONE]\n\n";
 
 void
-exchange_line(const exchange_t *exchange, bill_line_t *out)
+exchange_bill_line(const exchange_t *exchange, bill_line_t *out)
 {
 	const config_t *config = exchange->front->config;
 	const model_t *model =
 	    config_model_at(config, config_model(config, exchange->model));
-	uint64_t units = exchange->engine ? exchange->sse.tokens : 1;
+	uint64_t units = exchange->is_engine ? exchange->sse.tokens : 1;
 
 	*out = (bill_line_t){.tokens_in = exchange->tokens_in,
 	    .tokens_out = exchange->sse.tokens,
@@ -30,10 +30,10 @@
 {
 	*bill = (bill_t){
 	    .at_ms = timespec_ms(clock_wall(exchange->front->process.clock)),
-	    .line_count = exchange->line_count,
+	    .line_count = exchange->bill_line_count,
 	    .cut = cut};
-	memcpy(bill->lines, exchange->lines, sizeof(bill->lines));
-	exchange_line(exchange, &bill->lines[bill->line_count++]);
+	memcpy(bill->lines, exchange->bill_lines, sizeof(bill->lines));
+	exchange_bill_line(exchange, &bill->lines[bill->line_count++]);
 	snprintf(bill->request, sizeof(bill->request), "%s", exchange->id);
 	memcpy(bill->organisation, exchange->organisation,
 	    sizeof(bill->organisation));
@@ -46,7 +46,7 @@
 	    fleet_at(&exchange->front->fleet, exchange->endpoint);
 
 	if (endpoint != NULL)
-		endpoint_succeed(endpoint, (double)exchange->first_ms,
+		endpoint_succeed(endpoint, (double)exchange->first_byte_ms,
 		    clock_elapsed(exchange->front->process.clock));
 	exchange->endpoint = HANDLE_NONE;
 }
@@ -57,34 +57,35 @@
 	size_t len = 0;
 	const char *body = NULL;
 
-	if (!exchange->keyed)
+	if (!exchange->at_most_once)
 		return;
-	if (!exchange->stream && exchange->answer != NULL) {
-		len = evbuffer_get_length(exchange->answer);
-		body = (const char *)evbuffer_pullup(exchange->answer, -1);
+	if (!exchange->streaming && exchange->response_body != NULL) {
+		len = evbuffer_get_length(exchange->response_body);
+		body =
+		    (const char *)evbuffer_pullup(exchange->response_body, -1);
 	}
-	exchange_outcome(exchange, exchange->status, body, len);
+	exchange_outcome_report(exchange, exchange->status, body, len);
 }
 
 void
-exchange_whole(exchange_t *exchange)
+exchange_response_completed(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 	bill_t bill;
 
 	endpoint_done(exchange);
-	exchange_learn_answer(exchange);
-	if (exchange_cascade_up(exchange))
+	exchange_response_record(exchange);
+	if (exchange_cascade_escalate(exchange))
 		return;
 	bill_fill(exchange, false, &bill);
 	if (exchange->job != NULL) {
-		deferred_done(exchange, &bill);
-		exchange_end(exchange);
+		deferred_completed(exchange, &bill);
+		exchange_free(exchange);
 		front_dispatch(front);
 		return;
 	}
 	outcome_tell(exchange);
-	exchange->phase = PHASE_BILL;
+	exchange->phase = PHASE_BILLING;
 	billing_record(front->billing, &bill, exchange->tag);
 	if (front->admission.count > 0)
 		front_dispatch(front);
@@ -104,20 +105,20 @@
 static void
 plain_end(exchange_t *exchange)
 {
-	exchange_answer_headers(exchange);
+	exchange_response_headers_add(exchange);
 	http_answer_header(exchange->req, "Content-Type", "application/json");
 	evhttp_send_reply(
-	    exchange->req, exchange->status, NULL, exchange->answer);
+	    exchange->req, exchange->status, NULL, exchange->response_body);
 }
 
 void
-exchange_billed(exchange_t *exchange)
+exchange_bill_recorded(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 
 	if (exchange->req != NULL) {
 		http_request_unwatch(exchange->req);
-		if (exchange->stream)
+		if (exchange->streaming)
 			stream_end(exchange);
 		else
 			plain_end(exchange);
@@ -129,7 +130,7 @@
 		    exchange->id, "%llu tokens",
 		    (unsigned long long)exchange->sse.tokens);
 	}
-	exchange_end(exchange);
+	exchange_free(exchange);
 }
 
 /* A failure inside a stream that has begun: an event, and no end mark. */
@@ -154,7 +155,7 @@
 static const char *
 ran_word(const exchange_t *exchange, const err_t *err)
 {
-	if (!exchange->keyed || exchange->settled)
+	if (!exchange->at_most_once || exchange->known_not_run)
 		return NULL;
 	return err_info(err->code)->ran == ERR_NOT_RUN ? "unknown" : NULL;
 }
@@ -178,7 +179,7 @@
 failure_tell(exchange_t *exchange, const err_t *err)
 {
 	http_request_unwatch(exchange->req);
-	if (exchange->reply_started) {
+	if (exchange->response_started) {
 		stream_cut(exchange, err);
 	} else {
 		http_answer_header(
@@ -195,8 +196,8 @@
 {
 	bill_t bill;
 
-	if (!exchange->engine ||
-	    (exchange->sse.tokens == 0 && exchange->line_count == 0))
+	if (!exchange->is_engine ||
+	    (exchange->sse.tokens == 0 && exchange->bill_line_count == 0))
 		return;
 	bill_fill(exchange, true, &bill);
 	billing_record(exchange->front->billing, &bill, 0);
@@ -212,14 +213,15 @@
 	admission_leave(&front->admission, &exchange->waiter);
 	exchange_upstream_cancel(exchange);
 	exchange_endpoint_release(exchange);
-	if (exchange->phase == PHASE_TICKET)
-		exchange_unsent(exchange);
-	if (exchange->granted && !exchange->ran) {
-		exchange_unsent(exchange);
-		exchange->settled = true;
+	if (exchange->phase == PHASE_REDEEM)
+		exchange_unsent_report(exchange);
+	if (exchange->granted && !exchange->may_have_run) {
+		exchange_unsent_report(exchange);
+		exchange->known_not_run = true;
 	}
 	timeline_add(front->process.timeline,
-	    exchange->reply_started ? EVENT_ANSWER_CUT : EVENT_REQUEST_REFUSED,
+	    exchange->response_started ? EVENT_ANSWER_CUT
+				       : EVENT_REQUEST_REFUSED,
 	    exchange->id, "%s", err_info(code)->name);
 	if (exchange->job != NULL)
 		deferred_failed(exchange, &err);
@@ -227,11 +229,11 @@
 		cut_bill(exchange);
 	if (exchange->req != NULL)
 		failure_tell(exchange, &err);
-	exchange_end(exchange);
+	exchange_free(exchange);
 }
 
 void
-exchange_end(exchange_t *exchange)
+exchange_free(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 
@@ -243,8 +245,8 @@
 	}
 	exchange_endpoint_release(exchange);
 	sse_finish(&exchange->sse);
-	if (exchange->answer != NULL)
-		evbuffer_free(exchange->answer);
+	if (exchange->response_body != NULL)
+		evbuffer_free(exchange->response_body);
 	json_decref(exchange->body);
 	front_exchange_free(front, exchange);
 }
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -11,8 +11,8 @@
 #define NO_CONFIDENCE 0.5 /* where an engine gives none */
 
 void
-exchange_learn(front_t *front, const char *organisation, const char *version,
-    guard_signal_t signal, bool bad)
+exchange_guard_observe(front_t *front, const char *organisation,
+    const char *version, guard_signal_t signal, bool bad)
 {
 	const config_t *config = front->config;
 	const version_t *row =
@@ -39,9 +39,9 @@
 }
 
 void
-exchange_learn_failure(exchange_t *exchange)
+exchange_failure_record(exchange_t *exchange)
 {
-	exchange_learn(exchange->front, exchange->organisation,
+	exchange_guard_observe(exchange->front, exchange->organisation,
 	    exchange->version, GUARD_ERROR, true);
 }
 
@@ -86,7 +86,7 @@
 recent_note(exchange_t *exchange)
 {
 	learn_recent_t recent = {
-	    .model = exchange->open_model ? exchange->step : -1,
+	    .model = exchange->auto_model ? exchange->cascade_step : -1,
 	    .confidence = exchange->confidence >= 0 ? exchange->confidence
 						    : NO_CONFIDENCE};
 
@@ -98,18 +98,18 @@
 }
 
 void
-exchange_learn_answer(exchange_t *exchange)
+exchange_response_record(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 
-	exchange_learn(front, exchange->organisation, exchange->version,
+	exchange_guard_observe(front, exchange->organisation, exchange->version,
 	    GUARD_ERROR, false);
-	if (!exchange->engine)
+	if (!exchange->is_engine)
 		return;
-	if (exchange->stream && exchange->first_ms >= 0)
-		exchange_learn(front, exchange->organisation, exchange->version,
-		    GUARD_LATENCY,
-		    exchange->first_ms > front->options->slow_first_ms);
+	if (exchange->streaming && exchange->first_byte_ms >= 0)
+		exchange_guard_observe(front, exchange->organisation,
+		    exchange->version, GUARD_LATENCY,
+		    exchange->first_byte_ms > front->options->slow_first_ms);
 	rating_ask(exchange);
 	recent_note(exchange);
 }
@@ -118,9 +118,9 @@
 model_set(exchange_t *exchange, handle_t organisation,
     const learn_cascade_t *row, int step, err_t *err)
 {
-	exchange->step = step;
+	exchange->cascade_step = step;
 	memcpy(exchange->model, row->models[step], sizeof(exchange->model));
-	return exchange_version_set(exchange, organisation, err);
+	return exchange_version_select(exchange, organisation, err);
 }
 
 /* A stream can't be taken back once it has begun, so its model is chosen by
@@ -130,14 +130,14 @@
 {
 	rng_t *rng = exchange->front->process.rng;
 
-	if (exchange->stream)
+	if (exchange->streaming)
 		return cascade_blind(&row->cascade);
 	return cascade_first(
 	    &row->cascade, rng_below(rng, ALL_PERCENT) < EXPLORE_PERCENT);
 }
 
 bool
-exchange_cascade_begin(exchange_t *exchange, handle_t organisation, err_t *err)
+exchange_cascade_start(exchange_t *exchange, handle_t organisation, err_t *err)
 {
 	front_t *front = exchange->front;
 	const learn_cascade_t *row =
@@ -154,20 +154,21 @@
 static void
 run_note(exchange_t *exchange)
 {
-	exchange_line(exchange, &exchange->lines[exchange->line_count++]);
-	if (exchange->answer != NULL)
-		evbuffer_drain(
-		    exchange->answer, evbuffer_get_length(exchange->answer));
+	exchange_bill_line(
+	    exchange, &exchange->bill_lines[exchange->bill_line_count++]);
+	if (exchange->response_body != NULL)
+		evbuffer_drain(exchange->response_body,
+		    evbuffer_get_length(exchange->response_body));
 	exchange->attempts = 0;
-	exchange->ran = false;
+	exchange->may_have_run = false;
 	exchange->sse.tokens = 0;
 	exchange->tokens_in = 0;
 	exchange->confidence = -1;
-	exchange->first_ms = -1;
+	exchange->first_byte_ms = -1;
 }
 
 bool
-exchange_cascade_up(exchange_t *exchange)
+exchange_cascade_escalate(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 	handle_t organisation =
@@ -176,24 +177,25 @@
 	bill_line_t line;
 	err_t err;
 
-	if (!exchange->open_model || exchange->stream ||
-	    organisation == HANDLE_NONE || !exchange_wanted(exchange))
+	if (!exchange->auto_model || exchange->streaming ||
+	    organisation == HANDLE_NONE || !exchange_has_recipient(exchange))
 		return false;
 	row = learn_cascade(&front->learn, front->config, organisation);
-	if (row == NULL || exchange->step >= row->cascade.models)
+	if (row == NULL || exchange->cascade_step >= row->cascade.models)
 		return false;
-	exchange_line(exchange, &line);
-	cascade_cost(&row->cascade, exchange->step, (double)line.cost);
-	if (exchange->line_count + 1 >= BILL_LINES_MAX ||
+	exchange_bill_line(exchange, &line);
+	cascade_cost(&row->cascade, exchange->cascade_step, (double)line.cost);
+	if (exchange->bill_line_count + 1 >= BILL_LINES_MAX ||
 	    exchange->confidence < 0 ||
 	    cascade_accepts(
-		&row->cascade, exchange->step, exchange->confidence))
+		&row->cascade, exchange->cascade_step, exchange->confidence))
 		return false;
 	run_note(exchange);
 	counter_add(front->process.counters, COUNTER_CASCADE_UPS, 1);
-	if (!model_set(exchange, organisation, row, exchange->step + 1, &err))
+	if (!model_set(
+		exchange, organisation, row, exchange->cascade_step + 1, &err))
 		exchange_fail(exchange, err.code, err.detail);
 	else
-		exchange_try(exchange);
+		exchange_dispatch(exchange);
 	return true;
 }
--- a/moortack/exchange/sse.c
+++ b/moortack/exchange/sse.c
@@ -22,7 +22,7 @@
 }
 
 void
-sse_restart(sse_t *sse)
+sse_partial_discard(sse_t *sse)
 {
 	evbuffer_drain(sse->partial, evbuffer_get_length(sse->partial));
 }
@@ -66,5 +66,5 @@
 		    sse->partial, out, (size_t)end.pos + sizeof(event_end) - 1);
 	}
 	if (evbuffer_get_length(sse->partial) > SSE_EVENT_MAX)
-		sse->bad = true;
+		sse->event_too_long = true;
 }
--- a/moortack/exchange/ticketing.c
+++ b/moortack/exchange/ticketing.c
@@ -22,9 +22,9 @@
 }
 
 void
-exchange_redeem(exchange_t *exchange)
+exchange_ticket_redeem(exchange_t *exchange)
 {
-	exchange->phase = PHASE_TICKET;
+	exchange->phase = PHASE_REDEEM;
 	if (exchange->attempt_id == 0)
 		exchange->attempt_id =
 		    rng_bits(exchange->front->process.rng) | 1;
@@ -34,7 +34,7 @@
 }
 
 void
-exchange_unsent(exchange_t *exchange)
+exchange_unsent_report(exchange_t *exchange)
 {
 	for (int which = 0; which < REDEEM_WITNESSES; which++) {
 		if (redeem_may_hold(&exchange->redeem, which))
@@ -44,7 +44,8 @@
 }
 
 void
-exchange_outcome(exchange_t *exchange, int status, const char *body, size_t len)
+exchange_outcome_report(
+    exchange_t *exchange, int status, const char *body, size_t len)
 {
 	for (int which = 0; which < REDEEM_WITNESSES; which++)
 		ask(exchange, which, WITNESS_OUTCOME, false, status, body, len);
@@ -70,7 +71,7 @@
 	evhttp_send_reply(req, status, NULL, out);
 	evbuffer_free(out);
 	exchange->req = NULL;
-	exchange_end(exchange);
+	exchange_free(exchange);
 }
 
 static void
@@ -85,12 +86,12 @@
 		exchange_send(exchange);
 		return;
 	}
-	exchange_unsent(exchange);
+	exchange_unsent_report(exchange);
 	exchange_endpoint_release(exchange);
-	exchange->phase = PHASE_WAIT;
+	exchange->phase = PHASE_QUEUED;
 	switch (result) {
 	case REDEEM_NOT_RUN:
-		exchange->settled = true;
+		exchange->known_not_run = true;
 		exchange_fail(exchange, ERR_TICKET_DEAD,
 		    "it was not run under this ticket or key and never will "
 		    "be; take a new one");
@@ -110,10 +111,10 @@
 }
 
 void
-exchange_witness(exchange_t *exchange, int which, bool lost,
+exchange_witness_responded(exchange_t *exchange, int which, bool lost,
     witness_state_t state, int status, const char *answer)
 {
-	if (exchange->phase != PHASE_TICKET)
+	if (exchange->phase != PHASE_REDEEM)
 		return;
 	if (lost)
 		redeem_lost(&exchange->redeem, which);
--- a/moortack/front/front.c
+++ b/moortack/front/front.c
@@ -38,7 +38,7 @@
 static const front_path_t paths[] = {
     {"/healthz", EVHTTP_REQ_GET, healthy},
     {"/metrics", EVHTTP_REQ_GET, metrics_answer},
-    {"/v1/chat/completions", EVHTTP_REQ_POST, exchange_chat},
+    {"/v1/chat/completions", EVHTTP_REQ_POST, exchange_chat_start},
     {"/v1/entries", EVHTTP_REQ_GET, entries_answer},
     {"/v1/tickets", EVHTTP_REQ_POST, tickets_answer},
 };
@@ -68,7 +68,7 @@
 		admin_request(front, req, path + sizeof(admin) - 1);
 	} else if (strncmp(path, services, sizeof(services) - 1) == 0 &&
 	    method == EVHTTP_REQ_POST) {
-		exchange_service(front, req, path + sizeof(services) - 1);
+		exchange_service_start(front, req, path + sizeof(services) - 1);
 	} else if (strncmp(path, deferred, sizeof(deferred) - 1) == 0 &&
 	    method == EVHTTP_REQ_GET) {
 		deferred_collect(front, req, path + sizeof(deferred) - 1);
@@ -118,7 +118,7 @@
 	slot->generation++;
 	exchange->front = front;
 	exchange->endpoint = HANDLE_NONE;
-	exchange->first_ms = -1;
+	exchange->first_byte_ms = -1;
 	/* Witnesses' tags need one bit more: see witness_task.c. */
 	exchange->tag =
 	    (uint64_t)(slot->generation & 0x7fffffff) << 32 | (handle + 1);
@@ -157,7 +157,7 @@
 	while (waiter != NULL) {
 		waiter_t *next = admission_next(&front->admission, waiter);
 
-		exchange_try((exchange_t *)waiter);
+		exchange_dispatch((exchange_t *)waiter);
 		waiter = next;
 	}
 }
@@ -184,11 +184,11 @@
 		exchange_slot_t *slot = table_at(&front->slots, h);
 		exchange_t *exchange = slot->exchange;
 
-		if (exchange == NULL || exchange->phase == PHASE_BILL ||
+		if (exchange == NULL || exchange->phase == PHASE_BILLING ||
 		    timespec_ms_between(exchange->waiter.deadline, now) < 0)
 			continue;
 		exchange_fail(exchange,
-		    exchange->ran ? ERR_UNKNOWN_OUTCOME : ERR_DEADLINE,
+		    exchange->may_have_run ? ERR_UNKNOWN_OUTCOME : ERR_DEADLINE,
 		    "the deadline passed");
 	}
 }
@@ -368,7 +368,8 @@
 			continue;
 		cut++;
 		exchange_fail(slot->exchange,
-		    slot->exchange->ran ? ERR_UNKNOWN_OUTCOME : ERR_DRAINING,
+		    slot->exchange->may_have_run ? ERR_UNKNOWN_OUTCOME
+						 : ERR_DRAINING,
 		    "this entry leaves");
 	}
 	return cut;
@@ -384,7 +385,7 @@
 		exchange_slot_t *slot = table_at(&front->slots, h);
 
 		if (slot->exchange != NULL)
-			exchange_end(slot->exchange);
+			exchange_free(slot->exchange);
 	}
 	upstreams_free(front);
 	if (front->http != NULL)
--- a/moortack/front/messages.c
+++ b/moortack/front/messages.c
@@ -104,7 +104,8 @@
 	recent = learn_recent(&front->learn, request);
 	if (recent != NULL)
 		learn_rating(&front->learn, recent, good);
-	exchange_learn(front, organisation, version, GUARD_RATING, !good);
+	exchange_guard_observe(
+	    front, organisation, version, GUARD_RATING, !good);
 }
 
 static void
@@ -218,8 +219,8 @@
 	exchange_t *exchange = front_exchange(front, news->tag);
 
 	if (exchange != NULL)
-		exchange_witness(exchange, news->which, news->lost, news->state,
-		    news->status, news->answer);
+		exchange_witness_responded(exchange, news->which, news->lost,
+		    news->state, news->status, news->answer);
 }
 
 static void
@@ -227,8 +228,8 @@
 {
 	exchange_t *exchange = front_exchange(front, news->tag);
 
-	if (exchange != NULL && exchange->phase == PHASE_BILL)
-		exchange_billed(exchange);
+	if (exchange != NULL && exchange->phase == PHASE_BILLING)
+		exchange_bill_recorded(exchange);
 }
 
 void
