--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -7,13 +7,13 @@
 #define DEADLINE_MAX_MS 3600000
 
 static bool
-limits_pass(arrival_t *arrival, err_t *err)
+limits_check(arrival_t *arrival, err_t *err)
 {
 	front_t *front = arrival->front;
 	const organisation_t *organisation =
 	    config_organisation_at(front->config, arrival->organisation);
 	/* Each daemon grants its share of the organisation's limit. */
-	uint32_t entries = front->members->rows.len + 1;
+	uint32_t daemon_count = front->members->rows.len + 1;
 	int64_t wait_ms;
 
 	if (!admission_open(&front->admission, arrival->class, arrival->pools,
@@ -25,7 +25,8 @@
 		return err_set(
 		    err, ERR_STORE, "as many bills wait for the store as may");
 	if (!rate_take(&front->rates[arrival->organisation % FRONT_RATES_MAX],
-		(double)organisation->limit / entries, arrival->now, &wait_ms))
+		(double)organisation->limit / daemon_count, arrival->now,
+		&wait_ms))
 		return err_set(err, ERR_LIMIT,
 		    "%s is over its limit of %u a second; next in %lld ms",
 		    organisation->name, organisation->limit,
@@ -35,7 +36,7 @@
 
 /* The pools of the models that the organisation may use, of one kind. */
 static uint64_t
-pools_of(const config_t *config, const organisation_t *organisation,
+model_pools(const config_t *config, const organisation_t *organisation,
     model_kind_t kind)
 {
 	uint64_t pools = 0;
@@ -68,15 +69,15 @@
 	    arrival->class < CLASS_SHEDDABLE)
 		arrival->class ++;
 	if (arrival->pools == 0)
-		arrival->pools = pools_of(front->config,
+		arrival->pools = model_pools(front->config,
 		    config_organisation_at(
 			front->config, arrival->organisation),
 		    MODEL_ENGINE);
-	return limits_pass(arrival, err);
+	return limits_check(arrival, err);
 }
 
 static bool
-is_keyed(struct evhttp_request *req)
+is_at_most_once(struct evhttp_request *req)
 {
 	return http_request_header(req, TICKET_HEADER) != NULL ||
 	    http_request_header(req, KEY_HEADER) != NULL;
@@ -88,7 +89,8 @@
 {
 	timeline_add(front->process.timeline, EVENT_REQUEST_REFUSED, "", "%s",
 	    err_info(err->code)->name);
-	answer_failure(front, req, err, is_keyed(req) ? "unknown" : NULL, NULL);
+	answer_failure(
+	    front, req, err, is_at_most_once(req) ? "unknown" : NULL, NULL);
 }
 
 bool
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -9,20 +9,20 @@
 #include "common/http_server.h"
 #include "common/log.h"
 
-#define ANSWER_MAX (32 << 20)
+#define RESPONSE_MAX (32 << 20)
 #define STATUS_OK 200
 #define STATUS_SERVER_ERROR 500
 #define STATUS_UNAVAILABLE 503
 #define RESUMES_MAX 4
-#define RESUME_WAIT_MS 50
-#define ATTEMPT_NAME_SIZE (EXCHANGE_ID_SIZE + 12)
+#define RESUME_DELAY_MS 50
+#define UPSTREAM_REQUEST_ID_SIZE (EXCHANGE_ID_SIZE + 12)
 #define NOT_RUN_HEADER "X-Not-Run"
 /* Endpoints may have crashed under a request whose attempts broke off: after so
  * many it is not sent to one more by itself. */
-#define BROKEN_MAX 2
+#define INTERRUPTED_ATTEMPTS_MAX 2
 
 static void
-first_byte_note(exchange_t *exchange)
+first_byte_record(exchange_t *exchange)
 {
 	struct timespec now = clock_elapsed(exchange->front->process.clock);
 
@@ -32,7 +32,7 @@
 }
 
 static void
-session_header(exchange_t *exchange)
+session_header_add(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 	char sealed[TOKEN_TEXT_MAX];
@@ -53,7 +53,7 @@
 {
 	struct evhttp_request *req = exchange->req;
 
-	session_header(exchange);
+	session_header_add(exchange);
 	http_answer_header(req, "Moortack-Version", exchange->version);
 	http_answer_header(req, "Moortack-Place", exchange->endpoint_place);
 	http_answer_header(req, "Moortack-Request", exchange->id);
@@ -62,7 +62,7 @@
 }
 
 static void
-events_pass(exchange_t *exchange, struct evbuffer *in)
+events_forward(exchange_t *exchange, struct evbuffer *in)
 {
 	struct evbuffer *out = evbuffer_new();
 
@@ -83,27 +83,27 @@
 }
 
 static void
-upstream_data(struct evhttp_request *upstream_req, void *arg)
+upstream_data_received(struct evhttp_request *upstream_req, void *arg)
 {
 	exchange_t *exchange = arg;
 	struct evbuffer *in = evhttp_request_get_input_buffer(upstream_req);
 
 	if (evhttp_request_get_response_code(upstream_req) != STATUS_OK)
 		return;
-	first_byte_note(exchange);
+	first_byte_record(exchange);
 	if (exchange->streaming) {
-		events_pass(exchange, in);
+		events_forward(exchange, in);
 		return;
 	}
 	if (exchange->response_body == NULL)
 		exchange->response_body = evbuffer_new();
 	if (exchange->response_body != NULL &&
-	    evbuffer_get_length(exchange->response_body) < ANSWER_MAX)
+	    evbuffer_get_length(exchange->response_body) < RESPONSE_MAX)
 		evbuffer_add_buffer(exchange->response_body, in);
 }
 
 static void
-upstream_done_stream(exchange_t *exchange)
+upstream_stream_ended(exchange_t *exchange)
 {
 	if (exchange->sse.done) {
 		exchange_response_completed(exchange);
@@ -116,7 +116,7 @@
 
 /* A plain answer is whole when it parses to its end. */
 static void
-upstream_done_plain(exchange_t *exchange)
+upstream_plain_ended(exchange_t *exchange)
 {
 	size_t len = exchange->response_body != NULL
 	    ? evbuffer_get_length(exchange->response_body)
@@ -145,7 +145,7 @@
 }
 
 static bool
-upstream_refused(struct evhttp_request *upstream_req, int status)
+upstream_not_run(struct evhttp_request *upstream_req, int status)
 {
 	const char *not_run = evhttp_find_header(
 	    evhttp_request_get_input_headers(upstream_req), NOT_RUN_HEADER);
@@ -154,18 +154,19 @@
 }
 
 static void
-upstream_status(exchange_t *exchange, struct evhttp_request *upstream_req)
+upstream_response_ended(
+    exchange_t *exchange, struct evhttp_request *upstream_req)
 {
 	int status = evhttp_request_get_response_code(upstream_req);
-	char why[64];
+	char reason[64];
 
-	snprintf(why, sizeof(why), "the endpoint answered %d", status);
+	snprintf(reason, sizeof(reason), "the endpoint answered %d", status);
 	exchange->status = status;
 	if (status == STATUS_OK) {
 		if (exchange->streaming)
-			upstream_done_stream(exchange);
+			upstream_stream_ended(exchange);
 		else
-			upstream_done_plain(exchange);
+			upstream_plain_ended(exchange);
 		return;
 	}
 	if (exchange->phase == PHASE_RESUME) {
@@ -175,14 +176,14 @@
 		return;
 	}
 	exchange_attempt_failed(exchange,
-	    !upstream_refused(upstream_req, status),
-	    status >= STATUS_SERVER_ERROR, why);
+	    !upstream_not_run(upstream_req, status),
+	    status >= STATUS_SERVER_ERROR, reason);
 }
 
 /* libevent calls this with NULL when the connection broke, and with status 0
  * when it never came about. */
 static void
-upstream_done(struct evhttp_request *upstream_req, void *arg)
+upstream_ended(struct evhttp_request *upstream_req, void *arg)
 {
 	exchange_t *exchange = arg;
 	front_t *front = exchange->front;
@@ -206,11 +207,11 @@
 		upstream_give(front, upstream);
 	else
 		upstream_close(front, upstream);
-	upstream_status(exchange, upstream_req);
+	upstream_response_ended(exchange, upstream_req);
 }
 
 static char *
-upstream_body(const exchange_t *exchange)
+upstream_body_encode(const exchange_t *exchange)
 {
 	json_t *body = json_copy(exchange->body);
 	char *text;
@@ -225,27 +226,28 @@
 
 /* Each attempt has a name of its own at the endpoint. */
 static void
-attempt_name(const exchange_t *exchange, char out[ATTEMPT_NAME_SIZE])
+upstream_request_id(
+    const exchange_t *exchange, char out[UPSTREAM_REQUEST_ID_SIZE])
 {
-	snprintf(
-	    out, ATTEMPT_NAME_SIZE, "%s.%u", exchange->id, exchange->attempts);
+	snprintf(out, UPSTREAM_REQUEST_ID_SIZE, "%s.%u", exchange->id,
+	    exchange->attempts);
 }
 
 static struct evhttp_request *
 upstream_request(exchange_t *exchange)
 {
 	struct evhttp_request *req =
-	    evhttp_request_new(upstream_done, exchange);
+	    evhttp_request_new(upstream_ended, exchange);
 	struct evkeyvalq *headers;
-	char name[ATTEMPT_NAME_SIZE];
+	char request_id[UPSTREAM_REQUEST_ID_SIZE];
 
 	if (req == NULL)
 		return NULL;
-	attempt_name(exchange, name);
-	evhttp_request_set_chunked_cb(req, upstream_data);
+	upstream_request_id(exchange, request_id);
+	evhttp_request_set_chunked_cb(req, upstream_data_received);
 	headers = evhttp_request_get_output_headers(req);
 	evhttp_add_header(headers, "Host", exchange->endpoint_address);
-	evhttp_add_header(headers, "X-Request-Id", name);
+	evhttp_add_header(headers, "X-Request-Id", request_id);
 	evhttp_add_header(headers, "X-Organisation", exchange->organisation);
 	return req;
 }
@@ -285,7 +287,7 @@
 bool
 exchange_upstream_start(exchange_t *exchange)
 {
-	char *body = upstream_body(exchange);
+	char *body = upstream_body_encode(exchange);
 	bool started;
 
 	if (body == NULL)
@@ -300,17 +302,17 @@
 }
 
 /** A stream that is to be taken up after a while, if it still lives then. */
-typedef struct resume_call {
+typedef struct resume_timer {
 	front_t *front;
 	uint64_t tag;
-} resume_call_t;
+} resume_timer_t;
 
 static void
-resume_now(evutil_socket_t fd, short what, void *arg)
+resume_timer_expired(evutil_socket_t fd, short what, void *arg)
 {
-	const resume_call_t call = *(resume_call_t *)arg;
-	exchange_t *exchange = front_exchange(call.front, call.tag);
-	char name[ATTEMPT_NAME_SIZE];
+	const resume_timer_t timer = *(resume_timer_t *)arg;
+	exchange_t *exchange = front_exchange(timer.front, timer.tag);
+	char request_id[UPSTREAM_REQUEST_ID_SIZE];
 	char path[128];
 
 	(void)fd;
@@ -319,8 +321,8 @@
 	if (exchange == NULL || exchange->phase != PHASE_RESUME ||
 	    exchange->upstream_req != NULL)
 		return;
-	attempt_name(exchange, name);
-	snprintf(path, sizeof(path), "/v1/streams/%s?from=%" PRIu64, name,
+	upstream_request_id(exchange, request_id);
+	snprintf(path, sizeof(path), "/v1/streams/%s?from=%" PRIu64, request_id,
 	    exchange->sse.tokens);
 	if (!upstream_start(exchange, EVHTTP_REQ_GET, path, NULL))
 		exchange_attempt_failed(
@@ -330,30 +332,30 @@
 bool
 exchange_stream_resume(exchange_t *exchange)
 {
-	static const struct timeval wait = {0, RESUME_WAIT_MS * 1000};
+	static const struct timeval delay = {0, RESUME_DELAY_MS * 1000};
 	front_t *front = exchange->front;
-	resume_call_t *call;
+	resume_timer_t *timer;
 
 	if (!exchange->is_engine || !exchange->streaming ||
 	    exchange->resumes >= RESUMES_MAX)
 		return false;
-	call = malloc(sizeof(*call));
-	if (call == NULL)
+	timer = malloc(sizeof(*timer));
+	if (timer == NULL)
 		return false;
-	*call = (resume_call_t){front, exchange->tag};
+	*timer = (resume_timer_t){front, exchange->tag};
 	exchange->resumes++;
 	exchange->phase = PHASE_RESUME;
 	sse_partial_discard(&exchange->sse);
 	counter_add(front->process.counters, COUNTER_RESUMES, 1);
 	timeline_add(front->process.timeline, EVENT_STREAM_RESUMED,
 	    exchange->id, "after %" PRIu64 " tokens", exchange->sse.tokens);
-	event_base_once(
-	    front->process.base, -1, EV_TIMEOUT, resume_now, call, &wait);
+	event_base_once(front->process.base, -1, EV_TIMEOUT,
+	    resume_timer_expired, timer, &delay);
 	return true;
 }
 
 static void
-cancel_done(void *arg, const http_reply_t *reply)
+cancel_completed(void *arg, const http_reply_t *reply)
 {
 	(void)arg;
 	(void)reply;
@@ -361,10 +363,10 @@
 
 /* Free the engine's slot: nobody listens any more. */
 static void
-engine_cancel(exchange_t *exchange)
+engine_stream_cancel(exchange_t *exchange)
 {
 	http_address_t address;
-	char name[ATTEMPT_NAME_SIZE];
+	char request_id[UPSTREAM_REQUEST_ID_SIZE];
 	char path[96];
 	const http_call_t call = {.address = &address,
 	    .method = EVHTTP_REQ_DELETE,
@@ -374,10 +376,10 @@
 	if (!exchange->is_engine ||
 	    !http_address_parse(exchange->endpoint_address, &address))
 		return;
-	attempt_name(exchange, name);
-	snprintf(path, sizeof(path), "/v1/streams/%s", name);
+	upstream_request_id(exchange, request_id);
+	snprintf(path, sizeof(path), "/v1/streams/%s", request_id);
 	http_call_start(
-	    exchange->front->process.base, &call, cancel_done, NULL);
+	    exchange->front->process.base, &call, cancel_completed, NULL);
 }
 
 void
@@ -391,59 +393,59 @@
 	exchange->upstream_req = NULL;
 	exchange->upstream = NULL;
 	upstream_close(exchange->front, upstream);
-	engine_cancel(exchange);
+	engine_stream_cancel(exchange);
 }
 
 static bool
-may_retry(exchange_t *exchange, bool ran)
+retry_acquire(exchange_t *exchange, bool may_have_run)
 {
 	if (exchange->response_started || !exchange_has_recipient(exchange) ||
 	    exchange->attempts >= EXCHANGE_ATTEMPTS_MAX ||
 	    exchange->front->stopping)
 		return false;
-	if (ran &&
+	if (may_have_run &&
 	    (!exchange->idempotent || exchange->at_most_once ||
-		exchange->interrupted_attempts >= BROKEN_MAX))
+		exchange->interrupted_attempts >= INTERRUPTED_ATTEMPTS_MAX))
 		return false;
 	return retry_budget_spend(&exchange->front->retries);
 }
 
 void
-exchange_attempt_failed(
-    exchange_t *exchange, bool ran, bool health, const char *why)
+exchange_attempt_failed(exchange_t *exchange, bool may_have_run,
+    bool endpoint_at_fault, const char *reason)
 {
 	front_t *front = exchange->front;
 	struct timespec now = clock_elapsed(front->process.clock);
 
 	timeline_add(front->process.timeline, EVENT_ATTEMPT_FAILED,
-	    exchange->id, "%.47s", why);
-	if (ran && health)
+	    exchange->id, "%.47s", reason);
+	if (may_have_run && endpoint_at_fault)
 		exchange_failure_record(exchange);
-	if (health && exchange->endpoint != HANDLE_NONE) {
+	if (endpoint_at_fault && exchange->endpoint != HANDLE_NONE) {
 		if (endpoint_fail(&front->fleet, exchange->endpoint, now)) {
 			counter_add(
 			    front->process.counters, COUNTER_EJECTIONS, 1);
 			timeline_add(front->process.timeline,
 			    EVENT_ENDPOINT_EJECTED, exchange->endpoint_address,
-			    "%s", why);
+			    "%s", reason);
 		}
 		exchange->endpoint = HANDLE_NONE;
 	}
 	exchange_endpoint_release(exchange);
-	exchange->may_have_run = ran;
-	exchange->interrupted_attempts += ran;
+	exchange->may_have_run = may_have_run;
+	exchange->interrupted_attempts += may_have_run;
 	if (exchange->response_body != NULL)
 		evbuffer_drain(exchange->response_body,
 		    evbuffer_get_length(exchange->response_body));
-	if (may_retry(exchange, ran)) {
+	if (retry_acquire(exchange, may_have_run)) {
 		exchange->may_have_run = false;
 		exchange_dispatch(exchange);
 		return;
 	}
 	exchange_fail(exchange,
-	    !ran			     ? ERR_NO_ENDPOINT
+	    !may_have_run		     ? ERR_NO_ENDPOINT
 		: exchange->response_started ? ERR_STREAM_CUT
 		: exchange->at_most_once     ? ERR_UNKNOWN_OUTCOME
 					     : ERR_ENDPOINT_FAILED,
-	    why);
+	    reason);
 }
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -9,11 +9,11 @@
 #include "common/http_server.h"
 #include "moortack/exchange/deferred.h"
 
-#define KEY_MAX 128
-#define OPEN_MODEL "auto"
+#define IDEMPOTENCY_KEY_MAX 128
+#define AUTO_MODEL "auto"
 
 static void
-claim_answered(void *arg, uint64_t tag, const char *text)
+claim_completed(void *arg, uint64_t tag, const char *text)
 {
 	exchange_t *exchange = front_exchange(arg, tag);
 
@@ -35,7 +35,7 @@
 }
 
 static bool
-key_valid(const char *key)
+idempotency_key_valid(const char *key)
 {
 	size_t len = strlen(key);
 
@@ -44,32 +44,32 @@
 		    strchr("._-:", key[i]) == NULL)
 			return false;
 	}
-	return len > 0 && len <= KEY_MAX;
+	return len > 0 && len <= IDEMPOTENCY_KEY_MAX;
 }
 
 static bool
-claim_begin(exchange_t *exchange, const char *key, err_t *err)
+idempotency_key_claim(exchange_t *exchange, const char *key, err_t *err)
 {
 	char sealed[TOKEN_TEXT_MAX];
 	ticket_t ticket;
 
-	if (!key_valid(key))
+	if (!idempotency_key_valid(key))
 		return err_set(err, ERR_BAD_REQUEST,
 		    KEY_HEADER " must be 1 to %d letters, digits, '.', '_', "
 			       "'-', ':'",
-		    KEY_MAX);
+		    IDEMPOTENCY_KEY_MAX);
 	ticket_mint(exchange->front, exchange->organisation, &ticket);
 	exchange->phase = PHASE_CLAIM;
 	if (!ticket_seal(&exchange->front->keyring, &ticket, sealed) ||
 	    !claim_start(exchange->front->store, exchange->organisation, key,
-		sealed, claim_answered, exchange->front, exchange->tag))
+		sealed, claim_completed, exchange->front, exchange->tag))
 		return err_set(err, ERR_MEMORY, "no memory");
 	return true;
 }
 
 /* A ticket or a key makes it run at most once. */
 static bool
-key_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
+ticket_accept(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
 	const char *ticket = http_request_header(arrival->req, TICKET_HEADER);
 	const char *key = http_request_header(arrival->req, KEY_HEADER);
@@ -90,11 +90,11 @@
 			    "the ticket is not genuine or not yours");
 		return true;
 	}
-	return key == NULL || claim_begin(exchange, key, err);
+	return key == NULL || idempotency_key_claim(exchange, key, err);
 }
 
 static void
-session_begin(const front_t *front, exchange_t *exchange)
+session_create(const front_t *front, exchange_t *exchange)
 {
 	exchange->session.id = rng_bits(front->process.rng) | 1;
 	memcpy(exchange->session.organisation, exchange->organisation,
@@ -103,13 +103,13 @@
 }
 
 static bool
-session_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
+session_accept(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
 	front_t *front = arrival->front;
 	const char *text = http_request_header(arrival->req, SESSION_HEADER);
 
 	if (text == NULL) {
-		session_begin(front, exchange);
+		session_create(front, exchange);
 		return true;
 	}
 	exchange->existing_session = true;
@@ -134,7 +134,7 @@
 }
 
 static bool
-model_take(arrival_t *arrival, exchange_t *exchange, const char *name,
+model_accept(arrival_t *arrival, exchange_t *exchange, const char *name,
     model_kind_t kind, err_t *err)
 {
 	const config_t *config = arrival->front->config;
@@ -155,7 +155,7 @@
 
 /* A session that left its model open goes on with the one it is on. */
 static bool
-open_model_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
+auto_model_resolve(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
 	if (!exchange->existing_session)
 		return exchange_cascade_start(
@@ -168,9 +168,9 @@
 }
 
 static bool
-version_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
+version_resolve(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
-	if (exchange->auto_model && !open_model_take(arrival, exchange, err))
+	if (exchange->auto_model && !auto_model_resolve(arrival, exchange, err))
 		return false;
 	if (exchange->existing_session) {
 		size_t len = strlen(exchange->model);
@@ -190,7 +190,7 @@
 
 /* Room for an exchange, with what its organisation's entry says. */
 static exchange_t *
-exchange_begin(arrival_t *arrival, err_t *err)
+exchange_create(arrival_t *arrival, err_t *err)
 {
 	front_t *front = arrival->front;
 	exchange_t *exchange = front_exchange_new(front);
@@ -218,7 +218,7 @@
 }
 
 static void
-caller_gone(struct evhttp_connection *conn, void *arg)
+caller_disconnected(struct evhttp_connection *conn, void *arg)
 {
 	exchange_t *exchange = arg;
 	front_t *front = exchange->front;
@@ -245,7 +245,7 @@
 	timeline_add(arrival->front->process.timeline, EVENT_REQUEST_TAKEN,
 	    exchange->id, "%.20s %.24s", exchange->organisation,
 	    exchange->version);
-	http_request_watch(arrival->req, caller_gone, exchange);
+	http_request_watch(arrival->req, caller_disconnected, exchange);
 	if (exchange->phase == PHASE_QUEUED)
 		exchange_dispatch(exchange);
 }
@@ -263,7 +263,7 @@
 /* What a chat request's body says; it is not the caller's word alone that
  * decides: the model must be one that the organisation may use. */
 static bool
-chat_body_take(
+chat_body_parse(
     arrival_t *arrival, exchange_t *exchange, const char *path, err_t *err)
 {
 	const json_t *messages = json_object_get(exchange->body, "messages");
@@ -281,16 +281,16 @@
 		    "the body needs \"model\" and \"messages\"");
 	snprintf(
 	    exchange->path, sizeof(exchange->path), "/v1/chat/completions");
-	if (strcmp(model, OPEN_MODEL) == 0) {
+	if (strcmp(model, AUTO_MODEL) == 0) {
 		exchange->auto_model = true;
 		exchange->idempotent = true;
 		return true;
 	}
-	return model_take(arrival, exchange, model, MODEL_ENGINE, err);
+	return model_accept(arrival, exchange, model, MODEL_ENGINE, err);
 }
 
 static bool
-asks_for_later(struct evhttp_request *req)
+prefers_async(struct evhttp_request *req)
 {
 	const char *prefer = http_request_header(req, "Prefer");
 
@@ -304,24 +304,24 @@
 }
 
 /* Takes what the body and the path say. */
-typedef bool (*body_take_t)(
+typedef bool (*request_parser_t)(
     arrival_t *, exchange_t *, const char *path, err_t *err);
 
 /* The same for both kinds: what is known of the request, in the order in which
  * it can be refused. */
 static void
-exchange_start(arrival_t *arrival, body_take_t body_take, const char *path)
+exchange_accept(arrival_t *arrival, request_parser_t parse, const char *path)
 {
 	err_t err;
-	exchange_t *exchange = exchange_begin(arrival, &err);
+	exchange_t *exchange = exchange_create(arrival, &err);
 
 	if (exchange == NULL ||
 	    (exchange->body = http_request_json(arrival->req, &err)) == NULL ||
-	    !body_take(arrival, exchange, path, &err) ||
+	    !parse(arrival, exchange, path, &err) ||
 	    !arrival_deadline_parse(arrival, exchange, &err) ||
-	    !session_take(arrival, exchange, &err) ||
-	    !version_take(arrival, exchange, &err) ||
-	    !key_take(arrival, exchange, &err)) {
+	    !session_accept(arrival, exchange, &err) ||
+	    !version_resolve(arrival, exchange, &err) ||
+	    !ticket_accept(arrival, exchange, &err)) {
 		exchange_refuse(arrival, exchange, &err);
 		return;
 	}
@@ -338,10 +338,10 @@
 
 	if (!arrival_admit(&arrival, &err))
 		arrival_refuse(front, req, &err);
-	else if (asks_for_later(req))
+	else if (prefers_async(req))
 		deferred_accept(front, req);
 	else
-		exchange_start(&arrival, chat_body_take, NULL);
+		exchange_accept(&arrival, chat_body_parse, NULL);
 }
 
 bool
@@ -357,15 +357,15 @@
 	if (arrival.organisation == HANDLE_NONE)
 		return err_set(err, ERR_NOT_ALLOWED,
 		    "the organisation is no longer configured");
-	exchange = exchange_begin(&arrival, err);
+	exchange = exchange_create(&arrival, err);
 	if (exchange == NULL)
 		return false;
 	exchange->body = json_copy(body);
 	/* The answer is kept whole, so it isn't asked for in events. */
 	json_object_del(exchange->body, "stream");
-	session_begin(front, exchange);
-	if (!chat_body_take(&arrival, exchange, NULL, err) ||
-	    !version_take(&arrival, exchange, err)) {
+	session_create(front, exchange);
+	if (!chat_body_parse(&arrival, exchange, NULL, err) ||
+	    !version_resolve(&arrival, exchange, err)) {
 		exchange_free(exchange);
 		return false;
 	}
@@ -378,7 +378,7 @@
 }
 
 static bool
-service_body_take(
+service_path_parse(
     arrival_t *arrival, exchange_t *exchange, const char *path, err_t *err)
 {
 	size_t len = strcspn(path, "/");
@@ -391,7 +391,7 @@
 	snprintf(name, sizeof(name), "%.*s", (int)len, path);
 	snprintf(exchange->path, sizeof(exchange->path), "/%s",
 	    path + len + (path[len] == '/'));
-	return model_take(arrival, exchange, name, MODEL_SERVICE, err);
+	return model_accept(arrival, exchange, name, MODEL_SERVICE, err);
 }
 
 /* The pool of the service that the path names. */
@@ -417,5 +417,5 @@
 	if (!arrival_admit(&arrival, &err))
 		arrival_refuse(front, req, &err);
 	else
-		exchange_start(&arrival, service_body_take, path);
+		exchange_accept(&arrival, service_path_parse, path);
 }
--- a/moortack/exchange/deferred.c
+++ b/moortack/exchange/deferred.c
@@ -10,8 +10,8 @@
 
 #define ID_BYTES 16
 #define ID_SIZE 33
-#define KEY_SIZE 64
-#define ACCEPT_TRIES 3
+#define ROW_KEY_SIZE 64
+#define ACCEPT_ATTEMPTS_MAX 3
 #define STATUS_ACCEPTED 202
 
 /** A caller that waits to hear whether its request is held. */
@@ -20,7 +20,7 @@
 	struct evhttp_request *req;
 	char id[ID_SIZE];
 	char *row;
-	int tries;
+	int attempts;
 } accept_call_t;
 
 /** A caller that waits for a row. */
@@ -28,15 +28,15 @@
 	front_t *front;
 	struct evhttp_request *req;
 	char organisation[CONFIG_NAME_SIZE];
-	char queue_key[KEY_SIZE];
-	char result_key[KEY_SIZE];
+	char queue_key[ROW_KEY_SIZE];
+	char result_key[ROW_KEY_SIZE];
 } collect_call_t;
 
 static void accept_write(accept_call_t *);
 
 /* A key names the same request again, whichever entry it comes to. */
 static void
-id_make(const char *organisation, const char *key, char out[ID_SIZE])
+job_id_make(const char *organisation, const char *key, char out[ID_SIZE])
 {
 	unsigned char id[ID_BYTES];
 
@@ -57,12 +57,12 @@
 }
 
 static void
-accept_end(accept_call_t *call, bool held)
+accept_finish(accept_call_t *call, bool stored)
 {
-	char location[KEY_SIZE];
+	char location[ROW_KEY_SIZE];
 	err_t err;
 
-	if (held) {
+	if (stored) {
 		counter_add(call->front->process.counters,
 		    COUNTER_DEFERRED_ACCEPTED, 1);
 		snprintf(
@@ -82,51 +82,52 @@
 }
 
 static void
-accept_read(void *arg, store_result_t result, const json_t *reply)
+accept_rows_read(void *arg, store_result_t result, const json_t *reply)
 {
 	accept_call_t *call = arg;
 
 	if (result == STORE_OK &&
 	    json_object_size(json_object_get(reply, "values")) > 0)
-		accept_end(call, true);
-	else if (++call->tries < ACCEPT_TRIES)
+		accept_finish(call, true);
+	else if (++call->attempts < ACCEPT_ATTEMPTS_MAX)
 		accept_write(call);
 	else
-		accept_end(call, false);
+		accept_finish(call, false);
 }
 
 static void
 accept_written(void *arg, store_result_t result, const json_t *reply)
 {
 	accept_call_t *call = arg;
-	char queue[KEY_SIZE], done[KEY_SIZE];
+	char queue_key[ROW_KEY_SIZE], result_key[ROW_KEY_SIZE];
 
 	(void)reply;
 	if (result == STORE_OK) {
-		accept_end(call, true);
+		accept_finish(call, true);
 		return;
 	}
 	/* Held before, or the reply was lost: the table tells. */
-	snprintf(queue, sizeof(queue), "defer/%s", call->id);
-	snprintf(done, sizeof(done), "deferred/%s", call->id);
-	if (!store_get(call->front->store, json_pack("[s,s]", queue, done),
-		accept_read, call))
-		accept_end(call, false);
+	snprintf(queue_key, sizeof(queue_key), "defer/%s", call->id);
+	snprintf(result_key, sizeof(result_key), "deferred/%s", call->id);
+	if (!store_get(call->front->store,
+		json_pack("[s,s]", queue_key, result_key), accept_rows_read,
+		call))
+		accept_finish(call, false);
 }
 
 static void
 accept_write(accept_call_t *call)
 {
-	char queue[KEY_SIZE], done[KEY_SIZE];
+	char queue_key[ROW_KEY_SIZE], result_key[ROW_KEY_SIZE];
 
-	snprintf(queue, sizeof(queue), "defer/%s", call->id);
-	snprintf(done, sizeof(done), "deferred/%s", call->id);
+	snprintf(queue_key, sizeof(queue_key), "defer/%s", call->id);
+	snprintf(result_key, sizeof(result_key), "deferred/%s", call->id);
 	if (!store_txn(call->front->store,
-		json_pack(
-		    "[o,o]", store_row(queue, NULL), store_row(done, NULL)),
-		json_pack("[o]", store_row(queue, call->row)), accept_written,
-		call))
-		accept_end(call, false);
+		json_pack("[o,o]", store_row(queue_key, NULL),
+		    store_row(result_key, NULL)),
+		json_pack("[o]", store_row(queue_key, call->row)),
+		accept_written, call))
+		accept_finish(call, false);
 }
 
 void
@@ -149,7 +150,7 @@
 	}
 	call->front = front;
 	call->req = req;
-	id_make(
+	job_id_make(
 	    organisation->name, http_request_header(req, KEY_HEADER), call->id);
 	row = json_pack("{s:s,s:s,s:o,s:s,s:I,s:i}", "id", call->id,
 	    "organisation", organisation->name, "body", body, "by", "",
@@ -169,7 +170,7 @@
 }
 
 static void
-result_answer(collect_call_t *call, const json_t *row)
+result_send(collect_call_t *call, const json_t *row)
 {
 	const json_t *failure = json_object_get(row, "failure");
 	const char *version =
@@ -192,14 +193,14 @@
 }
 
 static void
-collect_read(void *arg, store_result_t result, const json_t *reply)
+collect_rows_read(void *arg, store_result_t result, const json_t *reply)
 {
 	collect_call_t *call = arg;
-	const char *done = store_value(reply, call->result_key);
-	const char *queue = store_value(reply, call->queue_key);
-	json_t *row = done != NULL ? json_loads(done, 0, NULL)
-	    : queue != NULL	   ? json_loads(queue, 0, NULL)
-				   : NULL;
+	const char *result_text = store_value(reply, call->result_key);
+	const char *queued_text = store_value(reply, call->queue_key);
+	json_t *row = result_text != NULL ? json_loads(result_text, 0, NULL)
+	    : queued_text != NULL	  ? json_loads(queued_text, 0, NULL)
+					  : NULL;
 	err_t err;
 
 	if (result != STORE_OK) {
@@ -209,8 +210,8 @@
 	    !organisation_matches(row, call->organisation)) {
 		err_set(&err, ERR_NOT_FOUND, "there is no such request");
 		answer_failure(call->front, call->req, &err, NULL, NULL);
-	} else if (done != NULL) {
-		result_answer(call, row);
+	} else if (result_text != NULL) {
+		result_send(call, row);
 	} else {
 		http_answer_json(call->req, STATUS_ACCEPTED,
 		    json_pack("{s:s}", "state",
@@ -247,6 +248,6 @@
 	    call->result_key, sizeof(call->result_key), "deferred/%.40s", id);
 	if (!store_get(front->store,
 		json_pack("[s,s]", call->queue_key, call->result_key),
-		collect_read, call))
+		collect_rows_read, call))
 		free(call);
 }
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -13,51 +13,51 @@
 #include "common/log.h"
 #include "moortack/exchange/deferred.h"
 
-#define KEY_SIZE 64
-#define LOOK_MS 500
-#define LOOK_MAX_MS 2000
+#define ROW_KEY_SIZE 64
+#define POLL_MIN_MS 500
+#define POLL_MAX_MS 2000
 #define JOBS_MAX 8
 #define TRIES_MAX 50
 /* Runs that broke off, over all tries: a job that crashes its engines does not
  * go round until none is left. */
-#define BROKEN_MAX 3
-#define BACK_OFF_MS 500
-#define END_RETRY_MS 300
+#define INTERRUPTED_ATTEMPTS_MAX 3
+#define REQUEUE_DELAY_MS 500
+#define COMMIT_RETRY_MS 300
 
 /** A job that this daemon holds. */
 struct deferred_job {
 	front_t *front;
 	char id[40];
-	char *claim;	       /**< the row as this daemon wrote it */
-	json_t *row;	       /**< the same, parsed */
-	json_t *end_puts;      /**< the transaction that ends it */
-	struct timespec until; /**< of the lease, by the elapsed clock */
+	char *claim;		   /**< the row as this daemon wrote it */
+	json_t *row;		   /**< the same, parsed */
+	json_t *commit_puts;	   /**< the transaction that ends it */
+	struct timespec lease_end; /**< of the lease, by the elapsed clock */
 };
 
-static void job_end_write(deferred_job_t *);
+static void job_commit(deferred_job_t *);
 
 static void
 job_free(deferred_job_t *job)
 {
 	job->front->jobs--;
 	json_decref(job->row);
-	json_decref(job->end_puts);
+	json_decref(job->commit_puts);
 	free(job->claim);
 	free(job);
 }
 
 static void
-job_end_again(evutil_socket_t fd, short what, void *arg)
+job_commit_retry(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	job_end_write(arg);
+	job_commit(arg);
 }
 
 static void
-job_ended(void *arg, store_result_t result, const json_t *reply)
+job_committed(void *arg, store_result_t result, const json_t *reply)
 {
-	static const struct timeval wait = {0, END_RETRY_MS * 1000};
+	static const struct timeval delay = {0, COMMIT_RETRY_MS * 1000};
 	deferred_job_t *job = arg;
 	front_t *front = job->front;
 	struct timespec now = clock_elapsed(front->process.clock);
@@ -73,28 +73,28 @@
 		job_free(job);
 		return;
 	}
-	if (timespec_ms_between(job->until, now) >= 0) {
+	if (timespec_ms_between(job->lease_end, now) >= 0) {
 		job_free(job);
 		return;
 	}
 	event_base_once(
-	    front->process.base, -1, EV_TIMEOUT, job_end_again, job, &wait);
+	    front->process.base, -1, EV_TIMEOUT, job_commit_retry, job, &delay);
 }
 
 static void
-job_end_write(deferred_job_t *job)
+job_commit(deferred_job_t *job)
 {
-	char key[KEY_SIZE];
+	char key[ROW_KEY_SIZE];
 
 	snprintf(key, sizeof(key), "defer/%s", job->id);
 	if (!store_txn(job->front->store,
 		json_pack("[o]", store_row(key, job->claim)),
-		json_incref(job->end_puts), job_ended, job))
+		json_incref(job->commit_puts), job_committed, job))
 		job_free(job);
 }
 
 static char *
-json_text(json_t *value)
+json_dump_release(json_t *value)
 {
 	char *text = json_dumps(value, JSON_COMPACT);
 
@@ -106,48 +106,50 @@
 static void
 job_finish(deferred_job_t *job, json_t *result, json_t *bill)
 {
-	char queue_key[KEY_SIZE], done_key[KEY_SIZE], bill_key[KEY_SIZE];
+	char queue_key[ROW_KEY_SIZE], result_key[ROW_KEY_SIZE],
+	    bill_key[ROW_KEY_SIZE];
 	char *text;
 
 	snprintf(queue_key, sizeof(queue_key), "defer/%s", job->id);
-	snprintf(done_key, sizeof(done_key), "deferred/%s", job->id);
+	snprintf(result_key, sizeof(result_key), "deferred/%s", job->id);
 	snprintf(bill_key, sizeof(bill_key), "bill/deferred/%s", job->id);
 	json_object_set(
 	    result, "organisation", json_object_get(job->row, "organisation"));
-	text = json_text(result);
-	job->end_puts = json_pack("[o,o]", store_row(queue_key, NULL),
-	    store_row(done_key, text != NULL ? text : "{}"));
+	text = json_dump_release(result);
+	job->commit_puts = json_pack("[o,o]", store_row(queue_key, NULL),
+	    store_row(result_key, text != NULL ? text : "{}"));
 	free(text);
 	if (bill != NULL) {
-		text = json_text(bill);
-		json_array_append_new(job->end_puts, store_row(bill_key, text));
+		text = json_dump_release(bill);
+		json_array_append_new(
+		    job->commit_puts, store_row(bill_key, text));
 		free(text);
 	}
-	job_end_write(job);
+	job_commit(job);
 }
 
 void
 deferred_completed(exchange_t *exchange, const bill_t *bill)
 {
 	deferred_job_t *job = exchange->job;
-	json_t *answer = json_loadb(
+	json_t *response = json_loadb(
 	    (const char *)evbuffer_pullup(exchange->response_body, -1),
 	    evbuffer_get_length(exchange->response_body), 0, NULL);
-	bill_t named = *bill;
+	bill_t job_bill = *bill;
 
 	exchange->job = NULL;
-	snprintf(named.request, sizeof(named.request), "%s", job->id);
+	snprintf(job_bill.request, sizeof(job_bill.request), "%s", job->id);
 	job_finish(job,
 	    json_pack(
-		"{s:o,s:s}", "answer", answer, "version", exchange->version),
-	    json_pack("[o]", bill_json(&named)));
+		"{s:o,s:s}", "answer", response, "version", exchange->version),
+	    json_pack("[o]", bill_json(&job_bill)));
 }
 
 /* Back into the queue, for any daemon, after a while. */
 static void
-job_put_back(deferred_job_t *job)
+job_requeue(deferred_job_t *job)
 {
-	char key[KEY_SIZE];
+	char key[ROW_KEY_SIZE];
 	json_t *row = json_copy(job->row);
 	char *text;
 
@@ -155,15 +157,15 @@
 	json_object_set_new(row, "by", json_string(""));
 	json_object_set_new(row, "until_ms",
 	    json_integer(timespec_ms(clock_wall(job->front->process.clock)) +
-		BACK_OFF_MS));
-	text = json_text(row);
-	job->end_puts = json_pack("[o]", store_row(key, text));
+		REQUEUE_DELAY_MS));
+	text = json_dump_release(row);
+	job->commit_puts = json_pack("[o]", store_row(key, text));
 	free(text);
-	job_end_write(job);
+	job_commit(job);
 }
 
 static void
-job_give_up(deferred_job_t *job, const err_t *err)
+job_abandon(deferred_job_t *job, const err_t *err)
 {
 	job_finish(job,
 	    json_pack("{s:{s:s,s:s}}", "failure", "type",
@@ -179,7 +181,7 @@
 }
 
 static bool
-final_failure(const deferred_job_t *job, err_code_t code)
+failure_is_final(const deferred_job_t *job, err_code_t code)
 {
 	switch (code) {
 	case ERR_BAD_REQUEST:
@@ -189,17 +191,18 @@
 	default:
 		return json_integer_value(json_object_get(job->row, "tries")) >=
 		    TRIES_MAX ||
-		    deferred_interrupted_attempts(job) >= BROKEN_MAX;
+		    deferred_interrupted_attempts(job) >=
+		    INTERRUPTED_ATTEMPTS_MAX;
 	}
 }
 
 static void
 job_failed(deferred_job_t *job, const err_t *err)
 {
-	if (final_failure(job, err->code))
-		job_give_up(job, err);
+	if (failure_is_final(job, err->code))
+		job_abandon(job, err);
 	else
-		job_put_back(job);
+		job_requeue(job);
 }
 
 void
@@ -215,7 +218,7 @@
 
 /* The rest of the lease is for ending the job. */
 static int64_t
-run_ms(const front_t *front)
+run_limit_ms(const front_t *front)
 {
 	return front->options->lease_ms * 2 / 3;
 }
@@ -234,7 +237,8 @@
 	}
 	if (!exchange_job_start(job->front, job,
 		json_string_value(json_object_get(job->row, "organisation")),
-		json_object_get(job->row, "body"), run_ms(job->front), &err))
+		json_object_get(job->row, "body"), run_limit_ms(job->front),
+		&err))
 		job_failed(job, &err);
 }
 
@@ -242,7 +246,7 @@
 job_claim(front_t *front, const char *id, const char *text, json_t *row)
 {
 	char incarnation[INCARNATION_TEXT_SIZE];
-	char key[KEY_SIZE];
+	char key[ROW_KEY_SIZE];
 	int64_t wall_ms = timespec_ms(clock_wall(front->process.clock));
 	deferred_job_t *job = calloc(1, sizeof(*job));
 
@@ -259,7 +263,7 @@
 	job->front = front;
 	job->row = json_incref(row);
 	job->claim = json_dumps(row, JSON_COMPACT);
-	job->until = timespec_after_ms(
+	job->lease_end = timespec_after_ms(
 	    clock_elapsed(front->process.clock), front->options->lease_ms);
 	snprintf(job->id, sizeof(job->id), "%.39s", id);
 	snprintf(key, sizeof(key), "defer/%s", job->id);
@@ -270,7 +274,7 @@
 }
 
 static void
-row_look(front_t *front, const char *text)
+row_claim_if_due(front_t *front, const char *text)
 {
 	json_t *row = json_loads(text, 0, NULL);
 	int64_t wall_ms = timespec_ms(clock_wall(front->process.clock));
@@ -283,7 +287,7 @@
 }
 
 static void
-looked(void *arg, store_result_t result, const json_t *reply)
+scan_completed(void *arg, store_result_t result, const json_t *reply)
 {
 	front_t *front = arg;
 	const json_t *rows = json_object_get(reply, "rows");
@@ -298,7 +302,8 @@
 	for (size_t i = 0; i < count && front->jobs < JOBS_MAX; i++) {
 		const json_t *row = json_array_get(rows, (first + i) % count);
 
-		row_look(front, json_string_value(json_array_get(row, 1)));
+		row_claim_if_due(
+		    front, json_string_value(json_array_get(row, 1)));
 	}
 }
 
@@ -313,7 +318,8 @@
 	    !front_may_work(front, &err))
 		return;
 	front->jobs_looked_at = timespec_after_ms(now,
-	    LOOK_MS + rng_below(front->process.rng, LOOK_MAX_MS - LOOK_MS));
+	    POLL_MIN_MS +
+		rng_below(front->process.rng, POLL_MAX_MS - POLL_MIN_MS));
 	front->jobs_looking =
-	    store_scan(front->store, "defer/", "", looked, front);
+	    store_scan(front->store, "defer/", "", scan_completed, front);
 }
--- a/moortack/exchange/dispatch.c
+++ b/moortack/exchange/dispatch.c
@@ -6,7 +6,7 @@
 #include "common/log.h"
 
 static bool
-query_make(const exchange_t *exchange, balance_query_t *query)
+balance_query_init(const exchange_t *exchange, balance_query_t *query)
 {
 	const front_t *front = exchange->front;
 
@@ -29,7 +29,7 @@
 static handle_t
 version_choose(const exchange_t *exchange, handle_t organisation)
 {
-	static const version_set_t none = {0};
+	static const version_set_t no_versions = {0};
 	const front_t *front = exchange->front;
 	const config_t *config = front->config;
 	version_set_t stopped =
@@ -41,8 +41,8 @@
 	/* With nothing else to take its place, a stopped one is better than
 	 * none: the operators decide. */
 	if (version == HANDLE_NONE)
-		version = rollout_choose(
-		    config, organisation, model, exchange->session.id, &none);
+		version = rollout_choose(config, organisation, model,
+		    exchange->session.id, &no_versions);
 	return version;
 }
 
@@ -110,7 +110,7 @@
 }
 
 static void
-endpoint_hold(exchange_t *exchange, handle_t handle)
+endpoint_acquire(exchange_t *exchange, handle_t handle)
 {
 	endpoint_t *endpoint = fleet_at(&exchange->front->fleet, handle);
 
@@ -159,7 +159,7 @@
 		exchange_fail(exchange, err.code, err.detail);
 		return;
 	}
-	if (!query_make(exchange, &query)) {
+	if (!balance_query_init(exchange, &query)) {
 		exchange_fail(
 		    exchange, ERR_NOT_ALLOWED, "it is no longer allowed");
 		return;
@@ -177,7 +177,7 @@
 		return;
 	}
 	admission_leave(&front->admission, &exchange->waiter);
-	endpoint_hold(exchange, picked);
+	endpoint_acquire(exchange, picked);
 	if (exchange->at_most_once && !exchange->granted)
 		exchange_ticket_redeem(exchange);
 	else
@@ -200,7 +200,7 @@
 		clock_elapsed(front->process.clock)) >= 0)
 		return err_set(err, ERR_DEADLINE,
 		    "the deadline passed before it was sent");
-	if (!query_make(exchange, &query) || endpoint == NULL ||
+	if (!balance_query_init(exchange, &query) || endpoint == NULL ||
 	    !balance_allows(endpoint, &query))
 		return err_set(err, ERR_NO_ENDPOINT,
 		    "what was allowed changed before it was sent");
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -8,7 +8,7 @@
 #include "common/log.h"
 #include "moortack/exchange/deferred.h"
 
-static const char end_mark[] = "data: [DONE]\n\n";
+static const char done_event[] = "data: [DONE]\n\n";
 
 void
 exchange_bill_line(const exchange_t *exchange, bill_line_t *out)
@@ -40,7 +40,7 @@
 }
 
 static void
-endpoint_done(exchange_t *exchange)
+endpoint_record_success(exchange_t *exchange)
 {
 	endpoint_t *endpoint =
 	    fleet_at(&exchange->front->fleet, exchange->endpoint);
@@ -52,7 +52,7 @@
 }
 
 static void
-outcome_tell(exchange_t *exchange)
+outcome_report(exchange_t *exchange)
 {
 	size_t len = 0;
 	const char *body = NULL;
@@ -73,7 +73,7 @@
 	front_t *front = exchange->front;
 	bill_t bill;
 
-	endpoint_done(exchange);
+	endpoint_record_success(exchange);
 	exchange_response_record(exchange);
 	if (exchange_cascade_escalate(exchange))
 		return;
@@ -84,7 +84,7 @@
 		front_dispatch(front);
 		return;
 	}
-	outcome_tell(exchange);
+	outcome_report(exchange);
 	exchange->phase = PHASE_BILLING;
 	billing_record(front->billing, &bill, exchange->tag);
 	if (front->admission.count > 0)
@@ -92,18 +92,18 @@
 }
 
 static void
-stream_end(exchange_t *exchange)
+stream_finish(exchange_t *exchange)
 {
 	struct evbuffer *out = evbuffer_new();
 
-	evbuffer_add(out, end_mark, sizeof(end_mark) - 1);
+	evbuffer_add(out, done_event, sizeof(done_event) - 1);
 	evhttp_send_reply_chunk(exchange->req, out);
 	evhttp_send_reply_end(exchange->req);
 	evbuffer_free(out);
 }
 
 static void
-plain_end(exchange_t *exchange)
+plain_response_send(exchange_t *exchange)
 {
 	exchange_response_headers_add(exchange);
 	http_answer_header(exchange->req, "Content-Type", "application/json");
@@ -119,9 +119,9 @@
 	if (exchange->req != NULL) {
 		http_request_unwatch(exchange->req);
 		if (exchange->streaming)
-			stream_end(exchange);
+			stream_finish(exchange);
 		else
-			plain_end(exchange);
+			plain_response_send(exchange);
 		exchange->req = NULL;
 		counter_add(front->process.counters, COUNTER_ANSWERS, 1);
 		counter_add(front->process.counters, COUNTER_TOKENS,
@@ -135,7 +135,7 @@
 
 /* A failure inside a stream that has begun: an event, and no end mark. */
 static void
-stream_cut(exchange_t *exchange, const err_t *err)
+stream_fail(exchange_t *exchange, const err_t *err)
 {
 	front_t *front = exchange->front;
 	struct evbuffer *out = evbuffer_new();
@@ -153,7 +153,7 @@
 
 /* What a keyed request's refusal may say of earlier attempts. */
 static const char *
-ran_word(const exchange_t *exchange, const err_t *err)
+ran_override(const exchange_t *exchange, const err_t *err)
 {
 	if (!exchange->at_most_once || exchange->known_not_run)
 		return NULL;
@@ -176,23 +176,24 @@
 }
 
 static void
-failure_tell(exchange_t *exchange, const err_t *err)
+failure_send(exchange_t *exchange, const err_t *err)
 {
 	http_request_unwatch(exchange->req);
 	if (exchange->response_started) {
-		stream_cut(exchange, err);
+		stream_fail(exchange, err);
 	} else {
 		http_answer_header(
 		    exchange->req, "Moortack-Request", exchange->id);
 		answer_failure(exchange->front, exchange->req, err,
-		    ran_word(exchange, err), ticket_offer(exchange, err->code));
+		    ran_override(exchange, err),
+		    ticket_offer(exchange, err->code));
 	}
 	exchange->req = NULL;
 }
 
 /* A stream that its caller left, or that broke, is billed as delivered. */
 static void
-cut_bill(exchange_t *exchange)
+partial_bill_record(exchange_t *exchange)
 {
 	bill_t bill;
 
@@ -226,9 +227,9 @@
 	if (exchange->job != NULL)
 		deferred_failed(exchange, &err);
 	else
-		cut_bill(exchange);
+		partial_bill_record(exchange);
 	if (exchange->req != NULL)
-		failure_tell(exchange, &err);
+		failure_send(exchange, &err);
 	exchange_free(exchange);
 }
 
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -6,9 +6,9 @@
 #include "../front/front_priv.h"
 #include "common/http_call.h"
 
-#define ALL_PERCENT 100
-#define EXPLORE_PERCENT 2 /* of the requests go to the cheapest first */
-#define NO_CONFIDENCE 0.5 /* where an engine gives none */
+#define HUNDRED_PERCENT 100
+#define EXPLORE_PERCENT 2      /* of the requests go to the cheapest first */
+#define DEFAULT_CONFIDENCE 0.5 /* where an engine gives none */
 
 void
 exchange_guard_observe(front_t *front, const char *organisation,
@@ -46,7 +46,7 @@
 }
 
 static void
-rate_done(void *arg, const http_reply_t *reply)
+rating_requested(void *arg, const http_reply_t *reply)
 {
 	(void)arg;
 	(void)reply;
@@ -54,14 +54,14 @@
 
 /* Have a share of the answers rated; what it says comes back much later. */
 static void
-rating_ask(exchange_t *exchange)
+rating_request(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 	http_address_t address;
 	json_t *body;
 	char *text;
 
-	if (rng_below(front->process.rng, ALL_PERCENT) >=
+	if (rng_below(front->process.rng, HUNDRED_PERCENT) >=
 		front->options->rate_percent ||
 	    !http_address_parse(front->options->rating, &address))
 		return;
@@ -77,18 +77,19 @@
 		    .body_len = strlen(text),
 		    .timeout_ms = (int)front->options->store_timeout_ms};
 
-		http_call_start(front->process.base, &call, rate_done, NULL);
+		http_call_start(
+		    front->process.base, &call, rating_requested, NULL);
 	}
 	free(text);
 }
 
 static void
-recent_note(exchange_t *exchange)
+recent_response_record(exchange_t *exchange)
 {
 	learn_recent_t recent = {
 	    .model = exchange->auto_model ? exchange->cascade_step : -1,
 	    .confidence = exchange->confidence >= 0 ? exchange->confidence
-						    : NO_CONFIDENCE};
+						    : DEFAULT_CONFIDENCE};
 
 	memcpy(recent.request, exchange->id, sizeof(recent.request));
 	memcpy(recent.organisation, exchange->organisation,
@@ -110,12 +111,12 @@
 		exchange_guard_observe(front, exchange->organisation,
 		    exchange->version, GUARD_LATENCY,
 		    exchange->first_byte_ms > front->options->slow_first_ms);
-	rating_ask(exchange);
-	recent_note(exchange);
+	rating_request(exchange);
+	recent_response_record(exchange);
 }
 
 static bool
-model_set(exchange_t *exchange, handle_t organisation,
+cascade_model_select(exchange_t *exchange, handle_t organisation,
     const learn_cascade_t *row, int step, err_t *err)
 {
 	exchange->cascade_step = step;
@@ -126,14 +127,14 @@
 /* A stream can't be taken back once it has begun, so its model is chosen by
  * what is known beforehand. */
 static int
-step_first(exchange_t *exchange, const learn_cascade_t *row)
+cascade_step_first(exchange_t *exchange, const learn_cascade_t *row)
 {
 	rng_t *rng = exchange->front->process.rng;
 
 	if (exchange->streaming)
 		return cascade_blind(&row->cascade);
 	return cascade_first(
-	    &row->cascade, rng_below(rng, ALL_PERCENT) < EXPLORE_PERCENT);
+	    &row->cascade, rng_below(rng, HUNDRED_PERCENT) < EXPLORE_PERCENT);
 }
 
 bool
@@ -147,12 +148,12 @@
 		return err_set(err, ERR_NOT_ALLOWED,
 		    "%s may use no model that takes new sessions",
 		    exchange->organisation);
-	return model_set(
-	    exchange, organisation, row, step_first(exchange, row), err);
+	return cascade_model_select(exchange, organisation, row,
+	    cascade_step_first(exchange, row), err);
 }
 
 static void
-run_note(exchange_t *exchange)
+run_record(exchange_t *exchange)
 {
 	exchange_bill_line(
 	    exchange, &exchange->bill_lines[exchange->bill_line_count++]);
@@ -190,9 +191,9 @@
 	    cascade_accepts(
 		&row->cascade, exchange->cascade_step, exchange->confidence))
 		return false;
-	run_note(exchange);
+	run_record(exchange);
 	counter_add(front->process.counters, COUNTER_CASCADE_UPS, 1);
-	if (!model_set(
+	if (!cascade_model_select(
 		exchange, organisation, row, exchange->cascade_step + 1, &err))
 		exchange_fail(exchange, err.code, err.detail);
 	else
--- a/moortack/exchange/session.c
+++ b/moortack/exchange/session.c
@@ -28,7 +28,7 @@
 }
 
 static bool
-wire_take(const Wire__Session *wire, session_t *out)
+session_decode(const Wire__Session *wire, session_t *out)
 {
 	if (wire == NULL || wire->id.len != sizeof(out->id))
 		return false;
@@ -51,11 +51,11 @@
 	    token_open(ring, TOKEN_SESSION, text, payload, sizeof(payload));
 	Wire__Session *wire =
 	    len > 0 ? wire__session__unpack(NULL, len, payload) : NULL;
-	bool good = wire_take(wire, out);
+	bool valid = session_decode(wire, out);
 
 	if (wire != NULL)
 		wire__session__free_unpacked(wire, NULL);
-	if (!good)
+	if (!valid)
 		return err_set(
 		    err, ERR_SESSION_TOKEN, "the session token is not genuine");
 	if (strcmp(out->organisation, organisation) != 0)
--- a/moortack/exchange/sse.c
+++ b/moortack/exchange/sse.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-static const char event_end[] = "\n\n";
-static const char done_mark[] = "data: [DONE]";
-static const char token_mark[] = "\"delta\"";
+static const char event_separator[] = "\n\n";
+static const char done_prefix[] = "data: [DONE]";
+static const char delta_key[] = "\"delta\"";
 
 bool
 sse_init(sse_t *sse)
@@ -28,9 +28,9 @@
 }
 
 static bool
-starts_with(struct evbuffer *buffer, const char *text)
+event_starts_with(struct evbuffer *buffer, const char *text)
 {
-	char head[sizeof(done_mark)];
+	char head[sizeof(done_prefix)];
 	ev_ssize_t len = evbuffer_copyout(buffer, head, strlen(text));
 
 	return len == (ev_ssize_t)strlen(text) &&
@@ -38,10 +38,10 @@
 }
 
 static bool
-holds_token(struct evbuffer *buffer, const struct evbuffer_ptr *end)
+event_has_token(struct evbuffer *buffer, const struct evbuffer_ptr *end)
 {
 	struct evbuffer_ptr found = evbuffer_search_range(
-	    buffer, token_mark, sizeof(token_mark) - 1, NULL, end);
+	    buffer, delta_key, sizeof(delta_key) - 1, NULL, end);
 
 	return found.pos >= 0;
 }
@@ -51,19 +51,19 @@
 {
 	evbuffer_add_buffer(sse->partial, in);
 	while (!sse->done) {
-		struct evbuffer_ptr end = evbuffer_search(
-		    sse->partial, event_end, sizeof(event_end) - 1, NULL);
+		struct evbuffer_ptr end = evbuffer_search(sse->partial,
+		    event_separator, sizeof(event_separator) - 1, NULL);
 
 		if (end.pos < 0)
 			break;
-		if (starts_with(sse->partial, done_mark)) {
+		if (event_starts_with(sse->partial, done_prefix)) {
 			sse->done = true;
 			return;
 		}
-		if (holds_token(sse->partial, &end))
+		if (event_has_token(sse->partial, &end))
 			sse->tokens++;
-		evbuffer_remove_buffer(
-		    sse->partial, out, (size_t)end.pos + sizeof(event_end) - 1);
+		evbuffer_remove_buffer(sse->partial, out,
+		    (size_t)end.pos + sizeof(event_separator) - 1);
 	}
 	if (evbuffer_get_length(sse->partial) > SSE_EVENT_MAX)
 		sse->event_too_long = true;
--- a/moortack/exchange/ticketing.c
+++ b/moortack/exchange/ticketing.c
@@ -5,20 +5,20 @@
 #include "common/http_server.h"
 
 static void
-ask(exchange_t *exchange, int which, witness_op_t op, bool answer, int status,
-    const char *body, size_t len)
+witness_query(exchange_t *exchange, int which, witness_op_t op,
+    bool want_response, int status, const char *body, size_t len)
 {
-	witness_question_t question = {.op = op,
+	witness_question_t query = {.op = op,
 	    .expires_ms = exchange->ticket.expires_ms,
 	    .attempt = exchange->attempt_id,
 	    .status = status,
 	    .answer = body,
 	    .answer_len = len};
 
-	memcpy(question.ticket, exchange->ticket.id, TICKET_ID_SIZE);
+	memcpy(query.ticket, exchange->ticket.id, TICKET_ID_SIZE);
 	witness_task_ask(exchange->front->witnesses,
-	    exchange->ticket.witnesses[which], answer ? exchange->tag : 0,
-	    which, &question);
+	    exchange->ticket.witnesses[which],
+	    want_response ? exchange->tag : 0, which, &query);
 }
 
 void
@@ -30,7 +30,7 @@
 		    rng_bits(exchange->front->process.rng) | 1;
 	redeem_init(&exchange->redeem);
 	for (int which = 0; which < REDEEM_WITNESSES; which++)
-		ask(exchange, which, WITNESS_GO, true, 0, NULL, 0);
+		witness_query(exchange, which, WITNESS_GO, true, 0, NULL, 0);
 }
 
 void
@@ -38,7 +38,8 @@
 {
 	for (int which = 0; which < REDEEM_WITNESSES; which++) {
 		if (redeem_may_hold(&exchange->redeem, which))
-			ask(exchange, which, WITNESS_UNSENT, false, 0, NULL, 0);
+			witness_query(
+			    exchange, which, WITNESS_UNSENT, false, 0, NULL, 0);
 	}
 	exchange->granted = false;
 }
@@ -48,23 +49,24 @@
     exchange_t *exchange, int status, const char *body, size_t len)
 {
 	for (int which = 0; which < REDEEM_WITNESSES; which++)
-		ask(exchange, which, WITNESS_OUTCOME, false, status, body, len);
+		witness_query(
+		    exchange, which, WITNESS_OUTCOME, false, status, body, len);
 }
 
 /* It ran before: its answer again if a witness kept it. */
 static void
-replay(exchange_t *exchange, int status, const char *answer)
+response_replay(exchange_t *exchange, int status, const char *body)
 {
 	struct evbuffer *out;
 	struct evhttp_request *req = exchange->req;
 
-	if (answer == NULL || req == NULL) {
+	if (body == NULL || req == NULL) {
 		exchange_fail(exchange, ERR_TICKET_USED,
 		    "it ran before; its answer was not kept");
 		return;
 	}
 	out = evbuffer_new();
-	evbuffer_add(out, answer, strlen(answer));
+	evbuffer_add(out, body, strlen(body));
 	http_request_unwatch(req);
 	http_answer_header(req, "Content-Type", "application/json");
 	http_answer_header(req, "Moortack-Replay", "1");
@@ -75,7 +77,7 @@
 }
 
 static void
-result_take(exchange_t *exchange, int status, const char *answer)
+redeem_result_apply(exchange_t *exchange, int status, const char *body)
 {
 	redeem_result_t result = redeem_result(&exchange->redeem);
 
@@ -97,7 +99,7 @@
 		    "be; take a new one");
 		return;
 	case REDEEM_DONE:
-		replay(exchange, status, answer);
+		response_replay(exchange, status, body);
 		return;
 	case REDEEM_BUSY:
 		exchange_fail(exchange, ERR_WITNESS,
@@ -112,7 +114,7 @@
 
 void
 exchange_witness_responded(exchange_t *exchange, int which, bool lost,
-    witness_state_t state, int status, const char *answer)
+    witness_state_t state, int status, const char *body)
 {
 	if (exchange->phase != PHASE_REDEEM)
 		return;
@@ -120,5 +122,5 @@
 		redeem_lost(&exchange->redeem, which);
 	else
 		redeem_answer(&exchange->redeem, which, state);
-	result_take(exchange, status, answer);
+	redeem_result_apply(exchange, status, body);
 }
--- a/moortack/exchange/upstream.c
+++ b/moortack/exchange/upstream.c
@@ -5,7 +5,7 @@
 #include "../front/front_priv.h"
 #include "common/http_call.h"
 
-#define IDLE_MAX 256
+#define IDLE_CONNECTIONS_MAX 256
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 
@@ -53,7 +53,7 @@
 void
 upstream_give(front_t *front, upstream_t *upstream)
 {
-	if (front->idle_count >= IDLE_MAX) {
+	if (front->idle_count >= IDLE_CONNECTIONS_MAX) {
 		upstream_close(front, upstream);
 		return;
 	}
@@ -63,7 +63,7 @@
 }
 
 static void
-conn_free(evutil_socket_t fd, short what, void *arg)
+connection_free(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
@@ -76,7 +76,7 @@
 {
 	static const struct timeval now = {0, 0};
 
-	event_base_once(front->process.base, -1, EV_TIMEOUT, conn_free,
+	event_base_once(front->process.base, -1, EV_TIMEOUT, connection_free,
 	    upstream->conn, &now);
 	free(upstream);
 }
