--- a/include/moortack/exchange/deferred.h
+++ b/include/moortack/exchange/deferred.h
@@ -1,12 +1,16 @@
 /**
  * @file
- * Work that can wait: accepted once the table holds it, run by any daemon, and
- * collected by its caller, each whole and once.
+ * Deferred requests: accepted once the store holds them, run by any daemon, and
+ * collected by the caller. Each one gets a single, complete result.
  *
- * Rows: "defer/ID" holds a job {"organisation", "model", "body", "state"}; a
- * daemon takes one by writing its claim with a lease into it, and ends it in
- * one transaction that checks the claim, so a daemon whose lease lapsed while
- * it was stopped changes nothing, and that carries the bill, so there is one.
+ * The row "defer/ID" holds a queued job: {"id", "organisation", "body", "by",
+ * "until_ms", "tries"}, and "broken", the count of its interrupted attempts,
+ * after a failed run. A daemon claims a job by writing its incarnation as "by"
+ * and the end of its lease (wall-clock) as "until_ms"; no other daemon claims
+ * the job before. It ends the job in one transaction, which checks that the row
+ * still holds this claim: a daemon that was stopped while its lease expired
+ * changes nothing. The same transaction writes the result, as "deferred/ID",
+ * and the bill, so that there is exactly one bill.
  */
 #ifndef MOORTACK_EXCHANGE_DEFERRED_H
 #define MOORTACK_EXCHANGE_DEFERRED_H
@@ -14,22 +18,23 @@
 #include "moortack/exchange/exchange.h"
 #include "moortack/ledger/bill.h"
 
-/** Accept a chat request that asks to be answered later. */
+/** Accept a chat request whose caller prefers an asynchronous response. */
 void deferred_accept(front_t *, struct evhttp_request *);
 
-/** Answer GET /v1/deferred/ID. @param id what follows the prefix */
+/** Respond to GET /v1/deferred/ID. @param id what follows the prefix */
 void deferred_collect(front_t *, struct evhttp_request *, const char *id);
 
-/** Runs of the job that broke off so far. */
+/** Attempts of the job, over all its runs so far, that were interrupted. */
 uint32_t deferred_interrupted_attempts(const deferred_job_t *);
 
-/** Look for jobs that nobody holds, now and then. */
+/** Poll the store for unclaimed jobs when the next poll is due. */
 void deferred_tick(front_t *);
 
-/** A job's exchange ended with a whole answer. */
+/** The exchange of a job ended with a complete response. */
 void deferred_completed(exchange_t *, const bill_t *bill);
 
-/** A job's exchange ended without one: it goes back, or is given up. */
+/** The exchange of a job ended without a response: the job is queued again, or
+ * ends as failed. */
 void deferred_failed(exchange_t *, const err_t *err);
 
 #endif
--- a/moortack/exchange/arrival.h
+++ b/moortack/exchange/arrival.h
@@ -1,31 +1,34 @@
 /**
  * @file
- * A request before its body is looked at: who sent it, and whether it may come
- * in.
+ * Authenticates a request and decides on its admission, before its body is
+ * parsed.
  */
 #ifndef MOORTACK_EXCHANGE_ARRIVAL_H
 #define MOORTACK_EXCHANGE_ARRIVAL_H
 
 #include "../front/front_priv.h"
 
-/** What is known of a request before its body is looked at. */
+/** What is known of a request before its body is parsed. */
 typedef struct arrival {
 	front_t *front;
 	struct evhttp_request *req;
 	handle_t organisation;
 	class_t class;
-	uint64_t pools; /**< that it may go to, by what is known so far */
+	uint64_t pools; /**< admission pools of the models that it may use; 0:
+			   by its organisation */
 	struct timespec now;
 } arrival_t;
 
-/** Everything that can be refused without the body, cheapest first. Fills the
- * organisation and the class. */
+/** Make all checks that need no body, the cheapest first. Fills the
+ * organisation and the class.
+ * @return false with @p err filled when the request is refused */
 bool arrival_admit(arrival_t *, err_t *err);
 
-/** Answer that it may not come in, or not like this. */
+/** Respond that the request is refused. */
 void arrival_refuse(front_t *, struct evhttp_request *, const err_t *);
 
-/** Set the exchange's deadline from its header. */
+/** Set the exchange's deadline from the request's header, or to the default.
+ * @return false with @p err filled when the header is invalid */
 bool arrival_deadline_parse(arrival_t *, exchange_t *, err_t *err);
 
 #endif
