--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -12,29 +12,31 @@
 	front_t *front = arrival->front;
 	const organisation_t *organisation =
 	    config_organisation_at(front->config, arrival->organisation);
-	/* Each daemon grants its share of the organisation's limit. */
+	/* Each daemon grants an equal share of the organisation's limit. */
 	uint32_t daemon_count = front->members->rows.len + 1;
 	int64_t wait_ms;
 
 	if (!admission_open(&front->admission, arrival->class, arrival->pools,
 		arrival->now))
 		return err_set(err, ERR_OVERLOAD,
-		    "requests of class %s are refused for now",
+		    "overloaded: requests of class %s are refused at present",
 		    class_name(arrival->class));
 	if (front->room.count >= front->room.max)
 		return err_set(
-		    err, ERR_STORE, "as many bills wait for the store as may");
+		    err, ERR_STORE, "too many bills wait to be stored");
 	if (!rate_take(&front->rates[arrival->organisation % FRONT_RATES_MAX],
 		(double)organisation->limit / daemon_count, arrival->now,
 		&wait_ms))
 		return err_set(err, ERR_LIMIT,
-		    "%s is over its limit of %u a second; next in %lld ms",
+		    "%s exceeds its limit of %u requests per second; retry in "
+		    "%lld ms",
 		    organisation->name, organisation->limit,
 		    (long long)wait_ms);
 	return true;
 }
 
-/* The pools of the models that the organisation may use, of one kind. */
+/* The admission pools of the models of one kind that the organisation may use.
+ */
 static uint64_t
 model_pools(const config_t *config, const organisation_t *organisation,
     model_kind_t kind)
@@ -61,10 +63,11 @@
 		return false;
 	arrival->organisation = auth_caller(front, arrival->req);
 	if (arrival->organisation == HANDLE_NONE)
-		return err_set(err, ERR_AUTHENTICATION, "no such key");
+		return err_set(
+		    err, ERR_AUTHENTICATION, "missing or unknown API key");
 	arrival->class =
 	    config_organisation_at(front->config, arrival->organisation)->class;
-	/* A retry is worth less than a first attempt. */
+	/* A retry has lower priority than a first attempt. */
 	if (http_request_header(arrival->req, RETRY_HEADER) != NULL &&
 	    arrival->class < CLASS_SHEDDABLE)
 		arrival->class ++;
@@ -83,7 +86,8 @@
 	    http_request_header(req, KEY_HEADER) != NULL;
 }
 
-/* A keyed request that is refused here may have run before. */
+/* A request with a ticket or key may have run before, although it is refused
+ * here. */
 void
 arrival_refuse(front_t *front, struct evhttp_request *req, const err_t *err)
 {
@@ -105,7 +109,7 @@
 		if (*text == '\0' || *end != '\0' || ms < 1 ||
 		    ms > DEADLINE_MAX_MS)
 			return err_set(err, ERR_BAD_REQUEST,
-			    DEADLINE_HEADER " must be from 1 to %d",
+			    DEADLINE_HEADER " must be a number from 1 to %d",
 			    DEADLINE_MAX_MS);
 	}
 	exchange->waiter.deadline = timespec_after_ms(arrival->now, ms);
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -21,13 +21,14 @@
 		return;
 	if (text == NULL) {
 		exchange_fail(exchange, ERR_STORE,
-		    "the store did not say whose this key is; a ticket needs "
-		    "no store");
+		    "the store did not confirm the idempotency key; a ticket "
+		    "needs no store");
 		return;
 	}
 	if (!ticket_open(&exchange->front->keyring, text, &exchange->ticket)) {
 		exchange_fail(exchange, ERR_TICKET_INVALID,
-		    "the key's ticket was sealed with a key that is gone");
+		    "the ticket of this idempotency key was sealed with a key "
+		    "that is no longer configured");
 		return;
 	}
 	exchange->phase = PHASE_QUEUED;
@@ -55,8 +56,8 @@
 
 	if (!idempotency_key_valid(key))
 		return err_set(err, ERR_BAD_REQUEST,
-		    KEY_HEADER " must be 1 to %d letters, digits, '.', '_', "
-			       "'-', ':'",
+		    KEY_HEADER " must consist of 1 to %d letters, digits, '.', "
+			       "'_', '-' or ':'",
 		    IDEMPOTENCY_KEY_MAX);
 	ticket_mint(exchange->front, exchange->organisation, &ticket);
 	exchange->phase = PHASE_CLAIM;
@@ -67,7 +68,7 @@
 	return true;
 }
 
-/* A ticket or a key makes it run at most once. */
+/* With a ticket or an idempotency key the request runs at most once. */
 static bool
 ticket_accept(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
@@ -78,8 +79,8 @@
 	exchange->at_most_once = ticket != NULL || key != NULL;
 	if (!exchange->at_most_once && !exchange->idempotent)
 		return err_set(err, ERR_TICKET_REQUIRED,
-		    "%s may not be repeated: send a " TICKET_HEADER
-		    " or an " KEY_HEADER,
+		    "%s is not idempotent: send a " TICKET_HEADER
+		    " or an " KEY_HEADER " header",
 		    exchange->model);
 	if (ticket != NULL) {
 		if (!ticket_open(
@@ -87,7 +88,8 @@
 		    strcmp(exchange->ticket.organisation,
 			exchange->organisation) != 0)
 			return err_set(err, ERR_TICKET_INVALID,
-			    "the ticket is not genuine or not yours");
+			    "the ticket is invalid or belongs to another "
+			    "organisation");
 		return true;
 	}
 	return key == NULL || idempotency_key_claim(exchange, key, err);
@@ -140,12 +142,13 @@
 	const config_t *config = arrival->front->config;
 	handle_t model = config_model(config, name);
 
-	/* Whether a model exists is not told to those who may not use it. */
+	/* The error doesn't reveal to an organisation that may not use a model
+	 * whether the model exists. */
 	if (model == HANDLE_NONE ||
 	    config_model_at(config, model)->kind != kind ||
 	    !model_allowed(arrival, model))
 		return err_set(err, ERR_NOT_ALLOWED,
-		    "model '%.47s' is not one that %s may use", name,
+		    "model '%.47s' is unknown, or not allowed for %s", name,
 		    exchange->organisation);
 	snprintf(exchange->model, sizeof(exchange->model), "%s", name);
 	exchange->idempotent =
@@ -153,7 +156,7 @@
 	return true;
 }
 
-/* A session that left its model open goes on with the one it is on. */
+/* A session that asked for model "auto" continues with the model it has. */
 static bool
 auto_model_resolve(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
@@ -179,7 +182,7 @@
 			0 ||
 		    exchange->session.version[len] != '@')
 			return err_set(err, ERR_BAD_REQUEST,
-			    "the session is on %s, not on model %s",
+			    "the session uses %s, not model %s",
 			    exchange->session.version, exchange->model);
 		memcpy(exchange->version, exchange->session.version,
 		    sizeof(exchange->version));
@@ -188,7 +191,7 @@
 	return exchange_version_select(exchange, arrival->organisation, err);
 }
 
-/* Room for an exchange, with what its organisation's entry says. */
+/* Allocates an exchange and fills in what is known of the organisation. */
 static exchange_t *
 exchange_create(arrival_t *arrival, err_t *err)
 {
@@ -198,8 +201,7 @@
 
 	if (exchange == NULL) {
 		err_set(err, ERR_OVERLOAD,
-		    "this entry has as many requests as "
-		    "it may");
+		    "too many requests in progress at this daemon");
 		return NULL;
 	}
 	counter_add(front->process.counters, COUNTER_REQUESTS, 1);
@@ -228,15 +230,16 @@
 	exchange->req = NULL;
 	if (front->stopping)
 		return;
-	/* libevent leaves a request whose connection failed to its owner. */
+	/* libevent doesn't free a request whose connection failed. */
 	evhttp_request_free(req);
 	counter_add(front->process.counters, COUNTER_CALLERS_GONE, 1);
-	/* What may not be repeated runs on, so that its outcome is known. */
+	/* A request that may run at most once continues, so that its outcome
+	 * becomes known. */
 	if (exchange->phase == PHASE_BILLING ||
 	    (exchange->at_most_once && !exchange->is_engine &&
 		exchange->granted))
 		return;
-	exchange_fail(exchange, ERR_STREAM_CUT, "the caller has gone");
+	exchange_fail(exchange, ERR_STREAM_CUT, "the caller disconnected");
 }
 
 static void
@@ -260,8 +263,8 @@
 	arrival_refuse(arrival->front, arrival->req, err);
 }
 
-/* What a chat request's body says; it is not the caller's word alone that
- * decides: the model must be one that the organisation may use. */
+/* Parses the body of a chat request; its model must be one that the
+ * organisation may use. */
 static bool
 chat_body_parse(
     arrival_t *arrival, exchange_t *exchange, const char *path, err_t *err)
@@ -278,7 +281,7 @@
 	    json_is_true(json_object_get(exchange->body, "stream"));
 	if (model == NULL || json_array_size(messages) == 0)
 		return err_set(err, ERR_BAD_REQUEST,
-		    "the body needs \"model\" and \"messages\"");
+		    "\"model\" or \"messages\" is missing in the body");
 	snprintf(
 	    exchange->path, sizeof(exchange->path), "/v1/chat/completions");
 	if (strcmp(model, AUTO_MODEL) == 0) {
@@ -303,12 +306,12 @@
 	return exchange->req != NULL || exchange->job != NULL;
 }
 
-/* Takes what the body and the path say. */
+/* Fills the exchange from the request's body and path. */
 typedef bool (*request_parser_t)(
     arrival_t *, exchange_t *, const char *path, err_t *err);
 
-/* The same for both kinds: what is known of the request, in the order in which
- * it can be refused. */
+/* Common to chat and service requests: parses the request, and refuses it at
+ * the first check that fails. */
 static void
 exchange_accept(arrival_t *arrival, request_parser_t parse, const char *path)
 {
@@ -356,12 +359,13 @@
 
 	if (arrival.organisation == HANDLE_NONE)
 		return err_set(err, ERR_NOT_ALLOWED,
-		    "the organisation is no longer configured");
+		    "the organisation has been removed from the configuration");
 	exchange = exchange_create(&arrival, err);
 	if (exchange == NULL)
 		return false;
 	exchange->body = json_copy(body);
-	/* The answer is kept whole, so it isn't asked for in events. */
+	/* The complete response is stored, so no stream of events is requested.
+	 */
 	json_object_del(exchange->body, "stream");
 	session_create(front, exchange);
 	if (!chat_body_parse(&arrival, exchange, NULL, err) ||
@@ -387,7 +391,7 @@
 	if (len == 0 || len >= sizeof(name) ||
 	    strlen(path + len) >= sizeof(exchange->path))
 		return err_set(err, ERR_BAD_REQUEST,
-		    "the path is /v1/services/SERVICE/...");
+		    "the path must be /v1/services/SERVICE/...");
 	snprintf(name, sizeof(name), "%.*s", (int)len, path);
 	snprintf(exchange->path, sizeof(exchange->path), "/%s",
 	    path + len + (path[len] == '/'));
