--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -17,8 +17,8 @@
 #define RESUME_DELAY_MS 50
 #define UPSTREAM_REQUEST_ID_SIZE (EXCHANGE_ID_SIZE + 12)
 #define NOT_RUN_HEADER "X-Not-Run"
-/* Endpoints may have crashed under a request whose attempts broke off: after so
- * many it is not sent to one more by itself. */
+/* An interrupted attempt may mean that the request crashed its endpoint: after
+ * so many it is not retried, so that it doesn't crash one more. */
 #define INTERRUPTED_ATTEMPTS_MAX 2
 
 static void
@@ -110,11 +110,12 @@
 		return;
 	}
 	if (!exchange_stream_resume(exchange))
-		exchange_attempt_failed(
-		    exchange, true, true, "the stream ended before its end");
+		exchange_attempt_failed(exchange, true, true,
+		    "the stream ended without its end marker");
 }
 
-/* A plain answer is whole when it parses to its end. */
+/* A plain response is complete when its body parses as JSON; that of an engine
+ * also has "usage". */
 static void
 upstream_plain_ended(exchange_t *exchange)
 {
@@ -130,7 +131,7 @@
 	if (body == NULL || (exchange->is_engine && usage == NULL)) {
 		json_decref(body);
 		exchange_attempt_failed(
-		    exchange, true, true, "the answer was not whole");
+		    exchange, true, true, "the response was incomplete");
 		return;
 	}
 	exchange->tokens_in = (uint64_t)json_integer_value(
@@ -160,7 +161,8 @@
 	int status = evhttp_request_get_response_code(upstream_req);
 	char reason[64];
 
-	snprintf(reason, sizeof(reason), "the endpoint answered %d", status);
+	snprintf(reason, sizeof(reason),
+	    "the endpoint responded with status %d", status);
 	exchange->status = status;
 	if (status == STATUS_OK) {
 		if (exchange->streaming)
@@ -171,8 +173,8 @@
 	}
 	if (exchange->phase == PHASE_RESUME) {
 		exchange->phase = PHASE_SENT;
-		exchange_attempt_failed(
-		    exchange, true, true, "the cut stream is gone");
+		exchange_attempt_failed(exchange, true, true,
+		    "the interrupted stream could not be resumed");
 		return;
 	}
 	exchange_attempt_failed(exchange,
@@ -180,8 +182,8 @@
 	    status >= STATUS_SERVER_ERROR, reason);
 }
 
-/* libevent calls this with NULL when the connection broke, and with status 0
- * when it never came about. */
+/* libevent calls this with NULL when the connection was lost, and with status 0
+ * when it could not be established. */
 static void
 upstream_ended(struct evhttp_request *upstream_req, void *arg)
 {
@@ -196,11 +198,11 @@
 	if (upstream_req == NULL || !connected) {
 		upstream_close(front, upstream);
 		if (!connected && exchange->phase != PHASE_RESUME)
-			exchange_attempt_failed(
-			    exchange, false, true, "it cannot be reached");
+			exchange_attempt_failed(exchange, false, true,
+			    "the endpoint could not be reached");
 		else if (!exchange_stream_resume(exchange))
-			exchange_attempt_failed(
-			    exchange, true, true, "the connection broke");
+			exchange_attempt_failed(exchange, true, true,
+			    "the connection to the endpoint was lost");
 		return;
 	}
 	if (exchange->idempotent)
@@ -224,7 +226,7 @@
 	return text;
 }
 
-/* Each attempt has a name of its own at the endpoint. */
+/* Each attempt has its own request id at the endpoint. */
 static void
 upstream_request_id(
     const exchange_t *exchange, char out[UPSTREAM_REQUEST_ID_SIZE])
@@ -301,7 +303,7 @@
 	return started;
 }
 
-/** A stream that is to be taken up after a while, if it still lives then. */
+/** Resumes a stream after a delay, if its exchange still exists then. */
 typedef struct resume_timer {
 	front_t *front;
 	uint64_t tag;
@@ -325,8 +327,8 @@
 	snprintf(path, sizeof(path), "/v1/streams/%s?from=%" PRIu64, request_id,
 	    exchange->sse.tokens);
 	if (!upstream_start(exchange, EVHTTP_REQ_GET, path, NULL))
-		exchange_attempt_failed(
-		    exchange, true, false, "no memory to resume it");
+		exchange_attempt_failed(exchange, true, false,
+		    "out of memory while resuming the stream");
 }
 
 bool
@@ -361,7 +363,8 @@
 	(void)reply;
 }
 
-/* Free the engine's slot: nobody listens any more. */
+/* Cancel the stream at the engine, which frees its slot: nobody receives it any
+ * more. */
 static void
 engine_stream_cancel(exchange_t *exchange)
 {
--- a/moortack/exchange/dispatch.c
+++ b/moortack/exchange/dispatch.c
@@ -38,8 +38,8 @@
 	handle_t version = rollout_choose(
 	    config, organisation, model, exchange->session.id, &stopped);
 
-	/* With nothing else to take its place, a stopped one is better than
-	 * none: the operators decide. */
+	/* If there is no other version, one that the guard stopped is better
+	 * than none: the operators decide. */
 	if (version == HANDLE_NONE)
 		version = rollout_choose(config, organisation, model,
 		    exchange->session.id, &no_versions);
@@ -54,13 +54,13 @@
 
 	if (version == HANDLE_NONE)
 		return err_set(err, ERR_NO_ENDPOINT,
-		    "no version of %s takes new sessions", exchange->model);
+		    "no version of %s accepts new sessions", exchange->model);
 	memcpy(exchange->version, config_version_at(config, version)->name,
 	    sizeof(exchange->version));
 	return true;
 }
 
-/* Whether a request must move: its version is closed to it. */
+/* Whether a request must move to another version. */
 static bool
 version_closed(const exchange_t *exchange, const version_t *version,
     handle_t handle, bool fallback)
@@ -70,8 +70,8 @@
 	if (version == NULL || version->state == VERSION_WITHDRAWN ||
 	    version->state == VERSION_STAGED)
 		return true;
-	/* A session stays, unless its organisation would rather have it
-	 * moved off a version that the guard stopped. */
+	/* A session stays on its version, unless its organisation prefers to
+	 * have it moved off a version that the guard stopped. */
 	if (exchange->existing_session && !fallback)
 		return false;
 	if (!exchange->existing_session && version->state == VERSION_DRAINING)
@@ -81,8 +81,9 @@
 	return version_set_has(&stopped, handle);
 }
 
-/* Whether the version may take this request's work, by the newest revision.
- * A new session may still be moved; one that is under way may not. */
+/* Whether the version may run this request, by the newest revision. A new
+ * session may still be moved to another version, an existing one only if its
+ * organisation allows it. */
 static bool
 version_check(exchange_t *exchange, err_t *err)
 {
@@ -94,14 +95,14 @@
 
 	if (organisation == HANDLE_NONE)
 		return err_set(err, ERR_NOT_ALLOWED,
-		    "the organisation is no longer configured");
+		    "the organisation has been removed from the configuration");
 	fallback = config_organisation_at(config, organisation)->fallback;
 	if (!version_closed(exchange, config_version_at(config, version),
 		version, fallback))
 		return true;
 	if (exchange->existing_session && !fallback)
 		return err_set(err, ERR_VERSION_WITHDRAWN,
-		    "the session's version %s was withdrawn",
+		    "version %s of the session has been withdrawn",
 		    exchange->version);
 	if (!exchange_version_select(exchange, organisation, err))
 		return false;
@@ -144,7 +145,7 @@
 	exchange->waiter.pool = admission_pool(exchange->model);
 	if (!admission_wait(&front->admission, &exchange->waiter))
 		exchange_fail(
-		    exchange, ERR_OVERLOAD, "as many requests wait as may");
+		    exchange, ERR_OVERLOAD, "too many requests are queued");
 }
 
 void
@@ -160,8 +161,8 @@
 		return;
 	}
 	if (!balance_query_init(exchange, &query)) {
-		exchange_fail(
-		    exchange, ERR_NOT_ALLOWED, "it is no longer allowed");
+		exchange_fail(exchange, ERR_NOT_ALLOWED,
+		    "the request is no longer allowed");
 		return;
 	}
 	switch (balance_pick(&front->fleet, &balance_two_choices, &query,
@@ -173,7 +174,7 @@
 		return;
 	case BALANCE_NONE:
 		exchange_fail(exchange, ERR_NO_ENDPOINT,
-		    "no endpoint that is allowed serves this version");
+		    "no allowed endpoint serves this version");
 		return;
 	}
 	admission_leave(&front->admission, &exchange->waiter);
@@ -184,8 +185,8 @@
 		exchange_send(exchange);
 }
 
-/* The last look before bytes leave: time may have passed since the endpoint
- * was chosen, also while the process was stopped. */
+/* The last check before the request is sent: time may have passed since the
+ * endpoint was chosen, also while the process was stopped. */
 static bool
 dispatch_check(exchange_t *exchange, err_t *err)
 {
@@ -199,11 +200,11 @@
 	if (timespec_ms_between(exchange->waiter.deadline,
 		clock_elapsed(front->process.clock)) >= 0)
 		return err_set(err, ERR_DEADLINE,
-		    "the deadline passed before it was sent");
+		    "the deadline passed before the request was sent");
 	if (!balance_query_init(exchange, &query) || endpoint == NULL ||
 	    !balance_allows(endpoint, &query))
 		return err_set(err, ERR_NO_ENDPOINT,
-		    "what was allowed changed before it was sent");
+		    "the request may no longer be sent to this endpoint");
 	return true;
 }
 
@@ -216,7 +217,7 @@
 	if (!dispatch_check(exchange, &err)) {
 		exchange_endpoint_release(exchange);
 		if (err.code == ERR_NO_ENDPOINT) {
-			/* Choose anew, among what is allowed now. */
+			/* Choose again among the endpoints allowed now. */
 			exchange_queue(exchange);
 			return;
 		}
@@ -232,6 +233,6 @@
 	timeline_add(front->process.timeline, EVENT_ATTEMPT_SENT, exchange->id,
 	    "%.20s %.24s", exchange->endpoint_address, exchange->version);
 	if (!exchange_upstream_start(exchange))
-		exchange_attempt_failed(
-		    exchange, false, false, "no memory to send it");
+		exchange_attempt_failed(exchange, false, false,
+		    "out of memory while sending the request");
 }
--- a/moortack/exchange/upstream.c
+++ b/moortack/exchange/upstream.c
@@ -70,7 +70,8 @@
 	evhttp_connection_free(arg);
 }
 
-/* Never from inside a callback of the connection: libevent still uses it. */
+/* Frees the connection later from the event loop: libevent still uses it in its
+ * callbacks, from which this may be called. */
 void
 upstream_close(front_t *front, upstream_t *upstream)
 {
