--- a/moortack/exchange/deferred.c
+++ b/moortack/exchange/deferred.c
@@ -14,7 +14,7 @@
 #define ACCEPT_ATTEMPTS_MAX 3
 #define STATUS_ACCEPTED 202
 
-/** A caller that waits to hear whether its request is held. */
+/** A caller that waits until its request is stored. */
 typedef struct accept_call {
 	front_t *front;
 	struct evhttp_request *req;
@@ -23,7 +23,7 @@
 	int attempts;
 } accept_call_t;
 
-/** A caller that waits for a row. */
+/** A caller that waits for a result. */
 typedef struct collect_call {
 	front_t *front;
 	struct evhttp_request *req;
@@ -34,7 +34,8 @@
 
 static void accept_write(accept_call_t *);
 
-/* A key names the same request again, whichever entry it comes to. */
+/* With an idempotency key, the id is derived from organisation and key: a
+ * request that is sent again gets the same job at any daemon. */
 static void
 job_id_make(const char *organisation, const char *key, char out[ID_SIZE])
 {
@@ -73,8 +74,8 @@
 			"{s:s,s:s}", "id", call->id, "location", location));
 	} else {
 		err_set(&err, ERR_STORE,
-		    "whether it is held is not known; send it again under the "
-		    "same key");
+		    "it is not known whether the request was stored; send it "
+		    "again with the same idempotency key");
 		answer_failure(call->front, call->req, &err, "unknown", NULL);
 	}
 	free(call->row);
@@ -106,7 +107,8 @@
 		accept_finish(call, true);
 		return;
 	}
-	/* Held before, or the reply was lost: the table tells. */
+	/* The job was stored before, or the store's response was lost: read
+	 * the rows to find out. */
 	snprintf(queue_key, sizeof(queue_key), "defer/%s", call->id);
 	snprintf(result_key, sizeof(result_key), "deferred/%s", call->id);
 	if (!store_get(call->front->store,
@@ -204,11 +206,12 @@
 	err_t err;
 
 	if (result != STORE_OK) {
-		err_set(&err, ERR_STORE, "the store does not answer");
+		err_set(&err, ERR_STORE, "the store did not respond");
 		answer_failure(call->front, call->req, &err, "unknown", NULL);
 	} else if (row == NULL ||
 	    !organisation_matches(row, call->organisation)) {
-		err_set(&err, ERR_NOT_FOUND, "there is no such request");
+		err_set(&err, ERR_NOT_FOUND,
+		    "there is no deferred request with this id");
 		answer_failure(call->front, call->req, &err, NULL, NULL);
 	} else if (result_text != NULL) {
 		result_send(call, row);
@@ -231,7 +234,7 @@
 	err_t err;
 
 	if (organisation == HANDLE_NONE) {
-		err_set(&err, ERR_AUTHENTICATION, "no such key");
+		err_set(&err, ERR_AUTHENTICATION, "missing or unknown API key");
 		answer_failure(front, req, &err, NULL, NULL);
 		return;
 	}
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Running what was deferred: claims with leases, and the one transaction that
- * ends a job.
+ * Runs deferred requests: claims jobs with leases, and ends each one in a
+ * single transaction.
  */
 #include <event2/buffer.h>
 #include <inttypes.h>
@@ -18,20 +18,20 @@
 #define POLL_MAX_MS 2000
 #define JOBS_MAX 8
 #define TRIES_MAX 50
-/* Runs that broke off, over all tries: a job that crashes its engines does not
- * go round until none is left. */
+/* Interrupted attempts over all runs of a job: a job that crashes its engines
+ * fails before it has crashed all of them. */
 #define INTERRUPTED_ATTEMPTS_MAX 3
 #define REQUEUE_DELAY_MS 500
 #define COMMIT_RETRY_MS 300
 
-/** A job that this daemon holds. */
+/** A job that this daemon has claimed. */
 struct deferred_job {
 	front_t *front;
 	char id[40];
-	char *claim;		   /**< the row as this daemon wrote it */
-	json_t *row;		   /**< the same, parsed */
-	json_t *commit_puts;	   /**< the transaction that ends it */
-	struct timespec lease_end; /**< of the lease, by the elapsed clock */
+	char *claim; /**< the row as this daemon wrote it; checked at the end */
+	json_t *row; /**< the same, parsed */
+	json_t *commit_puts; /**< rows that the final transaction writes */
+	struct timespec lease_end; /**< by the elapsed clock */
 };
 
 static void job_commit(deferred_job_t *);
@@ -64,8 +64,8 @@
 
 	(void)reply;
 	if (result == STORE_OK || result == STORE_CONFLICT) {
-		/* A conflict: the lease lapsed and another took it over, or
-		 * this very write took effect and its reply was lost. */
+		/* A conflict: the lease expired and another daemon claimed the
+		 * job, or this write took effect and its response was lost. */
 		counter_add(front->process.counters,
 		    result == STORE_OK ? COUNTER_DEFERRED_DONE
 				       : COUNTER_DEFERRED_LOST,
@@ -102,7 +102,8 @@
 	return text;
 }
 
-/* Out of the queue, the result in its place, and the bill with it. */
+/* Removes the job from the queue and writes its result and bill, if there is
+ * one, in one transaction. */
 static void
 job_finish(deferred_job_t *job, json_t *result, json_t *bill)
 {
@@ -145,7 +146,7 @@
 	    json_pack("[o]", bill_json(&job_bill)));
 }
 
-/* Back into the queue, for any daemon, after a while. */
+/* Returns the job to the queue, where any daemon may claim it after a delay. */
 static void
 job_requeue(deferred_job_t *job)
 {
@@ -216,7 +217,7 @@
 	job_failed(job, err);
 }
 
-/* The rest of the lease is for ending the job. */
+/* The last third of the lease is left for the transaction that ends the job. */
 static int64_t
 run_limit_ms(const front_t *front)
 {
@@ -230,7 +231,8 @@
 	err_t err;
 
 	(void)reply;
-	/* A lost reply may have claimed it: its lease lapses by itself. */
+	/* If the claim took effect and only the response was lost, its lease
+	 * expires. */
 	if (result != STORE_OK) {
 		job_free(job);
 		return;
@@ -292,7 +294,8 @@
 	front_t *front = arg;
 	const json_t *rows = json_object_get(reply, "rows");
 	size_t count = json_array_size(rows);
-	/* Daemons begin at different rows, so that they seldom meet. */
+	/* Daemons start at random rows, so that they seldom claim the same job.
+	 */
 	size_t first =
 	    count > 0 ? rng_below(front->process.rng, (uint32_t)count) : 0;
 
