--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -133,7 +133,8 @@
 	exchange_free(exchange);
 }
 
-/* A failure inside a stream that has begun: an event, and no end mark. */
+/* Reports a failure in a stream that has started: an error event, and no end
+ * marker. */
 static void
 stream_fail(exchange_t *exchange, const err_t *err)
 {
@@ -151,7 +152,9 @@
 	counter_add(front->process.counters, COUNTER_STREAMS_CUT, 1);
 }
 
-/* What a keyed request's refusal may say of earlier attempts. */
+/* Overrides what an error reports as "ran": although this attempt was not run,
+ * an earlier one under the same ticket or idempotency key may have been. NULL:
+ * no override. */
 static const char *
 ran_override(const exchange_t *exchange, const err_t *err)
 {
@@ -160,7 +163,7 @@
 	return err_info(err->code)->ran == ERR_NOT_RUN ? "unknown" : NULL;
 }
 
-/* A new ticket with the failure saves the caller a round trip. */
+/* A new ticket in the error response saves the caller a round trip. */
 static json_t *
 ticket_offer(exchange_t *exchange, err_code_t code)
 {
@@ -191,7 +194,8 @@
 	exchange->req = NULL;
 }
 
-/* A stream that its caller left, or that broke, is billed as delivered. */
+/* If the caller disconnected or the response was truncated, what was delivered
+ * is billed. */
 static void
 partial_bill_record(exchange_t *exchange)
 {
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -7,8 +7,8 @@
 #include "common/http_call.h"
 
 #define HUNDRED_PERCENT 100
-#define EXPLORE_PERCENT 2      /* of the requests go to the cheapest first */
-#define DEFAULT_CONFIDENCE 0.5 /* where an engine gives none */
+#define EXPLORE_PERCENT 2      /* requests that try the cheapest model first */
+#define DEFAULT_CONFIDENCE 0.5 /* when the engine reports none */
 
 void
 exchange_guard_observe(front_t *front, const char *organisation,
@@ -52,7 +52,9 @@
 	(void)reply;
 }
 
-/* Have a share of the answers rated; what it says comes back much later. */
+/* Requests a rating for a share of the responses; the ratings arrive much
+ * later.
+ */
 static void
 rating_request(exchange_t *exchange)
 {
@@ -124,8 +126,8 @@
 	return exchange_version_select(exchange, organisation, err);
 }
 
-/* A stream can't be taken back once it has begun, so its model is chosen by
- * what is known beforehand. */
+/* A stream can't be replaced by another model's response once it has started,
+ * so its model is chosen without knowing the confidence of the response. */
 static int
 cascade_step_first(exchange_t *exchange, const learn_cascade_t *row)
 {
--- a/moortack/exchange/session.c
+++ b/moortack/exchange/session.c
@@ -57,7 +57,7 @@
 		wire__session__free_unpacked(wire, NULL);
 	if (!valid)
 		return err_set(
-		    err, ERR_SESSION_TOKEN, "the session token is not genuine");
+		    err, ERR_SESSION_TOKEN, "the session token is invalid");
 	if (strcmp(out->organisation, organisation) != 0)
 		return err_set(err, ERR_SESSION_TOKEN,
 		    "the session belongs to another organisation");
--- a/moortack/exchange/ticketing.c
+++ b/moortack/exchange/ticketing.c
@@ -53,7 +53,7 @@
 		    exchange, which, WITNESS_OUTCOME, false, status, body, len);
 }
 
-/* It ran before: its answer again if a witness kept it. */
+/* The request ran before: send its response again, if a witness has it. */
 static void
 response_replay(exchange_t *exchange, int status, const char *body)
 {
@@ -62,7 +62,7 @@
 
 	if (body == NULL || req == NULL) {
 		exchange_fail(exchange, ERR_TICKET_USED,
-		    "it ran before; its answer was not kept");
+		    "the request ran before, but its response was not stored");
 		return;
 	}
 	out = evbuffer_new();
@@ -95,20 +95,20 @@
 	case REDEEM_NOT_RUN:
 		exchange->known_not_run = true;
 		exchange_fail(exchange, ERR_TICKET_DEAD,
-		    "it was not run under this ticket or key and never will "
-		    "be; take a new one");
+		    "nothing was run under this ticket or idempotency key, "
+		    "nor will be; use a new one");
 		return;
 	case REDEEM_DONE:
 		response_replay(exchange, status, body);
 		return;
 	case REDEEM_BUSY:
 		exchange_fail(exchange, ERR_WITNESS,
-		    "a witness holds as many tickets as it may");
+		    "a witness has no capacity for more tickets");
 		return;
 	default:
 		exchange_fail(exchange, ERR_UNKNOWN_OUTCOME,
-		    "an earlier attempt under this ticket or key may have "
-		    "run");
+		    "an earlier attempt under this ticket or idempotency key "
+		    "may have run");
 	}
 }
 
