--- a/test/fuzz/token_fuzz.c
+++ b/test/fuzz/token_fuzz.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Tokens: one that was sealed opens as itself; any other bytes, a changed one,
- * or one of another kind, open as nothing.
+ * Checks that a sealed token opens to the same content, and that arbitrary
+ * bytes, a modified token and a token of another kind are refused.
  */
 #include <string.h>
 
@@ -14,7 +14,7 @@
     "2:cdfb9a20bf06bc3e2a561991b54c0c7da304a2ac13d0711d42b5a398643c619e";
 
 static void
-sealed_check(const keyring_t *ring, const uint8_t *bytes, size_t len)
+sealed_ticket_check(const keyring_t *ring, const uint8_t *bytes, size_t len)
 {
 	ticket_t ticket = {
 	    .organisation = "fachschule", .expires_ms = 5, .witnesses = {1, 2}};
@@ -32,10 +32,10 @@
 	FUZZ_CHECK(err.code == ERR_SESSION_TOKEN);
 	if (len > 2) {
 		size_t at = bytes[1] % strlen(text);
-		char was = text[at];
+		char original = text[at];
 
 		text[at] = (char)bytes[2];
-		if (text[at] != was)
+		if (text[at] != original)
 			FUZZ_CHECK(!ticket_open(ring, text, &opened));
 	}
 }
@@ -55,6 +55,6 @@
 	    (const char *)bytes);
 	FUZZ_CHECK(!ticket_open(&ring, text, &ticket));
 	FUZZ_CHECK(!session_open(&ring, text, "x", 0, &session, &err));
-	sealed_check(&ring, bytes, len);
+	sealed_ticket_check(&ring, bytes, len);
 	return 0;
 }
--- a/test/scenario/caller_leaves.lua
+++ b/test/scenario/caller_leaves.lua
@@ -1,5 +1,5 @@
--- Callers that leave free what they held, and one that sends ahead of its
--- answer does not end the daemon.
+-- When callers disconnect in the middle of their streams, the engine's slots are
+-- freed, what was delivered is billed, and the daemon serves the next request.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({engines = {{place = "vantaa-hall",
@@ -20,8 +20,8 @@
   local load = lib.http("GET", c.engines[1].address, "/load").json
   return load.running == 0
 end)
-lib.equal(c:counter(c.daemons[1], "callers_gone"), 4, "callers gone")
--- What they were given is billed.
+lib.equal(c:counter(c.daemons[1], "callers_gone"), 4, "disconnected callers")
+-- What was delivered to them is billed.
 lib.wait_until("four bills", function()
   local _, total = c:bills()
   return total == 4
--- a/test/scenario/cut_off.lua
+++ b/test/scenario/cut_off.lua
@@ -1,10 +1,11 @@
--- One daemon is cut off from the table and from its peers when a version is
--- withdrawn: it stops taking work in time, and is back once the cut heals.
+-- A daemon that is partitioned from the store and from its peers can't know that
+-- a version was withdrawn. It must refuse requests before it could run one on
+-- that version, and serve again once the partition ends.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({relays = true})
 
--- Its own way to the table goes through a relay too.
+-- Its connection to the store goes through a relay as well.
 local relay = lib.spawn("standin-relay",
   {"--listen", network .. "9:9100"}, {}, "store-relay.log")
 relay.address = network .. "9:9100"
@@ -19,7 +20,7 @@
 c:wait_ready()
 
 local session = lib.chat(c.daemons[3], {prompt = "before"})
-lib.equal(session.status, 200, "chat before the cut")
+lib.equal(session.status, 200, "chat before the partition")
 c:cut(3, {1, 2})
 lib.fault(relay.address, {target = c.store.address, cut = {"*"}})
 
@@ -31,13 +32,16 @@
 local started = run.now()
 local answer = c:confirm(plan, c.daemons[1])
 lib.equal(answer.status, 200, "confirm by the majority")
--- By now every daemon holds it or has stopped: the window, two heartbeats.
+-- By now each daemon has applied the revision or refuses requests: after the
+-- freshness window (1500 ms), two heartbeats (400 ms) and a margin of 300 ms.
 run.sleep(math.max(0, started + 1500 + 400 + 300 - run.now()))
-local then_runs = c:runs_of("linen-lm@1")
+local runs_before = c:runs_of("linen-lm@1")
 run.sleep(2500)
-lib.equal(c:runs_of("linen-lm@1"), then_runs, "runs of the withdrawn version after that")
+lib.equal(c:runs_of("linen-lm@1"), runs_before,
+  "runs of the withdrawn version after that")
 local refused = lib.chat(c.daemons[3], {})
-lib.equal(refused.json.error.type, "config_stale", "what the cut-off one says")
+lib.equal(refused.json.error.type, "config_stale",
+  "error type at the partitioned daemon")
 lib.equal(refused.json.error.ran, "not_run", "whether it ran")
 
 c:heal()
@@ -48,14 +52,14 @@
 c:wait_ready()
 local served = lib.chat(c.daemons[3], {prompt = "after"})
 lib.equal(served.headers["Moortack-Version"], "linen-lm@2",
-  "the version after the cut")
+  "the version after the partition")
 
--- Cut off from the table alone, with its peers in reach, it goes on.
+-- Without the store, but with connected peers, it continues to serve.
 lib.fault(relay.address, {target = c.store.address, cut = {"*"}})
 run.sleep(3000)
 lib.equal(lib.chat(c.daemons[3], {prompt = "on"}).status, 200,
-  "chat with peers that vouch")
--- And a change confirmed meanwhile reaches it through them.
+  "chat without the store")
+-- A change confirmed meanwhile reaches it through the peers.
 local revision = c:set_version("linen-lm@2", "draining")
-lib.equal(c:status(c.daemons[3]).held, revision, "revision by way of peers")
+lib.equal(c:status(c.daemons[3]).held, revision, "revision received from peers")
 lib.say("ok")
--- a/test/scenario/deferred.lua
+++ b/test/scenario/deferred.lua
@@ -1,6 +1,6 @@
--- Work that can wait is accepted once it is held, and answered once, whoever
--- dies: daemons are killed and stopped past their lease while jobs run, and a
--- caller that sends its request again under its key gets the same one.
+-- Each deferred request that was accepted gets one result and one bill, although
+-- daemons that run jobs are killed, or stopped until their leases have expired.
+-- A caller that repeats a request with its idempotency key gets the same job.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({engines = {
@@ -23,13 +23,16 @@
   lib.equal(answer.status, 202, "accepted")
   ids[n] = answer.json.id
 end
--- The reply of an acceptance is lost, and it is sent again elsewhere.
+-- The store's response to an accepted request is lost, and the caller repeats
+-- the request at another daemon.
 lib.fault(c.store.address, {lose_replies = 1})
 ids[31] = defer(c.daemons[1], 31).json.id
-lib.equal(defer(c.daemons[2], 31).json.id, ids[31], "the same request again")
-lib.equal(defer(c.daemons[3], 1).json.id, ids[1], "an earlier one again")
+lib.equal(defer(c.daemons[2], 31).json.id, ids[31],
+  "job of the repeated request")
+lib.equal(defer(c.daemons[3], 1).json.id, ids[1],
+  "job of an earlier request, repeated")
 
--- Both hold jobs when it happens to them.
+-- Both daemons run jobs when they are killed and stopped.
 local function incarnation(daemon)
   for line in io.lines(daemon.log) do
     local found = line:match(" as (%x+)%.")
@@ -62,30 +65,32 @@
 end
 for n = 1, #ids do
   local answer
-  lib.wait_until("the answer of request " .. n, function()
+  lib.wait_until("the result of request " .. n, function()
     answer = collect(ids[n], c.daemons[3])
     return answer.status ~= 202
   end, 90000)
   lib.equal(answer.status, 200, "status of request " .. n)
   lib.equal(answer.json.choices[1].message.content,
-    lib.whole_text("route " .. n, 20), "answer of request " .. n)
+    lib.whole_text("route " .. n, 20), "response to request " .. n)
   lib.equal(collect(ids[n], c.daemons[1]).body, answer.body,
-    "the same answer through another entry")
+    "the same result from another daemon")
 end
 local wanted = {}
 for n = 1, #ids do wanted[ids[n]] = true end
 c:check_billed_once(wanted)
--- What the stopped one ended after its lease had lapsed changed nothing.
-lib.wait_until("the stopped daemon's ends come too late", function()
+-- What the stopped daemon ended after its lease had expired changed nothing.
+lib.wait_until("the stopped daemon lost its claims", function()
   return c:counter(c.daemons[2], "deferred_lost") > 0
 end)
 local lost = c:counter(c.daemons[2], "deferred_lost")
-lib.say("%d engine runs for %d requests; %d ends of the stopped daemon came " ..
-  "too late", #c:engine_runs(), #ids, lost)
-lib.check(#c:engine_runs() > #ids, "jobs were under way when daemons died")
+lib.say("%d engine runs for %d requests; the stopped daemon lost %d claims",
+  #c:engine_runs(), #ids, lost)
+lib.check(#c:engine_runs() > #ids,
+  "jobs were in progress when daemons were killed")
 local _, total = c:bills()
-lib.equal(total, #ids, "bills in all")
--- Another organisation can't see it.
+lib.equal(total, #ids, "total of bills")
+-- Another organisation can't collect it.
 lib.equal(lib.http("GET", c.daemons[1].address, "/v1/deferred/" .. ids[1],
-  {key = lib.ORGANISATIONS["fachschule"].key}).status, 404, "another's")
+  {key = lib.ORGANISATIONS["fachschule"].key}).status, 404,
+  "status for another organisation")
 lib.say("ok")
--- a/test/scenario/deferred_crashes.lua
+++ b/test/scenario/deferred_crashes.lua
@@ -1,8 +1,9 @@
--- A deferred job that crashes each engine it runs on ends as failed, instead of
--- going round until no engine is left; others are answered meanwhile.
+-- A deferred job that crashes each engine it runs on must end as failed after a
+-- few crashes, instead of being retried until it has crashed all engines. Other
+-- jobs complete meanwhile.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
-local ENGINES, CRASHES = 8, 3
+local ENGINES, CRASHES_MAX = 8, 3
 local engines = {}
 for i = 1, ENGINES do
   engines[i] = {place = i % 2 == 0 and "vantaa-hall" or "espoo-depot",
@@ -31,15 +32,15 @@
 end
 
 local poison = defer("poison")
-local sound = {}
-for i = 1, 6 do sound[i] = defer("sound " .. i) end
+local harmless = {}
+for i = 1, 6 do harmless[i] = defer("sound " .. i) end
 lib.check(collect(poison).status ~= 200, "a job that crashes its engines")
-for i = 1, 6 do lib.equal(collect(sound[i]).status, 200, "job " .. i) end
+for i = 1, 6 do lib.equal(collect(harmless[i]).status, 200, "job " .. i) end
 run.sleep(3000)
-local ended = 0
+local crashed = 0
 for _, engine in pairs(c.engines) do
-  if run.reap(engine.pid) then ended = ended + 1 end
+  if run.reap(engine.pid) then crashed = crashed + 1 end
 end
-lib.say("ended=%d", ended)
-lib.check(ended <= CRASHES, "%d engines ended by one job", ended)
+lib.say("crashed engines: %d", crashed)
+lib.check(crashed <= CRASHES_MAX, "%d engines crashed by one job", crashed)
 lib.say("ok")
--- a/test/scenario/half_cut.lua
+++ b/test/scenario/half_cut.lua
@@ -1,5 +1,7 @@
--- Connections between daemons stall one after the other under load: what is
--- held by peers moves on, bookings run at most once, bills come once.
+-- The connections between pairs of daemons stall, one pair after the other, under
+-- load. Chats must still be served, non-idempotent requests (bookings) run at most
+-- once, and each request must be billed exactly once: bills that wait for a
+-- stalled peer go to another one.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({relays = true})
@@ -19,7 +21,7 @@
 local book_summary, book_rows = lib.finish_load(bookings)
 lib.say("chat: %s", run.encode(summary))
 lib.say("bookings: %s", run.encode(book_summary))
-lib.equal(summary.bad + book_summary.bad, 0, "bad answers")
+lib.equal(summary.bad + book_summary.bad, 0, "bad responses")
 lib.equal(summary.whole, summary.sent, "chats served")
 local runs = lib.runs(c.services[2])
 lib.check_at_most_once(book_rows, runs)
--- a/test/scenario/one_link.lua
+++ b/test/scenario/one_link.lua
@@ -1,5 +1,6 @@
--- Two daemons can't reach each other, and a third reaches both: nobody is taken
--- off the membership, bills find another holder, and work goes on.
+-- Two daemons can't reach each other, but a third reaches both. No daemon may be
+-- removed from the membership, bills must find another holder, and requests must
+-- be served, also while the store is unavailable.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({relays = true})
@@ -10,14 +11,15 @@
   lib.equal(status.members, 3, "members that daemon " .. i .. " lists")
   local file = io.open(c.daemons[i].log)
   lib.check(not file:read("a"):find("taken off"),
-    "daemon %d took somebody off", i)
+    "daemon %d removed a member", i)
   file:close()
 end
 lib.fault(c.store.address, {down = true})
 run.sleep(2500)
 local summary, rows = lib.finish_load(lib.load(c.daemons[1].address,
   {key = "pyykki-dock-key", rate = 30, seconds = 2, tokens = 4}))
-lib.equal(summary.whole, summary.sent, "chats served in an outage as well")
+lib.equal(summary.whole, summary.sent,
+  "chats served while the store is unavailable")
 lib.fault(c.store.address, {down = false})
 c:check_billed_once(lib.whole_of(rows))
 lib.say("ok")
