--- a/moortack/exchange/arrival.h
+++ b/moortack/exchange/arrival.h
@@ -14,8 +14,9 @@
 	struct evhttp_request *req;
 	handle_t organisation;
 	class_t class;
-	uint64_t pools; /**< admission pools of the models that it may use; 0:
-			   by its organisation */
+	/** Admission pools that it may go to; arrival_admit() replaces 0 by
+	 * those of the engines' models that the organisation may use. */
+	uint64_t pools;
 	struct timespec now;
 } arrival_t;
 
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -18,7 +18,8 @@
 #define UPSTREAM_REQUEST_ID_SIZE (EXCHANGE_ID_SIZE + 12)
 #define NOT_RUN_HEADER "X-Not-Run"
 /* An interrupted attempt may mean that the request crashed its endpoint: after
- * so many it is not retried, so that it doesn't crash one more. */
+ * so many it is not retried automatically, so that it doesn't crash one more.
+ */
 #define INTERRUPTED_ATTEMPTS_MAX 2
 
 static void
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -148,7 +148,7 @@
 
 	if (row == NULL)
 		return err_set(err, ERR_NOT_ALLOWED,
-		    "%s may use no model that takes new sessions",
+		    "no model that %s may use accepts new sessions",
 		    exchange->organisation);
 	return cascade_model_select(exchange, organisation, row,
 	    cascade_step_first(exchange, row), err);
