--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -9,11 +9,11 @@
 #include "common/http_server.h"
 #include "moortack/exchange/deferred.h"
 
-#define KEY_MAX 128
-#define OPEN_MODEL "auto"
+#define IDEMPOTENCY_KEY_MAX 128
+#define AUTO_MODEL "auto"
 
 static void
-claim_answered(void *arg, uint64_t tag, const char *text)
+claim_completed(void *arg, uint64_t tag, const char *text)
 {
 	exchange_t *exchange = front_exchange(arg, tag);
 
@@ -21,21 +21,22 @@
 		return;
 	if (text == NULL) {
 		exchange_fail(exchange, ERR_STORE,
-		    "the store did not say whose this key is; a ticket needs "
-		    "no store");
+		    "the store did not confirm the idempotency key; a ticket "
+		    "needs no store");
 		return;
 	}
 	if (!ticket_open(&exchange->front->keyring, text, &exchange->ticket)) {
 		exchange_fail(exchange, ERR_TICKET_INVALID,
-		    "the key's ticket was sealed with a key that is gone");
+		    "the ticket of this idempotency key was sealed with a key "
+		    "that is no longer configured");
 		return;
 	}
-	exchange->phase = PHASE_WAIT;
-	exchange_try(exchange);
+	exchange->phase = PHASE_QUEUED;
+	exchange_dispatch(exchange);
 }
 
 static bool
-key_valid(const char *key)
+idempotency_key_valid(const char *key)
 {
 	size_t len = strlen(key);
 
@@ -44,42 +45,42 @@
 		    strchr("._-:", key[i]) == NULL)
 			return false;
 	}
-	return len > 0 && len <= KEY_MAX;
+	return len > 0 && len <= IDEMPOTENCY_KEY_MAX;
 }
 
 static bool
-claim_begin(exchange_t *exchange, const char *key, err_t *err)
+idempotency_key_claim(exchange_t *exchange, const char *key, err_t *err)
 {
 	char sealed[TOKEN_TEXT_MAX];
 	ticket_t ticket;
 
-	if (!key_valid(key))
+	if (!idempotency_key_valid(key))
 		return err_set(err, ERR_BAD_REQUEST,
-		    KEY_HEADER " must be 1 to %d letters, digits, '.', '_', "
-			       "'-', ':'",
-		    KEY_MAX);
+		    KEY_HEADER " must consist of 1 to %d letters, digits, '.', "
+			       "'_', '-' or ':'",
+		    IDEMPOTENCY_KEY_MAX);
 	ticket_mint(exchange->front, exchange->organisation, &ticket);
 	exchange->phase = PHASE_CLAIM;
 	if (!ticket_seal(&exchange->front->keyring, &ticket, sealed) ||
 	    !claim_start(exchange->front->store, exchange->organisation, key,
-		sealed, claim_answered, exchange->front, exchange->tag))
+		sealed, claim_completed, exchange->front, exchange->tag))
 		return err_set(err, ERR_MEMORY, "no memory");
 	return true;
 }
 
-/* A ticket or a key makes it run at most once. */
+/* With a ticket or an idempotency key the request runs at most once. */
 static bool
-key_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
+ticket_accept(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
 	const char *ticket = http_request_header(arrival->req, TICKET_HEADER);
 	const char *key = http_request_header(arrival->req, KEY_HEADER);
 
-	exchange->phase = PHASE_WAIT;
-	exchange->keyed = ticket != NULL || key != NULL;
-	if (!exchange->keyed && !exchange->idempotent)
+	exchange->phase = PHASE_QUEUED;
+	exchange->at_most_once = ticket != NULL || key != NULL;
+	if (!exchange->at_most_once && !exchange->idempotent)
 		return err_set(err, ERR_TICKET_REQUIRED,
-		    "%s may not be repeated: send a " TICKET_HEADER
-		    " or an " KEY_HEADER,
+		    "%s is not idempotent: send a " TICKET_HEADER
+		    " or an " KEY_HEADER " header",
 		    exchange->model);
 	if (ticket != NULL) {
 		if (!ticket_open(
@@ -87,14 +88,15 @@
 		    strcmp(exchange->ticket.organisation,
 			exchange->organisation) != 0)
 			return err_set(err, ERR_TICKET_INVALID,
-			    "the ticket is not genuine or not yours");
+			    "the ticket is invalid or belongs to another "
+			    "organisation");
 		return true;
 	}
-	return key == NULL || claim_begin(exchange, key, err);
+	return key == NULL || idempotency_key_claim(exchange, key, err);
 }
 
 static void
-session_begin(const front_t *front, exchange_t *exchange)
+session_create(const front_t *front, exchange_t *exchange)
 {
 	exchange->session.id = rng_bits(front->process.rng) | 1;
 	memcpy(exchange->session.organisation, exchange->organisation,
@@ -103,16 +105,16 @@
 }
 
 static bool
-session_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
+session_accept(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
 	front_t *front = arrival->front;
 	const char *text = http_request_header(arrival->req, SESSION_HEADER);
 
 	if (text == NULL) {
-		session_begin(front, exchange);
+		session_create(front, exchange);
 		return true;
 	}
-	exchange->session_given = true;
+	exchange->existing_session = true;
 	return session_open(&front->keyring, text, exchange->organisation,
 	    timespec_ms(clock_wall(front->process.clock)), &exchange->session,
 	    err);
@@ -134,18 +136,19 @@
 }
 
 static bool
-model_take(arrival_t *arrival, exchange_t *exchange, const char *name,
+model_accept(arrival_t *arrival, exchange_t *exchange, const char *name,
     model_kind_t kind, err_t *err)
 {
 	const config_t *config = arrival->front->config;
 	handle_t model = config_model(config, name);
 
-	/* Whether a model exists is not told to those who may not use it. */
+	/* The error doesn't reveal to an organisation that may not use a model
+	 * whether the model exists. */
 	if (model == HANDLE_NONE ||
 	    config_model_at(config, model)->kind != kind ||
 	    !model_allowed(arrival, model))
 		return err_set(err, ERR_NOT_ALLOWED,
-		    "model '%.47s' is not one that %s may use", name,
+		    "model '%.47s' is unknown, or not allowed for %s", name,
 		    exchange->organisation);
 	snprintf(exchange->model, sizeof(exchange->model), "%s", name);
 	exchange->idempotent =
@@ -153,14 +156,14 @@
 	return true;
 }
 
-/* A session that left its model open goes on with the one it is on. */
+/* A session that asked for model "auto" continues with the model it has. */
 static bool
-open_model_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
+auto_model_resolve(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
-	if (!exchange->session_given)
-		return exchange_cascade_begin(
+	if (!exchange->existing_session)
+		return exchange_cascade_start(
 		    exchange, arrival->organisation, err);
-	exchange->open_model = false;
+	exchange->auto_model = false;
 	snprintf(exchange->model, sizeof(exchange->model), "%.*s",
 	    (int)strcspn(exchange->session.version, "@"),
 	    exchange->session.version);
@@ -168,29 +171,29 @@
 }
 
 static bool
-version_take(arrival_t *arrival, exchange_t *exchange, err_t *err)
+version_resolve(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
-	if (exchange->open_model && !open_model_take(arrival, exchange, err))
+	if (exchange->auto_model && !auto_model_resolve(arrival, exchange, err))
 		return false;
-	if (exchange->session_given) {
+	if (exchange->existing_session) {
 		size_t len = strlen(exchange->model);
 
 		if (strncmp(exchange->session.version, exchange->model, len) !=
 			0 ||
 		    exchange->session.version[len] != '@')
 			return err_set(err, ERR_BAD_REQUEST,
-			    "the session is on %s, not on model %s",
+			    "the session uses %s, not model %s",
 			    exchange->session.version, exchange->model);
 		memcpy(exchange->version, exchange->session.version,
 		    sizeof(exchange->version));
 		return true;
 	}
-	return exchange_version_set(exchange, arrival->organisation, err);
+	return exchange_version_select(exchange, arrival->organisation, err);
 }
 
-/* Room for an exchange, with what its organisation's entry says. */
+/* Allocates an exchange and fills in what is known of the organisation. */
 static exchange_t *
-exchange_begin(arrival_t *arrival, err_t *err)
+exchange_create(arrival_t *arrival, err_t *err)
 {
 	front_t *front = arrival->front;
 	exchange_t *exchange = front_exchange_new(front);
@@ -198,15 +201,14 @@
 
 	if (exchange == NULL) {
 		err_set(err, ERR_OVERLOAD,
-		    "this entry has as many requests as "
-		    "it may");
+		    "too many requests in progress at this daemon");
 		return NULL;
 	}
 	counter_add(front->process.counters, COUNTER_REQUESTS, 1);
 	retry_budget_earn(&front->retries);
 	exchange->confidence = -1;
 	exchange->req = arrival->req;
-	exchange->begun = arrival->now;
+	exchange->started_at = arrival->now;
 	exchange->waiter.class = arrival->class;
 	exchange->waiter.since = arrival->now;
 	memcpy(exchange->organisation,
@@ -218,7 +220,7 @@
 }
 
 static void
-caller_gone(struct evhttp_connection *conn, void *arg)
+caller_disconnected(struct evhttp_connection *conn, void *arg)
 {
 	exchange_t *exchange = arg;
 	front_t *front = exchange->front;
@@ -228,14 +230,16 @@
 	exchange->req = NULL;
 	if (front->stopping)
 		return;
-	/* libevent leaves a request whose connection failed to its owner. */
+	/* libevent doesn't free a request whose connection failed. */
 	evhttp_request_free(req);
 	counter_add(front->process.counters, COUNTER_CALLERS_GONE, 1);
-	/* What may not be repeated runs on, so that its outcome is known. */
-	if (exchange->phase == PHASE_BILL ||
-	    (exchange->keyed && !exchange->engine && exchange->granted))
+	/* A request that may run at most once continues, so that its outcome
+	 * becomes known. */
+	if (exchange->phase == PHASE_BILLING ||
+	    (exchange->at_most_once && !exchange->is_engine &&
+		exchange->granted))
 		return;
-	exchange_fail(exchange, ERR_STREAM_CUT, "the caller has gone");
+	exchange_fail(exchange, ERR_STREAM_CUT, "the caller disconnected");
 }
 
 static void
@@ -244,9 +248,9 @@
 	timeline_add(arrival->front->process.timeline, EVENT_REQUEST_TAKEN,
 	    exchange->id, "%.20s %.24s", exchange->organisation,
 	    exchange->version);
-	http_request_watch(arrival->req, caller_gone, exchange);
-	if (exchange->phase == PHASE_WAIT)
-		exchange_try(exchange);
+	http_request_watch(arrival->req, caller_disconnected, exchange);
+	if (exchange->phase == PHASE_QUEUED)
+		exchange_dispatch(exchange);
 }
 
 static void
@@ -254,15 +258,15 @@
 {
 	if (exchange != NULL) {
 		exchange->req = NULL;
-		exchange_end(exchange);
+		exchange_free(exchange);
 	}
 	arrival_refuse(arrival->front, arrival->req, err);
 }
 
-/* What a chat request's body says; it is not the caller's word alone that
- * decides: the model must be one that the organisation may use. */
+/* Parses the body of a chat request; its model must be one that the
+ * organisation may use. */
 static bool
-chat_body_take(
+chat_body_parse(
     arrival_t *arrival, exchange_t *exchange, const char *path, err_t *err)
 {
 	const json_t *messages = json_object_get(exchange->body, "messages");
@@ -272,24 +276,24 @@
 	(void)path;
 	if (!sse_init(&exchange->sse))
 		return err_set(err, ERR_MEMORY, "no memory");
-	exchange->engine = true;
-	exchange->stream =
+	exchange->is_engine = true;
+	exchange->streaming =
 	    json_is_true(json_object_get(exchange->body, "stream"));
 	if (model == NULL || json_array_size(messages) == 0)
 		return err_set(err, ERR_BAD_REQUEST,
-		    "the body needs \"model\" and \"messages\"");
+		    "\"model\" or \"messages\" is missing in the body");
 	snprintf(
 	    exchange->path, sizeof(exchange->path), "/v1/chat/completions");
-	if (strcmp(model, OPEN_MODEL) == 0) {
-		exchange->open_model = true;
+	if (strcmp(model, AUTO_MODEL) == 0) {
+		exchange->auto_model = true;
 		exchange->idempotent = true;
 		return true;
 	}
-	return model_take(arrival, exchange, model, MODEL_ENGINE, err);
+	return model_accept(arrival, exchange, model, MODEL_ENGINE, err);
 }
 
 static bool
-asks_for_later(struct evhttp_request *req)
+prefers_async(struct evhttp_request *req)
 {
 	const char *prefer = http_request_header(req, "Prefer");
 
@@ -297,30 +301,30 @@
 }
 
 bool
-exchange_wanted(const exchange_t *exchange)
+exchange_has_recipient(const exchange_t *exchange)
 {
 	return exchange->req != NULL || exchange->job != NULL;
 }
 
-/* Takes what the body and the path say. */
-typedef bool (*body_take_t)(
+/* Fills the exchange from the request's body and path. */
+typedef bool (*request_parser_t)(
     arrival_t *, exchange_t *, const char *path, err_t *err);
 
-/* The same for both kinds: what is known of the request, in the order in which
- * it can be refused. */
+/* Common to chat and service requests: parses the request, and refuses it at
+ * the first check that fails. */
 static void
-exchange_start(arrival_t *arrival, body_take_t body_take, const char *path)
+exchange_accept(arrival_t *arrival, request_parser_t parse, const char *path)
 {
 	err_t err;
-	exchange_t *exchange = exchange_begin(arrival, &err);
+	exchange_t *exchange = exchange_create(arrival, &err);
 
 	if (exchange == NULL ||
 	    (exchange->body = http_request_json(arrival->req, &err)) == NULL ||
-	    !body_take(arrival, exchange, path, &err) ||
-	    !arrival_deadline(arrival, exchange, &err) ||
-	    !session_take(arrival, exchange, &err) ||
-	    !version_take(arrival, exchange, &err) ||
-	    !key_take(arrival, exchange, &err)) {
+	    !parse(arrival, exchange, path, &err) ||
+	    !arrival_deadline_parse(arrival, exchange, &err) ||
+	    !session_accept(arrival, exchange, &err) ||
+	    !version_resolve(arrival, exchange, &err) ||
+	    !ticket_accept(arrival, exchange, &err)) {
 		exchange_refuse(arrival, exchange, &err);
 		return;
 	}
@@ -328,23 +332,23 @@
 }
 
 void
-exchange_chat(front_t *front, struct evhttp_request *req)
+exchange_chat_start(front_t *front, struct evhttp_request *req)
 {
 	arrival_t arrival = {.front = front,
 	    .req = req,
 	    .now = clock_elapsed(front->process.clock)};
 	err_t err;
 
-	if (!arrival_pass(&arrival, &err))
+	if (!arrival_admit(&arrival, &err))
 		arrival_refuse(front, req, &err);
-	else if (asks_for_later(req))
+	else if (prefers_async(req))
 		deferred_accept(front, req);
 	else
-		exchange_start(&arrival, chat_body_take, NULL);
+		exchange_accept(&arrival, chat_body_parse, NULL);
 }
 
 bool
-exchange_job_begin(front_t *front, deferred_job_t *job,
+exchange_job_start(front_t *front, deferred_job_t *job,
     const char *organisation, json_t *body, int64_t deadline_ms, err_t *err)
 {
 	arrival_t arrival = {.front = front,
@@ -355,29 +359,30 @@
 
 	if (arrival.organisation == HANDLE_NONE)
 		return err_set(err, ERR_NOT_ALLOWED,
-		    "the organisation is no longer configured");
-	exchange = exchange_begin(&arrival, err);
+		    "the organisation has been removed from the configuration");
+	exchange = exchange_create(&arrival, err);
 	if (exchange == NULL)
 		return false;
 	exchange->body = json_copy(body);
-	/* The answer is kept whole, so it isn't asked for in events. */
+	/* The complete response is stored, so no stream of events is requested.
+	 */
 	json_object_del(exchange->body, "stream");
-	session_begin(front, exchange);
-	if (!chat_body_take(&arrival, exchange, NULL, err) ||
-	    !version_take(&arrival, exchange, err)) {
-		exchange_end(exchange);
+	session_create(front, exchange);
+	if (!chat_body_parse(&arrival, exchange, NULL, err) ||
+	    !version_resolve(&arrival, exchange, err)) {
+		exchange_free(exchange);
 		return false;
 	}
 	exchange->job = job;
-	exchange->broken = deferred_broken(job);
-	exchange->phase = PHASE_WAIT;
+	exchange->interrupted_attempts = deferred_interrupted_attempts(job);
+	exchange->phase = PHASE_QUEUED;
 	exchange->waiter.deadline = timespec_after_ms(arrival.now, deadline_ms);
-	exchange_try(exchange);
+	exchange_dispatch(exchange);
 	return true;
 }
 
 static bool
-service_body_take(
+service_path_parse(
     arrival_t *arrival, exchange_t *exchange, const char *path, err_t *err)
 {
 	size_t len = strcspn(path, "/");
@@ -386,11 +391,11 @@
 	if (len == 0 || len >= sizeof(name) ||
 	    strlen(path + len) >= sizeof(exchange->path))
 		return err_set(err, ERR_BAD_REQUEST,
-		    "the path is /v1/services/SERVICE/...");
+		    "the path must be /v1/services/SERVICE/...");
 	snprintf(name, sizeof(name), "%.*s", (int)len, path);
 	snprintf(exchange->path, sizeof(exchange->path), "/%s",
 	    path + len + (path[len] == '/'));
-	return model_take(arrival, exchange, name, MODEL_SERVICE, err);
+	return model_accept(arrival, exchange, name, MODEL_SERVICE, err);
 }
 
 /* The pool of the service that the path names. */
@@ -404,7 +409,8 @@
 }
 
 void
-exchange_service(front_t *front, struct evhttp_request *req, const char *path)
+exchange_service_start(
+    front_t *front, struct evhttp_request *req, const char *path)
 {
 	arrival_t arrival = {.front = front,
 	    .req = req,
@@ -412,8 +418,8 @@
 	    .now = clock_elapsed(front->process.clock)};
 	err_t err;
 
-	if (!arrival_pass(&arrival, &err))
+	if (!arrival_admit(&arrival, &err))
 		arrival_refuse(front, req, &err);
 	else
-		exchange_start(&arrival, service_body_take, path);
+		exchange_accept(&arrival, service_path_parse, path);
 }
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Running what was deferred: claims with leases, and the one transaction that
- * ends a job.
+ * Runs deferred requests: claims jobs with leases, and ends each one in a
+ * single transaction.
  */
 #include <event2/buffer.h>
 #include <inttypes.h>
@@ -13,59 +13,59 @@
 #include "common/log.h"
 #include "moortack/exchange/deferred.h"
 
-#define KEY_SIZE 64
-#define LOOK_MS 500
-#define LOOK_MAX_MS 2000
+#define ROW_KEY_SIZE 64
+#define POLL_MIN_MS 500
+#define POLL_MAX_MS 2000
 #define JOBS_MAX 8
 #define TRIES_MAX 50
-/* Runs that broke off, over all tries: a job that crashes its engines does not
- * go round until none is left. */
-#define BROKEN_MAX 3
-#define BACK_OFF_MS 500
-#define END_RETRY_MS 300
+/* Interrupted attempts over all runs of a job: a job that crashes its engines
+ * fails before it has crashed all of them. */
+#define INTERRUPTED_ATTEMPTS_MAX 3
+#define REQUEUE_DELAY_MS 500
+#define COMMIT_RETRY_MS 300
 
-/** A job that this daemon holds. */
+/** A job that this daemon has claimed. */
 struct deferred_job {
 	front_t *front;
 	char id[40];
-	char *claim;	       /**< the row as this daemon wrote it */
-	json_t *row;	       /**< the same, parsed */
-	json_t *end_puts;      /**< the transaction that ends it */
-	struct timespec until; /**< of the lease, by the elapsed clock */
+	char *claim; /**< the row as this daemon wrote it; checked at the end */
+	json_t *row; /**< the same, parsed */
+	json_t *commit_puts; /**< rows that the final transaction writes */
+	struct timespec lease_end; /**< by the elapsed clock */
 };
 
-static void job_end_write(deferred_job_t *);
+static void job_commit(deferred_job_t *);
 
 static void
 job_free(deferred_job_t *job)
 {
 	job->front->jobs--;
 	json_decref(job->row);
-	json_decref(job->end_puts);
+	json_decref(job->commit_puts);
 	free(job->claim);
 	free(job);
 }
 
 static void
-job_end_again(evutil_socket_t fd, short what, void *arg)
+job_commit_retry(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	job_end_write(arg);
+	job_commit(arg);
 }
 
 static void
-job_ended(void *arg, store_result_t result, const json_t *reply)
+job_committed(void *arg, store_result_t result, const json_t *reply)
 {
-	static const struct timeval wait = {0, END_RETRY_MS * 1000};
+	static const struct timeval delay = {0, COMMIT_RETRY_MS * 1000};
 	deferred_job_t *job = arg;
 	front_t *front = job->front;
 	struct timespec now = clock_elapsed(front->process.clock);
 
 	(void)reply;
 	if (result == STORE_OK || result == STORE_CONFLICT) {
-		/* A conflict: the lease lapsed and another took it over, or
-		 * this very write took effect and its reply was lost. */
+		/* A conflict: the lease expired and another daemon claimed the
+		 * job, or this write took effect and its response was lost. */
 		counter_add(front->process.counters,
 		    result == STORE_OK ? COUNTER_DEFERRED_DONE
 				       : COUNTER_DEFERRED_LOST,
@@ -73,28 +73,28 @@
 		job_free(job);
 		return;
 	}
-	if (timespec_ms_between(job->until, now) >= 0) {
+	if (timespec_ms_between(job->lease_end, now) >= 0) {
 		job_free(job);
 		return;
 	}
 	event_base_once(
-	    front->process.base, -1, EV_TIMEOUT, job_end_again, job, &wait);
+	    front->process.base, -1, EV_TIMEOUT, job_commit_retry, job, &delay);
 }
 
 static void
-job_end_write(deferred_job_t *job)
+job_commit(deferred_job_t *job)
 {
-	char key[KEY_SIZE];
+	char key[ROW_KEY_SIZE];
 
 	snprintf(key, sizeof(key), "defer/%s", job->id);
 	if (!store_txn(job->front->store,
 		json_pack("[o]", store_row(key, job->claim)),
-		json_incref(job->end_puts), job_ended, job))
+		json_incref(job->commit_puts), job_committed, job))
 		job_free(job);
 }
 
 static char *
-json_text(json_t *value)
+json_dump_release(json_t *value)
 {
 	char *text = json_dumps(value, JSON_COMPACT);
 
@@ -102,52 +102,55 @@
 	return text;
 }
 
-/* Out of the queue, the result in its place, and the bill with it. */
+/* Removes the job from the queue and writes its result and bill, if there is
+ * one, in one transaction. */
 static void
 job_finish(deferred_job_t *job, json_t *result, json_t *bill)
 {
-	char queue_key[KEY_SIZE], done_key[KEY_SIZE], bill_key[KEY_SIZE];
+	char queue_key[ROW_KEY_SIZE], result_key[ROW_KEY_SIZE],
+	    bill_key[ROW_KEY_SIZE];
 	char *text;
 
 	snprintf(queue_key, sizeof(queue_key), "defer/%s", job->id);
-	snprintf(done_key, sizeof(done_key), "deferred/%s", job->id);
+	snprintf(result_key, sizeof(result_key), "deferred/%s", job->id);
 	snprintf(bill_key, sizeof(bill_key), "bill/deferred/%s", job->id);
 	json_object_set(
 	    result, "organisation", json_object_get(job->row, "organisation"));
-	text = json_text(result);
-	job->end_puts = json_pack("[o,o]", store_row(queue_key, NULL),
-	    store_row(done_key, text != NULL ? text : "{}"));
+	text = json_dump_release(result);
+	job->commit_puts = json_pack("[o,o]", store_row(queue_key, NULL),
+	    store_row(result_key, text != NULL ? text : "{}"));
 	free(text);
 	if (bill != NULL) {
-		text = json_text(bill);
-		json_array_append_new(job->end_puts, store_row(bill_key, text));
+		text = json_dump_release(bill);
+		json_array_append_new(
+		    job->commit_puts, store_row(bill_key, text));
 		free(text);
 	}
-	job_end_write(job);
+	job_commit(job);
 }
 
 void
-deferred_done(exchange_t *exchange, const bill_t *bill)
+deferred_completed(exchange_t *exchange, const bill_t *bill)
 {
 	deferred_job_t *job = exchange->job;
-	json_t *answer =
-	    json_loadb((const char *)evbuffer_pullup(exchange->answer, -1),
-		evbuffer_get_length(exchange->answer), 0, NULL);
-	bill_t named = *bill;
+	json_t *response = json_loadb(
+	    (const char *)evbuffer_pullup(exchange->response_body, -1),
+	    evbuffer_get_length(exchange->response_body), 0, NULL);
+	bill_t job_bill = *bill;
 
 	exchange->job = NULL;
-	snprintf(named.request, sizeof(named.request), "%s", job->id);
+	snprintf(job_bill.request, sizeof(job_bill.request), "%s", job->id);
 	job_finish(job,
 	    json_pack(
-		"{s:o,s:s}", "answer", answer, "version", exchange->version),
-	    json_pack("[o]", bill_json(&named)));
+		"{s:o,s:s}", "answer", response, "version", exchange->version),
+	    json_pack("[o]", bill_json(&job_bill)));
 }
 
-/* Back into the queue, for any daemon, after a while. */
+/* Returns the job to the queue, where any daemon may claim it after a delay. */
 static void
-job_put_back(deferred_job_t *job)
+job_requeue(deferred_job_t *job)
 {
-	char key[KEY_SIZE];
+	char key[ROW_KEY_SIZE];
 	json_t *row = json_copy(job->row);
 	char *text;
 
@@ -155,15 +158,15 @@
 	json_object_set_new(row, "by", json_string(""));
 	json_object_set_new(row, "until_ms",
 	    json_integer(timespec_ms(clock_wall(job->front->process.clock)) +
-		BACK_OFF_MS));
-	text = json_text(row);
-	job->end_puts = json_pack("[o]", store_row(key, text));
+		REQUEUE_DELAY_MS));
+	text = json_dump_release(row);
+	job->commit_puts = json_pack("[o]", store_row(key, text));
 	free(text);
-	job_end_write(job);
+	job_commit(job);
 }
 
 static void
-job_give_up(deferred_job_t *job, const err_t *err)
+job_abandon(deferred_job_t *job, const err_t *err)
 {
 	job_finish(job,
 	    json_pack("{s:{s:s,s:s}}", "failure", "type",
@@ -172,14 +175,14 @@
 }
 
 uint32_t
-deferred_broken(const deferred_job_t *job)
+deferred_interrupted_attempts(const deferred_job_t *job)
 {
 	return (uint32_t)json_integer_value(
 	    json_object_get(job->row, "broken"));
 }
 
 static bool
-final_failure(const deferred_job_t *job, err_code_t code)
+failure_is_final(const deferred_job_t *job, err_code_t code)
 {
 	switch (code) {
 	case ERR_BAD_REQUEST:
@@ -189,17 +192,18 @@
 	default:
 		return json_integer_value(json_object_get(job->row, "tries")) >=
 		    TRIES_MAX ||
-		    deferred_broken(job) >= BROKEN_MAX;
+		    deferred_interrupted_attempts(job) >=
+		    INTERRUPTED_ATTEMPTS_MAX;
 	}
 }
 
 static void
 job_failed(deferred_job_t *job, const err_t *err)
 {
-	if (final_failure(job, err->code))
-		job_give_up(job, err);
+	if (failure_is_final(job, err->code))
+		job_abandon(job, err);
 	else
-		job_put_back(job);
+		job_requeue(job);
 }
 
 void
@@ -208,13 +212,14 @@
 	deferred_job_t *job = exchange->job;
 
 	exchange->job = NULL;
-	json_object_set_new(job->row, "broken", json_integer(exchange->broken));
+	json_object_set_new(
+	    job->row, "broken", json_integer(exchange->interrupted_attempts));
 	job_failed(job, err);
 }
 
-/* The rest of the lease is for ending the job. */
+/* The last third of the lease is left for the transaction that ends the job. */
 static int64_t
-run_ms(const front_t *front)
+run_limit_ms(const front_t *front)
 {
 	return front->options->lease_ms * 2 / 3;
 }
@@ -226,14 +231,16 @@
 	err_t err;
 
 	(void)reply;
-	/* A lost reply may have claimed it: its lease lapses by itself. */
+	/* If the claim took effect and only the response was lost, its lease
+	 * expires. */
 	if (result != STORE_OK) {
 		job_free(job);
 		return;
 	}
-	if (!exchange_job_begin(job->front, job,
+	if (!exchange_job_start(job->front, job,
 		json_string_value(json_object_get(job->row, "organisation")),
-		json_object_get(job->row, "body"), run_ms(job->front), &err))
+		json_object_get(job->row, "body"), run_limit_ms(job->front),
+		&err))
 		job_failed(job, &err);
 }
 
@@ -241,7 +248,7 @@
 job_claim(front_t *front, const char *id, const char *text, json_t *row)
 {
 	char incarnation[INCARNATION_TEXT_SIZE];
-	char key[KEY_SIZE];
+	char key[ROW_KEY_SIZE];
 	int64_t wall_ms = timespec_ms(clock_wall(front->process.clock));
 	deferred_job_t *job = calloc(1, sizeof(*job));
 
@@ -258,7 +265,7 @@
 	job->front = front;
 	job->row = json_incref(row);
 	job->claim = json_dumps(row, JSON_COMPACT);
-	job->until = timespec_after_ms(
+	job->lease_end = timespec_after_ms(
 	    clock_elapsed(front->process.clock), front->options->lease_ms);
 	snprintf(job->id, sizeof(job->id), "%.39s", id);
 	snprintf(key, sizeof(key), "defer/%s", job->id);
@@ -269,7 +276,7 @@
 }
 
 static void
-row_look(front_t *front, const char *text)
+row_claim_if_due(front_t *front, const char *text)
 {
 	json_t *row = json_loads(text, 0, NULL);
 	int64_t wall_ms = timespec_ms(clock_wall(front->process.clock));
@@ -282,12 +289,13 @@
 }
 
 static void
-looked(void *arg, store_result_t result, const json_t *reply)
+scan_completed(void *arg, store_result_t result, const json_t *reply)
 {
 	front_t *front = arg;
 	const json_t *rows = json_object_get(reply, "rows");
 	size_t count = json_array_size(rows);
-	/* Daemons begin at different rows, so that they seldom meet. */
+	/* Daemons start at random rows, so that they seldom claim the same job.
+	 */
 	size_t first =
 	    count > 0 ? rng_below(front->process.rng, (uint32_t)count) : 0;
 
@@ -297,7 +305,8 @@
 	for (size_t i = 0; i < count && front->jobs < JOBS_MAX; i++) {
 		const json_t *row = json_array_get(rows, (first + i) % count);
 
-		row_look(front, json_string_value(json_array_get(row, 1)));
+		row_claim_if_due(
+		    front, json_string_value(json_array_get(row, 1)));
 	}
 }
 
@@ -312,7 +321,8 @@
 	    !front_may_work(front, &err))
 		return;
 	front->jobs_looked_at = timespec_after_ms(now,
-	    LOOK_MS + rng_below(front->process.rng, LOOK_MAX_MS - LOOK_MS));
+	    POLL_MIN_MS +
+		rng_below(front->process.rng, POLL_MAX_MS - POLL_MIN_MS));
 	front->jobs_looking =
-	    store_scan(front->store, "defer/", "", looked, front);
+	    store_scan(front->store, "defer/", "", scan_completed, front);
 }
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -8,15 +8,15 @@
 #include "common/log.h"
 #include "moortack/exchange/deferred.h"
 
-static const char end_mark[] = "data: [DONE]\n\n";
+static const char done_event[] = "data: [DONE]\n\n";
 
 void
-exchange_line(const exchange_t *exchange, bill_line_t *out)
+exchange_bill_line(const exchange_t *exchange, bill_line_t *out)
 {
 	const config_t *config = exchange->front->config;
 	const model_t *model =
 	    config_model_at(config, config_model(config, exchange->model));
-	uint64_t units = exchange->engine ? exchange->sse.tokens : 1;
+	uint64_t units = exchange->is_engine ? exchange->sse.tokens : 1;
 
 	*out = (bill_line_t){.tokens_in = exchange->tokens_in,
 	    .tokens_out = exchange->sse.tokens,
@@ -30,97 +30,98 @@
 {
 	*bill = (bill_t){
 	    .at_ms = timespec_ms(clock_wall(exchange->front->process.clock)),
-	    .line_count = exchange->line_count,
+	    .line_count = exchange->bill_line_count,
 	    .cut = cut};
-	memcpy(bill->lines, exchange->lines, sizeof(bill->lines));
-	exchange_line(exchange, &bill->lines[bill->line_count++]);
+	memcpy(bill->lines, exchange->bill_lines, sizeof(bill->lines));
+	exchange_bill_line(exchange, &bill->lines[bill->line_count++]);
 	snprintf(bill->request, sizeof(bill->request), "%s", exchange->id);
 	memcpy(bill->organisation, exchange->organisation,
 	    sizeof(bill->organisation));
 }
 
 static void
-endpoint_done(exchange_t *exchange)
+endpoint_record_success(exchange_t *exchange)
 {
 	endpoint_t *endpoint =
 	    fleet_at(&exchange->front->fleet, exchange->endpoint);
 
 	if (endpoint != NULL)
-		endpoint_succeed(endpoint, (double)exchange->first_ms,
+		endpoint_succeed(endpoint, (double)exchange->first_byte_ms,
 		    clock_elapsed(exchange->front->process.clock));
 	exchange->endpoint = HANDLE_NONE;
 }
 
 static void
-outcome_tell(exchange_t *exchange)
+outcome_report(exchange_t *exchange)
 {
 	size_t len = 0;
 	const char *body = NULL;
 
-	if (!exchange->keyed)
+	if (!exchange->at_most_once)
 		return;
-	if (!exchange->stream && exchange->answer != NULL) {
-		len = evbuffer_get_length(exchange->answer);
-		body = (const char *)evbuffer_pullup(exchange->answer, -1);
+	if (!exchange->streaming && exchange->response_body != NULL) {
+		len = evbuffer_get_length(exchange->response_body);
+		body =
+		    (const char *)evbuffer_pullup(exchange->response_body, -1);
 	}
-	exchange_outcome(exchange, exchange->status, body, len);
+	exchange_outcome_report(exchange, exchange->status, body, len);
 }
 
 void
-exchange_whole(exchange_t *exchange)
+exchange_response_completed(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 	bill_t bill;
 
-	endpoint_done(exchange);
-	exchange_learn_answer(exchange);
-	if (exchange_cascade_up(exchange))
+	endpoint_record_success(exchange);
+	exchange_response_record(exchange);
+	if (exchange_cascade_escalate(exchange))
 		return;
 	bill_fill(exchange, false, &bill);
 	if (exchange->job != NULL) {
-		deferred_done(exchange, &bill);
-		exchange_end(exchange);
+		deferred_completed(exchange, &bill);
+		exchange_free(exchange);
 		front_dispatch(front);
 		return;
 	}
-	outcome_tell(exchange);
-	exchange->phase = PHASE_BILL;
+	outcome_report(exchange);
+	exchange->phase = PHASE_BILLING;
 	billing_record(front->billing, &bill, exchange->tag);
 	if (front->admission.count > 0)
 		front_dispatch(front);
 }
 
 static void
-stream_end(exchange_t *exchange)
+stream_finish(exchange_t *exchange)
 {
 	struct evbuffer *out = evbuffer_new();
 
-	evbuffer_add(out, end_mark, sizeof(end_mark) - 1);
+	evbuffer_add(out, done_event, sizeof(done_event) - 1);
 	evhttp_send_reply_chunk(exchange->req, out);
 	evhttp_send_reply_end(exchange->req);
 	evbuffer_free(out);
 }
 
 static void
-plain_end(exchange_t *exchange)
+plain_response_send(exchange_t *exchange)
 {
-	exchange_answer_headers(exchange);
+	exchange_response_headers_add(exchange);
 	http_answer_header(exchange->req, "Content-Type", "application/json");
 	evhttp_send_reply(
-	    exchange->req, exchange->status, NULL, exchange->answer);
+	    exchange->req, exchange->status, NULL, exchange->response_body);
 }
 
 void
-exchange_billed(exchange_t *exchange)
+exchange_bill_recorded(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 
 	if (exchange->req != NULL) {
 		http_request_unwatch(exchange->req);
-		if (exchange->stream)
-			stream_end(exchange);
+		if (exchange->streaming)
+			stream_finish(exchange);
 		else
-			plain_end(exchange);
+			plain_response_send(exchange);
 		exchange->req = NULL;
 		counter_add(front->process.counters, COUNTER_ANSWERS, 1);
 		counter_add(front->process.counters, COUNTER_TOKENS,
@@ -129,12 +130,13 @@
 		    exchange->id, "%llu tokens",
 		    (unsigned long long)exchange->sse.tokens);
 	}
-	exchange_end(exchange);
+	exchange_free(exchange);
 }
 
-/* A failure inside a stream that has begun: an event, and no end mark. */
+/* Reports a failure in a stream that has started: an error event, and no end
+ * marker. */
 static void
-stream_cut(exchange_t *exchange, const err_t *err)
+stream_fail(exchange_t *exchange, const err_t *err)
 {
 	front_t *front = exchange->front;
 	struct evbuffer *out = evbuffer_new();
@@ -150,16 +152,18 @@
 	counter_add(front->process.counters, COUNTER_STREAMS_CUT, 1);
 }
 
-/* What a keyed request's refusal may say of earlier attempts. */
+/* Overrides what an error reports as "ran": although this attempt was not run,
+ * an earlier one under the same ticket or idempotency key may have been. NULL:
+ * no override. */
 static const char *
-ran_word(const exchange_t *exchange, const err_t *err)
+ran_override(const exchange_t *exchange, const err_t *err)
 {
-	if (!exchange->keyed || exchange->settled)
+	if (!exchange->at_most_once || exchange->known_not_run)
 		return NULL;
 	return err_info(err->code)->ran == ERR_NOT_RUN ? "unknown" : NULL;
 }
 
-/* A new ticket with the failure saves the caller a round trip. */
+/* A new ticket in the error response saves the caller a round trip. */
 static json_t *
 ticket_offer(exchange_t *exchange, err_code_t code)
 {
@@ -175,28 +179,30 @@
 }
 
 static void
-failure_tell(exchange_t *exchange, const err_t *err)
+failure_send(exchange_t *exchange, const err_t *err)
 {
 	http_request_unwatch(exchange->req);
-	if (exchange->reply_started) {
-		stream_cut(exchange, err);
+	if (exchange->response_started) {
+		stream_fail(exchange, err);
 	} else {
 		http_answer_header(
 		    exchange->req, "Moortack-Request", exchange->id);
 		answer_failure(exchange->front, exchange->req, err,
-		    ran_word(exchange, err), ticket_offer(exchange, err->code));
+		    ran_override(exchange, err),
+		    ticket_offer(exchange, err->code));
 	}
 	exchange->req = NULL;
 }
 
-/* A stream that its caller left, or that broke, is billed as delivered. */
+/* If the caller disconnected or the response was truncated, what was delivered
+ * is billed. */
 static void
-cut_bill(exchange_t *exchange)
+partial_bill_record(exchange_t *exchange)
 {
 	bill_t bill;
 
-	if (!exchange->engine ||
-	    (exchange->sse.tokens == 0 && exchange->line_count == 0))
+	if (!exchange->is_engine ||
+	    (exchange->sse.tokens == 0 && exchange->bill_line_count == 0))
 		return;
 	bill_fill(exchange, true, &bill);
 	billing_record(exchange->front->billing, &bill, 0);
@@ -212,26 +218,27 @@
 	admission_leave(&front->admission, &exchange->waiter);
 	exchange_upstream_cancel(exchange);
 	exchange_endpoint_release(exchange);
-	if (exchange->phase == PHASE_TICKET)
-		exchange_unsent(exchange);
-	if (exchange->granted && !exchange->ran) {
-		exchange_unsent(exchange);
-		exchange->settled = true;
+	if (exchange->phase == PHASE_REDEEM)
+		exchange_unsent_report(exchange);
+	if (exchange->granted && !exchange->may_have_run) {
+		exchange_unsent_report(exchange);
+		exchange->known_not_run = true;
 	}
 	timeline_add(front->process.timeline,
-	    exchange->reply_started ? EVENT_ANSWER_CUT : EVENT_REQUEST_REFUSED,
+	    exchange->response_started ? EVENT_ANSWER_CUT
+				       : EVENT_REQUEST_REFUSED,
 	    exchange->id, "%s", err_info(code)->name);
 	if (exchange->job != NULL)
 		deferred_failed(exchange, &err);
 	else
-		cut_bill(exchange);
+		partial_bill_record(exchange);
 	if (exchange->req != NULL)
-		failure_tell(exchange, &err);
-	exchange_end(exchange);
+		failure_send(exchange, &err);
+	exchange_free(exchange);
 }
 
 void
-exchange_end(exchange_t *exchange)
+exchange_free(exchange_t *exchange)
 {
 	front_t *front = exchange->front;
 
@@ -243,8 +250,8 @@
 	}
 	exchange_endpoint_release(exchange);
 	sse_finish(&exchange->sse);
-	if (exchange->answer != NULL)
-		evbuffer_free(exchange->answer);
+	if (exchange->response_body != NULL)
+		evbuffer_free(exchange->response_body);
 	json_decref(exchange->body);
 	front_exchange_free(front, exchange);
 }
