--- a/bench/admission.c
+++ b/bench/admission.c
@@ -131,7 +131,7 @@
 	job->waiter = (waiter_t){
 	    .class = pool->what->classes ? (class_t) class : CLASS_CRITICAL,
 	    .since = now,
-	    .deadline = timespec_after_ms(now, (int64_t)DEADLINE_MS)};
+	    .deadline = timespec_add_ms(now, (int64_t)DEADLINE_MS)};
 	if (!processor_take(pool, SERVICE_MS / SLOTS * pool->what->entry) ||
 	    !admission_wait(&pool->admission, &job->waiter)) {
 		job_refuse(pool, class);
--- a/bench/balance.c
+++ b/bench/balance.c
@@ -115,7 +115,7 @@
 			snprintf(address, sizeof(address), "10.0.0.%d:1", e);
 			snprintf(place, sizeof(place), "p%d", e % PLACES);
 			handle = fleet_list(&sim->fleets[d], address, place,
-			    false, timespec_of_ms(0));
+			    false, timespec_from_ms(0));
 			endpoint = fleet_at(&sim->fleets[d], handle);
 			endpoint_serve(endpoint, "m@1");
 			endpoint->slots = SLOTS;
--- a/bench/experiment.c
+++ b/bench/experiment.c
@@ -151,7 +151,7 @@
 struct timespec
 des_time(const des_t *des)
 {
-	return timespec_of_ms(START_MS + (int64_t)des->now_ms);
+	return timespec_from_ms(START_MS + (int64_t)des->now_ms);
 }
 
 static uint32_t
--- a/bench/load.c
+++ b/bench/load.c
@@ -261,7 +261,7 @@
 	    ? evhttp_find_header(headers, "Moortack-Version")
 	    : NULL;
 	int64_t us =
-	    timespec_us_between(shot->begun, clock_elapsed(&load.clock));
+	    timespec_us_between(shot->begun, clock_boottime(&load.clock));
 	const char *verdict = "unreached";
 	const char *ran = "";
 	json_t *answer = NULL;
@@ -299,7 +299,7 @@
 
 	if (shot->first_us < 0)
 		shot->first_us = timespec_us_between(
-		    shot->begun, clock_elapsed(&load.clock));
+		    shot->begun, clock_boottime(&load.clock));
 	evbuffer_add_buffer(shot->body, evhttp_request_get_input_buffer(req));
 }
 
@@ -400,10 +400,11 @@
 }
 
 static void
-ticket_taken(void *arg, const http_reply_t *reply)
+ticket_taken(void *arg, const http_response_t *reply)
 {
 	shot_t *shot = arg;
-	json_t *answer = reply->status == 200 ? http_reply_json(reply) : NULL;
+	json_t *answer =
+	    reply->status == 200 ? http_response_json(reply) : NULL;
 	const char *ticket = json_string_value(
 	    json_array_get(json_object_get(answer, "tickets"), 0));
 
@@ -416,7 +417,7 @@
 	if (ticket != NULL)
 		snprintf(shot->ticket, sizeof(shot->ticket), "%s", ticket);
 	json_decref(answer);
-	shot->begun = clock_elapsed(&load.clock);
+	shot->begun = clock_boottime(&load.clock);
 	shot_send(shot);
 }
 
@@ -443,7 +444,7 @@
 next_plan(void)
 {
 	double now = (double)timespec_us_between(
-			 load.start, clock_elapsed(&load.clock)) /
+			 load.start, clock_boottime(&load.clock)) /
 	    1e6;
 	struct timeval tv;
 	double wait;
@@ -459,7 +460,7 @@
 static void
 shot_begin(evutil_socket_t fd, short what, void *arg)
 {
-	struct timespec now = clock_elapsed(&load.clock);
+	struct timespec now = clock_boottime(&load.clock);
 	shot_t *shot;
 
 	(void)fd;
@@ -503,9 +504,10 @@
 }
 
 static void
-entries_taken(void *arg, const http_reply_t *reply)
+entries_taken(void *arg, const http_response_t *reply)
 {
-	json_t *answer = reply->status == 200 ? http_reply_json(reply) : NULL;
+	json_t *answer =
+	    reply->status == 200 ? http_response_json(reply) : NULL;
 	json_t *list = json_object_get(answer, "entries");
 	json_t *item;
 	size_t i;
@@ -586,7 +588,7 @@
 		&load.options, &err) != SETTINGS_OK ||
 	    !entries_parse(load.options.entries)) {
 		fprintf(stderr, "moortack-load: %s\n", err.detail);
-		settings_help(
+		settings_print_help(
 		    settings, SETTINGS_COUNT, "MOORTACK_LOAD", stderr);
 		return 2;
 	}
@@ -597,14 +599,14 @@
 	gsl_rng_set(load.random, (unsigned long)load.options.seed);
 	if (*load.options.out != '\0')
 		load.out = fopen(load.options.out, "w");
-	load.start = clock_elapsed(&load.clock);
+	load.start = clock_boottime(&load.clock);
 	load.next = event_new(load.base, -1, 0, shot_begin, NULL);
 	load.follow = event_new(load.base, -1, EV_PERSIST, entries_ask, NULL);
 	if (load.options.follow)
 		event_add(load.follow, &follow_every);
 	next_plan();
 	event_base_dispatch(load.base);
-	http_calls_end(load.base);
+	http_calls_cancel(load.base);
 	event_base_loop(load.base, EVLOOP_NONBLOCK);
 	summary_print();
 	if (load.out != NULL)
--- a/common/clock_source.c
+++ b/common/clock_source.c
@@ -46,9 +46,9 @@
 }
 
 struct timespec
-clock_elapsed(const clock_source_t *clock)
+clock_boottime(const clock_source_t *clock)
 {
-	return clock->ops->elapsed(clock);
+	return clock->ops->boottime(clock);
 }
 
 struct timespec
@@ -58,9 +58,9 @@
 }
 
 struct timespec
-clock_steady(const clock_source_t *clock)
+clock_monotonic(const clock_source_t *clock)
 {
-	return clock->ops->steady(clock);
+	return clock->ops->monotonic(clock);
 }
 
 int64_t
@@ -77,7 +77,7 @@
 }
 
 struct timespec
-timespec_after_ms(struct timespec at, int64_t ms)
+timespec_add_ms(struct timespec at, int64_t ms)
 {
 	at.tv_sec += ms / MS_PER_SEC;
 	at.tv_nsec += (ms % MS_PER_SEC) * NS_PER_MS;
@@ -93,13 +93,13 @@
 }
 
 int64_t
-timespec_ms(struct timespec at)
+timespec_to_ms(struct timespec at)
 {
 	return (int64_t)at.tv_sec * MS_PER_SEC + at.tv_nsec / NS_PER_MS;
 }
 
 struct timespec
-timespec_of_ms(int64_t ms)
+timespec_from_ms(int64_t ms)
 {
-	return timespec_after_ms((struct timespec){0}, ms);
+	return timespec_add_ms((struct timespec){0}, ms);
 }
--- a/common/counters.c
+++ b/common/counters.c
@@ -8,7 +8,7 @@
 } counter_info_t;
 
 /* In the order of counter_t. */
-static const counter_info_t infos[COUNTERS] = {
+static const counter_info_t infos[COUNTER_COUNT] = {
     {"requests", "Requests received from callers."},
     {"answers", "Whole answers delivered."},
     {"attempts", "Requests sent to endpoints."},
@@ -47,15 +47,15 @@
 }
 
 void
-counter_refusal(counters_t *counters, err_code_t code)
+counter_add_failure(counters_t *counters, err_code_t code)
 {
-	counters->refusals[code]++;
+	counters->failures[code]++;
 }
 
 void
 counters_write(const counters_t *counters, struct evbuffer *out)
 {
-	for (int i = 0; i < COUNTERS; i++) {
+	for (int i = 0; i < COUNTER_COUNT; i++) {
 		evbuffer_add_printf(out,
 		    "# HELP moortack_%s_total %s\n"
 		    "# TYPE moortack_%s_total counter\n"
@@ -66,9 +66,9 @@
 	evbuffer_add_printf(out,
 	    "# HELP moortack_failures_total Failures told, by type.\n"
 	    "# TYPE moortack_failures_total counter\n");
-	for (int i = 1; i < ERR_CODES; i++) {
+	for (int i = 1; i < ERR_CODE_COUNT; i++) {
 		evbuffer_add_printf(out,
 		    "moortack_failures_total{type=\"%s\"} %" PRIu64 "\n",
-		    err_info((err_code_t)i)->name, counters->refusals[i]);
+		    err_info((err_code_t)i)->name, counters->failures[i]);
 	}
 }
--- a/common/event_log.c
+++ b/common/event_log.c
@@ -23,9 +23,9 @@
 	int flags = fcntl(STDOUT_FILENO, F_GETFL);
 
 	*log = (event_log_t){.clock = clock,
-	    .per_s = per_s,
-	    .room = per_s * BURST_S,
-	    .seen = clock_elapsed(clock)};
+	    .lines_per_s = per_s,
+	    .tokens = per_s * BURST_S,
+	    .refilled_at = clock_boottime(clock)};
 	if (flags >= 0)
 		fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
@@ -33,21 +33,21 @@
 static bool
 room_take(event_log_t *log, struct timespec now)
 {
-	log->room += (double)timespec_ms_between(log->seen, now) * log->per_s /
-	    MS_PER_SEC;
-	if (log->room > log->per_s * BURST_S)
-		log->room = log->per_s * BURST_S;
-	log->seen = now;
-	if (log->room < 1)
+	log->tokens += (double)timespec_ms_between(log->refilled_at, now) *
+	    log->lines_per_s / MS_PER_SEC;
+	if (log->tokens > log->lines_per_s * BURST_S)
+		log->tokens = log->lines_per_s * BURST_S;
+	log->refilled_at = now;
+	if (log->tokens < 1)
 		return false;
-	log->room--;
+	log->tokens--;
 	return true;
 }
 
 static void
 event_write(event_log_t *log, const char *event, const char *fmt, va_list ap)
 {
-	struct timespec now = clock_elapsed(log->clock);
+	struct timespec now = clock_boottime(log->clock);
 	char line[LINE_SIZE];
 	size_t len;
 
@@ -56,13 +56,13 @@
 		return;
 	}
 	len = (size_t)snprintf(line, sizeof(line),
-	    "t=%" PRId64 ".%03" PRId64 " event=%s ", timespec_ms(now) / 1000,
-	    timespec_ms(now) % 1000, event);
-	if (log->dropped > log->dropped_told) {
+	    "t=%" PRId64 ".%03" PRId64 " event=%s ", timespec_to_ms(now) / 1000,
+	    timespec_to_ms(now) % 1000, event);
+	if (log->dropped > log->dropped_reported) {
 		len += (size_t)snprintf(line + len, sizeof(line) - len,
 		    "dropped_lines=%" PRIu64 " ",
-		    log->dropped - log->dropped_told);
-		log->dropped_told = log->dropped;
+		    log->dropped - log->dropped_reported);
+		log->dropped_reported = log->dropped;
 	}
 	len += (size_t)vsnprintf(line + len, sizeof(line) - len, fmt, ap);
 	if (len > sizeof(line) - 2)
@@ -75,7 +75,7 @@
 }
 
 void
-event_line(event_log_t *log, const char *event, const char *fmt, ...)
+event_log_write(event_log_t *log, const char *event, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -84,11 +84,11 @@
 	va_end(ap);
 }
 
-static const char *const throttled_events[EVENT_THROTTLES] = {
+static const char *const throttled_events[EVENT_THROTTLE_COUNT] = {
     [EVENT_THROTTLED_ENDPOINT] = "endpoint",
-    [EVENT_THROTTLED_ENDPOINT_GONE] = "endpoint_gone",
+    [EVENT_THROTTLED_ENDPOINT_REMOVED] = "endpoint_gone",
     [EVENT_THROTTLED_MEMBER] = "member",
-    [EVENT_THROTTLED_MEMBER_GONE] = "member_gone",
+    [EVENT_THROTTLED_MEMBER_REMOVED] = "member_gone",
     [EVENT_THROTTLED_SUSPECT] = "suspect",
 };
 
@@ -97,19 +97,19 @@
 throttle_turn(event_log_t *log, event_throttle_kind_t kind)
 {
 	event_throttle_t *throttle = &log->throttles[kind];
-	struct timespec now = clock_elapsed(log->clock);
-	uint32_t left_out = throttle->left_out;
+	struct timespec now = clock_boottime(log->clock);
+	uint32_t left_out = throttle->suppressed;
 
-	if (timespec_ms_between(throttle->since, now) < THROTTLE_MS)
+	if (timespec_ms_between(throttle->window_start, now) < THROTTLE_MS)
 		return;
-	*throttle = (event_throttle_t){.since = now};
+	*throttle = (event_throttle_t){.window_start = now};
 	if (left_out > 0)
-		event_line(log, "left_out", "of=%s lines=%" PRIu32,
+		event_log_write(log, "left_out", "of=%s lines=%" PRIu32,
 		    throttled_events[kind], left_out);
 }
 
 void
-event_line_throttled(
+event_log_write_throttled(
     event_log_t *log, event_throttle_kind_t kind, const char *fmt, ...)
 {
 	event_throttle_t *throttle = &log->throttles[kind];
@@ -117,7 +117,7 @@
 
 	throttle_turn(log, kind);
 	if (throttle->lines >= THROTTLE_LINES) {
-		throttle->left_out++;
+		throttle->suppressed++;
 		return;
 	}
 	throttle->lines++;
@@ -129,6 +129,6 @@
 void
 event_log_tick(event_log_t *log)
 {
-	for (int kind = 0; kind < EVENT_THROTTLES; kind++)
+	for (int kind = 0; kind < EVENT_THROTTLE_COUNT; kind++)
 		throttle_turn(log, (event_throttle_kind_t)kind);
 }
--- a/common/hlc.c
+++ b/common/hlc.c
@@ -20,7 +20,7 @@
 }
 
 int64_t
-hlc_ms(uint64_t stamp)
+hlc_to_ms(uint64_t stamp)
 {
 	return (int64_t)(stamp >> COUNT_BITS);
 }
--- a/common/http_call.c
+++ b/common/http_call.c
@@ -16,7 +16,7 @@
 typedef struct pending_call {
 	struct event_base *base;
 	struct evhttp_connection *conn;
-	http_done_t done;
+	http_call_done_t done;
 	void *arg;
 	struct event *ended; /**< frees it, outside the connection's callback */
 	struct pending_call *next;
@@ -58,7 +58,7 @@
 }
 
 bool
-http_address_is_ip(const http_address_t *address)
+http_address_is_ipv4(const http_address_t *address)
 {
 	struct in_addr ip;
 
@@ -93,8 +93,8 @@
 call_done(struct evhttp_request *req, void *arg)
 {
 	pending_call_t *call = arg;
-	http_done_t done = call->done;
-	http_reply_t reply = {0};
+	http_call_done_t done = call->done;
+	http_response_t reply = {0};
 	struct evbuffer *input;
 
 	if (req != NULL && evhttp_request_get_response_code(req) != 0) {
@@ -132,8 +132,8 @@
 }
 
 static pending_call_t *
-pending_new(struct event_base *base, const http_call_t *call, http_done_t done,
-    void *arg)
+pending_new(struct event_base *base, const http_call_t *call,
+    http_call_done_t done, void *arg)
 {
 	pending_call_t *pending = calloc(1, sizeof(*pending));
 	const http_address_t *address = call->address;
@@ -160,7 +160,7 @@
 
 bool
 http_call_start(struct event_base *base, const http_call_t *call,
-    http_done_t done, void *arg)
+    http_call_done_t done, void *arg)
 {
 	struct timeval timeout = {call->timeout_ms / MS_PER_SEC,
 	    (call->timeout_ms % MS_PER_SEC) * US_PER_MS};
@@ -185,13 +185,13 @@
 }
 
 void
-http_calls_end(struct event_base *base)
+http_calls_cancel(struct event_base *base)
 {
 	pending_call_t *call = pending_calls;
 
 	while (call != NULL) {
-		const http_reply_t none = {0};
-		http_done_t done = call->done;
+		const http_response_t none = {0};
+		http_call_done_t done = call->done;
 		void *arg = call->arg;
 
 		if (call->base != base) {
@@ -206,7 +206,7 @@
 }
 
 bool
-http_call_wait(const http_call_t *call, http_done_t done, void *arg)
+http_call_sync(const http_call_t *call, http_call_done_t done, void *arg)
 {
 	struct event_base *base = event_base_new();
 	bool started;
@@ -221,7 +221,7 @@
 }
 
 json_t *
-http_reply_json(const http_reply_t *reply)
+http_response_json(const http_response_t *reply)
 {
 	if (reply->body == NULL)
 		return NULL;
--- a/common/http_inbound.c
+++ b/common/http_inbound.c
@@ -65,10 +65,11 @@
 static void
 inbound_refuse(http_inbound_t *conn, const err_t *err)
 {
-	conn->server->ops->refused(conn->server->arg, err);
+	conn->server->ops->on_refused(conn->server->arg, err);
 	conn->state = INBOUND_HANDLING;
 	conn->close_after = true;
-	http_inbound_answer(conn, err_info(err->code)->status, NULL, NULL);
+	http_inbound_respond(
+	    conn, err_info(err->code)->http_status, NULL, NULL);
 }
 
 static void
@@ -117,7 +118,7 @@
 	if (!http_msg_check(&conn->reader.msg, &err))
 		inbound_refuse(conn, &err);
 	else
-		server->ops->request(server->arg, conn);
+		server->ops->on_request(server->arg, conn);
 }
 
 static void
@@ -126,7 +127,7 @@
 	const http_reader_t *reader = &conn->reader;
 	err_t err;
 
-	if (reader->head_over)
+	if (reader->head_too_large)
 		err_set(&err, ERR_HEAD_TOO_LARGE, "the head is too large");
 	else if (reader->out_of_memory)
 		err_set(&err, ERR_MEMORY, "out of memory");
@@ -143,7 +144,7 @@
 	err_t err;
 
 	switch (http_reader_feed(&conn->reader, in)) {
-	case HTTP_READ_MORE:
+	case HTTP_READ_INCOMPLETE:
 		if (conn->too_large) {
 			err_set(
 			    &err, ERR_BODY_TOO_LARGE, "the body is too large");
@@ -151,13 +152,14 @@
 			return;
 		}
 		timeouts_set(conn,
-		    conn->reader.started ? conn->server->limits.read_ms
-					 : conn->server->limits.idle_ms);
+		    conn->reader.in_message
+			? conn->server->limits.read_timeout_ms
+			: conn->server->limits.idle_timeout_ms);
 		return;
-	case HTTP_READ_WHOLE:
+	case HTTP_READ_COMPLETE:
 		inbound_handle(conn);
 		return;
-	case HTTP_READ_BAD:
+	case HTTP_READ_INVALID:
 		inbound_bad(conn);
 		return;
 	}
@@ -183,7 +185,7 @@
 	if (conn->state == INBOUND_LINGERING)
 		shutdown(bufferevent_getfd(bev), SHUT_WR);
 	else if (conn->state == INBOUND_STREAMING)
-		conn->server->ops->drained(conn->server->arg, conn);
+		conn->server->ops->on_drained(conn->server->arg, conn);
 }
 
 static void
@@ -195,14 +197,14 @@
 	(void)bev;
 	(void)what;
 	if (conn->state == INBOUND_HANDLING || conn->state == INBOUND_STREAMING)
-		server->ops->gone(server->arg, conn);
+		server->ops->on_closed(server->arg, conn);
 	inbound_free(conn);
 }
 
 bool
 inbound_begun(const http_inbound_t *conn)
 {
-	return conn->reader.started ||
+	return conn->reader.in_message ||
 	    evbuffer_get_length(bufferevent_get_input(conn->bev)) > 0;
 }
 
@@ -234,7 +236,7 @@
 	server->first = conn;
 	server->open++;
 	bufferevent_setcb(conn->bev, on_readable, on_written, on_event, conn);
-	timeouts_set(conn, server->limits.idle_ms);
+	timeouts_set(conn, server->limits.idle_timeout_ms);
 	bufferevent_enable(conn->bev, EV_READ | EV_WRITE);
 }
 
@@ -245,13 +247,13 @@
 }
 
 void
-http_inbound_set_user(http_inbound_t *conn, void *user)
+http_inbound_set_user_data(http_inbound_t *conn, void *user)
 {
 	conn->user = user;
 }
 
 void *
-http_inbound_user(const http_inbound_t *conn)
+http_inbound_user_data(const http_inbound_t *conn)
 {
 	return conn->user;
 }
@@ -285,11 +287,11 @@
 		inbound_linger(conn);
 		return;
 	}
-	http_reader_next(&conn->reader);
+	http_reader_reset(&conn->reader);
 	conn->state = INBOUND_READING;
 	conn->turn = conn->server->turn++;
 	bufferevent_setwatermark(conn->bev, EV_READ, 0, 0);
-	timeouts_set(conn, conn->server->limits.idle_ms);
+	timeouts_set(conn, conn->server->limits.idle_timeout_ms);
 	/* Deferred, so that a caller that sends ahead can't deepen the stack.
 	 */
 	if (evbuffer_get_length(bufferevent_get_input(conn->bev)) > 0)
@@ -306,7 +308,7 @@
 }
 
 void
-http_inbound_answer(
+http_inbound_respond(
     http_inbound_t *conn, int status, const char *head, struct evbuffer *body)
 {
 	size_t len = body != NULL ? evbuffer_get_length(body) : 0;
@@ -320,14 +322,14 @@
 }
 
 void
-http_inbound_begin(http_inbound_t *conn, int status, const char *head)
+http_inbound_stream_begin(http_inbound_t *conn, int status, const char *head)
 {
 	conn->state = INBOUND_STREAMING;
 	head_write(conn, status, head, "Transfer-Encoding: chunked\r\n");
 }
 
 void
-http_inbound_write(http_inbound_t *conn, struct evbuffer *bytes)
+http_inbound_stream_write(http_inbound_t *conn, struct evbuffer *bytes)
 {
 	struct evbuffer *out = bufferevent_get_output(conn->bev);
 	size_t len = evbuffer_get_length(bytes);
@@ -340,7 +342,7 @@
 }
 
 void
-http_inbound_end(http_inbound_t *conn)
+http_inbound_stream_end(http_inbound_t *conn)
 {
 	static const char last[] = "0\r\n\r\n";
 
@@ -355,7 +357,7 @@
 }
 
 size_t
-http_inbound_pending(const http_inbound_t *conn)
+http_inbound_unsent_bytes(const http_inbound_t *conn)
 {
 	return evbuffer_get_length(bufferevent_get_output(conn->bev));
 }
--- a/common/http_inbound_server.c
+++ b/common/http_inbound_server.c
@@ -39,7 +39,8 @@
 	(void)listener;
 	(void)address;
 	(void)len;
-	if (server->open >= server->limits.connections && !room_make(server))
+	if (server->open >= server->limits.connections_max &&
+	    !room_make(server))
 		evutil_closesocket(fd);
 	else
 		inbound_open(server, fd);
@@ -84,14 +85,14 @@
 }
 
 void
-http_inbound_limit(
+http_inbound_set_limits(
     http_inbound_server_t *server, const http_inbound_limits_t *limits)
 {
 	server->limits = *limits;
 }
 
 void
-http_inbound_hold(http_inbound_server_t *server, bool hold)
+http_inbound_pause_accepting(http_inbound_server_t *server, bool hold)
 {
 	if (server->listener == NULL)
 		return;
@@ -108,7 +109,7 @@
 }
 
 void
-http_inbound_refuse(http_inbound_server_t *server)
+http_inbound_stop_accepting(http_inbound_server_t *server)
 {
 	http_inbound_t *next;
 
@@ -117,14 +118,15 @@
 	server->listener = NULL;
 	for (http_inbound_t *conn = server->first; conn != NULL; conn = next) {
 		next = conn->next;
-		if (conn->state == INBOUND_READING && !conn->reader.started &&
+		if (conn->state == INBOUND_READING &&
+		    !conn->reader.in_message &&
 		    evbuffer_get_length(bufferevent_get_input(conn->bev)) == 0)
 			inbound_free(conn);
 	}
 }
 
 uint32_t
-http_inbound_connections(const http_inbound_server_t *server)
+http_inbound_connection_count(const http_inbound_server_t *server)
 {
 	return server->open;
 }
--- a/common/http_msg.c
+++ b/common/http_msg.c
@@ -17,7 +17,7 @@
 
 	reader->msg.head_bytes += len;
 	if (reader->msg.head_bytes > reader->head_max) {
-		reader->head_over = true;
+		reader->head_too_large = true;
 		return false;
 	}
 	grown = realloc(*text, old + len + 1);
@@ -60,8 +60,8 @@
 
 	msg_clear(&reader->msg);
 	reader->in_value = true;
-	reader->started = true;
-	reader->whole = false;
+	reader->in_message = true;
+	reader->complete = false;
 	reader->interim = false;
 	return 0;
 }
@@ -155,14 +155,14 @@
 	msg->chunked = (parser->flags & F_CHUNKED) != 0;
 	if (parser->type == HTTP_REQUEST) {
 		msg->method = http_method_str((enum http_method)parser->method);
-		reader->ops->head(reader->arg, msg);
+		reader->ops->on_head(reader->arg, msg);
 		return 0;
 	}
 	msg->status = (int)parser->status_code;
 	reader->interim = msg->status >= STATUS_CONTINUE &&
 	    msg->status < STATUS_OK && msg->status != STATUS_SWITCHING;
 	if (!reader->interim)
-		reader->ops->head(reader->arg, msg);
+		reader->ops->on_head(reader->arg, msg);
 	return reader->no_body ? 1 : 0;
 }
 
@@ -172,7 +172,7 @@
 	http_reader_t *reader = parser->data;
 
 	if (!reader->interim)
-		reader->ops->body(reader->arg, at, len);
+		reader->ops->on_body(reader->arg, at, len);
 	return 0;
 }
 
@@ -181,11 +181,11 @@
 {
 	http_reader_t *reader = parser->data;
 
-	reader->started = false;
+	reader->in_message = false;
 	if (reader->interim)
 		return 0;
 	fields_cut(&reader->msg, reader->head_fields);
-	reader->whole = true;
+	reader->complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -223,7 +223,7 @@
 }
 
 void
-http_reader_next(http_reader_t *reader)
+http_reader_reset(http_reader_t *reader)
 {
 	enum http_parser_type type = reader->parser.type;
 
@@ -231,15 +231,15 @@
 	http_parser_init(&reader->parser, type);
 	reader->parser.data = reader;
 	reader->in_value = true;
-	reader->started = false;
-	reader->whole = false;
+	reader->in_message = false;
+	reader->complete = false;
 	reader->interim = false;
 }
 
 http_read_result_t
 http_reader_feed(http_reader_t *reader, struct evbuffer *in)
 {
-	while (!reader->whole && evbuffer_get_length(in) > 0) {
+	while (!reader->complete && evbuffer_get_length(in) > 0) {
 		size_t len = evbuffer_get_contiguous_space(in);
 		const char *bytes =
 		    (const char *)evbuffer_pullup(in, (ev_ssize_t)len);
@@ -247,22 +247,23 @@
 		    http_parser_execute(&reader->parser, &settings, bytes, len);
 
 		evbuffer_drain(in, used);
-		if (reader->whole)
+		if (reader->complete)
 			break;
 		if (HTTP_PARSER_ERRNO(&reader->parser) != HPE_OK ||
 		    reader->parser.upgrade)
-			return HTTP_READ_BAD;
+			return HTTP_READ_INVALID;
 	}
-	return reader->whole ? HTTP_READ_WHOLE : HTTP_READ_MORE;
+	return reader->complete ? HTTP_READ_COMPLETE : HTTP_READ_INCOMPLETE;
 }
 
 http_read_result_t
-http_reader_end(http_reader_t *reader)
+http_reader_eof(http_reader_t *reader)
 {
-	if (!reader->started)
-		return reader->whole ? HTTP_READ_WHOLE : HTTP_READ_BAD;
+	if (!reader->in_message)
+		return reader->complete ? HTTP_READ_COMPLETE
+					: HTTP_READ_INVALID;
 	http_parser_execute(&reader->parser, &settings, NULL, 0);
-	return reader->whole ? HTTP_READ_WHOLE : HTTP_READ_BAD;
+	return reader->complete ? HTTP_READ_COMPLETE : HTTP_READ_INVALID;
 }
 
 const char *
@@ -276,7 +277,7 @@
 }
 
 size_t
-http_msg_count(const http_msg_t *msg, const char *name)
+http_msg_field_count(const http_msg_t *msg, const char *name)
 {
 	size_t count = 0;
 
@@ -303,7 +304,7 @@
 }
 
 bool
-http_msg_lists(
+http_msg_field_has_token(
     const http_msg_t *msg, const char *name, const char *word, size_t word_len)
 {
 	for (size_t i = 0; i < msg->fields_len; i++) {
@@ -315,7 +316,7 @@
 }
 
 bool
-http_field_is_hop(const http_msg_t *msg, const char *name)
+http_field_is_hop_by_hop(const http_msg_t *msg, const char *name)
 {
 	/* RFC 9110, 7.6.1, and what frames the message. */
 	static const char *const hops[] = {"Connection", "Content-Length",
@@ -327,7 +328,7 @@
 		if (strcasecmp(name, hops[i]) == 0)
 			return true;
 	}
-	return http_msg_lists(msg, "Connection", name, strlen(name));
+	return http_msg_field_has_token(msg, "Connection", name, strlen(name));
 }
 
 static bool
@@ -349,11 +350,11 @@
 	if (msg->target == NULL || msg->target[0] != '/')
 		return err_set(
 		    err, ERR_BAD_REQUEST, "the target is no absolute path");
-	if (http_msg_count(msg, "Host") != 1)
+	if (http_msg_field_count(msg, "Host") != 1)
 		return err_set(
 		    err, ERR_BAD_REQUEST, "not exactly one Host header");
-	if (http_msg_count(msg, "Content-Length") > 1 ||
-	    http_msg_count(msg, "Transfer-Encoding") > 1)
+	if (http_msg_field_count(msg, "Content-Length") > 1 ||
+	    http_msg_field_count(msg, "Transfer-Encoding") > 1)
 		return err_set(
 		    err, ERR_BAD_REQUEST, "the length is given twice");
 	if (encoding != NULL && strcasecmp(encoding, "chunked") != 0)
--- a/common/http_outbound.c
+++ b/common/http_outbound.c
@@ -20,7 +20,7 @@
 	http_reader_t reader;
 	const http_outbound_ops_t *ops; /**< NULL: no request under way */
 	void *arg;
-	http_outbound_idle_end_t idle_end;
+	http_outbound_idle_closed_t idle_end;
 	void *idle_arg;
 	struct evbuffer *waiting; /**< until connected */
 	bool connected;
@@ -36,7 +36,7 @@
 	http_outbound_t *conn = arg;
 
 	if (!conn->dead)
-		conn->ops->head(conn->arg, msg);
+		conn->ops->on_head(conn->arg, msg);
 }
 
 static void
@@ -45,7 +45,7 @@
 	http_outbound_t *conn = arg;
 
 	if (!conn->dead)
-		conn->ops->body(conn->arg, bytes, len);
+		conn->ops->on_body(conn->arg, bytes, len);
 }
 
 static void
@@ -70,11 +70,11 @@
 request_fail(http_outbound_t *conn, http_outbound_failure_t failure)
 {
 	const http_outbound_ops_t *ops = conn->ops;
-	http_outbound_idle_end_t idle_end = conn->idle_end;
+	http_outbound_idle_closed_t idle_end = conn->idle_end;
 
 	if (ops != NULL) {
 		conn->ops = NULL;
-		ops->failed(conn->arg, failure);
+		ops->on_failed(conn->arg, failure);
 	} else if (idle_end != NULL) {
 		conn->idle_end = NULL;
 		idle_end(conn->idle_arg, conn);
@@ -88,7 +88,7 @@
 
 	conn->whole = true;
 	conn->ops = NULL;
-	ops->done(conn->arg);
+	ops->on_complete(conn->arg);
 }
 
 /* Run a reader's step, during which the owner may free the connection.
@@ -98,7 +98,7 @@
 {
 	conn->inside = true;
 	*result = end
-	    ? http_reader_end(&conn->reader)
+	    ? http_reader_eof(&conn->reader)
 	    : http_reader_feed(&conn->reader, bufferevent_get_input(conn->bev));
 	conn->inside = false;
 	if (!conn->dead)
@@ -117,16 +117,16 @@
 	if (conn->ops == NULL) {
 		/* Nobody asked for these bytes. */
 		conn->whole = false;
-		request_fail(conn, HTTP_OUTBOUND_BROKEN);
+		request_fail(conn, HTTP_OUTBOUND_BAD_RESPONSE);
 		return;
 	}
 	conn->answered = true;
 	if (!reader_step(conn, false, &result))
 		return;
-	if (result == HTTP_READ_WHOLE)
+	if (result == HTTP_READ_COMPLETE)
 		request_done(conn);
-	else if (result == HTTP_READ_BAD)
-		request_fail(conn, HTTP_OUTBOUND_BROKEN);
+	else if (result == HTTP_READ_INVALID)
+		request_fail(conn, HTTP_OUTBOUND_BAD_RESPONSE);
 }
 
 static void
@@ -140,11 +140,11 @@
 	bufferevent_set_timeouts(conn->bev, NULL, &never);
 	if (conn->ops == NULL)
 		return;
-	if (!conn->ops->ready(conn->arg))
+	if (!conn->ops->on_connected(conn->arg))
 		return; /* the owner may have freed the connection */
 	if (conn->waiting != NULL)
 		bufferevent_write_buffer(conn->bev, conn->waiting);
-	conn->ops->sent(conn->arg);
+	conn->ops->on_sent(conn->arg);
 }
 
 static void
@@ -157,20 +157,22 @@
 
 	if (conn->ops == NULL || !conn->connected) {
 		request_fail(conn,
-		    refused ? HTTP_OUTBOUND_REFUSED : HTTP_OUTBOUND_NOT_SENT);
+		    refused ? HTTP_OUTBOUND_CONNECTION_REFUSED
+			    : HTTP_OUTBOUND_NOT_SENT);
 		return;
 	}
 	if (in_order && conn->answered) {
 		if (!reader_step(conn, true, &result))
 			return;
-		if (result == HTTP_READ_WHOLE) {
+		if (result == HTTP_READ_COMPLETE) {
 			conn->reader.msg.keep_alive = false;
 			request_done(conn);
 			return;
 		}
 	}
 	request_fail(conn,
-	    conn->answered ? HTTP_OUTBOUND_BROKEN : HTTP_OUTBOUND_NO_ANSWER);
+	    conn->answered ? HTTP_OUTBOUND_BAD_RESPONSE
+			   : HTTP_OUTBOUND_NO_RESPONSE);
 }
 
 static void
@@ -186,7 +188,7 @@
 }
 
 void
-http_outbound_set_silent(http_outbound_t *conn, int64_t silent_ms)
+http_outbound_set_silence_timeout(http_outbound_t *conn, int64_t silent_ms)
 {
 	unsigned int unacknowledged = (unsigned int)silent_ms;
 
@@ -209,7 +211,7 @@
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &yes, sizeof(yes));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &pause_s, sizeof(pause_s));
-	http_outbound_set_silent(conn, silent_ms);
+	http_outbound_set_silence_timeout(conn, silent_ms);
 }
 
 http_outbound_t *
@@ -262,7 +264,7 @@
 http_outbound_send(http_outbound_t *conn, const http_outbound_ops_t *ops,
     void *arg, struct evbuffer *head, struct evbuffer *body, bool no_body)
 {
-	http_reader_next(&conn->reader);
+	http_reader_reset(&conn->reader);
 	conn->reader.no_body = no_body;
 	conn->ops = ops;
 	conn->arg = arg;
@@ -273,7 +275,7 @@
 		bufferevent_write_buffer(conn->bev, head);
 		if (body != NULL)
 			bufferevent_write_buffer(conn->bev, body);
-		ops->sent(arg);
+		ops->on_sent(arg);
 		return;
 	}
 	conn->waiting = evbuffer_new();
@@ -291,16 +293,16 @@
 }
 
 void
-http_outbound_rest(
-    http_outbound_t *conn, http_outbound_idle_end_t ended, void *arg)
+http_outbound_set_idle(
+    http_outbound_t *conn, http_outbound_idle_closed_t ended, void *arg)
 {
 	conn->idle_end = ended;
 	conn->idle_arg = arg;
-	http_outbound_pause(conn, false);
+	http_outbound_pause_reading(conn, false);
 }
 
 void
-http_outbound_pause(http_outbound_t *conn, bool pause)
+http_outbound_pause_reading(http_outbound_t *conn, bool pause)
 {
 	if (pause)
 		bufferevent_disable(conn->bev, EV_READ);
--- a/common/http_server.c
+++ b/common/http_server.c
@@ -17,7 +17,7 @@
 }
 
 bool
-http_request_query(
+http_request_query_param(
     struct evhttp_request *req, const char *name, char *out, size_t size)
 {
 	const char *query =
@@ -63,7 +63,7 @@
 }
 
 void
-http_answer_json(struct evhttp_request *req, int status, json_t *value)
+http_respond_json(struct evhttp_request *req, int status, json_t *value)
 {
 	struct evbuffer *out = evbuffer_new();
 	char *text = json_dumps(value, JSON_COMPACT);
@@ -78,7 +78,7 @@
 	}
 	evbuffer_add_printf(out, "%s\n", text);
 	free(text);
-	http_answer_header(req, "Content-Type", "application/json");
+	http_response_add_header(req, "Content-Type", "application/json");
 	evhttp_send_reply(req, status, NULL, out);
 	evbuffer_free(out);
 }
@@ -87,7 +87,7 @@
 #define AHEAD_MAX 65536
 
 void
-http_request_watch(struct evhttp_request *req,
+http_request_watch_close(struct evhttp_request *req,
     void (*gone)(struct evhttp_connection *, void *), void *arg)
 {
 	struct evhttp_connection *conn = evhttp_request_get_connection(req);
@@ -109,7 +109,7 @@
 }
 
 void
-http_request_unwatch(struct evhttp_request *req)
+http_request_unwatch_close(struct evhttp_request *req)
 {
 	struct evhttp_connection *conn = evhttp_request_get_connection(req);
 
@@ -121,7 +121,7 @@
 }
 
 void
-http_answer_header(
+http_response_add_header(
     struct evhttp_request *req, const char *name, const char *value)
 {
 	evhttp_add_header(evhttp_request_get_output_headers(req), name, value);
--- a/common/log.c
+++ b/common/log.c
@@ -6,7 +6,7 @@
 
 #define LINE_SIZE 512
 
-static const char *const prefixes[LOG_PARTS] = {
+static const char *const prefixes[LOG_PART_COUNT] = {
     [LOG_CONFIG] = "config",
     [LOG_CTL] = "ctl",
     [LOG_FRONT] = "front",
--- a/common/rng.c
+++ b/common/rng.c
@@ -22,7 +22,7 @@
 }
 
 uint64_t
-rng_bits(rng_t *rng)
+rng_u64(rng_t *rng)
 {
 	return (uint64_t)rng->next(rng) << 32 | rng->next(rng);
 }
--- a/common/settings.c
+++ b/common/settings.c
@@ -172,15 +172,15 @@
 		if (given[i])
 			continue;
 		variable_name(prefix, table[i].name, name, sizeof(name));
-		if (table[i].fallback == NULL) {
+		if (table[i].default_text == NULL) {
 			return err_set(err, ERR_SETTING,
 			    "%s is not set; give %s%s%s", table[i].name, name,
 			    table[i].type == SETTING_SECRET ? "" : " or --",
 			    table[i].type == SETTING_SECRET ? ""
 							    : table[i].name);
 		}
-		if (!setting_take(
-			&table[i], table[i].fallback, "default", values, err))
+		if (!setting_take(&table[i], table[i].default_text, "default",
+			values, err))
 			return false;
 	}
 	return true;
@@ -221,19 +221,19 @@
 		taken = setting_take(setting, text, source, values, err);
 		free(text);
 		if (!taken)
-			return SETTINGS_BAD;
+			return SETTINGS_INVALID;
 		given[option - 1] = true;
 	}
 	if (option < -1) {
 		err_set(err, ERR_SETTING, "%s: %s",
 		    poptBadOption(context, POPT_BADOPTION_NOALIAS),
 		    poptStrerror(option));
-		return SETTINGS_BAD;
+		return SETTINGS_INVALID;
 	}
 	if (poptPeekArg(context) != NULL) {
 		err_set(err, ERR_SETTING, "'%s' is not a flag",
 		    poptPeekArg(context));
-		return SETTINGS_BAD;
+		return SETTINGS_INVALID;
 	}
 	return SETTINGS_OK;
 }
@@ -249,23 +249,23 @@
 
 	if (count > SETTINGS_MAX) {
 		err_set(err, ERR_SETTING, "too many settings declared");
-		return SETTINGS_BAD;
+		return SETTINGS_INVALID;
 	}
 	options_build(table, count, options);
 	context = poptGetContext(NULL, argc, argv, options, 0);
-	result = SETTINGS_BAD;
+	result = SETTINGS_INVALID;
 	if (environment_check(table, count, prefix, err) &&
 	    environment_load(table, count, prefix, values, given, err))
 		result = flags_load(context, table, prefix, values, given, err);
 	poptFreeContext(context);
 	if (result == SETTINGS_OK &&
 	    !fallbacks_load(table, count, prefix, values, given, err))
-		result = SETTINGS_BAD;
+		result = SETTINGS_INVALID;
 	return result;
 }
 
 void
-settings_help(
+settings_print_help(
     const setting_t *table, size_t count, const char *prefix, void *out)
 {
 	for (size_t i = 0; i < count; i++) {
@@ -283,10 +283,10 @@
 			    setting->min, setting->max,
 			    *setting->unit != '\0' ? " " : "", setting->unit);
 		}
-		if (setting->fallback == NULL)
+		if (setting->default_text == NULL)
 			fprintf(out, " [required]\n");
-		else if (*setting->fallback != '\0')
-			fprintf(out, " [%s]\n", setting->fallback);
+		else if (*setting->default_text != '\0')
+			fprintf(out, " [%s]\n", setting->default_text);
 		else
 			fprintf(out, "\n");
 	}
--- a/common/suspend_watch.c
+++ b/common/suspend_watch.c
@@ -5,14 +5,14 @@
 #define APART_MIN_MS 50
 
 int64_t
-suspend_watch_look(suspend_watch_t *watch, const clock_source_t *clock)
+suspend_watch_poll(suspend_watch_t *watch, const clock_source_t *clock)
 {
-	struct timespec steady = clock_steady(clock);
-	struct timespec elapsed = clock_elapsed(clock);
-	int64_t missing = timespec_ms_between(watch->elapsed, elapsed) -
-	    timespec_ms_between(watch->steady, steady);
-	bool looked = watch->looked;
+	struct timespec steady = clock_monotonic(clock);
+	struct timespec elapsed = clock_boottime(clock);
+	int64_t missing = timespec_ms_between(watch->boottime, elapsed) -
+	    timespec_ms_between(watch->monotonic, steady);
+	bool polled = watch->polled;
 
 	*watch = (suspend_watch_t){elapsed, steady, true};
-	return looked && missing >= APART_MIN_MS ? missing : 0;
+	return polled && missing >= APART_MIN_MS ? missing : 0;
 }
--- a/common/task.c
+++ b/common/task.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 static void
-msg_free(msg_t *msg)
+msg_free(task_msg_t *msg)
 {
 	if (msg->body != NULL)
 		msg->release(msg->body);
@@ -14,15 +14,15 @@
 task_run(evutil_socket_t fd, short what, void *arg)
 {
 	task_t *task = arg;
-	msg_t *msg = task->first;
+	task_msg_t *msg = task->queue_head;
 
 	(void)fd;
 	(void)what;
-	task->first = NULL;
-	task->last = &task->first;
+	task->queue_head = NULL;
+	task->queue_tail = &task->queue_head;
 	task->queued = 0;
 	while (msg != NULL) {
-		msg_t *next = msg->next;
+		task_msg_t *next = msg->next;
 
 		task->handler(task->state, msg);
 		msg_free(msg);
@@ -35,29 +35,29 @@
     task_t *task, struct event_base *base, task_handler_t handler, void *state)
 {
 	*task = (task_t){.handler = handler, .state = state};
-	task->last = &task->first;
-	task->wake = event_new(base, -1, 0, task_run, task);
-	return task->wake != NULL;
+	task->queue_tail = &task->queue_head;
+	task->wake_event = event_new(base, -1, 0, task_run, task);
+	return task->wake_event != NULL;
 }
 
 void
 task_finish(task_t *task)
 {
-	while (task->first != NULL) {
-		msg_t *msg = task->first;
+	while (task->queue_head != NULL) {
+		task_msg_t *msg = task->queue_head;
 
-		task->first = msg->next;
+		task->queue_head = msg->next;
 		msg_free(msg);
 	}
-	if (task->wake != NULL)
-		event_free(task->wake);
+	if (task->wake_event != NULL)
+		event_free(task->wake_event);
 	*task = (task_t){0};
 }
 
 bool
 task_post(task_t *task, int kind, void *body, void (*release)(void *))
 {
-	msg_t *msg = malloc(sizeof(*msg));
+	task_msg_t *msg = malloc(sizeof(*msg));
 
 	if (release == NULL)
 		release = free;
@@ -66,10 +66,10 @@
 			release(body);
 		return false;
 	}
-	*msg = (msg_t){.kind = kind, .body = body, .release = release};
-	*task->last = msg;
-	task->last = &msg->next;
+	*msg = (task_msg_t){.kind = kind, .body = body, .release = release};
+	*task->queue_tail = msg;
+	task->queue_tail = &msg->next;
 	task->queued++;
-	event_active(task->wake, EV_TIMEOUT, 0);
+	event_active(task->wake_event, EV_TIMEOUT, 0);
 	return true;
 }
--- a/common/timeline.c
+++ b/common/timeline.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 
 /* In the order of event_type_t. */
-static const char *const names[EVENT_TYPES] = {
+static const char *const names[EVENT_TYPE_COUNT] = {
     "started",
     "draining",
     "stopped",
@@ -42,7 +42,7 @@
 {
 	timeline->clock = clock;
 	timeline->hlc = (hlc_t){0};
-	timeline->written = 0;
+	timeline->event_count = 0;
 }
 
 void
@@ -50,8 +50,8 @@
     const char *fmt, ...)
 {
 	timeline_event_t *event =
-	    &timeline->events[timeline->written++ % TIMELINE_EVENTS];
-	int64_t wall_ms = timespec_ms(clock_wall(timeline->clock));
+	    &timeline->events[timeline->event_count++ % TIMELINE_EVENTS];
+	int64_t wall_ms = timespec_to_ms(clock_wall(timeline->clock));
 	va_list ap;
 
 	event->stamp = hlc_tick(&timeline->hlc, wall_ms);
@@ -63,16 +63,16 @@
 }
 
 const timeline_event_t *
-timeline_at(const timeline_t *timeline, uint64_t back)
+timeline_get(const timeline_t *timeline, uint64_t back)
 {
-	if (back >= timeline->written || back >= TIMELINE_EVENTS)
+	if (back >= timeline->event_count || back >= TIMELINE_EVENTS)
 		return NULL;
-	return &timeline
-		    ->events[(timeline->written - 1 - back) % TIMELINE_EVENTS];
+	return &timeline->events[(timeline->event_count - 1 - back) %
+	    TIMELINE_EVENTS];
 }
 
 const char *
 event_type_name(event_type_t type)
 {
-	return type < EVENT_TYPES ? names[type] : "?";
+	return type < EVENT_TYPE_COUNT ? names[type] : "?";
 }
--- a/common/tls.c
+++ b/common/tls.c
@@ -82,7 +82,7 @@
 }
 
 void
-tls_serve(tls_t *tls, struct evhttp *http)
+tls_server_enable(tls_t *tls, struct evhttp *http)
 {
 	evhttp_set_bevcb(http, server_bufferevent, tls);
 }
--- a/include/common/clock_source.h
+++ b/include/common/clock_source.h
@@ -14,11 +14,11 @@
 typedef struct clock_ops {
 	/** Time since boot; counts while the machine or process is suspended.
 	 */
-	struct timespec (*elapsed)(const clock_source_t *);
+	struct timespec (*boottime)(const clock_source_t *);
 	/** Wall-clock time, UTC. */
 	struct timespec (*wall)(const clock_source_t *);
 	/** The clock by which timers run; stands while the VM is suspended. */
-	struct timespec (*steady)(const clock_source_t *);
+	struct timespec (*monotonic)(const clock_source_t *);
 } clock_ops_t;
 
 /** A clock: a table of functions. */
@@ -29,9 +29,9 @@
 /** The VM's clocks: CLOCK_BOOTTIME, CLOCK_REALTIME and CLOCK_MONOTONIC. */
 void clock_system_init(clock_source_t *);
 
-struct timespec clock_elapsed(const clock_source_t *);
+struct timespec clock_boottime(const clock_source_t *);
 struct timespec clock_wall(const clock_source_t *);
-struct timespec clock_steady(const clock_source_t *);
+struct timespec clock_monotonic(const clock_source_t *);
 
 /** Milliseconds from @p from until @p to; negative if @p to is earlier. */
 int64_t timespec_ms_between(struct timespec from, struct timespec to);
@@ -40,12 +40,12 @@
 int64_t timespec_us_between(struct timespec from, struct timespec to);
 
 /** @p at moved on by @p ms milliseconds. */
-struct timespec timespec_after_ms(struct timespec at, int64_t ms);
+struct timespec timespec_add_ms(struct timespec at, int64_t ms);
 
 /** @p at in milliseconds since its epoch. */
-int64_t timespec_ms(struct timespec at);
+int64_t timespec_to_ms(struct timespec at);
 
 /** The time @p ms milliseconds after the epoch. */
-struct timespec timespec_of_ms(int64_t ms);
+struct timespec timespec_from_ms(int64_t ms);
 
 #endif
--- a/include/common/err.h
+++ b/include/common/err.h
@@ -10,10 +10,12 @@
 #define ERR_DETAIL_SIZE 192
 
 /** What a failure says about the caller's request. */
-typedef enum err_ran {
-	ERR_NOT_RUN, /**< no byte of the request was given to an endpoint */
-	ERR_UNKNOWN, /**< it may have run: never retry a non-idempotent one */
-} err_ran_t;
+typedef enum err_execution {
+	ERR_NOT_EXECUTED,   /**< no byte of the request was given to an endpoint
+			     */
+	ERR_MAYBE_EXECUTED, /**< it may have run: never retry a non-idempotent
+			       one */
+} err_execution_t;
 
 /** Every failure type. The order is that of the table in err.c. */
 typedef enum err_code {
@@ -29,21 +31,21 @@
 	ERR_FORBIDDEN,
 	ERR_HEAD_TOO_LARGE,
 	ERR_INTERNAL,
-	ERR_LIMIT,
+	ERR_RATE_LIMIT,
 	ERR_MEMORY,
-	ERR_NAME,
+	ERR_BAD_NAME,
 	ERR_NO_ENDPOINT,
 	ERR_NOT_ALLOWED,
 	ERR_NOT_FOUND,
 	ERR_NOT_READY,
 	ERR_OVERLOAD,
-	ERR_PEERS,
+	ERR_PEERS_UNAVAILABLE,
 	ERR_QUARANTINED,
-	ERR_SESSION_TOKEN,
+	ERR_BAD_SESSION_TOKEN,
 	ERR_SETTING,
 	ERR_STORE,
-	ERR_STREAM_CUT,
-	ERR_TICKET_DEAD,
+	ERR_STREAM_TRUNCATED,
+	ERR_TICKET_REVOKED,
 	ERR_TICKET_INVALID,
 	ERR_TICKET_REQUIRED,
 	ERR_TICKET_USED,
@@ -52,8 +54,8 @@
 	ERR_UNREADABLE,
 	ERR_VERSION_WITHDRAWN,
 	ERR_WARMING_UP,
-	ERR_WITNESS,
-	ERR_CODES /* count */
+	ERR_WITNESS_FULL,
+	ERR_CODE_COUNT /* count */
 } err_code_t;
 
 /** One failure: its type, and a sentence for a person. */
@@ -65,10 +67,10 @@
 /** What is fixed for a failure type. */
 typedef struct err_info {
 	err_code_t code;
-	const char *name; /**< the type as callers see it */
-	int status;	  /**< HTTP status */
-	err_ran_t ran;	  /**< what it says about the request */
-	bool retry;	  /**< a retry of the same request is safe and useful */
+	const char *name;	   /**< the type as callers see it */
+	int http_status;	   /**< HTTP status */
+	err_execution_t execution; /**< what it says about the request */
+	bool retryable; /**< a retry of the same request is safe and useful */
 } err_info_t;
 
 /** Fill @p err (may be NULL) and return false, so that a caller can return it.
@@ -80,6 +82,6 @@
 const err_info_t *err_info(err_code_t code);
 
 /** The type with this name, or ERR_NONE. */
-err_code_t err_code_named(const char *name);
+err_code_t err_code_from_name(const char *name);
 
 #endif
--- a/include/common/event_log.h
+++ b/include/common/event_log.h
@@ -15,42 +15,42 @@
  * endpoint and each daemon. */
 typedef enum event_throttle_kind {
 	EVENT_THROTTLED_ENDPOINT,
-	EVENT_THROTTLED_ENDPOINT_GONE,
+	EVENT_THROTTLED_ENDPOINT_REMOVED,
 	EVENT_THROTTLED_MEMBER,
-	EVENT_THROTTLED_MEMBER_GONE,
+	EVENT_THROTTLED_MEMBER_REMOVED,
 	EVENT_THROTTLED_SUSPECT,
-	EVENT_THROTTLES /* count */
+	EVENT_THROTTLE_COUNT /* count */
 } event_throttle_kind_t;
 
 /** Lines of such an event in the time that is counted now. */
 typedef struct event_throttle {
-	struct timespec since;
+	struct timespec window_start;
 	uint32_t lines;
-	uint32_t left_out;
+	uint32_t suppressed;
 } event_throttle_t;
 
 typedef struct event_log {
 	const clock_source_t *clock;
-	double room;	      /**< lines that may be written now */
-	struct timespec seen; /**< when room was last refilled */
+	double tokens;		     /**< lines that may be written now */
+	struct timespec refilled_at; /**< when room was last refilled */
 	uint64_t written;
 	uint64_t dropped;
-	uint64_t dropped_told;
-	double per_s; /**< lines */
-	event_throttle_t throttles[EVENT_THROTTLES];
+	uint64_t dropped_reported;
+	double lines_per_s; /**< lines */
+	event_throttle_t throttles[EVENT_THROTTLE_COUNT];
 } event_log_t;
 
 /** @param per_s lines a second that may be written */
 void event_log_init(event_log_t *, const clock_source_t *, double per_s);
 
 /** Write one line: the kind of event, then fields as key=value. */
-void event_line(event_log_t *, const char *event, const char *fmt, ...)
+void event_log_write(event_log_t *, const char *event, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 
 /** Write a line of an event that may come many at once: the first few of a
  * second are written, the others counted. */
-void event_line_throttled(event_log_t *, event_throttle_kind_t, const char *fmt,
-    ...) __attribute__((format(printf, 3, 4)));
+void event_log_write_throttled(event_log_t *, event_throttle_kind_t,
+    const char *fmt, ...) __attribute__((format(printf, 3, 4)));
 /** Tell how many lines were left out in the seconds that are over: one line
  * `left_out` a kind; called a few times a second. */
 void event_log_tick(event_log_t *);
--- a/include/common/hlc.h
+++ b/include/common/hlc.h
@@ -21,6 +21,6 @@
 void hlc_receive(hlc_t *, uint64_t stamp, int64_t wall_ms);
 
 /** The milliseconds of a stamp. */
-int64_t hlc_ms(uint64_t stamp);
+int64_t hlc_to_ms(uint64_t stamp);
 
 #endif
--- a/include/common/http_call.h
+++ b/include/common/http_call.h
@@ -39,36 +39,36 @@
 } http_call_t;
 
 /** The reply; valid only inside the callback. */
-typedef struct http_reply {
+typedef struct http_response {
 	int status;		   /**< 0: no reply came */
 	const char *body;	   /**< ended by a zero */
 	size_t body_len;	   /**< bytes */
 	struct evkeyvalq *headers; /**< NULL when no reply came */
-} http_reply_t;
+} http_response_t;
 
-typedef void (*http_done_t)(void *arg, const http_reply_t *reply);
+typedef void (*http_call_done_t)(void *arg, const http_response_t *reply);
 
 /** "HOST:PORT" to an address. @return false: it is none */
 bool http_address_parse(const char *text, http_address_t *address);
 /** Whether the host is an IPv4 number: no name has to be looked up. */
-bool http_address_is_ip(const http_address_t *address);
+bool http_address_is_ipv4(const http_address_t *address);
 
 /**
  * Start a call. @p done is called exactly once, from the loop, unless false is
  * returned.
  */
 bool http_call_start(
-    struct event_base *, const http_call_t *, http_done_t done, void *arg);
+    struct event_base *, const http_call_t *, http_call_done_t done, void *arg);
 
 /** End the calls of a loop that are under way, each with "no reply": before the
  * loop is freed. */
-void http_calls_end(struct event_base *);
+void http_calls_cancel(struct event_base *);
 
 /** Make the call and wait for it on a loop of its own; for command lines.
  * @param done called once before the return, or not at all on false */
-bool http_call_wait(const http_call_t *, http_done_t done, void *arg);
+bool http_call_sync(const http_call_t *, http_call_done_t done, void *arg);
 
 /** The reply's body as JSON, or NULL. The caller gives the reference back. */
-json_t *http_reply_json(const http_reply_t *);
+json_t *http_response_json(const http_response_t *);
 
 #endif
--- a/include/common/http_msg.h
+++ b/include/common/http_msg.h
@@ -39,11 +39,11 @@
 /** What a reader tells its owner. */
 typedef struct http_reader_ops {
 	/** The head is whole. */
-	void (*head)(void *arg, http_msg_t *);
+	void (*on_head)(void *arg, http_msg_t *);
 	/** Some of the body. */
-	void (*body)(void *arg, const char *bytes, size_t len);
+	void (*on_body)(void *arg, const char *bytes, size_t len);
 	/** The message is whole. */
-	void (*done)(void *arg);
+	void (*on_complete)(void *arg);
 } http_reader_ops_t;
 
 /** Reads the messages of one direction of a connection, one at a time. */
@@ -52,21 +52,22 @@
 	const http_reader_ops_t *ops;
 	void *arg;
 	http_msg_t msg;
-	size_t head_max;    /**< bytes of a head; more is an error */
-	size_t head_fields; /**< header lines before the trailers */
-	bool no_body;	    /**< the answer to HEAD has none */
-	bool in_value;	    /**< the last piece was of a value */
-	bool started;	    /**< bytes of the current message were read */
-	bool whole;	    /**< the current message has ended */
-	bool head_over;	    /**< head_max was passed */
-	bool interim;	    /**< an answer of 1xx, which is skipped */
+	size_t head_max;     /**< bytes of a head; more is an error */
+	size_t head_fields;  /**< header lines before the trailers */
+	bool no_body;	     /**< the answer to HEAD has none */
+	bool in_value;	     /**< the last piece was of a value */
+	bool in_message;     /**< bytes of the current message were read */
+	bool complete;	     /**< the current message has ended */
+	bool head_too_large; /**< head_max was passed */
+	bool interim;	     /**< an answer of 1xx, which is skipped */
 	bool out_of_memory;
 } http_reader_t;
 
 typedef enum http_read_result {
-	HTTP_READ_MORE,	 /**< the message goes on */
-	HTTP_READ_WHOLE, /**< it has ended; bytes after it were not consumed */
-	HTTP_READ_BAD,	 /**< it is no message */
+	HTTP_READ_INCOMPLETE, /**< the message goes on */
+	HTTP_READ_COMPLETE, /**< it has ended; bytes after it were not consumed
+			     */
+	HTTP_READ_INVALID,  /**< it is no message */
 } http_read_result_t;
 
 /** @param type HTTP_REQUEST or HTTP_RESPONSE @param head_max bytes */
@@ -75,26 +76,26 @@
 void http_reader_finish(http_reader_t *);
 
 /** Forget the message before, so that the next one can be read. */
-void http_reader_next(http_reader_t *);
+void http_reader_reset(http_reader_t *);
 
 /** Consume what @p in holds up to the end of the message. */
 http_read_result_t http_reader_feed(http_reader_t *, struct evbuffer *in);
 
 /** The connection has ended in good order. */
-http_read_result_t http_reader_end(http_reader_t *);
+http_read_result_t http_reader_eof(http_reader_t *);
 
 /** The value of the first header of this name, or NULL. */
 const char *http_msg_field(const http_msg_t *, const char *name);
 
 /** How many headers have this name. */
-size_t http_msg_count(const http_msg_t *, const char *name);
+size_t http_msg_field_count(const http_msg_t *, const char *name);
 
 /** Whether a list header (such as Connection) names the word. */
-bool http_msg_lists(
+bool http_msg_field_has_token(
     const http_msg_t *, const char *name, const char *word, size_t word_len);
 
 /** Whether the header concerns one connection only. */
-bool http_field_is_hop(const http_msg_t *, const char *name);
+bool http_field_is_hop_by_hop(const http_msg_t *, const char *name);
 
 /** Refuse a request whose framing or routing could be read in two ways. */
 bool http_msg_check(const http_msg_t *, err_t *);
--- a/include/common/http_outbound.h
+++ b/include/common/http_outbound.h
@@ -19,10 +19,11 @@
 
 /** How a request failed on its connection. */
 typedef enum http_outbound_failure {
-	HTTP_OUTBOUND_NOT_SENT,	 /**< never connected: no byte left */
-	HTTP_OUTBOUND_REFUSED,	 /**< the same: nothing listens there */
-	HTTP_OUTBOUND_NO_ANSWER, /**< sent; no byte of an answer came */
-	HTTP_OUTBOUND_BROKEN,	 /**< the answer broke off, or is none */
+	HTTP_OUTBOUND_NOT_SENT,		  /**< never connected: no byte left */
+	HTTP_OUTBOUND_CONNECTION_REFUSED, /**< the same: nothing listens there
+					   */
+	HTTP_OUTBOUND_NO_RESPONSE,  /**< sent; no byte of an answer came */
+	HTTP_OUTBOUND_BAD_RESPONSE, /**< the answer broke off, or is none */
 } http_outbound_failure_t;
 
 /** What a connection tells the owner of its request. The connection may be
@@ -30,16 +31,16 @@
 typedef struct http_outbound_ops {
 	/** A connection that had to be made is up. @return false: the request
 	 * was given up, and none of it leaves */
-	bool (*ready)(void *arg);
-	void (*sent)(void *arg); /**< the request leaves now */
-	void (*head)(void *arg, const http_msg_t *);
-	void (*body)(void *arg, const char *bytes, size_t len);
-	void (*done)(void *arg); /**< the answer is whole */
-	void (*failed)(void *arg, http_outbound_failure_t);
+	bool (*on_connected)(void *arg);
+	void (*on_sent)(void *arg); /**< the request leaves now */
+	void (*on_head)(void *arg, const http_msg_t *);
+	void (*on_body)(void *arg, const char *bytes, size_t len);
+	void (*on_complete)(void *arg); /**< the answer is whole */
+	void (*on_failed)(void *arg, http_outbound_failure_t);
 } http_outbound_ops_t;
 
 /** An idle connection ended, or said something unasked: forget it. */
-typedef void (*http_outbound_idle_end_t)(void *arg, http_outbound_t *);
+typedef void (*http_outbound_idle_closed_t)(void *arg, http_outbound_t *);
 
 /** Start to connect.
  * @param silent_ms how long the other end may be silent, while bytes are on
@@ -49,7 +50,7 @@
     int64_t connect_ms, int64_t silent_ms);
 
 /** Change how long sent bytes may be unacknowledged. */
-void http_outbound_set_silent(http_outbound_t *, int64_t silent_ms);
+void http_outbound_set_silence_timeout(http_outbound_t *, int64_t silent_ms);
 
 /** Close; a request under way is given up without a further word. */
 void http_outbound_free(http_outbound_t *);
@@ -64,10 +65,10 @@
 bool http_outbound_reusable(const http_outbound_t *);
 
 /** Keep the connection without a request. */
-void http_outbound_rest(
-    http_outbound_t *, http_outbound_idle_end_t ended, void *arg);
+void http_outbound_set_idle(
+    http_outbound_t *, http_outbound_idle_closed_t ended, void *arg);
 
 /** Read no more for now, or go on: the caller is slow. */
-void http_outbound_pause(http_outbound_t *, bool pause);
+void http_outbound_pause_reading(http_outbound_t *, bool pause);
 
 #endif
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -16,7 +16,7 @@
 	LOG_ROUTE,
 	LOG_STANDIN,
 	LOG_STORE,
-	LOG_PARTS
+	LOG_PART_COUNT
 } log_part_t;
 
 /** Most important first. */
--- a/include/common/rng.h
+++ b/include/common/rng.h
@@ -22,6 +22,6 @@
 uint32_t rng_below(rng_t *, uint32_t bound);
 
 /** 64 random bits. */
-uint64_t rng_bits(rng_t *);
+uint64_t rng_u64(rng_t *);
 
 #endif
--- a/include/common/settings.h
+++ b/include/common/settings.h
@@ -24,19 +24,19 @@
 typedef struct setting {
 	const char *name; /**< words joined by '-' */
 	setting_type_t type;
-	size_t offset;	      /**< of the value in the program's struct */
-	int64_t min;	      /**< smallest number, or fewest characters */
-	int64_t max;	      /**< largest number, or most characters */
-	const char *fallback; /**< NULL: must be given */
-	const char *unit;     /**< for the help; "" if none */
+	size_t offset;		  /**< of the value in the program's struct */
+	int64_t min;		  /**< smallest number, or fewest characters */
+	int64_t max;		  /**< largest number, or most characters */
+	const char *default_text; /**< NULL: must be given */
+	const char *unit;	  /**< for the help; "" if none */
 	const char *help;
 } setting_t;
 
 /** What the arguments asked for. */
 typedef enum settings_result {
 	SETTINGS_OK,
-	SETTINGS_HELP, /**< --help was given; print settings_help() */
-	SETTINGS_BAD,
+	SETTINGS_HELP, /**< --help was given; print settings_print_help() */
+	SETTINGS_INVALID,
 } settings_result_t;
 
 /**
@@ -49,7 +49,7 @@
     const char *prefix, int argc, const char **argv, void *values, err_t *err);
 
 /** Write the help text, a paragraph a setting, to @p out (a FILE *). */
-void settings_help(
+void settings_print_help(
     const setting_t *table, size_t count, const char *prefix, void *out);
 
 #endif
--- a/include/common/suspend_watch.h
+++ b/include/common/suspend_watch.h
@@ -11,13 +11,13 @@
 #include "common/clock_source.h"
 
 typedef struct suspend_watch {
-	struct timespec elapsed; /**< at the last look */
-	struct timespec steady;
-	bool looked;
+	struct timespec boottime; /**< at the last look */
+	struct timespec monotonic;
+	bool polled;
 } suspend_watch_t;
 
 /** @return milliseconds for which the VM was suspended since the last look; 0:
  * it was not */
-int64_t suspend_watch_look(suspend_watch_t *, const clock_source_t *);
+int64_t suspend_watch_poll(suspend_watch_t *, const clock_source_t *);
 
 #endif
--- a/include/common/task.h
+++ b/include/common/task.h
@@ -12,26 +12,26 @@
 #include <stdint.h>
 
 typedef struct task task_t;
-typedef struct msg msg_t;
+typedef struct task_msg task_msg_t;
 
 /** A message: its kind (the receiver's enumeration) and a body that the message
  * owns; @p release frees what the body points to. */
-struct msg {
+struct task_msg {
 	int kind;
 	void *body;
 	void (*release)(void *body);
-	msg_t *next;
+	task_msg_t *next;
 };
 
 /** Handles one message; the task frees it afterwards. */
-typedef void (*task_handler_t)(void *state, msg_t *msg);
+typedef void (*task_handler_t)(void *state, task_msg_t *msg);
 
 struct task {
-	struct event *wake;
+	struct event *wake_event;
 	task_handler_t handler;
 	void *state;
-	msg_t *first;
-	msg_t **last;
+	task_msg_t *queue_head;
+	task_msg_t **queue_tail;
 	uint32_t queued; /**< messages waiting */
 };
 
--- a/include/common/timeline.h
+++ b/include/common/timeline.h
@@ -24,29 +24,29 @@
 	EVENT_PLAN_MADE,
 	EVENT_PLAN_CONFIRMED,
 	EVENT_PLAN_REFUSED,
-	EVENT_REVISION_TAKEN,
+	EVENT_REVISION_APPLIED,
 	EVENT_STALE,
 	EVENT_FRESH,
-	EVENT_STORE_LOST,
-	EVENT_STORE_BACK,
-	EVENT_STORE_BEHIND,
+	EVENT_STORE_UNAVAILABLE,
+	EVENT_STORE_AVAILABLE,
+	EVENT_STORE_OUTDATED_READ,
 	EVENT_ENDPOINT_SEEN,
 	EVENT_ENDPOINT_LEAVING,
 	EVENT_ENDPOINT_EJECTED,
-	EVENT_REQUEST_TAKEN,
+	EVENT_REQUEST_ACCEPTED,
 	EVENT_REQUEST_REFUSED,
 	EVENT_ATTEMPT_SENT,
 	EVENT_ATTEMPT_FAILED,
 	EVENT_STREAM_RESUMED,
-	EVENT_ANSWER_DONE,
-	EVENT_ANSWER_CUT,
-	EVENT_TICKET_GO,
-	EVENT_TICKET_KILLED,
+	EVENT_RESPONSE_COMPLETED,
+	EVENT_RESPONSE_TRUNCATED,
+	EVENT_TICKET_GRANTED,
+	EVENT_TICKET_REVOKED,
 	EVENT_BILL_HELD,
 	EVENT_BILL_FLUSHED,
 	EVENT_GUARD_STOPPED,
 	EVENT_ORDER_SENT,
-	EVENT_TYPES /* count */
+	EVENT_TYPE_COUNT /* count */
 } event_type_t;
 
 typedef struct timeline_event {
@@ -59,7 +59,8 @@
 typedef struct timeline {
 	const clock_source_t *clock;
 	hlc_t hlc;
-	uint64_t written; /**< events ever written; the last ones are kept */
+	uint64_t
+	    event_count; /**< events ever written; the last ones are kept */
 	timeline_event_t events[TIMELINE_EVENTS];
 } timeline_t;
 
@@ -70,7 +71,7 @@
     const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
 /** The @p back -th event before the newest, or NULL when it is not kept. */
-const timeline_event_t *timeline_at(const timeline_t *, uint64_t back);
+const timeline_event_t *timeline_get(const timeline_t *, uint64_t back);
 
 const char *event_type_name(event_type_t);
 
--- a/include/common/tls.h
+++ b/include/common/tls.h
@@ -20,7 +20,7 @@
 void tls_free(tls_t *);
 
 /** Let every connection of the server speak TLS. */
-void tls_serve(tls_t *, struct evhttp *);
+void tls_server_enable(tls_t *, struct evhttp *);
 
 /** A connection to a host, by IP number, that speaks TLS and checks that the
  * certificate is for it. */
--- a/include/moortack/relay/relay_stats.h
+++ b/include/moortack/relay/relay_stats.h
@@ -58,7 +58,7 @@
 
 typedef struct relay_stats {
 	uint64_t values[STATS];
-	uint64_t failures[ERR_CODES]; /**< by type */
+	uint64_t failures[ERR_CODE_COUNT]; /**< by type */
 	stats_end_t ends[STATS_ENDS_MAX];
 	size_t ends_len;
 	stats_histogram_t first_ms; /**< until the answer's first byte */
--- a/moortack/config/registry.c
+++ b/moortack/config/registry.c
@@ -29,7 +29,7 @@
 registry_freshness_tell(registry_t *registry)
 {
 	freshness_news_t *news = malloc(sizeof(*news));
-	struct timespec now = clock_elapsed(registry->process.clock);
+	struct timespec now = clock_boottime(registry->process.clock);
 	bool fresh;
 
 	if (news == NULL)
@@ -76,7 +76,7 @@
 	registry->freshness.revision = config->revision;
 	if (config->revision > registry->head)
 		registry->head = config->revision;
-	counter_add(registry->process.counters, COUNTER_REVISIONS_TAKEN, 1);
+	counter_add(registry->process.counters, COUNTER_REVISIONS_APPLIED, 1);
 	config_tell(registry);
 }
 
@@ -109,7 +109,7 @@
 	row_keep(registry, number, text);
 	config_take(registry, config);
 	plan = json_string_value(json_object_get(row, "plan"));
-	timeline_add(registry->process.timeline, EVENT_REVISION_TAKEN,
+	timeline_add(registry->process.timeline, EVENT_REVISION_APPLIED,
 	    plan != NULL ? plan : "", "revision %" PRIu64, number);
 	json_decref(row);
 	return true;
@@ -122,7 +122,8 @@
 		return;
 	registry->store_lost = !answers;
 	timeline_add(registry->process.timeline,
-	    answers ? EVENT_STORE_BACK : EVENT_STORE_LOST, "store", "%s", "");
+	    answers ? EVENT_STORE_AVAILABLE : EVENT_STORE_UNAVAILABLE, "store",
+	    "%s", "");
 	log_line(answers ? LOG_INFO : LOG_WARN, LOG_CONFIG, "%s",
 	    answers ? "The store answers again."
 		    : "The store does not answer.");
@@ -219,11 +220,11 @@
 head_judge(registry_t *registry, uint64_t head)
 {
 	if (head < registry->head) {
-		counter_add(
-		    registry->process.counters, COUNTER_STORE_BEHIND, 1);
-		timeline_add(registry->process.timeline, EVENT_STORE_BEHIND,
-		    "store", "head %" PRIu64 ", was %" PRIu64, head,
-		    registry->head);
+		counter_add(registry->process.counters,
+		    COUNTER_STORE_OUTDATED_READS, 1);
+		timeline_add(registry->process.timeline,
+		    EVENT_STORE_OUTDATED_READ, "store",
+		    "head %" PRIu64 ", was %" PRIu64, head, registry->head);
 		log_line(LOG_ERROR, LOG_CONFIG,
 		    "The store's head went back from %" PRIu64 " to %" PRIu64
 		    "; this daemon keeps what it holds.",
@@ -272,7 +273,7 @@
 	keys = json_pack("[s,s]", "head", "epoch");
 	if (registry->config->revision == 0)
 		json_array_append_new(keys, json_string("snapshot"));
-	registry->head_asked_at = clock_elapsed(registry->process.clock);
+	registry->head_asked_at = clock_boottime(registry->process.clock);
 	registry->head_pending =
 	    store_get(registry->store, keys, head_read, registry);
 }
@@ -295,7 +296,7 @@
 }
 
 static void
-handle(void *state, msg_t *msg)
+handle(void *state, task_msg_t *msg)
 {
 	registry_t *registry = state;
 
--- a/moortack/config/registry_admin.c
+++ b/moortack/config/registry_admin.c
@@ -180,7 +180,8 @@
 	return json_pack("{s:s,s:s,s:s,s:I,s:O}", "plan", job->ask->plan,
 	    "operator", job->ask->operator_name, "planned_by",
 	    json_string_value(json_object_get(job->plan, "operator")), "at_ms",
-	    (json_int_t)timespec_ms(clock_wall(job->registry->process.clock)),
+	    (json_int_t)timespec_to_ms(
+		clock_wall(job->registry->process.clock)),
 	    "intent", json_object_get(job->plan, "intent"));
 }
 
@@ -320,9 +321,9 @@
 
 	/* See freshness.h: without half of the members in reach the change
 	 * might not come into force in time. */
-	if (!freshness_half(
-		&registry->freshness, clock_elapsed(registry->process.clock))) {
-		job_fail(job, ERR_PEERS,
+	if (!freshness_half(&registry->freshness,
+		clock_boottime(registry->process.clock))) {
+		job_fail(job, ERR_PEERS_UNAVAILABLE,
 		    "fewer than half of the members answer this daemon; "
 		    "confirm at another entry");
 		return;
@@ -371,7 +372,7 @@
 static json_t *
 member_status(const registry_t *registry, const member_t *member)
 {
-	struct timespec now = clock_elapsed(registry->process.clock);
+	struct timespec now = clock_boottime(registry->process.clock);
 
 	return json_pack("{s:s,s:s,s:I,s:b,s:b,s:I}", "entry",
 	    member->http_address, "place", member->place, "revision",
@@ -384,7 +385,7 @@
 status_start(admin_job_t *job)
 {
 	registry_t *registry = job->registry;
-	struct timespec now = clock_elapsed(registry->process.clock);
+	struct timespec now = clock_boottime(registry->process.clock);
 	json_t *entries = json_array();
 
 	for (handle_t h = 0; h < registry->members->rows.len; h++)
--- a/moortack/config/registry_heartbeat.c
+++ b/moortack/config/registry_heartbeat.c
@@ -18,7 +18,7 @@
 static void
 standing_fill(const registry_t *registry, Wire__Standing *standing)
 {
-	struct timespec now = clock_elapsed(registry->process.clock);
+	struct timespec now = clock_boottime(registry->process.clock);
 
 	wire__standing__init(standing);
 	standing->revision = registry->config->revision;
@@ -61,7 +61,7 @@
 		member_ask(registry,
 		    members_partner_at(registry->members, first + i),
 		    i < AGES_ASKED);
-	registry_dead_check(registry, clock_elapsed(registry->process.clock));
+	registry_dead_check(registry, clock_boottime(registry->process.clock));
 }
 
 static void
@@ -103,7 +103,7 @@
 		return;
 	count = members_ranked(registry->members, self, ranked);
 	freshness_ages(&registry->freshness, ranked, count, self,
-	    clock_elapsed(registry->process.clock), ages);
+	    clock_boottime(registry->process.clock), ages);
 	memset(holds, 0, (count + BITS - 1) / BITS);
 	for (uint32_t i = 0; i < count; i++) {
 		const member_t *member =
@@ -214,7 +214,7 @@
 	    .epoch = standing->epoch,
 	    .store_read = standing->store_age_ms >= 0,
 	    .store_at =
-		timespec_after_ms(answer->asked_at, -standing->store_age_ms)};
+		timespec_add_ms(answer->asked_at, -standing->store_age_ms)};
 	freshness_peer_answered(&registry->freshness, &evidence);
 	changed = !member->answers || member->draining != standing->draining;
 	member->answers = true;
--- a/moortack/config/registry_members.c
+++ b/moortack/config/registry_members.c
@@ -116,7 +116,7 @@
 	const member_t *old = members_find(registry->members, row->incarnation);
 	member_t *added;
 
-	row->heard_at = clock_elapsed(registry->process.clock);
+	row->heard_at = clock_boottime(registry->process.clock);
 	if (old != NULL) {
 		row->heard_at = old->heard_at;
 		row->answers = old->answers;
--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -26,7 +26,7 @@
 		    err, ERR_STORE, "as many bills wait for the store as may");
 	if (!rate_take(&front->rates[arrival->organisation % FRONT_RATES_MAX],
 		(double)organisation->limit / entries, arrival->now, &wait_ms))
-		return err_set(err, ERR_LIMIT,
+		return err_set(err, ERR_RATE_LIMIT,
 		    "%s is over its limit of %u a second; next in %lld ms",
 		    organisation->name, organisation->limit,
 		    (long long)wait_ms);
@@ -106,6 +106,6 @@
 			    DEADLINE_HEADER " must be from 1 to %d",
 			    DEADLINE_MAX_MS);
 	}
-	exchange->waiter.deadline = timespec_after_ms(arrival->now, ms);
+	exchange->waiter.deadline = timespec_add_ms(arrival->now, ms);
 	return true;
 }
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -24,7 +24,7 @@
 static void
 first_byte_note(exchange_t *exchange)
 {
-	struct timespec now = clock_elapsed(exchange->front->process.clock);
+	struct timespec now = clock_boottime(exchange->front->process.clock);
 
 	if (exchange->first_ms < 0)
 		exchange->first_ms =
@@ -42,10 +42,10 @@
 	memcpy(exchange->session.endpoint, exchange->endpoint_address,
 	    sizeof(exchange->endpoint_address));
 	exchange->session.expires_ms =
-	    timespec_ms(clock_wall(front->process.clock)) +
+	    timespec_to_ms(clock_wall(front->process.clock)) +
 	    front->options->session_ttl_ms;
 	if (session_seal(&front->keyring, &exchange->session, sealed))
-		http_answer_header(exchange->req, SESSION_HEADER, sealed);
+		http_response_add_header(exchange->req, SESSION_HEADER, sealed);
 }
 
 void
@@ -54,11 +54,12 @@
 	struct evhttp_request *req = exchange->req;
 
 	session_header(exchange);
-	http_answer_header(req, "Moortack-Version", exchange->version);
-	http_answer_header(req, "Moortack-Place", exchange->endpoint_place);
-	http_answer_header(req, "Moortack-Request", exchange->id);
+	http_response_add_header(req, "Moortack-Version", exchange->version);
+	http_response_add_header(
+	    req, "Moortack-Place", exchange->endpoint_place);
+	http_response_add_header(req, "Moortack-Request", exchange->id);
 	if (exchange->front->draining)
-		http_answer_header(req, "Connection", "close");
+		http_response_add_header(req, "Connection", "close");
 }
 
 static void
@@ -73,7 +74,7 @@
 		if (!exchange->reply_started) {
 			exchange->reply_started = true;
 			exchange_answer_headers(exchange);
-			http_answer_header(
+			http_response_add_header(
 			    exchange->req, "Content-Type", "text/event-stream");
 			evhttp_send_reply_start(exchange->req, STATUS_OK, "OK");
 		}
@@ -353,7 +354,7 @@
 }
 
 static void
-cancel_done(void *arg, const http_reply_t *reply)
+cancel_done(void *arg, const http_response_t *reply)
 {
 	(void)arg;
 	(void)reply;
@@ -413,7 +414,7 @@
     exchange_t *exchange, bool ran, bool health, const char *why)
 {
 	front_t *front = exchange->front;
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 
 	timeline_add(front->process.timeline, EVENT_ATTEMPT_FAILED,
 	    exchange->id, "%.47s", why);
@@ -442,7 +443,7 @@
 	}
 	exchange_fail(exchange,
 	    !ran			  ? ERR_NO_ENDPOINT
-		: exchange->reply_started ? ERR_STREAM_CUT
+		: exchange->reply_started ? ERR_STREAM_TRUNCATED
 		: exchange->keyed	  ? ERR_UNKNOWN_OUTCOME
 					  : ERR_ENDPOINT_FAILED,
 	    why);
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -96,7 +96,7 @@
 static void
 session_begin(const front_t *front, exchange_t *exchange)
 {
-	exchange->session.id = rng_bits(front->process.rng) | 1;
+	exchange->session.id = rng_u64(front->process.rng) | 1;
 	memcpy(exchange->session.organisation, exchange->organisation,
 	    sizeof(exchange->session.organisation));
 	exchange->session.revision = front->config->revision;
@@ -114,8 +114,8 @@
 	}
 	exchange->session_given = true;
 	return session_open(&front->keyring, text, exchange->organisation,
-	    timespec_ms(clock_wall(front->process.clock)), &exchange->session,
-	    err);
+	    timespec_to_ms(clock_wall(front->process.clock)),
+	    &exchange->session, err);
 }
 
 static bool
@@ -230,21 +230,21 @@
 		return;
 	/* libevent leaves a request whose connection failed to its owner. */
 	evhttp_request_free(req);
-	counter_add(front->process.counters, COUNTER_CALLERS_GONE, 1);
+	counter_add(front->process.counters, COUNTER_CALLERS_DISCONNECTED, 1);
 	/* What may not be repeated runs on, so that its outcome is known. */
 	if (exchange->phase == PHASE_BILL ||
 	    (exchange->keyed && !exchange->engine && exchange->granted))
 		return;
-	exchange_fail(exchange, ERR_STREAM_CUT, "the caller has gone");
+	exchange_fail(exchange, ERR_STREAM_TRUNCATED, "the caller has gone");
 }
 
 static void
 exchange_run(arrival_t *arrival, exchange_t *exchange)
 {
-	timeline_add(arrival->front->process.timeline, EVENT_REQUEST_TAKEN,
+	timeline_add(arrival->front->process.timeline, EVENT_REQUEST_ACCEPTED,
 	    exchange->id, "%.20s %.24s", exchange->organisation,
 	    exchange->version);
-	http_request_watch(arrival->req, caller_gone, exchange);
+	http_request_watch_close(arrival->req, caller_gone, exchange);
 	if (exchange->phase == PHASE_WAIT)
 		exchange_try(exchange);
 }
@@ -332,7 +332,7 @@
 {
 	arrival_t arrival = {.front = front,
 	    .req = req,
-	    .now = clock_elapsed(front->process.clock)};
+	    .now = clock_boottime(front->process.clock)};
 	err_t err;
 
 	if (!arrival_pass(&arrival, &err))
@@ -350,7 +350,7 @@
 	arrival_t arrival = {.front = front,
 	    .organisation = config_organisation(front->config, organisation),
 	    .class = CLASS_SHEDDABLE,
-	    .now = clock_elapsed(front->process.clock)};
+	    .now = clock_boottime(front->process.clock)};
 	exchange_t *exchange;
 
 	if (arrival.organisation == HANDLE_NONE)
@@ -371,7 +371,7 @@
 	exchange->job = job;
 	exchange->broken = deferred_broken(job);
 	exchange->phase = PHASE_WAIT;
-	exchange->waiter.deadline = timespec_after_ms(arrival.now, deadline_ms);
+	exchange->waiter.deadline = timespec_add_ms(arrival.now, deadline_ms);
 	exchange_try(exchange);
 	return true;
 }
@@ -409,7 +409,7 @@
 	arrival_t arrival = {.front = front,
 	    .req = req,
 	    .pools = service_pool(path),
-	    .now = clock_elapsed(front->process.clock)};
+	    .now = clock_boottime(front->process.clock)};
 	err_t err;
 
 	if (!arrival_pass(&arrival, &err))
--- a/moortack/exchange/deferred.c
+++ b/moortack/exchange/deferred.c
@@ -67,8 +67,8 @@
 		    COUNTER_DEFERRED_ACCEPTED, 1);
 		snprintf(
 		    location, sizeof(location), "/v1/deferred/%s", call->id);
-		http_answer_header(call->req, "Location", location);
-		http_answer_json(call->req, STATUS_ACCEPTED,
+		http_response_add_header(call->req, "Location", location);
+		http_respond_json(call->req, STATUS_ACCEPTED,
 		    json_pack(
 			"{s:s,s:s}", "id", call->id, "location", location));
 	} else {
@@ -178,7 +178,7 @@
 
 	if (failure != NULL) {
 		err_set(&err,
-		    err_code_named(
+		    err_code_from_name(
 			json_string_value(json_object_get(failure, "type"))),
 		    "%s",
 		    json_string_value(json_object_get(failure, "message")));
@@ -186,8 +186,9 @@
 		return;
 	}
 	if (version != NULL)
-		http_answer_header(call->req, "Moortack-Version", version);
-	http_answer_json(
+		http_response_add_header(
+		    call->req, "Moortack-Version", version);
+	http_respond_json(
 	    call->req, 200, json_incref(json_object_get(row, "answer")));
 }
 
@@ -212,7 +213,7 @@
 	} else if (done != NULL) {
 		result_answer(call, row);
 	} else {
-		http_answer_json(call->req, STATUS_ACCEPTED,
+		http_respond_json(call->req, STATUS_ACCEPTED,
 		    json_pack("{s:s}", "state",
 			json_integer_value(json_object_get(row, "until_ms")) > 0
 			    ? "running"
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -60,7 +60,7 @@
 	static const struct timeval wait = {0, END_RETRY_MS * 1000};
 	deferred_job_t *job = arg;
 	front_t *front = job->front;
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 
 	(void)reply;
 	if (result == STORE_OK || result == STORE_CONFLICT) {
@@ -68,7 +68,7 @@
 		 * this very write took effect and its reply was lost. */
 		counter_add(front->process.counters,
 		    result == STORE_OK ? COUNTER_DEFERRED_DONE
-				       : COUNTER_DEFERRED_LOST,
+				       : COUNTER_DEFERRED_CLAIMS_LOST,
 		    1);
 		job_free(job);
 		return;
@@ -154,7 +154,7 @@
 	snprintf(key, sizeof(key), "defer/%s", job->id);
 	json_object_set_new(row, "by", json_string(""));
 	json_object_set_new(row, "until_ms",
-	    json_integer(timespec_ms(clock_wall(job->front->process.clock)) +
+	    json_integer(timespec_to_ms(clock_wall(job->front->process.clock)) +
 		BACK_OFF_MS));
 	text = json_text(row);
 	job->end_puts = json_pack("[o]", store_row(key, text));
@@ -242,7 +242,7 @@
 {
 	char incarnation[INCARNATION_TEXT_SIZE];
 	char key[KEY_SIZE];
-	int64_t wall_ms = timespec_ms(clock_wall(front->process.clock));
+	int64_t wall_ms = timespec_to_ms(clock_wall(front->process.clock));
 	deferred_job_t *job = calloc(1, sizeof(*job));
 
 	if (job == NULL)
@@ -258,8 +258,8 @@
 	job->front = front;
 	job->row = json_incref(row);
 	job->claim = json_dumps(row, JSON_COMPACT);
-	job->until = timespec_after_ms(
-	    clock_elapsed(front->process.clock), front->options->lease_ms);
+	job->until = timespec_add_ms(
+	    clock_boottime(front->process.clock), front->options->lease_ms);
 	snprintf(job->id, sizeof(job->id), "%.39s", id);
 	snprintf(key, sizeof(key), "defer/%s", job->id);
 	if (job->claim == NULL ||
@@ -272,7 +272,7 @@
 row_look(front_t *front, const char *text)
 {
 	json_t *row = json_loads(text, 0, NULL);
-	int64_t wall_ms = timespec_ms(clock_wall(front->process.clock));
+	int64_t wall_ms = timespec_to_ms(clock_wall(front->process.clock));
 	const char *id = json_string_value(json_object_get(row, "id"));
 
 	if (id != NULL &&
@@ -304,14 +304,14 @@
 void
 deferred_tick(front_t *front)
 {
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 	err_t err;
 
 	if (front->jobs_looking || front->draining || front->jobs >= JOBS_MAX ||
 	    timespec_ms_between(front->jobs_looked_at, now) < 0 ||
 	    !front_may_work(front, &err))
 		return;
-	front->jobs_looked_at = timespec_after_ms(now,
+	front->jobs_looked_at = timespec_add_ms(now,
 	    LOOK_MS + rng_below(front->process.rng, LOOK_MAX_MS - LOOK_MS));
 	front->jobs_looking =
 	    store_scan(front->store, "defer/", "", looked, front);
--- a/moortack/exchange/dispatch.c
+++ b/moortack/exchange/dispatch.c
@@ -17,7 +17,7 @@
 	    .place = config_place(front->config, front->options->place),
 	    .hint = HANDLE_NONE,
 	    .avoid_count = exchange->attempts,
-	    .now = clock_elapsed(front->process.clock)};
+	    .now = clock_boottime(front->process.clock)};
 	if (*exchange->session.endpoint != '\0')
 		query->hint =
 		    fleet_find(&front->fleet, exchange->session.endpoint);
@@ -197,7 +197,7 @@
 	if (!front_may_work(front, err))
 		return false;
 	if (timespec_ms_between(exchange->waiter.deadline,
-		clock_elapsed(front->process.clock)) >= 0)
+		clock_boottime(front->process.clock)) >= 0)
 		return err_set(err, ERR_DEADLINE,
 		    "the deadline passed before it was sent");
 	if (!query_make(exchange, &query) || endpoint == NULL ||
@@ -224,7 +224,7 @@
 		return;
 	}
 	exchange->phase = PHASE_SENT;
-	exchange->sent_at = clock_elapsed(front->process.clock);
+	exchange->sent_at = clock_boottime(front->process.clock);
 	exchange->tried[exchange->attempts++] = exchange->endpoint;
 	counter_add(front->process.counters, COUNTER_ATTEMPTS, 1);
 	if (exchange->attempts > 1)
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -29,7 +29,7 @@
 bill_fill(const exchange_t *exchange, bool cut, bill_t *bill)
 {
 	*bill = (bill_t){
-	    .at_ms = timespec_ms(clock_wall(exchange->front->process.clock)),
+	    .at_ms = timespec_to_ms(clock_wall(exchange->front->process.clock)),
 	    .line_count = exchange->line_count,
 	    .cut = cut};
 	memcpy(bill->lines, exchange->lines, sizeof(bill->lines));
@@ -47,7 +47,7 @@
 
 	if (endpoint != NULL)
 		endpoint_succeed(endpoint, (double)exchange->first_ms,
-		    clock_elapsed(exchange->front->process.clock));
+		    clock_boottime(exchange->front->process.clock));
 	exchange->endpoint = HANDLE_NONE;
 }
 
@@ -105,7 +105,8 @@
 plain_end(exchange_t *exchange)
 {
 	exchange_answer_headers(exchange);
-	http_answer_header(exchange->req, "Content-Type", "application/json");
+	http_response_add_header(
+	    exchange->req, "Content-Type", "application/json");
 	evhttp_send_reply(
 	    exchange->req, exchange->status, NULL, exchange->answer);
 }
@@ -116,16 +117,16 @@
 	front_t *front = exchange->front;
 
 	if (exchange->req != NULL) {
-		http_request_unwatch(exchange->req);
+		http_request_unwatch_close(exchange->req);
 		if (exchange->stream)
 			stream_end(exchange);
 		else
 			plain_end(exchange);
 		exchange->req = NULL;
-		counter_add(front->process.counters, COUNTER_ANSWERS, 1);
+		counter_add(front->process.counters, COUNTER_RESPONSES, 1);
 		counter_add(front->process.counters, COUNTER_TOKENS,
 		    exchange->sse.tokens);
-		timeline_add(front->process.timeline, EVENT_ANSWER_DONE,
+		timeline_add(front->process.timeline, EVENT_RESPONSE_COMPLETED,
 		    exchange->id, "%llu tokens",
 		    (unsigned long long)exchange->sse.tokens);
 	}
@@ -147,7 +148,7 @@
 	evhttp_send_reply_end(exchange->req);
 	evbuffer_free(out);
 	free(text);
-	counter_add(front->process.counters, COUNTER_STREAMS_CUT, 1);
+	counter_add(front->process.counters, COUNTER_STREAMS_TRUNCATED, 1);
 }
 
 /* What a keyed request's refusal may say of earlier attempts. */
@@ -156,7 +157,8 @@
 {
 	if (!exchange->keyed || exchange->settled)
 		return NULL;
-	return err_info(err->code)->ran == ERR_NOT_RUN ? "unknown" : NULL;
+	return err_info(err->code)->execution == ERR_NOT_EXECUTED ? "unknown"
+								  : NULL;
 }
 
 /* A new ticket with the failure saves the caller a round trip. */
@@ -166,7 +168,7 @@
 	char sealed[TOKEN_TEXT_MAX];
 	ticket_t ticket;
 
-	if (code != ERR_TICKET_DEAD)
+	if (code != ERR_TICKET_REVOKED)
 		return NULL;
 	ticket_mint(exchange->front, exchange->organisation, &ticket);
 	if (!ticket_seal(&exchange->front->keyring, &ticket, sealed))
@@ -177,11 +179,11 @@
 static void
 failure_tell(exchange_t *exchange, const err_t *err)
 {
-	http_request_unwatch(exchange->req);
+	http_request_unwatch_close(exchange->req);
 	if (exchange->reply_started) {
 		stream_cut(exchange, err);
 	} else {
-		http_answer_header(
+		http_response_add_header(
 		    exchange->req, "Moortack-Request", exchange->id);
 		answer_failure(exchange->front, exchange->req, err,
 		    ran_word(exchange, err), ticket_offer(exchange, err->code));
@@ -219,7 +221,8 @@
 		exchange->settled = true;
 	}
 	timeline_add(front->process.timeline,
-	    exchange->reply_started ? EVENT_ANSWER_CUT : EVENT_REQUEST_REFUSED,
+	    exchange->reply_started ? EVENT_RESPONSE_TRUNCATED
+				    : EVENT_REQUEST_REFUSED,
 	    exchange->id, "%s", err_info(code)->name);
 	if (exchange->job != NULL)
 		deferred_failed(exchange, &err);
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -46,7 +46,7 @@
 }
 
 static void
-rate_done(void *arg, const http_reply_t *reply)
+rate_done(void *arg, const http_response_t *reply)
 {
 	(void)arg;
 	(void)reply;
@@ -190,7 +190,7 @@
 		&row->cascade, exchange->step, exchange->confidence))
 		return false;
 	run_note(exchange);
-	counter_add(front->process.counters, COUNTER_CASCADE_UPS, 1);
+	counter_add(front->process.counters, COUNTER_CASCADE_ESCALATIONS, 1);
 	if (!model_set(exchange, organisation, row, exchange->step + 1, &err))
 		exchange_fail(exchange, err.code, err.detail);
 	else
--- a/moortack/exchange/session.c
+++ b/moortack/exchange/session.c
@@ -56,13 +56,13 @@
 	if (wire != NULL)
 		wire__session__free_unpacked(wire, NULL);
 	if (!good)
-		return err_set(
-		    err, ERR_SESSION_TOKEN, "the session token is not genuine");
+		return err_set(err, ERR_BAD_SESSION_TOKEN,
+		    "the session token is not genuine");
 	if (strcmp(out->organisation, organisation) != 0)
-		return err_set(err, ERR_SESSION_TOKEN,
+		return err_set(err, ERR_BAD_SESSION_TOKEN,
 		    "the session belongs to another organisation");
 	if (out->expires_ms <= wall_ms)
 		return err_set(
-		    err, ERR_SESSION_TOKEN, "the session has expired");
+		    err, ERR_BAD_SESSION_TOKEN, "the session has expired");
 	return true;
 }
--- a/moortack/exchange/ticketing.c
+++ b/moortack/exchange/ticketing.c
@@ -27,7 +27,7 @@
 	exchange->phase = PHASE_TICKET;
 	if (exchange->attempt_id == 0)
 		exchange->attempt_id =
-		    rng_bits(exchange->front->process.rng) | 1;
+		    rng_u64(exchange->front->process.rng) | 1;
 	redeem_init(&exchange->redeem);
 	for (int which = 0; which < REDEEM_WITNESSES; which++)
 		ask(exchange, which, WITNESS_GO, true, 0, NULL, 0);
@@ -64,9 +64,9 @@
 	}
 	out = evbuffer_new();
 	evbuffer_add(out, answer, strlen(answer));
-	http_request_unwatch(req);
-	http_answer_header(req, "Content-Type", "application/json");
-	http_answer_header(req, "Moortack-Replay", "1");
+	http_request_unwatch_close(req);
+	http_response_add_header(req, "Content-Type", "application/json");
+	http_response_add_header(req, "Moortack-Replay", "1");
 	evhttp_send_reply(req, status, NULL, out);
 	evbuffer_free(out);
 	exchange->req = NULL;
@@ -91,7 +91,7 @@
 	switch (result) {
 	case REDEEM_NOT_RUN:
 		exchange->settled = true;
-		exchange_fail(exchange, ERR_TICKET_DEAD,
+		exchange_fail(exchange, ERR_TICKET_REVOKED,
 		    "it was not run under this ticket or key and never will "
 		    "be; take a new one");
 		return;
@@ -99,7 +99,7 @@
 		replay(exchange, status, answer);
 		return;
 	case REDEEM_BUSY:
-		exchange_fail(exchange, ERR_WITNESS,
+		exchange_fail(exchange, ERR_WITNESS_FULL,
 		    "a witness holds as many tickets as it may");
 		return;
 	default:
--- a/moortack/front/admin.c
+++ b/moortack/front/admin.c
@@ -114,7 +114,7 @@
 	char after[24] = "0";
 
 	(void)rest;
-	http_request_query(req, "after", after, sizeof(after));
+	http_request_query_param(req, "after", after, sizeof(after));
 	ask->after = strtoull(after, NULL, 10);
 	registry_admin(front->registry, ask);
 }
@@ -129,9 +129,9 @@
 
 	(void)operator_row;
 	(void)rest;
-	http_request_query(req, "subject", subject, sizeof(subject));
+	http_request_query_param(req, "subject", subject, sizeof(subject));
 	for (uint64_t back = EVENTS_MAX; back-- > 0;) {
-		event = timeline_at(front->process.timeline, back);
+		event = timeline_get(front->process.timeline, back);
 		if (event == NULL ||
 		    (*subject != '\0' && strcmp(subject, event->subject) != 0))
 			continue;
@@ -141,7 +141,7 @@
 			event_type_name(event->type), "subject", event->subject,
 			"note", event->note, "entry", front->options->listen));
 	}
-	http_answer_json(req, 200, json_pack("{s:o}", "events", events));
+	http_respond_json(req, 200, json_pack("{s:o}", "events", events));
 }
 
 static json_t *
@@ -168,7 +168,7 @@
 	for (handle_t h = 0; h < front->fleet.endpoints.len; h++)
 		json_array_append_new(
 		    list, endpoint_json(fleet_at(&front->fleet, h)));
-	http_answer_json(req, 200, json_pack("{s:o}", "endpoints", list));
+	http_respond_json(req, 200, json_pack("{s:o}", "endpoints", list));
 }
 
 /* Sorted by path. */
@@ -232,7 +232,7 @@
 		    front, req, &answer->err, NULL, json_incref(answer->body));
 		return;
 	}
-	http_answer_json(req, 200, json_incref(answer->body));
+	http_respond_json(req, 200, json_incref(answer->body));
 }
 
 void
@@ -253,7 +253,8 @@
 	    "# TYPE moortack_revision gauge\nmoortack_revision %llu\n",
 	    front->busy, front->admission.count, front->room.count,
 	    (unsigned long long)front->config->revision);
-	http_answer_header(req, "Content-Type", "text/plain; version=0.0.4");
+	http_response_add_header(
+	    req, "Content-Type", "text/plain; version=0.0.4");
 	evhttp_send_reply(req, 200, NULL, out);
 	evbuffer_free(out);
 }
--- a/moortack/front/answer.c
+++ b/moortack/front/answer.c
@@ -9,10 +9,10 @@
 static int64_t
 retry_after(const front_t *front, const err_info_t *info)
 {
-	if (!info->retry)
+	if (!info->retryable)
 		return 0;
 	return admission_retry_after_ms(&front->admission,
-	    clock_elapsed(front->process.clock),
+	    clock_boottime(front->process.clock),
 	    rng_below(front->process.rng, UINT32_MAX));
 }
 
@@ -22,12 +22,13 @@
 {
 	const err_info_t *info = err_info(err->code);
 
-	counter_refusal(front->process.counters, err->code);
+	counter_add_failure(front->process.counters, err->code);
 	if (ran == NULL)
-		ran = info->ran == ERR_NOT_RUN ? "not_run" : "unknown";
+		ran =
+		    info->execution == ERR_NOT_EXECUTED ? "not_run" : "unknown";
 	return json_pack("{s:{s:s,s:s,s:s,s:b,s:I}}", "error", "type",
 	    info->name, "message", err->detail, "ran", ran, "retry",
-	    info->retry, "retry_after_ms", (json_int_t)retry_after_ms);
+	    info->retryable, "retry_after_ms", (json_int_t)retry_after_ms);
 }
 
 void
@@ -46,9 +47,9 @@
 	if (after_ms > 0) {
 		snprintf(seconds, sizeof(seconds), "%" PRId64,
 		    (after_ms + MS_PER_SEC - 1) / MS_PER_SEC);
-		http_answer_header(req, "Retry-After", seconds);
+		http_response_add_header(req, "Retry-After", seconds);
 	}
 	if (front->draining)
-		http_answer_header(req, "Connection", "close");
-	http_answer_json(req, info->status, body);
+		http_response_add_header(req, "Connection", "close");
+	http_respond_json(req, info->http_status, body);
 }
--- a/moortack/front/entries.c
+++ b/moortack/front/entries.c
@@ -97,7 +97,7 @@
 		return;
 	}
 	entries_shuffle(front->process.rng, entries, count);
-	http_answer_json(req, 200,
+	http_respond_json(req, 200,
 	    json_pack("{s:o,s:I}", "entries", entries_pick(entries, count),
 		"ttl_ms", (json_int_t)front->options->entries_ttl_ms));
 }
@@ -126,7 +126,7 @@
 ticket_mint(front_t *front, const char *organisation, ticket_t *out)
 {
 	*out = (ticket_t){
-	    .expires_ms = timespec_ms(clock_wall(front->process.clock)) +
+	    .expires_ms = timespec_to_ms(clock_wall(front->process.clock)) +
 		front->options->ticket_ttl_ms,
 	    .witnesses = {front->process.incarnation, second_witness(front)}};
 	randombytes_buf(out->id, sizeof(out->id));
@@ -148,7 +148,7 @@
 		answer_failure(front, req, &err, NULL, NULL);
 		return;
 	}
-	http_request_query(req, "count", text, sizeof(text));
+	http_request_query_param(req, "count", text, sizeof(text));
 	if (sscanf(text, "%d", &count) != 1 || count < 1 ||
 	    count > TICKETS_MAX) {
 		err_set(&err, ERR_BAD_REQUEST, "count must be from 1 to %d",
@@ -167,7 +167,7 @@
 		if (ticket_seal(&front->keyring, &ticket, sealed))
 			json_array_append_new(list, json_string(sealed));
 	}
-	http_answer_json(req, 200,
+	http_respond_json(req, 200,
 	    json_pack("{s:o,s:I}", "tickets", list, "ttl_ms",
 		(json_int_t)front->options->ticket_ttl_ms));
 }
--- a/moortack/front/front.c
+++ b/moortack/front/front.c
@@ -31,7 +31,7 @@
 		answer_failure(front, req, &err, NULL, NULL);
 		return;
 	}
-	http_answer_json(req, 200, json_pack("{s:b}", "ready", 1));
+	http_respond_json(req, 200, json_pack("{s:b}", "ready", 1));
 }
 
 /* Sorted by path. */
@@ -81,7 +81,7 @@
 bool
 front_may_work(const front_t *front, err_t *err)
 {
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 
 	if (!front->fresh.ready || !front->fresh.listed)
 		return err_set(err, ERR_NOT_READY,
@@ -222,7 +222,7 @@
 ticked(evutil_socket_t fd, short what, void *arg)
 {
 	front_t *front = arg;
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 
 	(void)fd;
 	(void)what;
@@ -249,7 +249,7 @@
 		    front->options->tls_cert, front->options->tls_key, err);
 		if (front->tls == NULL)
 			return false;
-		tls_serve(front->tls, front->http);
+		tls_server_enable(front->tls, front->http);
 	}
 	http_address_parse(front->options->listen, &address);
 	evhttp_set_max_body_size(
@@ -350,7 +350,7 @@
 {
 	front->draining = true;
 	front->door_closes =
-	    timespec_after_ms(clock_elapsed(front->process.clock),
+	    timespec_add_ms(clock_boottime(front->process.clock),
 		front->options->entries_ttl_ms + DOOR_MARGIN_MS);
 	timeline_add(front->process.timeline, EVENT_DRAINING,
 	    front->options->listen, "%u in progress", front->busy);
--- a/moortack/front/front_priv.h
+++ b/moortack/front/front_priv.h
@@ -143,7 +143,7 @@
 bool front_may_work(const front_t *, err_t *err);
 
 /** Take one message (messages.c). */
-void front_handle(void *state, msg_t *msg);
+void front_handle(void *state, task_msg_t *msg);
 
 /** Tell every peer that the guard stopped a version.
  * @param organisation "": for all */
--- a/moortack/front/messages.c
+++ b/moortack/front/messages.c
@@ -146,7 +146,7 @@
 		timeline_add(front->process.timeline, EVENT_ENDPOINT_SEEN,
 		    address, "%s", place);
 	handle = fleet_list(&front->fleet, address, place, leaving,
-	    clock_elapsed(front->process.clock));
+	    clock_boottime(front->process.clock));
 	if (handle == HANDLE_NONE)
 		return;
 	json_array_foreach(json_object_get(vm, "versions"), i, version)
@@ -232,7 +232,7 @@
 }
 
 void
-front_handle(void *state, msg_t *msg)
+front_handle(void *state, task_msg_t *msg)
 {
 	front_t *front = state;
 
--- a/moortack/front/orders.c
+++ b/moortack/front/orders.c
@@ -16,7 +16,7 @@
 #define ORDER_EVERY_MS 1000
 
 static void
-order_done(void *arg, const http_reply_t *reply)
+order_done(void *arg, const http_response_t *reply)
 {
 	(void)arg;
 	(void)reply;
@@ -74,7 +74,7 @@
 void
 orders_tick(front_t *front)
 {
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 	err_t err;
 
 	if (timespec_ms_between(front->ordered_at, now) < ORDER_EVERY_MS ||
--- a/moortack/ledger/billing.c
+++ b/moortack/ledger/billing.c
@@ -43,7 +43,7 @@
 }
 
 static void
-handle(void *state, msg_t *msg)
+handle(void *state, task_msg_t *msg)
 {
 	billing_t *billing = state;
 
--- a/moortack/ledger/billing_flush.c
+++ b/moortack/ledger/billing_flush.c
@@ -163,7 +163,7 @@
 void
 billing_flush(billing_t *billing)
 {
-	struct timespec now = clock_elapsed(billing->process.clock);
+	struct timespec now = clock_boottime(billing->process.clock);
 	char incarnation[INCARNATION_TEXT_SIZE];
 	uint64_t due;
 	flush_t *flush;
--- a/moortack/ledger/billing_hold.c
+++ b/moortack/ledger/billing_hold.c
@@ -56,7 +56,8 @@
 	    .tag = handle};
 
 	if (member == NULL || holding->tries++ >= HOLD_TRIES) {
-		counter_add(billing->process.counters, COUNTER_BILLS_ALONE, 1);
+		counter_add(
+		    billing->process.counters, COUNTER_BILLS_UNREPLICATED, 1);
 		holding_end(billing, holding, BILL_ALONE);
 		/* Nobody else holds it: the store is the next best. */
 		billing_flush(billing);
@@ -91,7 +92,7 @@
 void
 billing_take(billing_t *billing, record_t *record)
 {
-	struct timespec now = clock_elapsed(billing->process.clock);
+	struct timespec now = clock_boottime(billing->process.clock);
 	handle_t handle;
 
 	if (!bill_book_record(&billing->book, &record->bill, now)) {
@@ -130,7 +131,7 @@
 	const Wire__BillHold *hold = question->envelope->bill_hold;
 	Wire__BillHeld held = WIRE__BILL_HELD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	struct timespec now = clock_elapsed(billing->process.clock);
+	struct timespec now = clock_boottime(billing->process.clock);
 
 	held.held = !billing->draining;
 	for (size_t i = 0; i < hold->n_bills && held.held; i++) {
--- a/moortack/ledger/witness_task.c
+++ b/moortack/ledger/witness_task.c
@@ -79,18 +79,18 @@
 {
 	char id[TICKET_ID_SIZE * 2 + 1];
 	witness_answer_t answer = witness_ask(&task->witness, question,
-	    timespec_ms(clock_wall(task->process.clock)));
+	    timespec_to_ms(clock_wall(task->process.clock)));
 
 	sodium_bin2hex(id, sizeof(id), question->ticket, TICKET_ID_SIZE);
 	if (answer.state == WITNESS_YOURS) {
-		counter_add(task->process.counters, COUNTER_TICKETS_GO, 1);
+		counter_add(task->process.counters, COUNTER_TICKETS_GRANTED, 1);
 		timeline_add(
-		    task->process.timeline, EVENT_TICKET_GO, id, "%s", "");
+		    task->process.timeline, EVENT_TICKET_GRANTED, id, "%s", "");
 	} else if (question->op != WITNESS_OUTCOME &&
 	    answer.state == WITNESS_DEAD) {
-		counter_add(task->process.counters, COUNTER_TICKETS_KILLED, 1);
+		counter_add(task->process.counters, COUNTER_TICKETS_REVOKED, 1);
 		timeline_add(
-		    task->process.timeline, EVENT_TICKET_KILLED, id, "%s", "");
+		    task->process.timeline, EVENT_TICKET_REVOKED, id, "%s", "");
 	}
 	return answer;
 }
@@ -186,7 +186,7 @@
 }
 
 static void
-handle(void *state, msg_t *msg)
+handle(void *state, task_msg_t *msg)
 {
 	witness_task_t *task = state;
 
--- a/moortack/member/freshness.c
+++ b/moortack/member/freshness.c
@@ -120,7 +120,7 @@
 		    ages[i] == FRESHNESS_AGE_UNKNOWN)
 			continue;
 		evidence.incarnation = members[i];
-		evidence.asked_at = timespec_after_ms(
+		evidence.asked_at = timespec_add_ms(
 		    from->asked_at, -(int64_t)ages[i] * FRESHNESS_AGE_MS);
 		evidence.store_read = false;
 		peer_heard(freshness, &evidence);
@@ -220,11 +220,11 @@
 
 	if (!freshness->store_read)
 		return by_store;
-	by_store = timespec_after_ms(freshness->store_at, freshness->window_ms);
+	by_store = timespec_add_ms(freshness->store_at, freshness->window_ms);
 	by_peers =
-	    timespec_after_ms(majority_at(freshness), freshness->window_ms);
+	    timespec_add_ms(majority_at(freshness), freshness->window_ms);
 	bound =
-	    timespec_after_ms(last_store_read(freshness), freshness->outage_ms);
+	    timespec_add_ms(last_store_read(freshness), freshness->outage_ms);
 	return later(by_store, earlier(by_peers, bound));
 }
 
--- a/moortack/member/lease.c
+++ b/moortack/member/lease.c
@@ -20,7 +20,7 @@
 bool
 lease_usable(const lease_t *lease)
 {
-	struct timespec now = clock_elapsed(lease->process->clock);
+	struct timespec now = clock_boottime(lease->process->clock);
 
 	return lease->held &&
 	    timespec_ms_between(now, lease->until) >
@@ -40,13 +40,13 @@
 		return;
 	lease->held = true;
 	lease->fence = lease->asked_fence;
-	lease->until = timespec_after_ms(lease->asked_at, lease->ttl_ms);
+	lease->until = timespec_add_ms(lease->asked_at, lease->ttl_ms);
 }
 
 static json_t *
 row_new(const lease_t *lease, const char *holder)
 {
-	int64_t wall_ms = timespec_ms(clock_wall(lease->process->clock));
+	int64_t wall_ms = timespec_to_ms(clock_wall(lease->process->clock));
 
 	return json_pack("{s:s,s:I,s:I}", "holder", holder, "fence",
 	    (json_int_t)lease->asked_fence, "until_ms",
@@ -94,7 +94,7 @@
 	until_ms = json_integer_value(json_object_get(row, "until_ms"));
 	incarnation_text(lease->process->incarnation, self);
 	mine = holder != NULL && strcmp(holder, self) == 0;
-	lapsed = until_ms <= timespec_ms(clock_wall(lease->process->clock));
+	lapsed = until_ms <= timespec_to_ms(clock_wall(lease->process->clock));
 	if (!mine)
 		lease->held = false;
 	lease->asked_fence = mine && !lapsed ? fence : fence + 1;
@@ -112,7 +112,7 @@
 	if (lease->asking)
 		return;
 	snprintf(key, sizeof(key), "lease/%s", lease->name);
-	lease->asked_at = clock_elapsed(lease->process->clock);
+	lease->asked_at = clock_boottime(lease->process->clock);
 	lease->asking =
 	    store_get(lease->store, json_pack("[s]", key), was_read, lease);
 }
--- a/moortack/member/peer_links.c
+++ b/moortack/member/peer_links.c
@@ -41,7 +41,7 @@
 	if (link == NULL && member != NULL)
 		link = link_new(links, member);
 	if (link != NULL)
-		link->used_at = clock_elapsed(links->clock);
+		link->used_at = clock_boottime(links->clock);
 	return link;
 }
 
--- a/moortack/member/peers.c
+++ b/moortack/member/peers.c
@@ -92,7 +92,7 @@
 		return NULL;
 	counter_add(peers->process.counters, COUNTER_PEER_RECEIVED, 1);
 	hlc_receive(&peers->process.timeline->hlc, envelope->stamp,
-	    timespec_ms(clock_wall(peers->process.clock)));
+	    timespec_to_ms(clock_wall(peers->process.clock)));
 	return envelope;
 }
 
@@ -136,7 +136,7 @@
 		HASH_FIND(hh, peers->pending, &envelope->id,
 		    sizeof(envelope->id), pending);
 	if (pending == NULL || pending->ask.to != envelope->from) {
-		counter_add(peers->process.counters, COUNTER_LATE_REPLIES, 1);
+		counter_add(peers->process.counters, COUNTER_LATE_RESPONSES, 1);
 		wire__envelope__free_unpacked(envelope, NULL);
 		return;
 	}
@@ -244,7 +244,7 @@
 		return;
 	*pending = (pending_t){.id = out->id,
 	    .ask = out->ask,
-	    .asked_at = clock_elapsed(peers->process.clock)};
+	    .asked_at = clock_boottime(peers->process.clock)};
 	HASH_ADD(hh, peers->pending, id, sizeof(pending->id), pending);
 	if (link != NULL && link_send(peers, link, out))
 		return;
@@ -265,7 +265,7 @@
 }
 
 static void
-handle(void *state, msg_t *msg)
+handle(void *state, task_msg_t *msg)
 {
 	peers_t *peers = state;
 
@@ -286,7 +286,7 @@
 tick(evutil_socket_t fd, short what, void *arg)
 {
 	peers_t *peers = arg;
-	struct timespec now = clock_elapsed(peers->process.clock);
+	struct timespec now = clock_boottime(peers->process.clock);
 	pending_t *pending, *next;
 
 	(void)fd;
@@ -310,7 +310,7 @@
 
 	envelope->from = peers->process.incarnation;
 	envelope->stamp = hlc_tick(&peers->process.timeline->hlc,
-	    timespec_ms(clock_wall(peers->process.clock)));
+	    timespec_to_ms(clock_wall(peers->process.clock)));
 	len = wire__envelope__get_packed_size(envelope);
 	out = calloc(1, sizeof(*out) + len);
 	if (out == NULL)
@@ -324,7 +324,7 @@
 {
 	outgoing_t *out;
 
-	envelope->id = rng_bits(peers->process.rng);
+	envelope->id = rng_u64(peers->process.rng);
 	envelope->to = ask->to;
 	out = envelope_pack(peers, envelope);
 	if (out == NULL)
--- a/moortack/quarantine/quarantine.c
+++ b/moortack/quarantine/quarantine.c
@@ -25,7 +25,7 @@
 static int64_t
 age_ms(const quarantine_t *self, struct timespec at)
 {
-	return timespec_ms_between(at, clock_elapsed(self->clock));
+	return timespec_ms_between(at, clock_boottime(self->clock));
 }
 
 void
@@ -195,7 +195,7 @@
 		return false;
 	crash_add(suspect, incarnation);
 	suspect->version = version;
-	suspect->crashed_at = clock_elapsed(self->clock);
+	suspect->crashed_at = clock_boottime(self->clock);
 	suspect->witnessed |= witnessed;
 	/* Runs that were under way as it was refused renew nothing. */
 	if (suspect->crashes_len == QUARANTINE_CRASHES &&
@@ -219,7 +219,7 @@
 	bool verdict =
 	    crashes_len >= QUARANTINE_CRASHES && age_ms < HELD_MOST_MS;
 	struct timespec since =
-	    timespec_after_ms(clock_elapsed(self->clock), -age_ms);
+	    timespec_add_ms(clock_boottime(self->clock), -age_ms);
 	suspect_t *suspect;
 
 	if (age_ms >= SUSPECT_MS)
@@ -254,7 +254,7 @@
 	suspect_release(self, suspect, QUARANTINE_CLEARED);
 	suspect->crashes_len = 0;
 	suspect->witnessed = false;
-	suspect->cleared_at = clock_elapsed(self->clock);
+	suspect->cleared_at = clock_boottime(self->clock);
 	return true;
 }
 
@@ -269,7 +269,7 @@
 	    (is_set(suspect->tried_at) &&
 		age_ms(self, suspect->tried_at) < TRIAL_MS))
 		return false;
-	suspect->tried_at = clock_elapsed(self->clock);
+	suspect->tried_at = clock_boottime(self->clock);
 	return true;
 }
 
--- a/moortack/relay/crash_probe.c
+++ b/moortack/relay/crash_probe.c
@@ -57,11 +57,12 @@
 on_failed(void *arg, http_outbound_failure_t failure)
 {
 	probe_told(arg,
-	    failure == HTTP_OUTBOUND_REFUSED ? PROBE_REFUSED : PROBE_SILENT);
+	    failure == HTTP_OUTBOUND_CONNECTION_REFUSED ? PROBE_REFUSED
+							: PROBE_SILENT);
 }
 
 static const http_outbound_ops_t probe_ops = {
-    .ready = on_ready, .failed = on_failed};
+    .on_connected = on_ready, .on_failed = on_failed};
 
 static void
 on_timer(evutil_socket_t fd, short what, void *arg)
--- a/moortack/relay/endpoint_health.c
+++ b/moortack/relay/endpoint_health.c
@@ -19,7 +19,7 @@
 eject(endpoint_t *endpoint, int64_t ms)
 {
 	endpoint->ejected_until =
-	    timespec_after_ms(clock_elapsed(endpoint->set->clock),
+	    timespec_add_ms(clock_boottime(endpoint->set->clock),
 		ms < EJECT_MAX_MS ? ms : EJECT_MAX_MS);
 }
 
@@ -55,6 +55,6 @@
 bool
 endpoint_ejected(const endpoint_t *endpoint)
 {
-	return timespec_ms_between(clock_elapsed(endpoint->set->clock),
+	return timespec_ms_between(clock_boottime(endpoint->set->clock),
 		   endpoint->ejected_until) > 0;
 }
--- a/moortack/relay/endpoint_links.c
+++ b/moortack/relay/endpoint_links.c
@@ -46,14 +46,14 @@
 	endpoint_link_t *link = arg;
 
 	link->endpoint->link_ended_at =
-	    clock_elapsed(link->endpoint->set->clock);
+	    clock_boottime(link->endpoint->set->clock);
 	link_close(link, conn);
 }
 
 http_outbound_t *
 endpoint_take_link(endpoint_t *endpoint, int64_t max_ms)
 {
-	struct timespec now = clock_elapsed(endpoint->set->clock);
+	struct timespec now = clock_boottime(endpoint->set->clock);
 	endpoint_link_t *link = endpoint->idle;
 	http_outbound_t *conn;
 	int64_t idle_ms;
@@ -89,9 +89,9 @@
 	}
 	link->endpoint = endpoint;
 	link->conn = conn;
-	link->idle_since = clock_elapsed(endpoint->set->clock);
+	link->idle_since = clock_boottime(endpoint->set->clock);
 	link->idle_max_ms = idle_max_ms;
 	link->next = endpoint->idle;
 	endpoint->idle = link;
-	http_outbound_rest(conn, on_link_ended, link);
+	http_outbound_set_idle(conn, on_link_ended, link);
 }
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -36,7 +36,7 @@
 
 	if (keep && was_lapsed)
 		return;
-	event_line_throttled(&node->log, EVENT_THROTTLED_ENDPOINT_GONE,
+	event_log_write_throttled(&node->log, EVENT_THROTTLED_ENDPOINT_REMOVED,
 	    "id=%s service=%s lapsed=%d in_flight=%u", endpoint->facts.id,
 	    endpoint->facts.service, keep, endpoint->in_flight);
 	if (keep) {
@@ -65,7 +65,7 @@
 	    [ENTRY_EARLIER] = "earlier",
 	};
 
-	event_line_throttled(&node->log, EVENT_THROTTLED_ENDPOINT,
+	event_log_write_throttled(&node->log, EVENT_THROTTLED_ENDPOINT,
 	    "id=%s service=%s address=%s:%u zone=%s version=%s leaving=%d "
 	    "born_ms=%" PRId64 " incarnation=%s",
 	    facts->id, facts->service, facts->address.host, facts->address.port,
@@ -167,7 +167,7 @@
 {
 	const row_watch_t *watch =
 	    row_source_watch(&node->source, ROW_TABLE_ENDPOINTS);
-	struct timespec now = clock_elapsed(node->ports.clock);
+	struct timespec now = clock_boottime(node->ports.clock);
 	endpoint_t *one, *next;
 
 	if (node->source.following || !watch->reachable ||
--- a/moortack/relay/endpoint_set.c
+++ b/moortack/relay/endpoint_set.c
@@ -149,7 +149,7 @@
 endpoint_mark_cold(endpoint_t *endpoint, int64_t ms)
 {
 	struct timespec until =
-	    timespec_after_ms(clock_elapsed(endpoint->set->clock), ms);
+	    timespec_add_ms(clock_boottime(endpoint->set->clock), ms);
 
 	if (ms > 0 && timespec_ms_between(endpoint->cold_until, until) > 0)
 		endpoint->cold_until = until;
@@ -226,7 +226,7 @@
 		endpoint->earlier = malloc(sizeof(*endpoint->earlier));
 		if (endpoint->earlier == NULL)
 			return;
-		endpoint->earlier_at = clock_elapsed(endpoint->set->clock);
+		endpoint->earlier_at = clock_boottime(endpoint->set->clock);
 		endpoint->set->earlier_len++;
 	}
 	*endpoint->earlier = *facts;
@@ -300,7 +300,7 @@
 bool
 endpoint_set_earlier(const endpoint_set_t *set, endpoint_facts_t *out)
 {
-	struct timespec now = clock_elapsed(set->clock);
+	struct timespec now = clock_boottime(set->clock);
 
 	if (set->earlier_len == 0)
 		return false;
@@ -336,7 +336,7 @@
 endpoint_told_load(endpoint_t *endpoint, const endpoint_load_t *load)
 {
 	endpoint->load = *load;
-	endpoint->load_at = clock_elapsed(endpoint->set->clock);
+	endpoint->load_at = clock_boottime(endpoint->set->clock);
 	endpoint->load_own = endpoint->in_flight;
 	endpoint->load_known = true;
 }
@@ -361,7 +361,7 @@
 
 	if (!endpoint->load_known ||
 	    timespec_ms_between(endpoint->load_at,
-		clock_elapsed(endpoint->set->clock)) > LOAD_FRESH_MS)
+		clock_boottime(endpoint->set->clock)) > LOAD_FRESH_MS)
 		return own + load_of_others(endpoint, callers);
 	told = (double)endpoint->load.running + endpoint->load.waiting;
 	told += own - endpoint->load_own;
--- a/moortack/relay/gossip.c
+++ b/moortack/relay/gossip.c
@@ -134,7 +134,7 @@
 	    .arg = arg,
 	    .fd = -1,
 	    .allowance = BYTES_AT_ONCE,
-	    .allowed_at = clock_elapsed(clock)};
+	    .allowed_at = clock_boottime(clock)};
 	if (address[0] == '\0')
 		return true;
 	if (!address_read(address, &own))
@@ -173,7 +173,7 @@
 static void
 allowance_grow(gossip_t *self)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	self->allowance += BYTES_PER_S / MS_PER_SEC *
 	    (double)timespec_ms_between(self->allowed_at, now);
--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -23,7 +23,7 @@
 static char *
 value_text(const relay_quarantine_t *self, const suspect_t *suspect)
 {
-	int64_t at_ms = timespec_ms(suspect->crashed_at) +
+	int64_t at_ms = timespec_to_ms(suspect->crashed_at) +
 	    self->relay->members->store_offset_ms;
 	json_t *crashes = json_array();
 	json_t *body;
@@ -49,8 +49,8 @@
 	self->writing = false;
 	self->relay->members->written |= done;
 	if (!done)
-		self->write_after = timespec_after_ms(
-		    clock_elapsed(self->relay->clock), WRITE_RETRY_MS);
+		self->write_after = timespec_add_ms(
+		    clock_boottime(self->relay->clock), WRITE_RETRY_MS);
 	for (suspect_t *one = self->table.suspects; one != NULL;
 	     one = one->hh.next) {
 		if (done && one->written > 0) {
@@ -59,7 +59,7 @@
 		}
 		one->written = 0;
 	}
-	event_line(self->relay->log, "quarantine_write", "result=%d",
+	event_log_write(self->relay->log, "quarantine_write", "result=%d",
 	    (int)reply->result);
 }
 
@@ -76,7 +76,7 @@
 {
 	return !self->writing && self->relay->members->store_clock_known &&
 	    timespec_ms_between(
-		self->write_after, clock_elapsed(self->relay->clock)) >= 0;
+		self->write_after, clock_boottime(self->relay->clock)) >= 0;
 }
 
 void
@@ -163,7 +163,7 @@
 	size_t len = crashes_read(body, crashes);
 
 	if (members->store_clock_known)
-		age_ms = timespec_ms(clock_elapsed(self->relay->clock)) +
+		age_ms = timespec_to_ms(clock_boottime(self->relay->clock)) +
 		    members->store_offset_ms -
 		    json_integer_value(json_object_get(body, "crashed_ms"));
 	self->source = "store";
@@ -210,7 +210,7 @@
 	bool good = true;
 
 	if (!key_read(row->key, &digest))
-		return err_set(err, ERR_NAME, "the key names no request");
+		return err_set(err, ERR_BAD_NAME, "the key names no request");
 	if (!row->deleted) {
 		body = json_loadb(row->value, row->value_len, 0, NULL);
 		good = value_check(body, err);
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -29,7 +29,7 @@
 request_age_ms(const relay_request_t *req)
 {
 	return timespec_ms_between(
-	    req->taken, clock_elapsed(req->relay->clock));
+	    req->taken, clock_boottime(req->relay->clock));
 }
 
 double
@@ -86,14 +86,14 @@
 	char head[REFUSAL_HEAD_SIZE] = "Content-Type: application/json\r\n";
 
 	relay->stats.failures[code]++;
-	if (info->retry)
+	if (info->retryable)
 		snprintf(head, sizeof(head),
 		    "Content-Type: application/json\r\n"
 		    "Retry-After: %" PRId64 ".%03" PRId64 "\r\n",
 		    ms / MS_PER_SEC, ms % MS_PER_SEC);
 	if (body != NULL)
 		evbuffer_add_printf(body, "{\"error\":\"%s\"}\n", info->name);
-	http_inbound_answer(caller, info->status, head, body);
+	http_inbound_respond(caller, info->http_status, head, body);
 	if (body != NULL)
 		evbuffer_free(body);
 }
@@ -143,7 +143,7 @@
 	stats_observe(&relay->stats.whole_ms, age_ms);
 	stats_end(&relay->stats, outcome, why,
 	    req->before_ms + req->first_ms > (double)req->route->objective_ms);
-	event_line(relay->log, "request",
+	event_log_write(relay->log, "request",
 	    "id=%s route=%s service=%s organisation=%s outcome=%s why=%s "
 	    "status=%d sends=%u connects_failed=%u model=%s confidence=%d "
 	    "tokens=%u,%u,%u ms=%.0f "
@@ -187,9 +187,11 @@
 		http_inbound_abort(caller);
 		return;
 	}
-	req->status = err_info(code)->status;
+	req->status = err_info(code)->http_status;
 	stats_add(&relay->stats,
-	    err_info(code)->ran == ERR_NOT_RUN ? STAT_REFUSED : STAT_FAILED, 1);
+	    err_info(code)->execution == ERR_NOT_EXECUTED ? STAT_REFUSED
+							  : STAT_FAILED,
+	    1);
 	request_end(req, err_info(code)->name, why);
 	caller_tell(relay, caller, code, ms);
 }
@@ -287,7 +289,7 @@
 	req->organisation = organisation;
 	req->spread = spread_of(arrival);
 	req->shared = shared_of(arrival);
-	req->taken = clock_elapsed(relay->clock);
+	req->taken = clock_boottime(relay->clock);
 	req->limit_ms = limit_of(route, arrival);
 	req->smallest_estimate = -1;
 	req->before_ms =
@@ -314,7 +316,7 @@
 {
 	stats_add(&relay->stats, STAT_REFUSED, 1);
 	stats_end(&relay->stats, err_info(code)->name, why, false);
-	event_line(relay->log, "refuse",
+	event_log_write(relay->log, "refuse",
 	    "id=%s outcome=%s why=%s config=%" PRIu64 " config_age_ms=%" PRId64
 	    " under_way=%u",
 	    id, err_info(code)->name, why,
@@ -336,7 +338,7 @@
 	err_t err;
 
 	stats_add(&relay->stats, STAT_REQUESTS, 1);
-	http_inbound_set_user(caller, NULL);
+	http_inbound_set_user_data(caller, NULL);
 	if (!relay->callers->read(msg, &arrival, &err)) {
 		arrival_refuse(relay, caller, "-", err.code, "bad_headers");
 		return;
@@ -360,7 +362,7 @@
 		    relay, caller, arrival.id, ERR_OVERLOAD, "requests_max");
 		return;
 	}
-	http_inbound_set_user(caller, req);
+	http_inbound_set_user_data(caller, req);
 	req->service = relay_pool(route, req->spread);
 	if (req->service != NULL)
 		relay_count_request(relay, req->service, req->taken);
@@ -371,7 +373,7 @@
 on_gone(void *arg, http_inbound_t *caller)
 {
 	relay_t *relay = arg;
-	relay_request_t *req = http_inbound_user(caller);
+	relay_request_t *req = http_inbound_user_data(caller);
 
 	if (req == NULL)
 		return;
@@ -382,7 +384,7 @@
 static void
 on_drained(void *arg, http_inbound_t *caller)
 {
-	relay_request_t *req = http_inbound_user(caller);
+	relay_request_t *req = http_inbound_user_data(caller);
 
 	(void)arg;
 	if (req != NULL)
@@ -397,7 +399,7 @@
 	stats_add(&relay->stats, STAT_BAD_MESSAGES, 1);
 	stats_end(
 	    &relay->stats, err_info(err->code)->name, "bad_message", false);
-	event_line(relay->log, "bad_message", "outcome=%s why=\"%s\"",
+	event_log_write(relay->log, "bad_message", "outcome=%s why=\"%s\"",
 	    err_info(err->code)->name, err->detail);
 }
 
@@ -410,11 +412,11 @@
 	const relay_config_t *config = relay->config;
 	const http_inbound_limits_t limits = {.head_max = config->head_max,
 	    .body_max = config->body_max,
-	    .read_ms = config->read_ms,
-	    .idle_ms = config->idle_ms,
-	    .connections = CONNECTIONS_MAX};
+	    .read_timeout_ms = config->read_ms,
+	    .idle_timeout_ms = config->idle_ms,
+	    .connections_max = CONNECTIONS_MAX};
 
-	http_inbound_limit(relay->server, &limits);
+	http_inbound_set_limits(relay->server, &limits);
 }
 
 bool
@@ -435,8 +437,8 @@
 	relay->config = NULL;
 	relay_config_release(config);
 	relay->daemons_most = 1;
-	relay->started = clock_elapsed(relay->clock);
-	http_inbound_hold(relay->server, true);
+	relay->started = clock_boottime(relay->clock);
+	http_inbound_pause_accepting(relay->server, true);
 	if (!prefix_memory_init(&relay->prefixes))
 		return err_set(err, ERR_MEMORY, "out of memory");
 	return true;
@@ -462,7 +464,7 @@
 		relay_config_release(config);
 		return;
 	}
-	event_line(relay->log, "config",
+	event_log_write(relay->log, "config",
 	    "version=%" PRIu64 " before=%" PRIu64 " routes=%u services=%u",
 	    config->version, relay->config != NULL ? relay->config->version : 0,
 	    HASH_COUNT(config->routes), HASH_COUNT(config->services));
@@ -486,12 +488,12 @@
 relay_open(relay_t *relay)
 {
 	int64_t age_ms =
-	    timespec_ms_between(relay->started, clock_elapsed(relay->clock));
+	    timespec_ms_between(relay->started, clock_boottime(relay->clock));
 
 	if (relay->opened || (!relay_ready(relay) && age_ms < OPEN_LATEST_MS))
 		return;
 	relay->opened = true;
-	http_inbound_hold(relay->server, false);
+	http_inbound_pause_accepting(relay->server, false);
 }
 
 void
--- a/moortack/relay/relay_answer.c
+++ b/moortack/relay/relay_answer.c
@@ -30,7 +30,7 @@
 		const http_field_t *field = &msg->fields[i];
 		int more;
 
-		if (http_field_is_hop(msg, field->name))
+		if (http_field_is_hop_by_hop(msg, field->name))
 			continue;
 		more = snprintf(text + len, HEAD_TEXT_MAX - len, "%s: %s\r\n",
 		    field->name, field->value);
@@ -58,7 +58,7 @@
 	req->begun = true;
 	req->model = req->attempt.model;
 	first_observe(req);
-	http_inbound_begin(req->caller, req->status, req->head);
+	http_inbound_stream_begin(req->caller, req->status, req->head);
 }
 
 static bool
@@ -75,7 +75,7 @@
 	relay_t *relay = req->relay;
 
 	attempt->sent = true;
-	attempt->sent_at = clock_elapsed(relay->clock);
+	attempt->sent_at = clock_boottime(relay->clock);
 	endpoint_take_up(attempt->endpoint);
 	if (req->sends == 0)
 		stats_observe(
@@ -106,10 +106,10 @@
 	attempt->headed = true;
 	attempt_heard(req);
 	prefill_queue_begun(&attempt->endpoint->unread, &attempt->ticket,
-	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
+	    (double)timespec_to_ms(clock_boottime(req->relay->clock)));
 	relay_guard_alive(req);
 	attempt->first_ms = (double)timespec_ms_between(
-	    attempt->sent_at, clock_elapsed(req->relay->clock));
+	    attempt->sent_at, clock_boottime(req->relay->clock));
 	if (answer->load_told)
 		endpoint_told_load(attempt->endpoint, &answer->load);
 	if (answer->not_run || answer->wrong_endpoint)
@@ -139,7 +139,7 @@
 static void
 event_note(relay_request_t *req)
 {
-	struct timespec now = clock_elapsed(req->relay->clock);
+	struct timespec now = clock_boottime(req->relay->clock);
 	double pause_ms;
 
 	if (req->events++ == 0)
@@ -178,17 +178,17 @@
 		return true;
 	if (!req->begun)
 		answer_begin(req);
-	http_inbound_write(req->caller, req->kept);
+	http_inbound_stream_write(req->caller, req->kept);
 	return true;
 }
 
 static void
 caller_behind(relay_request_t *req)
 {
-	if (http_inbound_pending(req->caller) < CALLER_BEHIND_MAX)
+	if (http_inbound_unsent_bytes(req->caller) < CALLER_BEHIND_MAX)
 		return;
 	req->paused = true;
-	http_outbound_pause(req->attempt.conn, true);
+	http_outbound_pause_reading(req->attempt.conn, true);
 }
 
 static void
@@ -215,7 +215,7 @@
 		answer_begin(req);
 	if (!req->begun)
 		return;
-	http_inbound_write(req->caller, req->kept);
+	http_inbound_stream_write(req->caller, req->kept);
 	caller_behind(req);
 }
 
@@ -234,7 +234,7 @@
 	attempt_release(req);
 	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
 	request_end(req, "answered", "whole_stream");
-	http_inbound_end(caller);
+	http_inbound_stream_end(caller);
 }
 
 /* Pass on an answer that was kept whole. */
@@ -251,7 +251,7 @@
 	req->head = NULL;
 	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
 	request_end(req, "answered", "whole");
-	http_inbound_answer(caller, status, head, body);
+	http_inbound_respond(caller, status, head, body);
 	evbuffer_free(body);
 	free(head);
 }
@@ -270,7 +270,7 @@
 		attempt_answered(req);
 		attempt_release(req);
 		request_end(req, "answered", "passed_on");
-		http_inbound_end(caller);
+		http_inbound_stream_end(caller);
 		return;
 	}
 	if (req->status >= STATUS_SERVER_ERROR) {
@@ -309,24 +309,24 @@
 	relay_request_t *req = arg;
 	attempt_t *attempt = &req->attempt;
 
-	if (failure == HTTP_OUTBOUND_NO_ANSWER && attempt->kept) {
+	if (failure == HTTP_OUTBOUND_NO_RESPONSE && attempt->kept) {
 		endpoint_drop_links(attempt->endpoint);
 		req->kept_dead = true;
 	}
-	attempt->broke = failure == HTTP_OUTBOUND_NO_ANSWER ||
-	    failure == HTTP_OUTBOUND_BROKEN;
-	attempt->refused = failure == HTTP_OUTBOUND_REFUSED;
+	attempt->broke = failure == HTTP_OUTBOUND_NO_RESPONSE ||
+	    failure == HTTP_OUTBOUND_BAD_RESPONSE;
+	attempt->refused = failure == HTTP_OUTBOUND_CONNECTION_REFUSED;
 	switch (failure) {
 	case HTTP_OUTBOUND_NOT_SENT:
 		attempt_over(req, ATTEMPT_NOT_SENT, "connect");
 		break;
-	case HTTP_OUTBOUND_REFUSED:
+	case HTTP_OUTBOUND_CONNECTION_REFUSED:
 		attempt_over(req, ATTEMPT_NOT_SENT, "refused");
 		break;
-	case HTTP_OUTBOUND_NO_ANSWER:
+	case HTTP_OUTBOUND_NO_RESPONSE:
 		attempt_over(req, ATTEMPT_UNKNOWN, "no_answer");
 		break;
-	case HTTP_OUTBOUND_BROKEN:
+	case HTTP_OUTBOUND_BAD_RESPONSE:
 		attempt_over(req, ATTEMPT_UNKNOWN, "broken");
 		break;
 	}
@@ -341,5 +341,5 @@
 	if (!req->paused || req->attempt.endpoint == NULL)
 		return;
 	req->paused = false;
-	http_outbound_pause(req->attempt.conn, false);
+	http_outbound_pause_reading(req->attempt.conn, false);
 }
--- a/moortack/relay/relay_ask.c
+++ b/moortack/relay/relay_ask.c
@@ -129,7 +129,7 @@
 on_sent(void *arg, const gossip_message_t *message)
 {
 	relay_t *relay = arg;
-	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	int64_t now_ms = timespec_to_ms(clock_boottime(relay->clock));
 	endpoint_t *endpoint =
 	    endpoint_set_find_short(relay->endpoints, message->endpoint);
 	prefix_list_t prefixes = {.len = message->prefixes_len};
@@ -147,7 +147,7 @@
 on_asked(void *arg, const gossip_message_t *question, gossip_message_t *answer)
 {
 	relay_t *relay = arg;
-	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	int64_t now_ms = timespec_to_ms(clock_boottime(relay->clock));
 	const endpoint_t *endpoint =
 	    endpoint_set_find_short(relay->endpoints, question->endpoint);
 	prefix_list_t prefixes = {.len = question->prefixes_len};
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -87,7 +87,7 @@
 	attempt_t *attempt = &req->attempt;
 
 	prefill_queue_drop(&attempt->endpoint->unread, &attempt->ticket,
-	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
+	    (double)timespec_to_ms(clock_boottime(req->relay->clock)));
 	if (!req->attempt.sent)
 		return;
 	session_note(req);
@@ -150,7 +150,7 @@
 	    req->kept_dead ? NULL : endpoint_take_link(endpoint, max_ms);
 	attempt->kept = attempt->conn != NULL;
 	if (attempt->kept)
-		http_outbound_set_silent(attempt->conn,
+		http_outbound_set_silence_timeout(attempt->conn,
 		    request_idempotent(req) ? relay->bounds.silent_repeat_ms
 					    : relay->bounds.silent_ms);
 	if (attempt->conn == NULL) {
@@ -214,7 +214,7 @@
 	const placement_t *place = &req->attempt.place;
 	const relay_t *relay = req->relay;
 
-	event_line(relay->log, "attempt",
+	event_log_write(relay->log, "attempt",
 	    "id=%s endpoint=%s zone=%s model=%s attempt=%u kept=%d resume=%d "
 	    "of=%zu cold=%zu told=%zu load=%.0f wait_ms=%.0f read_ms=%.0f "
 	    "first_ms=%.0f "
@@ -415,7 +415,7 @@
 	attempt_t *attempt = &req->attempt;
 
 	outcome_count(req, end);
-	event_line(req->relay->log, "attempt_over",
+	event_log_write(req->relay->log, "attempt_over",
 	    "id=%s endpoint=%s why=%s end=%d sends=%u kept=%d begun=%d "
 	    "last_event=%" PRId64 " model=%s confidence=%d running=%u "
 	    "waiting=%u digest=%016" PRIx64,
--- a/moortack/relay/relay_counts.c
+++ b/moortack/relay/relay_counts.c
@@ -42,7 +42,7 @@
 
 	return share != NULL &&
 	    retry_share_spend(share, &relay->bounds.retries,
-		relay->daemons_most, clock_elapsed(relay->clock));
+		relay->daemons_most, clock_boottime(relay->clock));
 }
 
 bool
@@ -52,7 +52,7 @@
 
 	return share != NULL &&
 	    retry_share_left(share, &relay->bounds.retries, relay->daemons_most,
-		clock_elapsed(relay->clock)) > REPEATS_KEPT;
+		clock_boottime(relay->clock)) > REPEATS_KEPT;
 }
 
 void
--- a/moortack/relay/relay_crashes.c
+++ b/moortack/relay/relay_crashes.c
@@ -18,7 +18,7 @@
 suspicion_log(const relay_quarantine_t *self, uint64_t digest,
     const endpoint_t *endpoint, const char *how)
 {
-	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
+	event_log_write_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " crashes=%zu endpoint=%s how=%s", digest,
 	    quarantine_crashes(&self->table, digest), endpoint->facts.id, how);
 }
@@ -52,7 +52,7 @@
 relay_quarantine_ended(
     relay_quarantine_t *self, const endpoint_t *endpoint, const char *how)
 {
-	struct timespec now = clock_elapsed(self->relay->clock);
+	struct timespec now = clock_boottime(self->relay->clock);
 
 	self->crashes +=
 	    crash_evidence_open(&self->evidence, endpoint->short_hash);
@@ -109,7 +109,7 @@
 	broken_attempt_t attempt = {.digest = relay_digest(req),
 	    .incarnation = endpoint->short_hash,
 	    .version = quarantine_version_of(endpoint),
-	    .at = clock_elapsed(req->relay->clock)};
+	    .at = clock_boottime(req->relay->clock)};
 
 	/* One that leaves ends when it is done. */
 	if (attempt.digest == 0 || endpoint->facts.leaving)
@@ -169,7 +169,7 @@
 void
 quarantine_evidence_step(relay_quarantine_t *self)
 {
-	struct timespec now = clock_elapsed(self->relay->clock);
+	struct timespec now = clock_boottime(self->relay->clock);
 
 	left_look(self);
 	/* The last probe told nothing. */
--- a/moortack/relay/relay_guard.c
+++ b/moortack/relay/relay_guard.c
@@ -20,7 +20,7 @@
 event_gap_ms(const relay_request_t *req)
 {
 	int64_t us = timespec_us_between(
-	    req->events_since, clock_elapsed(req->relay->clock));
+	    req->events_since, clock_boottime(req->relay->clock));
 
 	return (double)us / US_PER_MS / (req->events - 1);
 }
@@ -71,7 +71,7 @@
 
 	if (rollout != NULL && tells(req, sign) &&
 	    version_guard_take(
-		&rollout->guard, &answer, clock_elapsed(req->relay->clock)))
+		&rollout->guard, &answer, clock_boottime(req->relay->clock)))
 		req->attempt.counted = true;
 }
 
@@ -79,7 +79,7 @@
 relay_guard_alive(relay_request_t *req)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
-	struct timespec now = clock_elapsed(req->relay->clock);
+	struct timespec now = clock_boottime(req->relay->clock);
 	rollout_t *rollout = endpoint->suspected_len > 0
 	    ? rollouts_find(req->relay->rollouts, endpoint->facts.service)
 	    : NULL;
@@ -149,13 +149,13 @@
 		return;
 	endpoint->suspected[endpoint->suspected_len++] =
 	    (suspected_failure_t){.answer = sign_of(req, GUARD_FAILED, 0),
-		.at = clock_elapsed(req->relay->clock)};
+		.at = clock_boottime(req->relay->clock)};
 }
 
 void
 relay_guard_look(relay_t *relay)
 {
-	struct timespec now = clock_elapsed(relay->clock);
+	struct timespec now = clock_boottime(relay->clock);
 
 	for (relay_request_t *req = relay->first; req != NULL;
 	     req = req->next) {
--- a/moortack/relay/relay_model.c
+++ b/moortack/relay/relay_model.c
@@ -130,7 +130,7 @@
 	if (model == NULL)
 		return;
 	waited_ms = (double)timespec_ms_between(
-	    attempt->sent_at, clock_elapsed(req->relay->clock));
+	    attempt->sent_at, clock_boottime(req->relay->clock));
 	/* Only a wait that is longer than expected says something. */
 	waited_ms -= attempt->place.wait_ms;
 	if (waited_ms > prefill_rate_ms(&model->pace, attempt->place.unread))
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -62,7 +62,7 @@
 static void
 report_send(relay_node_t *node)
 {
-	struct timespec now = clock_elapsed(node->ports.clock);
+	struct timespec now = clock_boottime(node->ports.clock);
 	bool active = rollouts_active(&node->rollouts);
 	row_watch_t *own = &node->source.watches[ROW_TABLE_OWN].watch;
 
@@ -96,7 +96,7 @@
 	    node->settings.name);
 	row.value_len = strlen(text);
 	row.version = (uint64_t)(node->members.store_offset_ms +
-	    timespec_ms(clock_elapsed(node->ports.clock)));
+	    timespec_to_ms(clock_boottime(node->ports.clock)));
 	row_source_put(&node->source, ROW_TABLE_OWN, &row);
 	free(text);
 }
@@ -138,7 +138,7 @@
 calls_tell(relay_node_t *node)
 {
 	const uint64_t *calls = node->ports.store->calls;
-	struct timespec now = clock_elapsed(node->ports.clock);
+	struct timespec now = clock_boottime(node->ports.clock);
 	uint64_t all = 0;
 
 	for (int i = 0; i < ROW_PURPOSES; i++)
@@ -148,7 +148,7 @@
 		return;
 	node->calls_told = all;
 	node->calls_told_at = now;
-	event_line(&node->log, "store_calls",
+	event_log_write(&node->log, "store_calls",
 	    "all=%" PRIu64 " read=%" PRIu64 " reread=%" PRIu64
 	    " changes=%" PRIu64 " beside=%" PRIu64 " member=%" PRIu64
 	    " clearing=%" PRIu64 " state=%" PRIu64 " key=%" PRIu64
@@ -180,19 +180,19 @@
 static void
 leave_step(relay_node_t *node)
 {
-	struct timespec now = clock_elapsed(node->ports.clock);
+	struct timespec now = clock_boottime(node->ports.clock);
 	double part = (double)timespec_ms_between(node->leaving_since, now) /
 	    (double)node->settings.grace_ms;
 
 	if (part >= LEAVE_STREAMS_PART)
 		node->relay.leaving = true;
 	if (part >= LEAVE_LISTEN_PART)
-		http_inbound_refuse(node->relay.server);
+		http_inbound_stop_accepting(node->relay.server);
 	if (part < LEAVE_MAX_PART &&
 	    (part < LEAVE_LISTEN_PART || node->relay.under_way > 0 ||
 		node->members.writing))
 		return;
-	event_line(&node->log, "stop", "under_way=%u part=%.2f",
+	event_log_write(&node->log, "stop", "under_way=%u part=%.2f",
 	    node->relay.under_way, part);
 	if (node->gone != NULL)
 		node->gone(node->gone_arg);
@@ -203,7 +203,7 @@
 woken(relay_node_t *node, int64_t suspended_ms)
 {
 	node->suspensions++;
-	event_line(&node->log, "suspended",
+	event_log_write(&node->log, "suspended",
 	    "ms=%" PRId64 " under_way=%u config_age_ms=%" PRId64, suspended_ms,
 	    node->relay.under_way, row_watch_age_ms(node->relay.config_watch));
 	relay_woken(&node->relay);
@@ -214,7 +214,7 @@
 {
 	relay_node_t *node = arg;
 	int64_t suspended_ms =
-	    suspend_watch_look(&node->suspended, node->ports.clock);
+	    suspend_watch_poll(&node->suspended, node->ports.clock);
 
 	(void)fd;
 	(void)what;
@@ -392,7 +392,7 @@
 	node->tick = event_new(ports->base, -1, EV_PERSIST, on_tick, node);
 	if (node->tick == NULL || event_add(node->tick, &tick) != 0)
 		return err_set(err, ERR_MEMORY, "out of memory");
-	event_line(&node->log, "start", "name=%s zone=%s", settings->name,
+	event_log_write(&node->log, "start", "name=%s zone=%s", settings->name,
 	    settings->zone);
 	return true;
 }
@@ -425,7 +425,7 @@
 	zone_regions_set(node, settings);
 	node->source.watches[ROW_TABLE_ENDPOINTS].watch.pace.pause_ms =
 	    settings->endpoints_pause_ms;
-	event_line(&node->log, "reload",
+	event_log_write(&node->log, "reload",
 	    "key_fresh_ms=%" PRId64 " grace_ms=%" PRId64,
 	    settings->bounds.key_fresh_ms, settings->grace_ms);
 }
@@ -436,10 +436,11 @@
 	if (node->leaving)
 		return;
 	node->leaving = true;
-	node->leaving_since = clock_elapsed(node->ports.clock);
+	node->leaving_since = clock_boottime(node->ports.clock);
 	node->gone = gone;
 	node->gone_arg = arg;
-	event_line(&node->log, "leave", "under_way=%u", node->relay.under_way);
+	event_log_write(
+	    &node->log, "leave", "under_way=%u", node->relay.under_way);
 	membership_set_state(&node->members, MEMBER_LEAVING);
 	row_source_leave(&node->source);
 	relay_leave(&node->relay);
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -38,13 +38,13 @@
 {
 	relay_quarantine_t *self = arg;
 
-	event_line(self->relay->log, "quarantine",
+	event_log_write(self->relay->log, "quarantine",
 	    "digest=%016" PRIx64 " source=%s crashes=%zu endpoints=%08" PRIx32
 	    ",%08" PRIx32 ",%08" PRIx32 " held_ms=%" PRId64 " witnessed=%d",
 	    suspect->digest, self->source, suspect->crashes_len,
 	    suspect->crashes[0], suspect->crashes[1], suspect->crashes[2],
 	    timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock)),
+		suspect->held_at, clock_boottime(self->relay->clock)),
 	    suspect->witnessed);
 	event_active(self->stop, 0, 0);
 }
@@ -57,11 +57,11 @@
 	    [QUARANTINE_EVICTED] = "evicted"};
 	relay_quarantine_t *self = arg;
 
-	event_line(self->relay->log, "quarantine_end",
+	event_log_write(self->relay->log, "quarantine_end",
 	    "digest=%016" PRIx64 " why=%s held_ms=%" PRId64, suspect->digest,
 	    names[why],
 	    timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock)));
+		suspect->held_at, clock_boottime(self->relay->clock)));
 }
 
 static void
@@ -108,7 +108,7 @@
 	    quarantine_crashes(&self->table, relay_digest(req)) == 0)
 		return;
 	message.digests[0] = relay_digest(req);
-	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
+	event_log_write_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " crashes=0 endpoint=%s how=cleared",
 	    relay_digest(req), req->endpoint_id);
 	if (req->on_trial)
@@ -148,7 +148,7 @@
 static bool
 acts_after(const relay_quarantine_t *self, const suspect_t *suspect, int64_t ms)
 {
-	struct timespec now = clock_elapsed(self->relay->clock);
+	struct timespec now = clock_boottime(self->relay->clock);
 
 	return gossip_owns(self->relay->gossip, suspect->digest) ||
 	    (suspect->witnessed &&
@@ -172,7 +172,7 @@
 	    .version = suspect->version,
 	    .crashes_len = suspect->crashes_len,
 	    .held_ms = (uint32_t)timespec_ms_between(
-		suspect->held_at, clock_elapsed(self->relay->clock))};
+		suspect->held_at, clock_boottime(self->relay->clock))};
 
 	memcpy(message.crashes, suspect->crashes, sizeof(message.crashes));
 	gossip_tell_each(self->relay->gossip, &message);
@@ -212,7 +212,7 @@
 void
 relay_quarantine_tick(relay_quarantine_t *self)
 {
-	struct timespec now = clock_elapsed(self->relay->clock);
+	struct timespec now = clock_boottime(self->relay->clock);
 	bool look = timespec_ms_between(self->looked_at, now) >= LOOK_MS;
 	suspect_t *one, *next;
 
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -224,9 +224,9 @@
 		return;
 	if (node->relay.config != NULL) {
 		node->lapses = true;
-		node->store_back = clock_elapsed(node->ports.clock);
+		node->store_back = clock_boottime(node->ports.clock);
 	}
-	event_line(&node->log, "store_era",
+	event_log_write(&node->log, "store_era",
 	    "era=%" PRIu64 " before=%" PRIu64 " config=%" PRIu64, era,
 	    node->era,
 	    node->relay.config != NULL ? node->relay.config->version : 0);
@@ -264,7 +264,7 @@
 	relay_node_t *node = arg;
 	const row_watch_t *watch = row_source_watch(&node->source, table);
 
-	event_line(&node->log, now ? "store_back" : "store_lost",
+	event_log_write(&node->log, now ? "store_back" : "store_lost",
 	    "table=%s age_ms=%" PRId64, names[table], row_watch_age_ms(watch));
 	if (table != ROW_TABLE_ENDPOINTS || !now)
 		return;
@@ -273,7 +273,7 @@
 	if (!watch->settled_once || row_watch_age_ms(watch) < OUTAGE_MIN_MS)
 		return;
 	node->lapses = true;
-	node->store_back = clock_elapsed(node->ports.clock);
+	node->store_back = clock_boottime(node->ports.clock);
 }
 
 static void
--- a/moortack/relay/relay_select.c
+++ b/moortack/relay/relay_select.c
@@ -98,7 +98,7 @@
     size_t index, candidates_t *set)
 {
 	const relay_t *relay = req->relay;
-	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	int64_t now_ms = timespec_to_ms(clock_boottime(relay->clock));
 	double far_ms = (double)evbuffer_get_length(req->body) / BYTES_PER_KB *
 	    FAR_MS_PER_KB;
 	uint32_t shared = shared_tokens(prefixes, req->arrival.tokens_in);
@@ -203,7 +203,7 @@
 	static prefix_list_t prefixes;
 	const char *model = relay_model_name(req, index);
 	relay_t *relay = req->relay;
-	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	int64_t now_ms = timespec_to_ms(clock_boottime(relay->clock));
 
 	if (req->arrival.parts_len == 0)
 		return;
--- a/moortack/relay/relay_stats.c
+++ b/moortack/relay/relay_stats.c
@@ -143,7 +143,7 @@
 	}
 	evbuffer_add_printf(
 	    out, "# TYPE moortack_relay_failures_total counter\n");
-	for (int i = 1; i < ERR_CODES; i++) {
+	for (int i = 1; i < ERR_CODE_COUNT; i++) {
 		if (stats->failures[i] > 0)
 			evbuffer_add_printf(out,
 			    "moortack_relay_failures_total{type=\"%s\"} "
--- a/moortack/relay/relay_suspects.c
+++ b/moortack/relay/relay_suspects.c
@@ -12,7 +12,7 @@
 {
 	const quarantine_t *table = &req->relay->quarantine.table;
 
-	event_line_throttled(req->relay->log, EVENT_THROTTLED_SUSPECT,
+	event_log_write_throttled(req->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " id=%s crashes=%zu left_ms=%" PRId64
 	    " how=%s",
 	    digest, req->arrival.id, quarantine_crashes(table, digest),
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -20,7 +20,7 @@
 	if (members == NULL || !members->rows_read ||
 	    !members->store_clock_known || members_stale(relay))
 		return -1;
-	return timespec_ms(clock_elapsed(relay->clock)) +
+	return timespec_to_ms(clock_boottime(relay->clock)) +
 	    members->store_offset_ms;
 }
 
@@ -31,10 +31,10 @@
 	const relay_service_t *service = relay_config_service(config, name);
 	int64_t store_ms = store_now_ms(relay);
 
-	*snapshot = (warmup_snapshot_t){.now = clock_elapsed(relay->clock)};
+	*snapshot = (warmup_snapshot_t){.now = clock_boottime(relay->clock)};
 	if (service == NULL || service->warmup_per_s <= 0)
 		return;
-	snapshot->wall_ms = timespec_ms(clock_wall(relay->clock));
+	snapshot->wall_ms = timespec_to_ms(clock_wall(relay->clock));
 	snapshot->warmup_ms = service->warmup_ms;
 	snapshot->slot = store_ms >= 0 ? store_ms / WARMUP_SLOT_MS : -1;
 	snapshot->quota =
@@ -170,7 +170,7 @@
 void
 relay_warmup_tick(relay_t *relay, bool first_read)
 {
-	struct timespec now = clock_elapsed(relay->clock);
+	struct timespec now = clock_boottime(relay->clock);
 
 	for (const member_t *one = relay->members->members; one != NULL;
 	     one = one->hh.next)
--- a/moortack/relay/retry_share.c
+++ b/moortack/relay/retry_share.c
@@ -16,7 +16,7 @@
     retry_share_t *share, const retry_bounds_t *bounds, struct timespec now)
 {
 	int64_t width = bounds->window_ms / WINDOW_SLICES;
-	int64_t slice = timespec_ms(now) / (width > 0 ? width : 1);
+	int64_t slice = timespec_to_ms(now) / (width > 0 ? width : 1);
 	int64_t steps = slice - share->slice;
 
 	if (steps <= 0)
--- a/moortack/relay/rollout_report.c
+++ b/moortack/relay/rollout_report.c
@@ -76,7 +76,7 @@
 static void
 bad_log(const rollout_t *rollout, const guard_tally_t *tally)
 {
-	event_line(rollout->owner->log, "rollout_bad",
+	event_log_write(rollout->owner->log, "rollout_bad",
 	    "service=%s order=%" PRIu64 " route=%016" PRIx64
 	    " new=%u failed=%u slow=%u paced=%u dragged=%u"
 	    " old=%u failed=%u slow=%u paced=%u dragged=%u",
@@ -112,7 +112,7 @@
 {
 	guard_tally_t sums[SUM_ROUTES_MAX];
 	size_t len = version_guard_tally(&rollout->guard,
-	    clock_elapsed(rollout->owner->clock), sums, SUM_ROUTES_MAX);
+	    clock_boottime(rollout->owner->clock), sums, SUM_ROUTES_MAX);
 
 	members_add(rollout, sums, &len);
 	return tallies_bad(rollout, sums, len);
@@ -168,7 +168,7 @@
 {
 	guard_tally_t tallies[GUARD_ROUTES_MAX];
 	size_t len = version_guard_tally(&rollout->guard,
-	    clock_elapsed(rollout->owner->clock), tallies, GUARD_ROUTES_MAX);
+	    clock_boottime(rollout->owner->clock), tallies, GUARD_ROUTES_MAX);
 	rollout_moment_t moment = rollout_moment(rollout);
 	json_t *rows = json_array();
 
@@ -198,7 +198,7 @@
 		return NULL;
 	report = json_pack("{s:o}", "rollouts", report);
 	sessions =
-	    session_memory_list(&self->served, clock_elapsed(self->clock));
+	    session_memory_list(&self->served, clock_boottime(self->clock));
 	if (sessions != NULL)
 		json_object_set_new(report, "sessions", sessions);
 	return report;
--- a/moortack/relay/rollout_sessions.c
+++ b/moortack/relay/rollout_sessions.c
@@ -8,13 +8,13 @@
 {
 	if (rollout_takes(ROLLOUT_FIRST_SHARE, hash))
 		session_memory_note(
-		    &self->served, hash, clock_elapsed(self->clock));
+		    &self->served, hash, clock_boottime(self->clock));
 }
 
 bool
 rollouts_session_served(const rollouts_t *self, uint64_t hash)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	return session_memory_has(&self->served, hash, now) ||
 	    session_memory_has(&self->heard, hash, now);
@@ -28,14 +28,14 @@
 	if (row->deleted)
 		return;
 	list = json_loadb(row->value, row->value_len, 0, NULL);
-	session_memory_take(&self->heard, list, clock_elapsed(self->clock));
+	session_memory_take(&self->heard, list, clock_boottime(self->clock));
 	json_decref(list);
 }
 
 char *
 rollouts_sessions(const rollouts_t *self)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 	json_t *all = json_array();
 	json_t *served = session_memory_list(&self->served, now);
 	json_t *heard = session_memory_list(&self->heard, now);
@@ -55,7 +55,7 @@
 void
 rollouts_sessions_take(rollouts_t *self)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	for (const member_t *member = self->members->members; member != NULL;
 	     member = member->hh.next)
--- a/moortack/relay/rollout_state.c
+++ b/moortack/relay/rollout_state.c
@@ -75,7 +75,7 @@
 	    (json_int_t)rollout->order.number, "to", rollout->order.to, "base",
 	    rollout_base(rollout), "state", rollout_state_names[state],
 	    "began_ms",
-	    (json_int_t)(timespec_ms(rollout_began(rollout)) +
+	    (json_int_t)(timespec_to_ms(rollout_began(rollout)) +
 		self->now_offset_ms));
 	char *text = json_dumps(value, JSON_COMPACT);
 
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -64,7 +64,7 @@
 	if (rollout->state_order != rollout->order.number ||
 	    rollout->began_ms <= 0 || !self->now_known)
 		return rollout->seen;
-	return timespec_of_ms(rollout->began_ms - self->now_offset_ms);
+	return timespec_from_ms(rollout->began_ms - self->now_offset_ms);
 }
 
 rollout_moment_t
@@ -74,7 +74,7 @@
 
 	return (rollout_moment_t){.state = state_now(rollout),
 	    .elapsed_ms = timespec_ms_between(
-		rollout_began(rollout), clock_elapsed(self->clock)),
+		rollout_began(rollout), clock_boottime(self->clock)),
 	    .duration_ms = rollout->order.duration_ms,
 	    .stopped = rollout->stopped,
 	    .uncertain = row_watch_age_ms(self->orders) > UNCERTAIN_MS ||
@@ -98,7 +98,7 @@
 	moment = rollout_moment(rollout);
 	share = rollout_share(&moment);
 	if (share != rollout->share) {
-		event_line(rollout->owner->log, "rollout_share",
+		event_log_write(rollout->owner->log, "rollout_share",
 		    "service=%s order=%" PRIu64
 		    " to=%s state=%s share=%.2f elapsed_ms=%" PRId64
 		    " stopped=%d uncertain=%d",
@@ -171,11 +171,11 @@
 	strcpy(rollout->order.to, order->to);
 	rollout->order.duration_ms = order->duration_ms;
 	rollout->next.number = 0;
-	rollout->seen = clock_elapsed(self->clock);
+	rollout->seen = clock_boottime(self->clock);
 	rollout->stopped = false;
 	rollout->write_after = (struct timespec){0};
 	version_guard_restart(&rollout->guard);
-	event_line(self->log, "rollout_order",
+	event_log_write(self->log, "rollout_order",
 	    "service=%s order=%" PRIu64 " to=%s base=%s duration_ms=%" PRId64,
 	    order->service, order->number, order->to, rollout_base(rollout),
 	    order->duration_ms);
@@ -254,8 +254,8 @@
 		return;
 	}
 	rollout->next = *order;
-	rollout->next_seen = clock_elapsed(self->clock);
-	event_line(self->log, "rollout_next",
+	rollout->next_seen = clock_boottime(self->clock);
+	event_log_write(self->log, "rollout_next",
 	    "service=%s order=%" PRIu64 " to=%s before=%" PRIu64,
 	    order->service, order->number, order->to, rollout->order.number);
 	if (!self->states->suspended)
@@ -265,7 +265,8 @@
 void
 rollouts_store_clock(rollouts_t *self, int64_t now_ms)
 {
-	self->now_offset_ms = now_ms - timespec_ms(clock_elapsed(self->clock));
+	self->now_offset_ms =
+	    now_ms - timespec_to_ms(clock_boottime(self->clock));
 	self->now_known = true;
 }
 
@@ -315,7 +316,8 @@
 	bool restored;
 
 	if (rollout == NULL)
-		return err_set(err, ERR_NAME, "the service's name is too long");
+		return err_set(
+		    err, ERR_BAD_NAME, "the service's name is too long");
 	if (row->version <= rollout->state_version)
 		return true;
 	restored = era > era_version_era(rollout->state_version);
@@ -339,7 +341,7 @@
 		    era_version_of(era, era_version_number(facts.order));
 	}
 	state_set(rollout, &facts);
-	event_line(self->log, "rollout_state",
+	event_log_write(self->log, "rollout_state",
 	    "service=%s order=%" PRIu64 " state=%s version=%" PRIu64,
 	    rollout->order.service, rollout->state_order,
 	    rollout_state_names[rollout->state], row->version);
@@ -357,10 +359,10 @@
 	/* The state is taken over when its row is read, whoever wrote it; a
 	 * lost answer is settled the same way. */
 	rollout->write_after =
-	    timespec_after_ms(clock_elapsed(self->clock), RETRY_MS);
+	    timespec_add_ms(clock_boottime(self->clock), RETRY_MS);
 	if (!self->states->suspended)
 		row_watch_hurry(self->states);
-	event_line(self->log, "rollout_write",
+	event_log_write(self->log, "rollout_write",
 	    "service=%s order=%" PRIu64 " state=%s result=%d",
 	    rollout->order.service, rollout->order.number,
 	    rollout_state_names[rollout->wanted], (int)reply->result);
@@ -419,7 +421,7 @@
 rollout_step(rollout_t *rollout)
 {
 	rollouts_t *self = rollout->owner;
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 	rollout_moment_t moment = rollout_moment(rollout);
 	rollout_state_t wanted;
 
@@ -438,7 +440,7 @@
 	if (rollout->state_order > rollout->order.number)
 		return;
 	if (rollout->write_after.tv_sec == 0) {
-		rollout->write_after = timespec_after_ms(now,
+		rollout->write_after = timespec_add_ms(now,
 		    (int64_t)membership_rank(self->members) * RANK_DELAY_MS);
 	}
 	if (timespec_ms_between(rollout->write_after, now) < 0)
--- a/moortack/relay/row_refusals.c
+++ b/moortack/relay/row_refusals.c
@@ -15,7 +15,7 @@
 fault_of(const err_t *why)
 {
 	switch (why->code) {
-	case ERR_NAME:
+	case ERR_BAD_NAME:
 		return ROW_FAULT_NAME;
 	case ERR_UNREADABLE:
 		return ROW_FAULT_UNREADABLE;
@@ -30,14 +30,14 @@
 {
 	row_fault_t fault = fault_of(why);
 	row_refusal_t *refusal = &self->counts[kind][fault];
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	refusal->count++;
 	if (self->log == NULL ||
 	    (refusal->told > 0 &&
 		timespec_ms_between(refusal->at, now) < TOLD_EVERY_MS))
 		return;
-	event_line(self->log, "row_refused",
+	event_log_write(self->log, "row_refused",
 	    "kind=%s fault=%s count=%" PRIu64 " key=%.40s version=%" PRIu64
 	    " why=\"%s\"",
 	    kinds[kind], faults[fault], refusal->count - refusal->told,
--- a/moortack/relay/version_guard.c
+++ b/moortack/relay/version_guard.c
@@ -53,7 +53,7 @@
 static void
 row_slide(guard_row_of_route_t *row, struct timespec now)
 {
-	int64_t slice = timespec_ms(now) / SLICE_MS;
+	int64_t slice = timespec_to_ms(now) / SLICE_MS;
 	int64_t steps = slice - row->slice;
 
 	if (steps <= 0)
--- a/moortack/relay/zone_rows.c
+++ b/moortack/relay/zone_rows.c
@@ -18,9 +18,9 @@
 static void
 evacuation_log(relay_node_t *node, const zone_t *zone, uint64_t version)
 {
-	struct timespec now = clock_elapsed(node->ports.clock);
+	struct timespec now = clock_boottime(node->ports.clock);
 
-	event_line(&node->log, "evacuation",
+	event_log_write(&node->log, "evacuation",
 	    "zone=%s state=%s version=%" PRIu64 " orders_age_ms=%" PRId64
 	    " lasted_ms=%" PRId64 " in_flight=%u zones_evacuated=%zu",
 	    zone->name, zone->evacuated ? "in_force" : "over", version,
@@ -33,7 +33,7 @@
 static void
 evacuation_apply(relay_node_t *node, zone_t *zone, const row_t *row)
 {
-	struct timespec now = clock_elapsed(node->ports.clock);
+	struct timespec now = clock_boottime(node->ports.clock);
 	bool changed = row->deleted ? zone_end_evacuation(zone, now)
 				    : zone_evacuate(zone, now);
 
@@ -59,7 +59,7 @@
     const row_t *row)
 {
 	if (!zone->unconfirmed)
-		zone->unconfirmed_since = clock_elapsed(node->ports.clock);
+		zone->unconfirmed_since = clock_boottime(node->ports.clock);
 	zone->unconfirmed = true;
 	relay_rows_keep(node, ROW_TABLE_ORDERS, known, row);
 }
@@ -112,7 +112,7 @@
 void
 relay_evacuations_expire(relay_node_t *node)
 {
-	struct timespec now = clock_elapsed(node->ports.clock);
+	struct timespec now = clock_boottime(node->ports.clock);
 
 	if (node->source.following)
 		return;
--- a/moortack/replication/feed_client.c
+++ b/moortack/replication/feed_client.c
@@ -34,7 +34,7 @@
 	feed_question_clear(&question);
 	if (text == NULL)
 		return false;
-	client->asked = clock_elapsed(client->clock);
+	client->asked = clock_boottime(client->clock);
 	sent =
 	    zmq_send(client->dealer.socket, text, strlen(text), ZMQ_DONTWAIT);
 	free(text);
--- a/moortack/replication/feed_server.c
+++ b/moortack/replication/feed_server.c
@@ -38,7 +38,7 @@
 	    .lost = server->lost,
 	    .leaving = server->leaving,
 	    .held_ms = timespec_ms_between(
-		waiting->asked, clock_elapsed(server->clock))};
+		waiting->asked, clock_boottime(server->clock))};
 	const feed_bytes_t *rows = feed_bodies_for(&server->bodies,
 	    server->cache, server->incarnation, &waiting->asked_for, &answer);
 	char *text;
@@ -73,7 +73,7 @@
 static void
 waiting_flush(feed_server_t *server)
 {
-	struct timespec now = clock_elapsed(server->clock);
+	struct timespec now = clock_boottime(server->clock);
 	feed_waiting_t **at = &server->waiting;
 
 	while (*at != NULL) {
@@ -193,7 +193,7 @@
 		waiting->identity_len = len;
 		waiting->number = question.number;
 		waiting->asked_for = question.from;
-		waiting->asked = clock_elapsed(server->clock);
+		waiting->asked = clock_boottime(server->clock);
 		question_hold(server, waiting);
 	}
 	feed_question_clear(&question);
--- a/moortack/replication/fleet_key.c
+++ b/moortack/replication/fleet_key.c
@@ -19,7 +19,7 @@
 	/* Whoever was first, the key is in the table now. */
 	self->key_writing = false;
 	self->key_after =
-	    timespec_after_ms(clock_elapsed(self->clock), KEY_RETRY_MS);
+	    timespec_add_ms(clock_boottime(self->clock), KEY_RETRY_MS);
 	row_watch_hurry(&self->watches[ROW_TABLE_OWN].watch);
 }
 
@@ -57,10 +57,10 @@
 static bool
 key_due(row_source_t *self)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	if (self->key_after.tv_sec == 0)
-		self->key_after = timespec_after_ms(now,
+		self->key_after = timespec_add_ms(now,
 		    KEY_LOOK_MS + (int64_t)rng_below(self->rng, KEY_SPREAD_MS));
 	return timespec_ms_between(self->key_after, now) >= 0 &&
 	    !self->key_writing && membership_rank(self->members) == 0;
@@ -90,7 +90,7 @@
 	char public[FLEET_KEY_SIZE], secret[FLEET_KEY_SIZE];
 
 	if (!self->key_writing &&
-	    timespec_ms_between(self->key_after, clock_elapsed(self->clock)) >=
+	    timespec_ms_between(self->key_after, clock_boottime(self->clock)) >=
 		0 &&
 	    zmq_curve_keypair(public, secret) == 0)
 		key_write(self, secret);
--- a/moortack/replication/member_row.c
+++ b/moortack/replication/member_row.c
@@ -65,7 +65,8 @@
 	*facts = (member_facts_t){.body = body};
 	if (name[0] == '\0' || strlen(name) >= sizeof(facts->name)) {
 		member_facts_finish(facts);
-		return err_set(err, ERR_NAME, "the name is empty or too long");
+		return err_set(
+		    err, ERR_BAD_NAME, "the name is empty or too long");
 	}
 	strcpy(facts->name, name);
 	if (!json_is_object(body)) {
@@ -92,14 +93,14 @@
 	http_address_t address;
 
 	return http_address_parse(text, &address) &&
-	    http_address_is_ip(&address);
+	    http_address_is_ipv4(&address);
 }
 
 bool
 member_facts_check(const member_facts_t *facts, err_t *err)
 {
 	if (!is_address(facts->name))
-		return err_set(err, ERR_NAME, "the name is no IP:PORT");
+		return err_set(err, ERR_BAD_NAME, "the name is no IP:PORT");
 	if (facts->peer[0] != '\0' && !is_address(facts->peer))
 		return err_set(err, ERR_BAD_REQUEST, "peer is no IP:PORT");
 	return true;
--- a/moortack/replication/member_row_requests.c
+++ b/moortack/replication/member_row_requests.c
@@ -131,10 +131,10 @@
 static struct timespec
 wanted_at(const membership_t *self, int64_t at_ms)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 	int64_t age_ms = member_store_now_ms(self) - at_ms;
 
-	return timespec_after_ms(now, age_ms > 0 ? -age_ms : 0);
+	return timespec_add_ms(now, age_ms > 0 ? -age_ms : 0);
 }
 
 void
@@ -231,7 +231,7 @@
 		    self->retry_ms == 0 ? RETRY_MS : 2 * self->retry_ms;
 	if (self->retry_ms > RETRY_MOST_MS)
 		self->retry_ms = RETRY_MOST_MS;
-	self->write_at = timespec_after_ms(clock_elapsed(self->clock),
+	self->write_at = timespec_add_ms(clock_boottime(self->clock),
 	    self->retry_ms > 0 ? self->retry_ms : RETRY_MS);
 	self->written = true;
 }
--- a/moortack/replication/member_signs.c
+++ b/moortack/replication/member_signs.c
@@ -16,7 +16,7 @@
 ms_since(const membership_t *self, struct timespec then)
 {
 	return then.tv_sec != 0 || then.tv_nsec != 0
-	    ? timespec_ms_between(then, clock_elapsed(self->clock))
+	    ? timespec_ms_between(then, clock_boottime(self->clock))
 	    : -1;
 }
 
@@ -26,7 +26,7 @@
 {
 	if (self->log == NULL)
 		return;
-	event_line_throttled(self->log, event,
+	event_log_write_throttled(self->log, event,
 	    "name=%s state=%s named=%d seen_ms=%" PRId64 " silent=%d"
 	    " vouched_ms=%" PRId64 " settled=%d held=%d alone=%d",
 	    member->name, member_state_names[member->state], member->named,
@@ -39,14 +39,14 @@
 membership_alive(const membership_t *self, const member_t *member)
 {
 	return !life_gone(
-	    &self->view, &member->life, clock_elapsed(self->clock));
+	    &self->view, &member->life, clock_boottime(self->clock));
 }
 
 bool
 membership_named(const membership_t *self, const member_t *member)
 {
 	return member->state == MEMBER_READY &&
-	    life_named(&self->view, &member->life, clock_elapsed(self->clock));
+	    life_named(&self->view, &member->life, clock_boottime(self->clock));
 }
 
 /* The member was heard of then, with this report. */
@@ -66,7 +66,7 @@
 void
 membership_heard(membership_t *self, const char *name, json_t *report)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	life_view_asked(&self->view, now);
 	member_heard(self, name, now, report);
@@ -75,7 +75,7 @@
 void
 membership_heard_below(membership_t *self, const json_t *below)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 	const char *name;
 	json_t *told;
 
@@ -86,7 +86,7 @@
 		if (json_array_size(told) < 2)
 			continue;
 		member_heard(self, name,
-		    timespec_after_ms(now, age_ms > 0 ? -age_ms : 0),
+		    timespec_add_ms(now, age_ms > 0 ? -age_ms : 0),
 		    json_array_get(told, 1));
 		membership_row_requested(self, name, json_array_get(told, 2));
 	}
@@ -96,7 +96,7 @@
 static void
 heard_tell(const membership_t *self, json_t *below)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
@@ -114,7 +114,7 @@
 static void
 row_requests_tell(const membership_t *self, json_t *below)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	for (const member_row_request_t *request = self->requests;
 	     request != NULL; request = request->hh.next) {
@@ -159,7 +159,7 @@
 
 	HASH_FIND_STR(self->members, name, member);
 	if (member != NULL)
-		life_no_answer(&member->life, clock_elapsed(self->clock));
+		life_no_answer(&member->life, clock_boottime(self->clock));
 }
 
 static bool
@@ -228,7 +228,7 @@
 	self->clearing = false;
 	self->written = true;
 	self->clear_after =
-	    timespec_after_ms(clock_elapsed(self->clock), CLEAR_RETRY_MS);
+	    timespec_add_ms(clock_boottime(self->clock), CLEAR_RETRY_MS);
 }
 
 static size_t
@@ -326,7 +326,7 @@
 bool
 membership_step(membership_t *self, bool following)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 	bool was_settled = self->view.settled;
 	bool news = false;
 
--- a/moortack/replication/member_tree.c
+++ b/moortack/replication/member_tree.c
@@ -12,7 +12,7 @@
 may_ask(const membership_t *self, const member_t *member)
 {
 	return member->state != MEMBER_LEAVING && member->peer[0] != '\0' &&
-	    timespec_ms_between(clock_elapsed(self->clock), member->shunned) <=
+	    timespec_ms_between(clock_boottime(self->clock), member->shunned) <=
 	    0;
 }
 
@@ -21,7 +21,7 @@
 {
 	return may_ask(self, member) &&
 	    life_answers(
-		&self->view, &member->life, clock_elapsed(self->clock));
+		&self->view, &member->life, clock_boottime(self->clock));
 }
 
 /* Whether the member stands before this daemon; before one that leaves, all do.
--- a/moortack/replication/membership.c
+++ b/moortack/replication/membership.c
@@ -24,7 +24,8 @@
 member_store_now_ms(const membership_t *self)
 {
 	return self->store_clock_known
-	    ? timespec_ms(clock_elapsed(self->clock)) + self->store_offset_ms
+	    ? timespec_to_ms(clock_boottime(self->clock)) +
+		self->store_offset_ms
 	    : 0;
 }
 
@@ -53,7 +54,7 @@
 	self->store = store;
 	self->clock = clock;
 	self->alone = true;
-	self->alone_since = clock_elapsed(clock);
+	self->alone_since = clock_boottime(clock);
 	self->order = member_order(settings->name, settings->strength);
 	self->view.bounds = settings->life;
 }
@@ -124,8 +125,8 @@
 row_seen(const membership_t *self, member_t *member, int64_t at_ms)
 {
 	int64_t age_ms = member_store_now_ms(self) - at_ms;
-	struct timespec at = timespec_after_ms(
-	    clock_elapsed(self->clock), age_ms > 0 ? -age_ms : 0);
+	struct timespec at = timespec_add_ms(
+	    clock_boottime(self->clock), age_ms > 0 ? -age_ms : 0);
 
 	if (at_ms == 0 || !self->store_clock_known)
 		return;
@@ -157,7 +158,7 @@
 	HASH_FIND_STR(self->members, name, member);
 	if (member == NULL)
 		return;
-	member_log(self, member, EVENT_THROTTLED_MEMBER_GONE);
+	member_log(self, member, EVENT_THROTTLED_MEMBER_REMOVED);
 	member_free(self, member);
 }
 
@@ -214,8 +215,8 @@
 	HASH_FIND_STR(self->members, name, member);
 	if (member == NULL)
 		return NULL;
-	member->shunned_at = clock_elapsed(self->clock);
-	member->shunned = timespec_after_ms(member->shunned_at, ms);
+	member->shunned_at = clock_boottime(self->clock);
+	member->shunned = timespec_add_ms(member->shunned_at, ms);
 	return member;
 }
 
@@ -232,7 +233,7 @@
 	 * would not be known here. */
 	if (!membership_follows_another(self))
 		ms = SHUN_FIRST_MS;
-	member->shunned = timespec_after_ms(member->shunned_at, ms);
+	member->shunned = timespec_add_ms(member->shunned_at, ms);
 }
 
 void
@@ -268,7 +269,8 @@
 void
 membership_store_clock(membership_t *self, int64_t now_ms)
 {
-	int64_t offset_ms = now_ms - timespec_ms(clock_elapsed(self->clock));
+	int64_t offset_ms =
+	    now_ms - timespec_to_ms(clock_boottime(self->clock));
 
 	/* A delay of the answer lowers the offset: keep the highest one. */
 	if (!self->store_clock_known || offset_ms > self->store_offset_ms ||
@@ -281,7 +283,7 @@
 membership_rows_read(membership_t *self)
 {
 	self->rows_read = true;
-	life_view_grant(&self->view, clock_elapsed(self->clock));
+	life_view_grant(&self->view, clock_boottime(self->clock));
 }
 
 void
--- a/moortack/replication/row_answer.c
+++ b/moortack/replication/row_answer.c
@@ -68,7 +68,7 @@
 		if (table->age_ms < 0)
 			continue;
 		row_watch_vouch(&self->watches[i].watch, table->version,
-		    timespec_after_ms(sent, -table->age_ms));
+		    timespec_add_ms(sent, -table->age_ms));
 		self->ops->settled(self->arg, (row_table_t)i, false);
 	}
 }
--- a/moortack/replication/row_cache.c
+++ b/moortack/replication/row_cache.c
@@ -177,7 +177,7 @@
 	    .value_len = row->value_len,
 	    .version = row->version,
 	    .change = row->change,
-	    .replaced_at = clock_elapsed(cache->clock),
+	    .replaced_at = clock_boottime(cache->clock),
 	    .older = row->priors};
 	row->value = NULL;
 	row->priors = prior;
@@ -239,7 +239,7 @@
 		return false;
 	row_changed(cache, row);
 	if (now->deleted)
-		row->gone_at = clock_elapsed(cache->clock);
+		row->gone_at = clock_boottime(cache->clock);
 	return true;
 }
 
@@ -286,7 +286,7 @@
 void
 row_cache_trim(row_cache_t *cache)
 {
-	struct timespec now = clock_elapsed(cache->clock);
+	struct timespec now = clock_boottime(cache->clock);
 	cached_row_t *row, *next;
 
 	if (timespec_ms_between(cache->trimmed, now) < TRIM_EVERY_MS)
--- a/moortack/replication/row_follow.c
+++ b/moortack/replication/row_follow.c
@@ -96,12 +96,13 @@
 static void
 followed_old(row_source_t *self, const feed_answer_t *answer)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	if (!self->old) {
 		self->old = true;
 		self->old_since = now;
-		event_line(self->log, "behind", "source=%s", self->followed);
+		event_log_write(
+		    self->log, "behind", "source=%s", self->followed);
 	}
 	if (timespec_ms_between(self->old_since, now) >= OLD_MOST_MS) {
 		row_parent_leave(self, "behind");
@@ -142,8 +143,9 @@
 	row_follow_tell_lost(self);
 	feed_server_refresh(&self->server);
 	row_source_suspend(self, true);
-	event_line(self->log, "follow", "source=%s rows=%zu age_ms=%" PRId64,
-	    self->followed, json_array_size(answer->rows),
+	event_log_write(self->log, "follow",
+	    "source=%s rows=%zu age_ms=%" PRId64, self->followed,
+	    json_array_size(answer->rows),
 	    answer->tables[ROW_TABLE_ORDERS].age_ms);
 }
 
@@ -153,7 +155,7 @@
 {
 	if (answer->vouched_ms >= 0 &&
 	    membership_vouched(self->members,
-		timespec_after_ms(sent, -answer->vouched_ms), answer->silent))
+		timespec_add_ms(sent, -answer->vouched_ms), answer->silent))
 		feed_server_refresh(&self->server);
 }
 
@@ -163,7 +165,7 @@
 whole_ask(row_source_t *self)
 {
 	self->followed_source = 0;
-	event_line(self->log, "base_missing", "source=%s", self->followed);
+	event_log_write(self->log, "base_missing", "source=%s", self->followed);
 }
 
 /* Who has just started learns even from one that learns nothing new now, and,
@@ -220,7 +222,7 @@
 static void
 on_answer(void *arg, feed_answer_t *answer, struct timespec asked)
 {
-	row_follow_take(arg, answer, timespec_after_ms(asked, answer->held_ms));
+	row_follow_take(arg, answer, timespec_add_ms(asked, answer->held_ms));
 }
 
 static void
@@ -228,7 +230,7 @@
 {
 	row_source_t *self = arg;
 
-	event_line(self->log, "slow", "source=%s", self->followed);
+	event_log_write(self->log, "slow", "source=%s", self->followed);
 	ask_beside(self, ROW_TABLE_ENDPOINTS);
 }
 
@@ -269,7 +271,7 @@
 void
 row_follow_state(const row_source_t *self, feed_answer_t *answer)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	for (int i = 0; i < ROW_TABLES; i++) {
 		const row_watch_t *watch = &self->watches[i].watch;
@@ -283,7 +285,7 @@
 		table->age_ms = age_ms == INT64_MAX ? -1 : age_ms;
 	}
 	answer->store_now_ms =
-	    self->members->store_offset_ms + timespec_ms(now);
+	    self->members->store_offset_ms + timespec_to_ms(now);
 	answer->vouched_ms = membership_vouch_age_ms(self->members);
 	answer->silent = membership_silent(self->members);
 	answer->path = json_pack("[s]", self->members->settings.name);
@@ -325,7 +327,8 @@
 		self, self->incarnation, self->settings.hold_ms) ||
 	    !feed_client_init(&self->client, self->base, self->clock,
 		self->context, &self->auth, &client_ops, self)) {
-		event_line(self->log, "peers_failed", "address=%s", address);
+		event_log_write(
+		    self->log, "peers_failed", "address=%s", address);
 		return;
 	}
 	self->first_wait =
--- a/moortack/replication/row_parent.c
+++ b/moortack/replication/row_parent.c
@@ -42,7 +42,7 @@
 {
 	if (self->followed[0] == '\0')
 		return;
-	event_line(
+	event_log_write(
 	    self->log, "unfollow", "source=%s why=%s", self->followed, why);
 	self->followed[0] = '\0';
 	self->following = false;
@@ -98,9 +98,9 @@
 
 	self->parent_lost = true;
 	self->following = false;
-	self->lost_until = timespec_after_ms(
-	    clock_elapsed(self->clock), ms << self->lost_moves);
-	event_line(self->log, "parent_lost", "source=%s", self->followed);
+	self->lost_until = timespec_add_ms(
+	    clock_boottime(self->clock), ms << self->lost_moves);
+	event_log_write(self->log, "parent_lost", "source=%s", self->followed);
 	row_source_suspend(self, membership_rank(self->members) >= PROBERS);
 	row_follow_tell_lost(self);
 }
@@ -110,7 +110,7 @@
 {
 	if (!self->parent_lost)
 		lost_begin(self);
-	if (timespec_ms_between(clock_elapsed(self->clock), self->lost_until) >
+	if (timespec_ms_between(clock_boottime(self->clock), self->lost_until) >
 	    0)
 		return;
 	if (self->lost_moves < LOST_MOVES_MAX)
@@ -170,7 +170,7 @@
 first_wait_over(const row_source_t *self)
 {
 	return timespec_ms_between(self->followed_since,
-		   clock_elapsed(self->clock)) >= first_wait_ms(self);
+		   clock_boottime(self->clock)) >= first_wait_ms(self);
 }
 
 void
@@ -190,7 +190,7 @@
 	strcpy(self->followed, member->name);
 	self->followed_source = 0;
 	self->followed_change = 0;
-	self->followed_since = clock_elapsed(self->clock);
+	self->followed_since = clock_boottime(self->clock);
 	self->followed_answers = false;
 	self->parent_lost = false;
 	if (feed_client_follow(&self->client, address)) {
@@ -254,7 +254,7 @@
 	}
 	if (self->down) {
 		if (timespec_ms_between(self->followed_since,
-			clock_elapsed(self->clock)) >= DOWN_MS)
+			clock_boottime(self->clock)) >= DOWN_MS)
 			parent_stop(self, "store_again");
 		return;
 	}
--- a/moortack/replication/row_source.c
+++ b/moortack/replication/row_source.c
@@ -132,8 +132,8 @@
 		fleet_key_keep(self);
 	if (self->keyed)
 		row_follow_tick(self);
-	else if (timespec_ms_between(self->began, clock_elapsed(self->clock)) >=
-	    KEY_WAIT_MS)
+	else if (timespec_ms_between(
+		     self->began, clock_boottime(self->clock)) >= KEY_WAIT_MS)
 		row_source_suspend(self, false);
 }
 
@@ -246,7 +246,7 @@
 {
 	self->ops = ops;
 	self->arg = arg;
-	self->incarnation = rng_bits(self->rng) >> 1 | 1;
+	self->incarnation = rng_u64(self->rng) >> 1 | 1;
 	for (int i = 0; i < ROW_TABLES; i++) {
 		source_watch_t *watch = watch_at(self, (row_table_t)i);
 
@@ -259,7 +259,7 @@
 		self->idle[i] = i != ROW_TABLE_OWN &&
 		    self->settings.peer_address[0] != '\0';
 	}
-	self->began = clock_elapsed(self->clock);
+	self->began = clock_boottime(self->clock);
 	watches_apply(self);
 	if (self->settings.start_within_ms > 0)
 		row_watch_start_in(&self->watches[ROW_TABLE_OWN].watch,
--- a/moortack/replication/row_watch.c
+++ b/moortack/replication/row_watch.c
@@ -22,7 +22,7 @@
 static int64_t
 jittered(const row_watch_t *watch, int64_t ms)
 {
-	struct timespec now = clock_elapsed(watch->clock);
+	struct timespec now = clock_boottime(watch->clock);
 
 	return ms + ms * (now.tv_nsec / US_PER_MS % JITTER_PERCENT) / 100;
 }
@@ -164,14 +164,14 @@
 			watch->in_read = true;
 			free(watch->page);
 			watch->page = NULL;
-			watch->asked = clock_elapsed(watch->clock);
+			watch->asked = clock_boottime(watch->clock);
 		}
 		started = row_store_read(watch->store,
 		    watch->settled_once ? ROW_FOR_REREAD : ROW_FOR_READ,
 		    watch->table, watch->page, watch->pace.timeout_ms,
 		    read_done, watch);
 	} else {
-		watch->asked = clock_elapsed(watch->clock);
+		watch->asked = clock_boottime(watch->clock);
 		started = row_store_feed(watch->store,
 		    watch->beside ? ROW_FOR_BESIDE : ROW_FOR_CHANGES,
 		    watch->table, watch->version, watch->pace.wait_ms,
@@ -269,5 +269,5 @@
 {
 	if (!watch->settled_once)
 		return INT64_MAX;
-	return timespec_ms_between(watch->known, clock_elapsed(watch->clock));
+	return timespec_ms_between(watch->known, clock_boottime(watch->clock));
 }
--- a/moortack/route/balance.c
+++ b/moortack/route/balance.c
@@ -287,6 +287,6 @@
 	endpoint->ejections++;
 	endpoint->ejected = true;
 	endpoint->ejected_until =
-	    timespec_after_ms(now, ms < EJECT_MAX_MS ? ms : EJECT_MAX_MS);
+	    timespec_add_ms(now, ms < EJECT_MAX_MS ? ms : EJECT_MAX_MS);
 	return !was_out;
 }
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -44,7 +44,7 @@
 
 /* The list's tag, so that it is sent again only once it has changed. */
 static void
-list_etag_take(watch_t *watch, const http_reply_t *reply)
+list_etag_take(watch_t *watch, const http_response_t *reply)
 {
 	const char *etag = evhttp_find_header(reply->headers, "ETag");
 
@@ -53,10 +53,10 @@
 }
 
 static void
-list_read(void *arg, const http_reply_t *reply)
+list_read(void *arg, const http_response_t *reply)
 {
 	watch_t *watch = arg;
-	json_t *body = reply->status == 200 ? http_reply_json(reply) : NULL;
+	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
 	json_t *vms = json_object_get(body, "vms");
 
 	watch->list_pending = false;
@@ -116,11 +116,11 @@
 }
 
 static void
-load_was_read(void *arg, const http_reply_t *reply)
+load_was_read(void *arg, const http_response_t *reply)
 {
 	load_read_t *read = arg;
 	load_report_t *report = calloc(1, sizeof(*report));
-	json_t *body = reply->status == 200 ? http_reply_json(reply) : NULL;
+	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
 
 	read->watch->reading--;
 	if (report != NULL) {
@@ -189,10 +189,10 @@
 }
 
 static void
-ratings_read(void *arg, const http_reply_t *reply)
+ratings_read(void *arg, const http_response_t *reply)
 {
 	watch_t *watch = arg;
-	json_t *body = reply->status == 200 ? http_reply_json(reply) : NULL;
+	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
 	json_t *ratings = json_object_get(body, "ratings");
 
 	watch->rating_pending = false;
--- a/moortack/store/store_http.c
+++ b/moortack/store/store_http.c
@@ -29,11 +29,11 @@
 }
 
 static void
-call_done(void *arg, const http_reply_t *reply)
+call_done(void *arg, const http_response_t *reply)
 {
 	store_call_t *call = arg;
 	store_result_t result = result_of(reply->status);
-	json_t *body = http_reply_json(reply);
+	json_t *body = http_response_json(reply);
 
 	if (result == STORE_OK && body == NULL)
 		result = STORE_LOST;
--- a/moortackctl/client.c
+++ b/moortackctl/client.c
@@ -15,7 +15,7 @@
 } answer_t;
 
 static void
-answer_take(void *arg, const http_reply_t *reply)
+answer_take(void *arg, const http_response_t *reply)
 {
 	answer_t *answer = arg;
 
@@ -42,7 +42,7 @@
 
 	snprintf(
 	    authorization, sizeof(authorization), "Bearer %s", context->key);
-	http_call_wait(&call, answer_take, &answer);
+	http_call_sync(&call, answer_take, &answer);
 	return answer;
 }
 
@@ -52,7 +52,8 @@
 	const json_t *error = json_object_get(reply, "error");
 	const char *type = json_string_value(json_object_get(error, "type"));
 	const char *text = json_string_value(json_object_get(error, "message"));
-	err_code_t code = type != NULL ? err_code_named(type) : ERR_INTERNAL;
+	err_code_t code =
+	    type != NULL ? err_code_from_name(type) : ERR_INTERNAL;
 
 	err_set(err, code, "%s", text != NULL ? text : "no reason was given");
 	if (status == STATUS_CONFLICT)
@@ -71,7 +72,7 @@
 
 	json_decref(body);
 	*out = NULL;
-	err_set(err, ERR_PEERS,
+	err_set(err, ERR_PEERS_UNAVAILABLE,
 	    "no entry answers; see --entries and whether the daemons run");
 	for (int i = 0; i < context->entry_count; i++) {
 		answer_t answer = entry_call(context, &context->entries[i],
--- a/moortackctl/timeline.c
+++ b/moortackctl/timeline.c
@@ -39,7 +39,7 @@
 static void
 event_print(const json_t *event)
 {
-	int64_t ms = hlc_ms(
+	int64_t ms = hlc_to_ms(
 	    (uint64_t)json_integer_value(json_object_get(event, "stamp")));
 	time_t at = (time_t)(ms / 1000);
 	struct tm tm;
--- a/moortackd/main.c
+++ b/moortackd/main.c
@@ -104,7 +104,7 @@
 	    .counters = &daemon->counters,
 	    .timeline = &daemon->timeline,
 	    .rng = &daemon->rng,
-	    .incarnation = rng_bits(&daemon->rng) | 1};
+	    .incarnation = rng_u64(&daemon->rng) | 1};
 }
 
 static bool
@@ -167,7 +167,7 @@
 	event_free(daemon->term);
 	event_free(daemon->interrupt);
 	event_free(daemon->drain_end);
-	http_calls_end(daemon->process.base);
+	http_calls_cancel(daemon->process.base);
 	watch_free(daemon->watch);
 	registry_free(daemon->registry);
 	witness_task_free(daemon->witnesses);
@@ -188,7 +188,7 @@
 	case SETTINGS_HELP:
 		options_help();
 		return EXIT_SUCCESS;
-	case SETTINGS_BAD:
+	case SETTINGS_INVALID:
 		fprintf(stderr, "moortackd: %s\n", err.detail);
 		return EXIT_SETTINGS;
 	case SETTINGS_OK:
--- a/moortackd/options.c
+++ b/moortackd/options.c
@@ -150,7 +150,8 @@
 	if (*options->peer_advertise == '\0')
 		memcpy(options->peer_advertise, options->peer_listen,
 		    sizeof(options->peer_advertise));
-	return contradictions_check(options, err) ? SETTINGS_OK : SETTINGS_BAD;
+	return contradictions_check(options, err) ? SETTINGS_OK
+						  : SETTINGS_INVALID;
 }
 
 void
@@ -160,5 +161,5 @@
 	       "The entry daemon of moortack. Each setting is a flag or an "
 	       "environment variable;\nthe flag wins. Secrets are taken from "
 	       "the environment only.\n\n");
-	settings_help(table, COUNT, OPTIONS_PREFIX, stdout);
+	settings_print_help(table, COUNT, OPTIONS_PREFIX, stdout);
 }
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -62,7 +62,7 @@
 	    json_pack("{s:s,s:s,s:s,s:I}", "id", id, "version", version,
 		"organisation", organisation != NULL ? organisation : "",
 		"at_ms",
-		(json_int_t)timespec_ms(clock_wall(&engine->fake.clock))));
+		(json_int_t)timespec_to_ms(clock_wall(&engine->fake.clock))));
 }
 
 static bool
@@ -92,21 +92,21 @@
 	stream_t *stream;
 
 	if (id == NULL || version == NULL || prompt == NULL) {
-		http_answer_json(req, 400, json_object());
+		http_respond_json(req, 400, json_object());
 		return;
 	}
 	if ((engine->leaving && !engine->takes_all) ||
 	    json_object_get(engine->versions, version) == NULL) {
 		/* Refused before it ran: the caller may say "not run". */
-		http_answer_header(req, "X-Not-Run", "1");
-		http_answer_json(req, 503, json_object());
+		http_response_add_header(req, "X-Not-Run", "1");
+		http_respond_json(req, 503, json_object());
 		return;
 	}
 	run_note(engine, req, id, version);
 	if (crashes(engine, prompt))
 		_exit(EXIT_FAILURE);
 	if (version_bad(engine, version)) {
-		http_answer_json(req, 500, json_object());
+		http_respond_json(req, 500, json_object());
 		return;
 	}
 	stream = calloc(1, sizeof(*stream));
@@ -135,10 +135,10 @@
 
 	HASH_FIND_STR(engine->streams, id, stream);
 	if (stream == NULL || stream->plain || stream->req != NULL) {
-		http_answer_json(req, 404, json_object());
+		http_respond_json(req, 404, json_object());
 		return;
 	}
-	http_request_query(req, "from", from, sizeof(from));
+	http_request_query_param(req, "from", from, sizeof(from));
 	stream->sent = strtoll(from, NULL, 10);
 	engine_stream_attach(stream, req);
 	engine_stream_catch_up(stream);
@@ -164,7 +164,7 @@
 			engine_stream_end(stream);
 		engine_queue_next(engine);
 	}
-	http_answer_json(req, 200, json_object());
+	http_respond_json(req, 200, json_object());
 }
 
 static void
@@ -176,11 +176,11 @@
 	int64_t fence = fake_int(body, "fence", 0);
 
 	if (op == NULL || version == NULL) {
-		http_answer_json(req, 400, json_object());
+		http_respond_json(req, 400, json_object());
 		return;
 	}
 	if (!engine->ignore_fence && fence < engine->fence) {
-		http_answer_json(req, 412, json_object());
+		http_respond_json(req, 412, json_object());
 		return;
 	}
 	engine->fence = fence;
@@ -189,7 +189,7 @@
 		    engine->versions, version, json_integer(fence));
 	else
 		json_object_del(engine->versions, version);
-	http_answer_json(req, 200, json_object());
+	http_respond_json(req, 200, json_object());
 }
 
 static void
@@ -199,7 +199,7 @@
 	uint64_t at = engine->sampled > back ? engine->sampled - back : 0;
 	const int64_t *load = engine->loads[at % ENGINE_LOAD_SAMPLES];
 
-	http_answer_json(req, 200,
+	http_respond_json(req, 200,
 	    json_pack("{s:I,s:I,s:I,s:b,s:O,s:I}", "running",
 		(json_int_t)load[0], "queued", (json_int_t)load[1], "slots",
 		(json_int_t)engine->slots, "leaving", engine->leaving,
@@ -229,9 +229,9 @@
 	else if (strcmp(path, "/orders") == 0)
 		order(engine, req, body);
 	else if (strcmp(path, "/runs") == 0)
-		http_answer_json(req, 200, json_incref(engine->runs));
+		http_respond_json(req, 200, json_incref(engine->runs));
 	else
-		http_answer_json(req, 404, json_object());
+		http_respond_json(req, 404, json_object());
 	json_decref(body);
 }
 
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -69,7 +69,7 @@
 		token_text(stream, i, piece, sizeof(piece));
 		len += (size_t)sprintf(text + len, "%s", piece);
 	}
-	http_answer_json(stream->req, 200,
+	http_respond_json(stream->req, 200,
 	    json_pack("{s:s,s:s,s:[{s:i,s:{s:s,s:s}}],s:o}", "id", stream->id,
 		"model", stream->version, "choices", "index", 0, "message",
 		"role", "assistant", "content", text, "usage",
@@ -96,7 +96,7 @@
 
 	if (stream->req == NULL)
 		return;
-	http_request_unwatch(stream->req);
+	http_request_unwatch_close(stream->req);
 	if (stream->plain) {
 		plain_send(stream);
 		return;
@@ -159,7 +159,7 @@
 	    stream->req == NULL)
 		return false;
 	engine->cut_after = 0;
-	http_request_unwatch(stream->req);
+	http_request_unwatch_close(stream->req);
 	if (engine->ends_cleanly) {
 		evhttp_send_reply_end(stream->req);
 		stream->req = NULL;
@@ -195,9 +195,9 @@
 engine_stream_attach(stream_t *stream, struct evhttp_request *req)
 {
 	stream->req = req;
-	http_request_watch(req, stream_detach, stream);
+	http_request_watch_close(req, stream_detach, stream);
 	if (stream->plain)
 		return;
-	http_answer_header(req, "Content-Type", "text/event-stream");
+	http_response_add_header(req, "Content-Type", "text/event-stream");
 	evhttp_send_reply_start(req, 200, "OK");
 }
--- a/standin/fake.c
+++ b/standin/fake.c
@@ -84,7 +84,7 @@
 	const json_t *down = json_object_get(body, "down");
 
 	if (body == NULL) {
-		http_answer_json(req, 400, json_object());
+		http_respond_json(req, 400, json_object());
 		return;
 	}
 	if (down != NULL)
@@ -94,7 +94,7 @@
 		fake->fault(fake, body);
 	json_decref(fake->faults.all);
 	fake->faults.all = json_incref(body);
-	http_answer_json(req, 200, body);
+	http_respond_json(req, 200, body);
 }
 
 static void
@@ -185,7 +185,7 @@
 	clock_system_init(&fake->clock);
 	if (settings_load(settings, 1, "STANDIN", argc, argv, fake, &err) !=
 	    SETTINGS_OK) {
-		settings_help(settings, 1, "STANDIN", stdout);
+		settings_print_help(settings, 1, "STANDIN", stdout);
 		return 2;
 	}
 	if (!fake_listen(fake)) {
--- a/standin/rating.c
+++ b/standin/rating.c
@@ -45,7 +45,7 @@
 			"score", (json_int_t)answer_score(rating, version)));
 	}
 	json_decref(body);
-	http_answer_json(req, 200, json_object());
+	http_respond_json(req, 200, json_object());
 }
 
 static void
@@ -59,12 +59,12 @@
 		rate(rating, req);
 		return;
 	}
-	http_request_query(req, "after", after, sizeof(after));
+	http_request_query_param(req, "after", after, sizeof(after));
 	found = json_array();
 	for (size_t i = strtoul(after, NULL, 10);
 	     i < json_array_size(rating->ratings); i++)
 		json_array_append(found, json_array_get(rating->ratings, i));
-	http_answer_json(req, 200, json_pack("{s:o}", "ratings", found));
+	http_respond_json(req, 200, json_pack("{s:o}", "ratings", found));
 }
 
 static void
--- a/standin/relay.c
+++ b/standin/relay.c
@@ -262,7 +262,7 @@
 request(fake_t *fake, struct evhttp_request *req)
 {
 	(void)fake;
-	http_answer_json(req, 404, json_object());
+	http_respond_json(req, 404, json_object());
 }
 
 int
--- a/standin/service.c
+++ b/standin/service.c
@@ -33,7 +33,7 @@
 
 	(void)fd;
 	(void)what;
-	http_answer_json(late->req, 200, late->answer);
+	http_respond_json(late->req, 200, late->answer);
 	free(late);
 }
 
@@ -61,7 +61,7 @@
 
 	if (id == NULL) {
 		json_decref(body);
-		http_answer_json(req, 400, json_object());
+		http_respond_json(req, 400, json_object());
 		return;
 	}
 	if (name == NULL)
@@ -84,15 +84,15 @@
 	const char *uri = evhttp_request_get_uri(req);
 
 	if (strcmp(uri, "/runs") == 0)
-		http_answer_json(req, 200, json_incref(service->runs));
+		http_respond_json(req, 200, json_incref(service->runs));
 	else if (strcmp(uri, "/load") == 0)
-		http_answer_json(req, 200,
+		http_respond_json(req, 200,
 		    json_pack("{s:i,s:i,s:i,s:b}", "running", 0, "queued", 0,
 			"slots", 64, "leaving", service->leaving));
 	else if (evhttp_request_get_command(req) == EVHTTP_REQ_POST)
 		call(service, req);
 	else
-		http_answer_json(req, 404, json_object());
+		http_respond_json(req, 404, json_object());
 }
 
 static void
--- a/standin/store.c
+++ b/standin/store.c
@@ -123,13 +123,13 @@
 	size_t i;
 
 	if (!write_allowed(store)) {
-		http_answer_json(req, 429, json_object());
+		http_respond_json(req, 429, json_object());
 		return;
 	}
 	json_array_foreach(checks, i, check)
 	{
 		if (!check_holds(store, check)) {
-			http_answer_json(req, 409,
+			http_respond_json(req, 409,
 			    json_pack(
 				"{s:O}", "key", json_object_get(check, "key")));
 			return;
@@ -142,7 +142,7 @@
 		fake_drop(&store->fake, req);
 		return;
 	}
-	http_answer_json(req, 200, json_object());
+	http_respond_json(req, 200, json_object());
 }
 
 static void
@@ -161,7 +161,7 @@
 		if (value != NULL)
 			json_object_set_new(values, name, json_string(value));
 	}
-	http_answer_json(req, 200, json_pack("{s:o}", "values", values));
+	http_respond_json(req, 200, json_pack("{s:o}", "values", values));
 }
 
 static int
@@ -201,7 +201,7 @@
 	const char *after = json_string_value(json_object_get(body, "after"));
 
 	store->reads_total++;
-	http_answer_json(req, 200,
+	http_respond_json(req, 200,
 	    json_pack("{s:o}", "rows",
 		rows_after(store, prefix ? prefix : "", after ? after : "")));
 }
@@ -220,12 +220,12 @@
 	else if (strcmp(uri, "/table/scan") == 0)
 		scan(store, req, body);
 	else if (strcmp(uri, "/usage") == 0)
-		http_answer_json(req, 200,
+		http_respond_json(req, 200,
 		    json_pack("{s:I,s:I,s:I}", "writes", store->writes_total,
 			"reads", store->reads_total, "rows",
 			(json_int_t)HASH_COUNT(store->rows)));
 	else
-		http_answer_json(req, 404, json_object());
+		http_respond_json(req, 404, json_object());
 	json_decref(body);
 }
 
--- a/standin/vmlist.c
+++ b/standin/vmlist.c
@@ -22,7 +22,7 @@
 static void
 shown_update(vmlist_t *list)
 {
-	struct timespec now = clock_elapsed(&list->fake.clock);
+	struct timespec now = clock_boottime(&list->fake.clock);
 
 	if (list->silent || list->set == NULL ||
 	    timespec_ms_between(list->set_at, now) < list->lag_ms)
@@ -45,8 +45,8 @@
 		evhttp_send_reply(req, 304, NULL, NULL);
 		return;
 	}
-	http_answer_header(req, "ETag", etag);
-	http_answer_json(req, 200,
+	http_response_add_header(req, "ETag", etag);
+	http_respond_json(req, 200,
 	    list->shown != NULL ? json_incref(list->shown) : json_object());
 }
 
@@ -59,8 +59,8 @@
 	if (evhttp_request_get_command(req) == EVHTTP_REQ_PUT) {
 		json_decref(list->set);
 		list->set = http_request_json(req, NULL);
-		list->set_at = clock_elapsed(&fake->clock);
-		http_answer_json(req, 200, json_object());
+		list->set_at = clock_boottime(&fake->clock);
+		http_respond_json(req, 200, json_object());
 		return;
 	}
 	show(list, req);
--- a/test/fuzz/bills_fuzz.c
+++ b/test/fuzz/bills_fuzz.c
@@ -152,7 +152,7 @@
 		if (input_below(input, 10) == 0)
 			world->dead[input_below(input, BOOKS)] = true;
 		else
-			world->now = timespec_after_ms(
+			world->now = timespec_add_ms(
 			    world->now, input_below(input, HELD_MS));
 		break;
 	}
@@ -191,7 +191,7 @@
 	for (int b = 0; b < BOOKS; b++)
 		bill_book_init(
 		    &world.books[b], OWNER + (uint64_t)b, 2 * RECORDS, HELD_MS);
-	while (!input_over(&input))
+	while (!input_at_end(&input))
 		step(&world, &input);
 	settle(&world);
 	for (int b = 0; b < BOOKS; b++) {
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -233,7 +233,7 @@
 static void
 pass(int64_t ms)
 {
-	world.clock.now = timespec_after_ms(world.clock.now, ms);
+	world.clock.now = timespec_add_ms(world.clock.now, ms);
 	for (size_t i = 0; i < DAEMONS; i++) {
 		relay_node_t *node = &world.daemons[i].node;
 
@@ -364,14 +364,14 @@
 	input_t input = {bytes, len, 0};
 
 	memset(&world, 0, sizeof(world));
-	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	world.clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	world.base = event_base_new();
 	world.store = (row_store_t){.ops = &silent_ops};
 	world.version = 10;
 	rng_system_init(&world.rng);
 	for (size_t i = 0; i < DAEMONS; i++)
 		daemon_start(&world.daemons[i], i);
-	for (size_t i = 0; i < STEPS_MAX && !input_over(&input); i++)
+	for (size_t i = 0; i < STEPS_MAX && !input_at_end(&input); i++)
 		step(&input);
 	calm(&input);
 	for (size_t i = 0; i < DAEMONS; i++)
--- a/test/fuzz/freshness_fuzz.c
+++ b/test/fuzz/freshness_fuzz.c
@@ -252,7 +252,7 @@
 		world->daemons[a].deaf = !world->daemons[a].deaf;
 		break;
 	default:
-		world->now = timespec_after_ms(
+		world->now = timespec_add_ms(
 		    world->now, STEP_MS * (1 + input_below(input, 8)));
 		everyone_moves(world, input);
 		break;
@@ -267,7 +267,7 @@
 	input_t input = {bytes, len, 0};
 
 	memset(&world, 0, sizeof(world));
-	world.now = timespec_of_ms(START_MS);
+	world.now = timespec_from_ms(START_MS);
 	for (int n = 0; n < DAEMONS; n++) {
 		freshness_init(
 		    &world.daemons[n].freshness, WINDOW_MS, OUTAGE_MS);
@@ -275,7 +275,7 @@
 		world.daemons[n].store = true;
 		world.daemons[n].last_heartbeat = world.now;
 	}
-	while (!input_over(&input))
+	while (!input_at_end(&input))
 		step(&world, &input);
 	for (int n = 0; n < DAEMONS; n++)
 		freshness_finish(&world.daemons[n].freshness);
--- a/test/fuzz/input.h
+++ b/test/fuzz/input.h
@@ -18,7 +18,7 @@
 } input_t;
 
 static inline bool
-input_over(const input_t *input)
+input_at_end(const input_t *input)
 {
 	return input->at >= input->len;
 }
@@ -27,7 +27,7 @@
 static inline uint32_t
 input_below(input_t *input, uint32_t bound)
 {
-	if (input_over(input))
+	if (input_at_end(input))
 		return 0;
 	return input->bytes[input->at++] % bound;
 }
--- a/test/fuzz/lives_fuzz.c
+++ b/test/fuzz/lives_fuzz.c
@@ -101,7 +101,7 @@
 static int64_t
 now_ms(void)
 {
-	return timespec_ms(world.clock.now);
+	return timespec_to_ms(world.clock.now);
 }
 
 static void
@@ -453,7 +453,7 @@
 		membership_trust(&child->members, name);
 		if (age_ms >= 0)
 			child->news |= membership_vouched(&child->members,
-			    timespec_after_ms(sent, -age_ms), silent);
+			    timespec_add_ms(sent, -age_ms), silent);
 	}
 	json_decref(silent);
 }
@@ -640,7 +640,7 @@
 static void
 pass(void)
 {
-	world.clock.now = timespec_after_ms(world.clock.now, STEP_MS);
+	world.clock.now = timespec_add_ms(world.clock.now, STEP_MS);
 	for (int i = 0; i < DAEMONS; i++) {
 		daemon_t *daemon = &world.daemons[i];
 
@@ -686,14 +686,14 @@
 	input_t input = {bytes, len, 0};
 
 	memset(&world, 0, sizeof(world));
-	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	world.clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	world.base = event_base_new();
 	world.store = (row_store_t){.ops = &lives_ops};
 	world.single_ms = -1;
 	for (int i = 0; i < DAEMONS; i++)
 		daemon_start(i);
 	calm();
-	for (size_t i = 0; i < STEPS_MAX && !input_over(&input); i++) {
+	for (size_t i = 0; i < STEPS_MAX && !input_at_end(&input); i++) {
 		event(&input);
 		for (uint32_t past = input_below(&input, TIME_STEPS); past > 0;
 		     past--)
--- a/test/fuzz/messages_fuzz.c
+++ b/test/fuzz/messages_fuzz.c
@@ -54,20 +54,21 @@
 
 	*result = (result_t){0};
 	http_reader_init(&reader, HTTP_REQUEST, &ops, result, HEAD_MAX);
-	result->read = HTTP_READ_MORE;
+	result->read = HTTP_READ_INCOMPLETE;
 	for (size_t at = 0; at < len; at += piece) {
 		evbuffer_add(
 		    in, bytes + at, len - at < piece ? len - at : piece);
-		if (result->read == HTTP_READ_MORE)
+		if (result->read == HTTP_READ_INCOMPLETE)
 			result->read = http_reader_feed(&reader, in);
 	}
 	result->left = evbuffer_get_length(in);
 	result->fields = reader.msg.fields_len;
-	result->taken = result->read == HTTP_READ_WHOLE &&
+	result->taken = result->read == HTTP_READ_COMPLETE &&
 	    http_msg_check(&reader.msg, &err);
 	if (result->taken) {
-		FUZZ_CHECK(http_msg_count(&reader.msg, "Host") == 1);
-		FUZZ_CHECK(http_msg_count(&reader.msg, "Content-Length") <= 1);
+		FUZZ_CHECK(http_msg_field_count(&reader.msg, "Host") == 1);
+		FUZZ_CHECK(
+		    http_msg_field_count(&reader.msg, "Content-Length") <= 1);
 		FUZZ_CHECK(reader.msg.target[0] == '/');
 	}
 	http_reader_finish(&reader);
@@ -85,7 +86,7 @@
 	read_in_pieces(bytes + 1, len - 1, 1 + bytes[0] % 7, &pieces);
 	FUZZ_CHECK(whole.read == pieces.read);
 	FUZZ_CHECK(whole.taken == pieces.taken);
-	if (whole.read != HTTP_READ_WHOLE)
+	if (whole.read != HTTP_READ_COMPLETE)
 		return 0;
 	FUZZ_CHECK(whole.left == pieces.left);
 	FUZZ_CHECK(whole.fields == pieces.fields);
--- a/test/fuzz/quarantine_fuzz.c
+++ b/test/fuzz/quarantine_fuzz.c
@@ -89,7 +89,7 @@
 static int64_t
 now_ms(void)
 {
-	return timespec_ms(world.hand.now);
+	return timespec_to_ms(world.hand.now);
 }
 
 static uint64_t
@@ -227,7 +227,7 @@
 
 		if (ms > 60000)
 			step = end - now_ms() < 10000 ? end - now_ms() : 10000;
-		world.hand.now = timespec_after_ms(world.hand.now, step);
+		world.hand.now = timespec_add_ms(world.hand.now, step);
 		messages_deliver();
 		suspects_step(input);
 	}
@@ -450,14 +450,14 @@
 	input_t input = {bytes, len, 0};
 
 	memset(&world, 0, sizeof(world));
-	world.hand = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	world.hand = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	for (size_t i = 0; i < ENDPOINTS; i++)
 		world.incarnations[i] = ++world.last_incarnation + 10;
 	world.last_incarnation += 10;
 	for (size_t i = 0; i < DAEMONS; i++)
 		quarantine_init(&world.daemons[i].table, &world.hand.source,
 		    &ops, &world.daemons[i]);
-	while (!input_over(&input))
+	while (!input_at_end(&input))
 		step(&input);
 	for (size_t i = 0; i < DAEMONS; i++)
 		quarantine_finish(&world.daemons[i].table);
--- a/test/fuzz/retries_fuzz.c
+++ b/test/fuzz/retries_fuzz.c
@@ -34,9 +34,9 @@
 	size_t requests_len = 0, retries_len = 0;
 	int64_t now_ms = 1000000;
 
-	while (!input_over(&input) && requests_len < EVENTS_MAX &&
+	while (!input_at_end(&input) && requests_len < EVENTS_MAX &&
 	    retries_len < EVENTS_MAX) {
-		struct timespec now = timespec_of_ms(now_ms);
+		struct timespec now = timespec_from_ms(now_ms);
 
 		switch (input_below(&input, 4)) {
 		case 0:
--- a/test/fuzz/rollouts_fuzz.c
+++ b/test/fuzz/rollouts_fuzz.c
@@ -214,7 +214,8 @@
 	session_memory_init(&daemon->rollouts.heard, SESSION_MS);
 	memset(daemon->old_served_at, 0, sizeof(daemon->old_served_at));
 	FUZZ_CHECK(rollouts_init(&daemon->rollouts, world.base));
-	rollouts_store_clock(&daemon->rollouts, timespec_ms(world.clock.now));
+	rollouts_store_clock(
+	    &daemon->rollouts, timespec_to_ms(world.clock.now));
 }
 
 static void
@@ -363,7 +364,7 @@
 pass(int64_t ms)
 {
 	for (int64_t past = 0; past < ms; past += TICK_MS) {
-		world.clock.now = timespec_after_ms(world.clock.now, TICK_MS);
+		world.clock.now = timespec_add_ms(world.clock.now, TICK_MS);
 		for (size_t i = 0; i < DAEMONS; i++)
 			tick(&world.daemons[i]);
 	}
@@ -432,13 +433,13 @@
 	input_t input = {bytes, len, 0};
 
 	memset(&world, 0, sizeof(world));
-	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	world.clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	world.base = event_base_new();
 	world.store = (row_store_t){.ops = &state_ops};
 	world.version = 10;
 	for (size_t i = 0; i < DAEMONS; i++)
 		daemon_start(&world.daemons[i]);
-	for (size_t i = 0; i < STEPS_MAX && !input_over(&input); i++)
+	for (size_t i = 0; i < STEPS_MAX && !input_at_end(&input); i++)
 		step(&input);
 	calm();
 	for (size_t i = 0; i < DAEMONS; i++)
--- a/test/fuzz/ticket_fuzz.c
+++ b/test/fuzz/ticket_fuzz.c
@@ -250,7 +250,7 @@
 		witness_init(&world.witnesses[w], WITNESS_MAX);
 	for (int t = 0; t < TICKETS; t++)
 		world.expires_ms[t] = TTL_MS + t * TTL_MS;
-	while (!input_over(&input))
+	while (!input_at_end(&input))
 		step(&world, &input);
 	for (int w = 0; w < REDEEM_WITNESSES; w++)
 		witness_finish(&world.witnesses[w]);
--- a/test/fuzz/token_fuzz.c
+++ b/test/fuzz/token_fuzz.c
@@ -29,7 +29,7 @@
 	FUZZ_CHECK(memcmp(&opened.id, &ticket.id, TICKET_ID_SIZE) == 0);
 	FUZZ_CHECK(opened.witnesses[1] == 2);
 	FUZZ_CHECK(!session_open(ring, text, "fachschule", 0, &session, &err));
-	FUZZ_CHECK(err.code == ERR_SESSION_TOKEN);
+	FUZZ_CHECK(err.code == ERR_BAD_SESSION_TOKEN);
 	if (len > 2) {
 		size_t at = bytes[1] % strlen(text);
 		char was = text[at];
--- a/test/fuzz/warmup_fuzz.c
+++ b/test/fuzz/warmup_fuzz.c
@@ -104,7 +104,7 @@
 clock_set(daemon_t *daemon)
 {
 	daemon->clock.now =
-	    timespec_of_ms(world.now_ms + daemon->clock_offset_ms);
+	    timespec_from_ms(world.now_ms + daemon->clock_offset_ms);
 }
 
 static void
@@ -160,7 +160,7 @@
 	daemon_t *daemon = &world.daemons[number];
 
 	snprintf(daemon->name, sizeof(daemon->name), "10.0.0.%zu:80", number);
-	daemon->clock = (manual_clock_t){.source = {&manual_ops}};
+	daemon->clock = (manual_clock_t){.source = {&manual_clock_ops}};
 	daemon->clock_offset_ms = (int64_t)(1000000 + 7919 * number);
 	clock_set(daemon);
 	endpoint_set_init(&daemon->endpoints, &daemon->clock.source);
@@ -413,7 +413,7 @@
 	input_t input = {bytes, len, 0};
 
 	world_init(&input);
-	for (int i = 0; i < STEPS_MAX && !input_over(&input); i++)
+	for (int i = 0; i < STEPS_MAX && !input_at_end(&input); i++)
 		step(&input);
 	for (size_t i = 0; i < DAEMONS; i++) {
 		if (world.daemons[i].running)
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -432,14 +432,14 @@
 	input_t input = {bytes, len, 0};
 
 	memset(&world, 0, sizeof(world));
-	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	world.clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	world.base = event_base_new();
 	world.store = (row_store_t){.ops = &silent_ops};
 	world.version = 10;
 	rng_system_init(&world.rng);
 	reader_start(&world.clean);
 	reader_start(&world.spoilt);
-	for (size_t i = 0; i < STEPS_MAX && !input_over(&input); i++) {
+	for (size_t i = 0; i < STEPS_MAX && !input_at_end(&input); i++) {
 		read_table(&input);
 		same_known();
 	}
--- a/test/platform/standin_replica.c
+++ b/test/platform/standin_replica.c
@@ -90,17 +90,18 @@
 	if (fault_is("stray"))
 		id = "another";
 	if (id != NULL && !fault_is("unnamed"))
-		http_answer_header(req, "Moortack-Attempt-Id", id);
-	http_answer_header(req, "Moortack-Replica-Load", "1,0,8");
-	http_answer_header(req, "Keep-Alive", "timeout=5");
+		http_response_add_header(req, "Moortack-Attempt-Id", id);
+	http_response_add_header(req, "Moortack-Replica-Load", "1,0,8");
+	http_response_add_header(req, "Keep-Alive", "timeout=5");
 	if (!run) {
-		http_answer_header(req, "Moortack-Not-Executed", "1");
+		http_response_add_header(req, "Moortack-Not-Executed", "1");
 		return;
 	}
 	snprintf(confidence, sizeof(confidence), "%" PRId64,
 	    fault_int("confidence", 100));
-	http_answer_header(req, "Moortack-Estimate-Confidence", confidence);
-	http_answer_header(req, "Moortack-Response-Signature", "signed");
+	http_response_add_header(
+	    req, "Moortack-Estimate-Confidence", confidence);
+	http_response_add_header(req, "Moortack-Response-Signature", "signed");
 }
 
 static void
@@ -150,7 +151,7 @@
 		return;
 	}
 	if (stream->cut != 0 && stream->next > stream->cut) {
-		http_request_unwatch(stream->req);
+		http_request_unwatch_close(stream->req);
 		fake_drop(&replica.fake, stream->req);
 		stream_free(stream);
 		return;
@@ -162,7 +163,7 @@
 		stream->last = 0;
 	}
 	if (stream->next > stream->last) {
-		http_request_unwatch(stream->req);
+		http_request_unwatch_close(stream->req);
 		evhttp_send_reply_end(stream->req);
 		stream_free(stream);
 	} else {
@@ -190,8 +191,8 @@
 	stream->cut = fault_int("cut_after", 0);
 	stream->timer =
 	    event_new(replica.fake.base, -1, EV_PERSIST, stream_step, stream);
-	http_request_watch(req, stream_gone, stream);
-	http_answer_header(req, "Content-Type", "text/event-stream");
+	http_request_watch_close(req, stream_gone, stream);
+	http_response_add_header(req, "Content-Type", "text/event-stream");
 	evhttp_send_reply_start(req, 200, NULL);
 	event_add(stream->timer, &pause);
 }
@@ -284,7 +285,7 @@
 
 	(void)fake;
 	if (strcmp(uri, "/runs") == 0) {
-		http_answer_json(req, 200,
+		http_respond_json(req, 200,
 		    json_pack("{s:O, s:I, s:I}", "runs", replica.runs, "left",
 			(json_int_t)replica.left, "cold_peak",
 			(json_int_t)replica.cold_peak));
@@ -305,7 +306,7 @@
 	if (crashes(req))
 		crash_soon();
 	if (is_held(req)) {
-		http_request_watch(req, held_gone, NULL);
+		http_request_watch_close(req, held_gone, NULL);
 		return;
 	}
 	head_set(req, true);
--- a/test/platform/standin_store.c
+++ b/test/platform/standin_store.c
@@ -87,7 +87,7 @@
 	if (store.era == 0)
 		return;
 	snprintf(text, sizeof(text), "%" PRId64, store.era);
-	http_answer_header(req, "Store-Era", text);
+	http_response_add_header(req, "Store-Era", text);
 }
 
 static json_t *
@@ -143,10 +143,10 @@
 		json_array_append_new(rows, row_json(row, range->table));
 	}
 	era_tell(req);
-	http_answer_json(req, 200,
+	http_respond_json(req, 200,
 	    json_pack("{s:o, s:b, s:I, s:I}", "rows", rows, "has_more", more,
 		"row_version", (json_int_t)store.version, "now_ms",
-		(json_int_t)timespec_ms(clock_elapsed(&store.fake.clock))));
+		(json_int_t)timespec_to_ms(clock_boottime(&store.fake.clock))));
 }
 
 static void
@@ -201,7 +201,7 @@
 static void
 held_flush(struct fake *fake)
 {
-	struct timespec now = clock_elapsed(&fake->clock);
+	struct timespec now = clock_boottime(&fake->clock);
 	held_t **at = &store.held;
 
 	while (*at != NULL) {
@@ -223,7 +223,7 @@
 	char text[KEY_SIZE] = "0";
 	held_t *held;
 
-	http_request_query(req, "after", text, sizeof(text));
+	http_request_query_param(req, "after", text, sizeof(text));
 	if (strtoull(text, NULL, 10) < store.forgotten ||
 	    strtoull(text, NULL, 10) > store.version) {
 		era_tell(req);
@@ -235,9 +235,9 @@
 	strcpy(held->table, table);
 	held->after = strtoull(text, NULL, 10);
 	strcpy(text, "0");
-	http_request_query(req, "wait_ms", text, sizeof(text));
-	held->until = timespec_after_ms(
-	    clock_elapsed(&store.fake.clock), strtoll(text, NULL, 10));
+	http_request_query_param(req, "wait_ms", text, sizeof(text));
+	held->until = timespec_add_ms(
+	    clock_boottime(&store.fake.clock), strtoll(text, NULL, 10));
 	held->next = store.held;
 	store.held = held;
 	evhttp_connection_set_closecb(
@@ -306,10 +306,10 @@
 		changes_take(json_object_get(body, "remove"), true);
 	}
 	era_tell(req);
-	http_answer_json(req, holds ? 200 : 412,
+	http_respond_json(req, holds ? 200 : 412,
 	    json_pack("{s:I, s:I}", "row_version", (json_int_t)store.version,
 		"now_ms",
-		(json_int_t)timespec_ms(clock_elapsed(&store.fake.clock))));
+		(json_int_t)timespec_to_ms(clock_boottime(&store.fake.clock))));
 	json_decref(body);
 	held_flush(&store.fake);
 }
@@ -332,7 +332,7 @@
 	const range_t range = {
 	    .table = table, .from = from, .most = store.page};
 
-	http_request_query(req, "from", from, sizeof(from));
+	http_request_query_param(req, "from", from, sizeof(from));
 	rows_answer(req, &range);
 }
 
@@ -344,9 +344,9 @@
 	char table[KEY_SIZE] = "";
 
 	(void)fake;
-	http_request_query(req, "table", table, sizeof(table));
+	http_request_query_param(req, "table", table, sizeof(table));
 	if (strcmp(path, "/calls") == 0) {
-		http_answer_json(req, 200, json_deep_copy(store.calls));
+		http_respond_json(req, 200, json_deep_copy(store.calls));
 		return;
 	}
 	call_count(path, table);
--- a/test/platform/store_eras_test.c
+++ b/test/platform/store_eras_test.c
@@ -84,7 +84,7 @@
 teardown(void **state)
 {
 	(void)state;
-	http_calls_end(world.base);
+	http_calls_cancel(world.base);
 	evhttp_free(world.server);
 	event_base_free(world.base);
 	return 0;
--- a/test/scenario/runner.c
+++ b/test/scenario/runner.c
@@ -330,7 +330,7 @@
 	struct timespec now;
 
 	clock_gettime(CLOCK_MONOTONIC, &now);
-	return timespec_ms(now);
+	return timespec_to_ms(now);
 }
 
 static int
--- a/test/support/manual_clock.h
+++ b/test/support/manual_clock.h
@@ -13,11 +13,12 @@
 } manual_clock_t;
 
 static inline struct timespec
-manual_now(const clock_source_t *clock)
+manual_clock_now(const clock_source_t *clock)
 {
 	return ((const manual_clock_t *)clock)->now;
 }
 
-static const clock_ops_t manual_ops = {manual_now, manual_now, manual_now};
+static const clock_ops_t manual_clock_ops = {
+    manual_clock_now, manual_clock_now, manual_clock_now};
 
 #endif
--- a/test/support/silent_store.h
+++ b/test/support/silent_store.h
@@ -80,7 +80,7 @@
 static inline bool
 told_evacuation_check(const char *zone, err_t *err)
 {
-	return zone[0] != '\0' || err_set(err, ERR_NAME, "no zone");
+	return zone[0] != '\0' || err_set(err, ERR_BAD_NAME, "no zone");
 }
 
 static const source_dialect_t told_sources = {.orders_table = "orders",
--- a/test/support/told_node.h
+++ b/test/support/told_node.h
@@ -22,7 +22,7 @@
 static inline void
 told_node_init(told_node_t *told)
 {
-	told->clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	told->clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	told->store = (row_store_t){.ops = &silent_ops};
 	told->base = event_base_new();
 	rng_system_init(&told->rng);
@@ -40,7 +40,7 @@
 static inline void
 pass(told_node_t *told, int64_t ms)
 {
-	told->clock.now = timespec_after_ms(told->clock.now, ms);
+	told->clock.now = timespec_add_ms(told->clock.now, ms);
 }
 
 /** @param text NULL: the row is removed */
--- a/test/unit/admission_test.c
+++ b/test/unit/admission_test.c
@@ -17,7 +17,7 @@
 static struct timespec
 at(int64_t ms)
 {
-	return timespec_of_ms(FAR_MS + ms);
+	return timespec_from_ms(FAR_MS + ms);
 }
 
 static waiter_t
--- a/test/unit/caller_targets_test.c
+++ b/test/unit/caller_targets_test.c
@@ -42,7 +42,7 @@
 {
 	world_t *world = calloc(1, sizeof(*world));
 
-	world->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	world->clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	world->base = event_base_new();
 	world->store = (row_store_t){.ops = &silent_ops};
 	*state = world;
