--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -59,7 +59,7 @@
 {
 	chooser_t *chooser = calloc(1, sizeof(*chooser));
 
-	chooser->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	chooser->clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	endpoint_set_init(&chooser->endpoints, &chooser->clock.source);
 	for (int i = 0; i < endpoints; i++)
 		endpoint_learn(chooser, backwards ? endpoints - 1 - i : i);
@@ -210,7 +210,7 @@
 		.duration_ms = ORDER_MS},
 	    .state = ROLLOUT_IN_PROGRESS,
 	    .state_order = 5,
-	    .seen = timespec_after_ms(
+	    .seen = timespec_add_ms(
 		chooser->clock.now, -(int64_t)(part * ORDER_MS))};
 	HASH_ADD_KEYPTR(hh, chooser->rollouts.all, rollout.order.service,
 	    strlen(rollout.order.service), &rollout);
--- a/test/unit/endpoint_set_test.c
+++ b/test/unit/endpoint_set_test.c
@@ -32,7 +32,7 @@
 {
 	static started_t started;
 
-	started.clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	started.clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	endpoint_set_init(&started.set, &started.clock.source);
 	*state = &started;
 	return 0;
@@ -121,11 +121,11 @@
 	assert_false(endpoint_ejected(endpoint));
 	endpoint_refused_connection(endpoint);
 	assert_true(endpoint_ejected(endpoint));
-	started->clock.now = timespec_after_ms(started->clock.now, 500);
+	started->clock.now = timespec_add_ms(started->clock.now, 500);
 	assert_false(endpoint_ejected(endpoint));
 	endpoint_worked(endpoint);
 	endpoint_superseded(endpoint);
-	started->clock.now = timespec_after_ms(started->clock.now, 3600);
+	started->clock.now = timespec_add_ms(started->clock.now, 3600);
 	assert_true(endpoint_ejected(endpoint));
 	endpoint_worked(endpoint);
 	assert_false(endpoint_ejected(endpoint));
@@ -178,7 +178,7 @@
 	assert_false(endpoint_set_earlier(&started->set, &facts));
 	/* The one that runs writes its entry again: that one was late. */
 	assert_ptr_equal(take(started, BORN + 9), now);
-	started->clock.now = timespec_after_ms(started->clock.now, LONG_MS);
+	started->clock.now = timespec_add_ms(started->clock.now, LONG_MS);
 	assert_false(endpoint_set_earlier(&started->set, &facts));
 	assert_int_equal(started->set.earlier_len, 0);
 }
@@ -192,7 +192,7 @@
 
 	take(started, BORN + 9);
 	take(started, BORN);
-	started->clock.now = timespec_after_ms(started->clock.now, LONG_MS);
+	started->clock.now = timespec_add_ms(started->clock.now, LONG_MS);
 	assert_true(endpoint_set_earlier(&started->set, &facts));
 	assert_int_equal(facts.born_ms, BORN);
 }
--- a/test/unit/event_log_test.c
+++ b/test/unit/event_log_test.c
@@ -33,7 +33,7 @@
 	int ends[2];
 
 	memset(world, 0, sizeof(*world));
-	world->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	world->clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	fflush(stdout);
 	assert_int_equal(pipe(ends), 0);
 	world->stdout_kept = dup(STDOUT_FILENO);
@@ -77,14 +77,15 @@
 	(void)state;
 	world_init(&world, 100);
 	for (int i = 0; i < 5000; i++)
-		event_line_throttled(
+		event_log_write_throttled(
 		    &world.log, EVENT_THROTTLED_ENDPOINT, "id=%d", i);
-	event_line(&world.log, "config", "version=2");
+	event_log_write(&world.log, "config", "version=2");
 	event_log_tick(&world.log);
 	world.clock.now.tv_sec += 2;
 	event_log_tick(&world.log);
 	event_log_tick(&world.log);
-	event_line_throttled(&world.log, EVENT_THROTTLED_ENDPOINT, "id=again");
+	event_log_write_throttled(
+	    &world.log, EVENT_THROTTLED_ENDPOINT, "id=again");
 	out = world_finish(&world);
 	assert_int_equal(count_of(out, "event=endpoint "), 9);
 	assert_int_equal(count_of(out, "event=config version=2"), 1);
@@ -104,9 +105,9 @@
 	(void)state;
 	world_init(&world, 10);
 	for (int i = 0; i < 100; i++)
-		event_line(&world.log, "request", "id=%d", i);
+		event_log_write(&world.log, "request", "id=%d", i);
 	world.clock.now.tv_sec += 1;
-	event_line(&world.log, "request", "id=last");
+	event_log_write(&world.log, "request", "id=last");
 	out = world_finish(&world);
 	assert_int_equal(count_of(out, "event=request "), 21);
 	assert_int_equal(count_of(out, "dropped_lines=80 id=last"), 1);
@@ -121,7 +122,7 @@
 	(void)state;
 	world_init(&world, 1e9);
 	for (int i = 0; i < 20000; i++)
-		event_line(&world.log, "request", "id=%d", i);
+		event_log_write(&world.log, "request", "id=%d", i);
 	assert_true(world.log.dropped > 0);
 	assert_int_equal(world.log.dropped + world.log.written, 20000);
 	world_finish(&world);
--- a/test/unit/feed_body_test.c
+++ b/test/unit/feed_body_test.c
@@ -45,7 +45,7 @@
 {
 	world_t *world = calloc(1, sizeof(*world));
 
-	world->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	world->clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	row_cache_init(&world->cache, &world->clock.source, bytes_same, NULL);
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoint_put(world, i, "ready", (uint64_t)i + 1);
--- a/test/unit/feed_client_test.c
+++ b/test/unit/feed_client_test.c
@@ -38,7 +38,7 @@
 since_asked(const follower_t *follower)
 {
 	return timespec_ms_between(
-	    follower->asked, clock_elapsed(&follower->clock));
+	    follower->asked, clock_boottime(&follower->clock));
 }
 
 static void
@@ -47,7 +47,7 @@
 	follower_t *follower = arg;
 
 	strcpy(question->name, "follower");
-	follower->asked = clock_elapsed(&follower->clock);
+	follower->asked = clock_boottime(&follower->clock);
 }
 
 static void
--- a/test/unit/feed_delta_test.c
+++ b/test/unit/feed_delta_test.c
@@ -84,7 +84,7 @@
 static void
 world_init(world_t *world)
 {
-	*world = (world_t){.clock = {{&manual_ops}, {100, 0}}};
+	*world = (world_t){.clock = {{&manual_clock_ops}, {100, 0}}};
 	row_cache_init(&world->teller, &world->clock.source, bytes_same, NULL);
 	row_cache_init(&world->asker, &world->clock.source, bytes_same, NULL);
 	world->from.source = 1;
--- a/test/unit/freshness_test.c
+++ b/test/unit/freshness_test.c
@@ -17,13 +17,13 @@
 static struct timespec
 at(int64_t ms)
 {
-	return timespec_of_ms(START_MS + ms);
+	return timespec_from_ms(START_MS + ms);
 }
 
 static int64_t
 until_ms(const freshness_t *freshness)
 {
-	return timespec_ms(freshness_until(freshness)) - START_MS;
+	return timespec_to_ms(freshness_until(freshness)) - START_MS;
 }
 
 static void
--- a/test/unit/gossip_test.c
+++ b/test/unit/gossip_test.c
@@ -18,7 +18,7 @@
 #include "moortack/relay/gossip_message.h"
 #include "moortack/relay/owners.h"
 
-static manual_clock_t hand = {{&manual_ops}, {1000, 0}};
+static manual_clock_t hand = {{&manual_clock_ops}, {1000, 0}};
 
 static const gossip_message_t message = {.endpoint = 0xfedcba98,
     .read_ms = 1234,
--- a/test/unit/http_call_test.c
+++ b/test/unit/http_call_test.c
@@ -17,7 +17,7 @@
 #define GROWTH_MAX 20000 /* bytes: a kept connection is over 1,000 */
 
 static void
-count_refused(void *arg, const http_reply_t *reply)
+count_refused(void *arg, const http_response_t *reply)
 {
 	assert_int_equal(reply->status, 0);
 	(*(int *)arg)++;
@@ -90,7 +90,7 @@
 	for (int i = 0; i < 5; i++)
 		assert_true(
 		    http_call_start(base, &call, count_refused, &ended));
-	http_calls_end(base);
+	http_calls_cancel(base);
 	assert_int_equal(ended, 5);
 	evutil_closesocket(fd);
 	event_base_free(base);
--- a/test/unit/http_inbound_test.c
+++ b/test/unit/http_inbound_test.c
@@ -34,7 +34,7 @@
 	if (hold)
 		held = conn;
 	else
-		http_inbound_answer(conn, 200, "", NULL);
+		http_inbound_respond(conn, 200, "", NULL);
 }
 
 static void
@@ -83,9 +83,9 @@
 	static fixture_t fixture;
 	const http_inbound_limits_t limits = {.head_max = 4096,
 	    .body_max = 4096,
-	    .read_ms = 60000,
-	    .idle_ms = 60000,
-	    .connections = PLACES};
+	    .read_timeout_ms = 60000,
+	    .idle_timeout_ms = 60000,
+	    .connections_max = PLACES};
 	err_t err;
 
 	handled = 0;
@@ -100,7 +100,7 @@
 		    fixture.base, &fixture.address, &ops, NULL, &err);
 	}
 	assert_non_null(fixture.server);
-	http_inbound_limit(fixture.server, &limits);
+	http_inbound_set_limits(fixture.server, &limits);
 	*state = &fixture;
 	return 0;
 }
@@ -184,11 +184,11 @@
 	const fixture_t *fixture = *state;
 	int fd;
 
-	http_inbound_hold(fixture->server, true);
+	http_inbound_pause_accepting(fixture->server, true);
 	fd = client(fixture, whole);
 	assert_int_equal(handled, 0);
 	assert_false(answered(fd));
-	http_inbound_hold(fixture->server, false);
+	http_inbound_pause_accepting(fixture->server, false);
 	step(fixture);
 	assert_true(answered(fd));
 	close(fd);
@@ -208,7 +208,7 @@
 	more = client(fixture, whole);
 	assert_int_equal(handled, PLACES);
 	assert_non_null(held);
-	http_inbound_answer(held, 200, "", NULL);
+	http_inbound_respond(held, 200, "", NULL);
 	step(fixture);
 	assert_true(answered(fds[PLACES - 1]));
 	close(more);
--- a/test/unit/http_msg_test.c
+++ b/test/unit/http_msg_test.c
@@ -82,7 +82,7 @@
 	bool taken;
 
 	feed(&fed, HTTP_REQUEST, text, len);
-	taken = fed.result == HTTP_READ_WHOLE &&
+	taken = fed.result == HTTP_READ_COMPLETE &&
 	    http_msg_check(&fed.reader.msg, &fed.err);
 	fed_finish(&fed);
 	return taken;
@@ -132,7 +132,7 @@
 
 	(void)state;
 	feed(&fed, HTTP_REQUEST, two, sizeof(two) - 1);
-	assert_int_equal(fed.result, HTTP_READ_WHOLE);
+	assert_int_equal(fed.result, HTTP_READ_COMPLETE);
 	assert_int_equal(evbuffer_get_length(fed.in), 17);
 	fed_finish(&fed);
 }
@@ -147,8 +147,8 @@
 
 	(void)state;
 	feed(&fed, HTTP_REQUEST, text, sizeof(text) - 1);
-	assert_int_equal(fed.result, HTTP_READ_WHOLE);
-	assert_int_equal(http_msg_count(&fed.reader.msg, "Host"), 1);
+	assert_int_equal(fed.result, HTTP_READ_COMPLETE);
+	assert_int_equal(http_msg_field_count(&fed.reader.msg, "Host"), 1);
 	assert_string_equal(http_msg_field(&fed.reader.msg, "host"), "h");
 	fed_finish(&fed);
 }
@@ -163,8 +163,8 @@
 
 	(void)state;
 	feed(&fed, HTTP_REQUEST, text, (size_t)len);
-	assert_int_equal(fed.result, HTTP_READ_BAD);
-	assert_true(fed.reader.head_over);
+	assert_int_equal(fed.result, HTTP_READ_INVALID);
+	assert_true(fed.reader.head_too_large);
 	fed_finish(&fed);
 }
 
@@ -178,7 +178,7 @@
 
 	(void)state;
 	feed(&fed, HTTP_RESPONSE, text, sizeof(text) - 1);
-	assert_int_equal(fed.result, HTTP_READ_WHOLE);
+	assert_int_equal(fed.result, HTTP_READ_COMPLETE);
 	assert_int_equal(fed.told.heads, 1);
 	assert_int_equal(fed.told.status, 200);
 	assert_int_equal(fed.told.body_len, 2);
@@ -193,8 +193,8 @@
 
 	(void)state;
 	feed(&fed, HTTP_RESPONSE, text, sizeof(text) - 1);
-	assert_int_equal(fed.result, HTTP_READ_MORE);
-	assert_int_equal(http_reader_end(&fed.reader), HTTP_READ_WHOLE);
+	assert_int_equal(fed.result, HTTP_READ_INCOMPLETE);
+	assert_int_equal(http_reader_eof(&fed.reader), HTTP_READ_COMPLETE);
 	assert_false(http_should_keep_alive(&fed.reader.parser));
 	fed_finish(&fed);
 }
@@ -211,10 +211,10 @@
 
 	(void)state;
 	feed(&fed, HTTP_RESPONSE, length, sizeof(length) - 1);
-	assert_int_equal(http_reader_end(&fed.reader), HTTP_READ_BAD);
+	assert_int_equal(http_reader_eof(&fed.reader), HTTP_READ_INVALID);
 	fed_finish(&fed);
 	feed(&fed, HTTP_RESPONSE, chunks, sizeof(chunks) - 1);
-	assert_int_equal(http_reader_end(&fed.reader), HTTP_READ_BAD);
+	assert_int_equal(http_reader_eof(&fed.reader), HTTP_READ_INVALID);
 	fed_finish(&fed);
 }
 
--- a/test/unit/http_outbound_test.c
+++ b/test/unit/http_outbound_test.c
@@ -168,7 +168,7 @@
 	getsockname(listener, (struct sockaddr *)&at, &len);
 	address.port = ntohs(at.sin_port);
 	owner->conn = http_outbound_new(base, &address, connect_ms, 60000);
-	http_outbound_set_silent(owner->conn, silent_ms);
+	http_outbound_set_silence_timeout(owner->conn, silent_ms);
 	evbuffer_add_printf(
 	    head, "PUT / HTTP/1.1\r\nContent-Length: %u\r\n\r\n", BODY_LEN);
 	evbuffer_add(body, bytes, BODY_LEN);
@@ -192,7 +192,7 @@
 	(void)state;
 	send_in_vain(&owner, 1000, SILENT_MS, LIMIT_S);
 	assert_int_equal(owner.failed, 1);
-	assert_int_equal(owner.failure, HTTP_OUTBOUND_NO_ANSWER);
+	assert_int_equal(owner.failure, HTTP_OUTBOUND_NO_RESPONSE);
 }
 
 /* The bound for connecting is none for what comes after. */
@@ -227,7 +227,7 @@
 	http_outbound_send(owner.conn, &ops, &owner, head, NULL, false);
 	event_base_dispatch(base);
 	assert_int_equal(owner.failed, 1);
-	assert_int_equal(owner.failure, HTTP_OUTBOUND_REFUSED);
+	assert_int_equal(owner.failure, HTTP_OUTBOUND_CONNECTION_REFUSED);
 	http_outbound_free(owner.conn);
 	close(closed);
 	evbuffer_free(head);
--- a/test/unit/member_life_test.c
+++ b/test/unit/member_life_test.c
@@ -52,7 +52,7 @@
 		life_step_t step = {judged->following, judged->held,
 		    !judged->knows_nobody, judged->all_fresh};
 
-		judged->now = timespec_after_ms(judged->now, STEP_MS);
+		judged->now = timespec_add_ms(judged->now, STEP_MS);
 		if (judged->asked)
 			life_view_asked(&judged->view, judged->now);
 		life_view_step(&judged->view, judged->now, &step);
@@ -166,7 +166,7 @@
 	life_seen(&judged.other, judged.now);
 	pass(&judged, 2 * STEP_MS);
 	assert_true(judged.view.settled);
-	judged.now = timespec_after_ms(judged.now, SILENT_MS + STEP_MS);
+	judged.now = timespec_add_ms(judged.now, SILENT_MS + STEP_MS);
 	judged.all_fresh = false;
 	judged.asked = false;
 	pass(&judged, STEP_MS);
@@ -280,7 +280,7 @@
 a_later_sign_is_not_undone_by_an_earlier_one(void **state)
 {
 	judged_t judged = judged_new();
-	struct timespec later = timespec_after_ms(judged.now, 500);
+	struct timespec later = timespec_add_ms(judged.now, 500);
 
 	(void)state;
 	assert_true(life_heard(&judged.other, later));
--- a/test/unit/member_row_requests_test.c
+++ b/test/unit/member_row_requests_test.c
@@ -79,7 +79,7 @@
 world_init(world_t *world, int daemons)
 {
 	memset(world, 0, sizeof(*world));
-	world->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	world->clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	world->store.base.ops = &taking_ops;
 	membership_of(
 	    &world->self, &world->store.base, &world->clock.source, 0, daemons);
@@ -92,7 +92,7 @@
 steps(world_t *world, int64_t ms, bool following, bool asked)
 {
 	for (int64_t at = 0; at < ms; at += STEP_MS) {
-		world->clock.now = timespec_after_ms(world->clock.now, STEP_MS);
+		world->clock.now = timespec_add_ms(world->clock.now, STEP_MS);
 		if (asked)
 			membership_heard(&world->self, "10.0.0.1:80", NULL);
 		membership_step(&world->self, following);
--- a/test/unit/member_tree_test.c
+++ b/test/unit/member_tree_test.c
@@ -53,7 +53,7 @@
 static void
 followers_form_a_tree(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	int parents[DAEMONS], followers[DAEMONS] = {0}, roots = 0;
@@ -96,7 +96,7 @@
 few_links_of_the_tree_cross_between_zones(void **state)
 {
 	enum { LARGE = 90, FOLLOWERS_MOST = 16, FAR_MOST = 12 };
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	int followers[LARGE] = {0}, far = 0;
@@ -127,7 +127,7 @@
 static void
 a_daemon_that_failed_is_not_followed_for_a_time(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t self;
@@ -151,7 +151,7 @@
 static void
 the_first_may_follow_the_second(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	int firsts = 0;
@@ -181,7 +181,7 @@
 pass_asked(membership_t *self, manual_clock_t *clock, int64_t ms)
 {
 	for (int64_t past = 0; past < ms; past += STEP_MS) {
-		clock->now = timespec_after_ms(clock->now, STEP_MS);
+		clock->now = timespec_add_ms(clock->now, STEP_MS);
 		membership_heard(self, "10.0.0.2:80", NULL);
 		membership_step(self, false);
 	}
@@ -190,7 +190,7 @@
 static void
 a_silent_member_counts_as_dead(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t self;
@@ -220,7 +220,7 @@
 static void
 those_below_are_heard_of_with_their_age(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t leaf_parent, between, first;
@@ -260,7 +260,7 @@
 static void
 who_knows_no_rows_speaks_for_nobody(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t self;
@@ -268,13 +268,13 @@
 	(void)state;
 	membership_of(&self, &store, &clock.source, 0, 1);
 	for (int i = 0; i < 20; i++) {
-		clock.now = timespec_after_ms(clock.now, 200);
+		clock.now = timespec_add_ms(clock.now, 200);
 		membership_heard(&self, "10.0.0.5:80", NULL);
 		membership_step(&self, false);
 	}
 	assert_int_equal(membership_vouch_age_ms(&self), -1);
 	membership_rows_read(&self);
-	clock.now = timespec_after_ms(clock.now, 200);
+	clock.now = timespec_add_ms(clock.now, 200);
 	membership_heard(&self, "10.0.0.5:80", NULL);
 	membership_step(&self, false);
 	assert_int_equal(membership_vouch_age_ms(&self), 0);
--- a/test/unit/paged_read_test.c
+++ b/test/unit/paged_read_test.c
@@ -62,7 +62,7 @@
 paged_node_init(paged_node_t *paged)
 {
 	memset(paged, 0, sizeof(*paged));
-	paged->clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	paged->clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	paged->store = (row_store_t){.ops = &paged_ops};
 	paged->base = event_base_new();
 	rng_system_init(&paged->rng);
--- a/test/unit/quarantine_test.c
+++ b/test/unit/quarantine_test.c
@@ -57,7 +57,7 @@
 setup(void **state)
 {
 	(void)state;
-	hand = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	hand = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	held = released = 0;
 	quarantine_init(&table, &hand.source, &ops, NULL);
 	return 0;
@@ -107,7 +107,7 @@
 	/* Told late of a crash before. */
 	crashes(SOUND, 3, 1);
 	assert_int_equal(quarantine_crashes(&table, SOUND), 0);
-	hand.now = timespec_after_ms(hand.now, MINUTE_MS);
+	hand.now = timespec_add_ms(hand.now, MINUTE_MS);
 	crashes(SOUND, 4, 2);
 	assert_true(quarantine_admits(&table, SOUND, false));
 	assert_int_equal(held, 0);
@@ -118,7 +118,7 @@
 {
 	(void)state;
 	crashes(SOUND, 1, 2);
-	hand.now = timespec_after_ms(hand.now, 61 * MINUTE_MS);
+	hand.now = timespec_add_ms(hand.now, 61 * MINUTE_MS);
 	quarantine_expire(&table);
 	crashes(SOUND, 3, 1);
 	assert_int_equal(quarantine_crashes(&table, SOUND), 1);
@@ -129,7 +129,7 @@
 {
 	(void)state;
 	crashes(POISON, 1, 3);
-	hand.now = timespec_after_ms(hand.now, REFUSED_MS + 1);
+	hand.now = timespec_add_ms(hand.now, REFUSED_MS + 1);
 	quarantine_expire(&table);
 	assert_false(quarantine_admits(&table, POISON, false));
 	assert_true(quarantine_admits(&table, POISON, true));
@@ -137,10 +137,10 @@
 	/* It crashes again: one endpoint, and it is refused as long again. */
 	crashes(POISON, 9, 1);
 	assert_int_equal(held, 2);
-	hand.now = timespec_after_ms(hand.now, REFUSED_MS - 1);
+	hand.now = timespec_add_ms(hand.now, REFUSED_MS - 1);
 	assert_false(quarantine_admits(&table, POISON, true));
 	/* The next trial ends well. */
-	hand.now = timespec_after_ms(hand.now, 2);
+	hand.now = timespec_add_ms(hand.now, 2);
 	assert_true(quarantine_admits(&table, POISON, true));
 	assert_true(quarantine_clear(&table, POISON));
 	assert_true(quarantine_admits(&table, POISON, false));
@@ -152,14 +152,14 @@
 {
 	(void)state;
 	crashes(POISON, 1, 3);
-	hand.now = timespec_after_ms(hand.now, GONE_MS);
+	hand.now = timespec_add_ms(hand.now, GONE_MS);
 	quarantine_expire(&table);
 	assert_int_equal(released, 1);
 	assert_true(quarantine_admits(&table, POISON, false));
 	/* One more crash renews it. */
 	crashes(POISON, 9, 1);
 	assert_false(quarantine_admits(&table, POISON, false));
-	hand.now = timespec_after_ms(hand.now, 4 * GONE_MS);
+	hand.now = timespec_add_ms(hand.now, 4 * GONE_MS);
 	quarantine_expire(&table);
 	assert_null(quarantine_find(&table, POISON));
 }
@@ -234,7 +234,7 @@
 {
 	return (broken_attempt_t){.digest = digest,
 	    .incarnation = incarnation,
-	    .at = clock_elapsed(&hand.source)};
+	    .at = clock_boottime(&hand.source)};
 }
 
 static void
@@ -271,10 +271,10 @@
 	}
 	assert_int_equal(evidence.len, CRASH_EVIDENCE_MAX);
 	assert_false(crash_evidence_open(&evidence, 0));
-	hand.now = timespec_after_ms(hand.now, 5000);
+	hand.now = timespec_add_ms(hand.now, 5000);
 	one = attempt(SOUND, 9999);
 	crash_evidence_note(&evidence, &one);
-	crash_evidence_expire(&evidence, clock_elapsed(&hand.source), 4000);
+	crash_evidence_expire(&evidence, clock_boottime(&hand.source), 4000);
 	assert_int_equal(evidence.len, 1);
 }
 
--- a/test/unit/relay_counts_test.c
+++ b/test/unit/relay_counts_test.c
@@ -50,7 +50,7 @@
 static void
 load_play(uint64_t seed, played_t *played)
 {
-	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {1000, 0}};
 	relay_t relay = {.clock = &clock.source,
 	    .daemons_most = DAEMONS,
 	    .bounds = {.retries = {0.9, 10000, 222}}};
@@ -62,7 +62,7 @@
 		    STREAMS_PER_S * (now_s < RUSH_S ? 1 : LATER_PART);
 
 		now_s += -log(draw(&state)) / per_s;
-		clock.now = timespec_of_ms(1000000 + (int64_t)(1000 * now_s));
+		clock.now = timespec_from_ms(1000000 + (int64_t)(1000 * now_s));
 		relay_count_request(&relay, SERVICE, clock.now);
 		if (draw(&state) >= LARGER_PART)
 			continue;
@@ -92,7 +92,7 @@
 static void
 a_part_is_kept_for_failures(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {1000, 0}};
 	relay_t relay = {.clock = &clock.source,
 	    .daemons_most = 1,
 	    .bounds = {.retries = {0.9, 10000, 20}}};
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -73,7 +73,7 @@
 static int
 share_after(news_t first, news_t second, news_t third)
 {
-	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {1000, 0}};
 	event_log_t log;
 	row_watch_t watch = {.clock = &clock.source};
 	membership_t members = {0};
@@ -156,7 +156,7 @@
 first_order_init(first_order_t *told)
 {
 	memset(told, 0, sizeof(*told));
-	told->clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	told->clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	told->watch =
 	    (row_watch_t){.clock = &told->clock.source, .suspended = true};
 	told->rollouts = (rollouts_t){.clock = &told->clock.source,
@@ -233,7 +233,7 @@
 	first_order_init(&told);
 	order_told(&told, NEXT, "v3");
 	assert_int_equal(told.rollout->order.number, ORDER);
-	told.clock.now = timespec_after_ms(told.clock.now, WAIT_MS);
+	told.clock.now = timespec_add_ms(told.clock.now, WAIT_MS);
 	order_told(&told, NEXT, "v3");
 	state_told(&told, ORDER, "v2", "v1", "in_progress", 13);
 	assert_int_equal(told.rollout->order.number, ORDER);
@@ -293,7 +293,7 @@
 	assert_true(rollouts_init(&told.rollouts, base));
 	state_told(&told, NEXT, "v3", "v2", "in_progress", 12);
 	for (int i = 0; i < 20; i++) {
-		told.clock.now = timespec_after_ms(told.clock.now, 200);
+		told.clock.now = timespec_add_ms(told.clock.now, 200);
 		event_active(told.rollouts.timer, EV_TIMEOUT, 0);
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	}
@@ -354,7 +354,7 @@
 	assert_false(rollout_settled(rollout));
 	life_set_silent(&member.life, true, told.clock.now);
 	assert_true(rollout_found_bad(rollout));
-	told.clock.now = timespec_after_ms(told.clock.now, GONE_MS);
+	told.clock.now = timespec_add_ms(told.clock.now, GONE_MS);
 	assert_false(rollout_found_bad(rollout));
 	assert_true(rollout_settled(rollout));
 	HASH_DEL(told.members.members, &member);
@@ -452,7 +452,7 @@
 	(void)state;
 	first_order_init(&told);
 	rollout = rollouts_find(&told.rollouts, "s");
-	told.clock.now = timespec_after_ms(
+	told.clock.now = timespec_add_ms(
 	    told.clock.now, (int64_t)(SECOND_STEP_TIME * DURATION_MS));
 	row_watch_vouch(&told.watch, 2, told.clock.now);
 	assert_true(rollout_prefers_new(rollout, SECOND_STEP_HASH, false));
--- a/test/unit/row_source_test.c
+++ b/test/unit/row_source_test.c
@@ -41,7 +41,7 @@
 static void
 a_row_is_news_once_and_never_goes_back(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	row_cache_t cache;
 	row_t row = row_of("k", "one", 5);
 
@@ -68,7 +68,7 @@
 static void
 rows_come_through_the_wire_as_they_are(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	row_cache_t cache;
 	row_t row = row_of("a \"key\"", "{\"x\":\"\\u00e4\"}", 5), read;
 	feed_answer_t answer = {.number = 3, .source = 9, .lost = true};
@@ -150,7 +150,7 @@
 static void
 a_whole_answer_ends_only_what_it_does_not_name(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	row_cache_t here, there;
 	feed_answer_t answer = {.number = 1, .rows = json_array()};
 	row_t named = row_of("named", "x", 30);
@@ -184,7 +184,7 @@
 static void
 a_whole_answer_brings_back_what_came_back_unchanged(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	row_cache_t here, there;
 	feed_answer_t answer = {.number = 1, .rows = json_array()};
 	row_t row = row_of("back", "x", 5);
@@ -220,7 +220,7 @@
 static void
 a_store_that_is_back_is_not_told_as_lost(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t members = {0};
--- a/test/unit/row_watch_test.c
+++ b/test/unit/row_watch_test.c
@@ -110,7 +110,7 @@
 static void
 a_read_from_before_what_was_told_since_is_not_taken(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	late_store_t store = {.store = {&late_ops}};
 	const row_watch_pace_t pace = {0, 1, 1, 1, 1000};
--- a/test/unit/settings_test.c
+++ b/test/unit/settings_test.c
@@ -63,12 +63,12 @@
 
 	(void)state;
 	assert_int_equal(
-	    load(&values, &err, "--max-count", "101"), SETTINGS_BAD);
+	    load(&values, &err, "--max-count", "101"), SETTINGS_INVALID);
 	assert_string_equal(err.detail,
 	    "max-count is '101'; allowed: a whole number from 1 to 100 ms "
 	    "(from flag --max-count)");
 	setenv("TESTSET_MAX_COUNT", "x", 1);
-	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_BAD);
+	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_INVALID);
 	assert_non_null(
 	    strstr(err.detail, "(from environment TESTSET_MAX_COUNT)"));
 	unsetenv("TESTSET_MAX_COUNT");
@@ -81,9 +81,10 @@
 	err_t err;
 
 	(void)state;
-	assert_int_equal(load(&values, &err, "--no-such", "1"), SETTINGS_BAD);
+	assert_int_equal(
+	    load(&values, &err, "--no-such", "1"), SETTINGS_INVALID);
 	setenv("TESTSET_NO_SUCH", "1", 1);
-	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_BAD);
+	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_INVALID);
 	assert_non_null(strstr(err.detail, "TESTSET_NO_SUCH"));
 	unsetenv("TESTSET_NO_SUCH");
 }
@@ -99,7 +100,7 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof(bad) / sizeof(*bad); i++)
 		assert_int_equal(
-		    load(&values, &err, "--listen", bad[i]), SETTINGS_BAD);
+		    load(&values, &err, "--listen", bad[i]), SETTINGS_INVALID);
 }
 
 static void
@@ -109,9 +110,10 @@
 	err_t err;
 
 	(void)state;
-	assert_int_equal(load(&values, &err, "--key", "abcd"), SETTINGS_BAD);
+	assert_int_equal(
+	    load(&values, &err, "--key", "abcd"), SETTINGS_INVALID);
 	setenv("TESTSET_KEY", "abc", 1);
-	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_BAD);
+	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_INVALID);
 	assert_null(strstr(err.detail, "abc"));
 	setenv("TESTSET_KEY", "abcd", 1);
 	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_OK);
--- a/test/unit/slow_link_test.c
+++ b/test/unit/slow_link_test.c
@@ -222,7 +222,7 @@
 static int64_t
 run_until(bool (*far)(const follower_t *))
 {
-	struct timespec begun = clock_elapsed(&world.clock);
+	struct timespec begun = clock_boottime(&world.clock);
 	struct timeval turn = {0, 5 * US_PER_MS};
 	int64_t ms = 0;
 
@@ -232,7 +232,7 @@
 		done = 0;
 		for (int i = 0; i < FOLLOWERS; i++)
 			done += far(&world.followers[i]);
-		ms = timespec_ms_between(begun, clock_elapsed(&world.clock));
+		ms = timespec_ms_between(begun, clock_boottime(&world.clock));
 		assert_true(ms < LIMIT_S * 1000);
 	}
 	return ms;
--- a/test/unit/suspend_watch_test.c
+++ b/test/unit/suspend_watch_test.c
@@ -31,7 +31,7 @@
 {
 	const vm_clock_t *vm = (const vm_clock_t *)clock;
 
-	return timespec_after_ms(vm->now, -vm->suspended_ms);
+	return timespec_add_ms(vm->now, -vm->suspended_ms);
 }
 
 static const clock_ops_t vm_ops = {vm_now, vm_now, vm_steady};
@@ -39,7 +39,7 @@
 static void
 time_passes(vm_clock_t *clock, int64_t ms)
 {
-	clock->now = timespec_after_ms(clock->now, ms);
+	clock->now = timespec_add_ms(clock->now, ms);
 }
 
 static void
@@ -49,14 +49,14 @@
 	suspend_watch_t watch = {0};
 
 	(void)state;
-	assert_int_equal(suspend_watch_look(&watch, &clock.source), 0);
+	assert_int_equal(suspend_watch_poll(&watch, &clock.source), 0);
 	time_passes(&clock, 200);
-	assert_int_equal(suspend_watch_look(&watch, &clock.source), 0);
+	assert_int_equal(suspend_watch_poll(&watch, &clock.source), 0);
 	time_passes(&clock, SUSPENDED_MS + 100);
 	clock.suspended_ms += SUSPENDED_MS;
 	assert_int_equal(
-	    suspend_watch_look(&watch, &clock.source), SUSPENDED_MS);
-	assert_int_equal(suspend_watch_look(&watch, &clock.source), 0);
+	    suspend_watch_poll(&watch, &clock.source), SUSPENDED_MS);
+	assert_int_equal(suspend_watch_poll(&watch, &clock.source), 0);
 }
 
 static void
@@ -66,9 +66,9 @@
 	suspend_watch_t watch = {0};
 
 	(void)state;
-	suspend_watch_look(&watch, &clock.source);
+	suspend_watch_poll(&watch, &clock.source);
 	time_passes(&clock, SUSPENDED_MS);
-	assert_int_equal(suspend_watch_look(&watch, &clock.source), 0);
+	assert_int_equal(suspend_watch_poll(&watch, &clock.source), 0);
 }
 
 static void
@@ -78,7 +78,7 @@
 	suspend_watch_t watch = {0};
 
 	(void)state;
-	assert_int_equal(suspend_watch_look(&watch, &clock.source), 0);
+	assert_int_equal(suspend_watch_poll(&watch, &clock.source), 0);
 }
 
 int
