--- a/common/clock_source.c
+++ b/common/clock_source.c
@@ -7,7 +7,7 @@
 #define NS_PER_SEC 1000000000
 
 static struct timespec
-system_elapsed(const clock_source_t *clock)
+system_boottime(const clock_source_t *clock)
 {
 	struct timespec now;
 
@@ -27,7 +27,7 @@
 }
 
 static struct timespec
-system_steady(const clock_source_t *clock)
+system_monotonic(const clock_source_t *clock)
 {
 	struct timespec now;
 
@@ -37,7 +37,7 @@
 }
 
 static const clock_ops_t system_ops = {
-    system_elapsed, system_wall, system_steady};
+    system_boottime, system_wall, system_monotonic};
 
 void
 clock_system_init(clock_source_t *clock)
@@ -77,25 +77,25 @@
 }
 
 struct timespec
-timespec_add_ms(struct timespec at, int64_t ms)
+timespec_add_ms(struct timespec ts, int64_t ms)
 {
-	at.tv_sec += ms / MS_PER_SEC;
-	at.tv_nsec += (ms % MS_PER_SEC) * NS_PER_MS;
-	if (at.tv_nsec >= NS_PER_SEC) {
-		at.tv_sec++;
-		at.tv_nsec -= NS_PER_SEC;
+	ts.tv_sec += ms / MS_PER_SEC;
+	ts.tv_nsec += (ms % MS_PER_SEC) * NS_PER_MS;
+	if (ts.tv_nsec >= NS_PER_SEC) {
+		ts.tv_sec++;
+		ts.tv_nsec -= NS_PER_SEC;
 	}
-	if (at.tv_nsec < 0) {
-		at.tv_sec--;
-		at.tv_nsec += NS_PER_SEC;
+	if (ts.tv_nsec < 0) {
+		ts.tv_sec--;
+		ts.tv_nsec += NS_PER_SEC;
 	}
-	return at;
+	return ts;
 }
 
 int64_t
-timespec_to_ms(struct timespec at)
+timespec_to_ms(struct timespec ts)
 {
-	return (int64_t)at.tv_sec * MS_PER_SEC + at.tv_nsec / NS_PER_MS;
+	return (int64_t)ts.tv_sec * MS_PER_SEC + ts.tv_nsec / NS_PER_MS;
 }
 
 struct timespec
--- a/common/event_log.c
+++ b/common/event_log.c
@@ -14,8 +14,8 @@
 /* Lines of one kind that are written in a second. A start of 295 daemons with
  * 166 endpoints wrote 49,000 lines on endpoints, and 133 lines of one daemon
  * were dropped beside them, also those on what it does. */
-#define THROTTLE_LINES 8
-#define THROTTLE_MS 1000
+#define THROTTLE_LINES_MAX 8
+#define THROTTLE_WINDOW_MS 1000
 
 void
 event_log_init(event_log_t *log, const clock_source_t *clock, double per_s)
@@ -31,7 +31,7 @@
 }
 
 static bool
-room_take(event_log_t *log, struct timespec now)
+token_acquire(event_log_t *log, struct timespec now)
 {
 	log->tokens += (double)timespec_ms_between(log->refilled_at, now) *
 	    log->lines_per_s / MS_PER_SEC;
@@ -45,13 +45,14 @@
 }
 
 static void
-event_write(event_log_t *log, const char *event, const char *fmt, va_list ap)
+event_log_vwrite(
+    event_log_t *log, const char *event, const char *fmt, va_list ap)
 {
 	struct timespec now = clock_boottime(log->clock);
 	char line[LINE_SIZE];
 	size_t len;
 
-	if (!room_take(log, now)) {
+	if (!token_acquire(log, now)) {
 		log->dropped++;
 		return;
 	}
@@ -80,7 +81,7 @@
 	va_list ap;
 
 	va_start(ap, fmt);
-	event_write(log, event, fmt, ap);
+	event_log_vwrite(log, event, fmt, ap);
 	va_end(ap);
 }
 
@@ -94,18 +95,19 @@
 
 /* A second that is over is told of, and the next one begins. */
 static void
-throttle_turn(event_log_t *log, event_throttle_kind_t kind)
+throttle_update_window(event_log_t *log, event_throttle_kind_t kind)
 {
 	event_throttle_t *throttle = &log->throttles[kind];
 	struct timespec now = clock_boottime(log->clock);
-	uint32_t left_out = throttle->suppressed;
+	uint32_t suppressed = throttle->suppressed;
 
-	if (timespec_ms_between(throttle->window_start, now) < THROTTLE_MS)
+	if (timespec_ms_between(throttle->window_start, now) <
+	    THROTTLE_WINDOW_MS)
 		return;
 	*throttle = (event_throttle_t){.window_start = now};
-	if (left_out > 0)
+	if (suppressed > 0)
 		event_log_write(log, "left_out", "of=%s lines=%" PRIu32,
-		    throttled_events[kind], left_out);
+		    throttled_events[kind], suppressed);
 }
 
 void
@@ -115,14 +117,14 @@
 	event_throttle_t *throttle = &log->throttles[kind];
 	va_list ap;
 
-	throttle_turn(log, kind);
-	if (throttle->lines >= THROTTLE_LINES) {
+	throttle_update_window(log, kind);
+	if (throttle->lines >= THROTTLE_LINES_MAX) {
 		throttle->suppressed++;
 		return;
 	}
 	throttle->lines++;
 	va_start(ap, fmt);
-	event_write(log, throttled_events[kind], fmt, ap);
+	event_log_vwrite(log, throttled_events[kind], fmt, ap);
 	va_end(ap);
 }
 
@@ -130,5 +132,5 @@
 event_log_tick(event_log_t *log)
 {
 	for (int kind = 0; kind < EVENT_THROTTLE_COUNT; kind++)
-		throttle_turn(log, (event_throttle_kind_t)kind);
+		throttle_update_window(log, (event_throttle_kind_t)kind);
 }
--- a/common/settings.c
+++ b/common/settings.c
@@ -38,7 +38,7 @@
 }
 
 static bool
-int_check(const setting_t *setting, const char *text, const char *source,
+int_parse(const setting_t *setting, const char *text, const char *source,
     void *value, err_t *err)
 {
 	char *end;
@@ -59,7 +59,7 @@
 }
 
 static bool
-address_check(const char *text)
+address_is_valid(const char *text)
 {
 	char host[64];
 	const char *colon = strrchr(text, ':');
@@ -77,7 +77,7 @@
 }
 
 static bool
-text_check(const setting_t *setting, const char *text, const char *source,
+text_parse(const setting_t *setting, const char *text, const char *source,
     char *value, err_t *err)
 {
 	int64_t len = (int64_t)strlen(text);
@@ -91,7 +91,7 @@
 		    setting->name, shown, setting->min, setting->max, source);
 	}
 	if (setting->type == SETTING_ADDRESS && len > 0 &&
-	    !address_check(text)) {
+	    !address_is_valid(text)) {
 		return err_set(err, ERR_SETTING,
 		    "%s is '%.40s'; allowed: IP:PORT (from %s)", setting->name,
 		    text, source);
@@ -101,18 +101,18 @@
 }
 
 static bool
-setting_take(const setting_t *setting, const char *text, const char *source,
+setting_parse(const setting_t *setting, const char *text, const char *source,
     void *values, err_t *err)
 {
 	void *value = (char *)values + setting->offset;
 
 	if (setting->type == SETTING_INT)
-		return int_check(setting, text, source, value, err);
-	return text_check(setting, text, source, value, err);
+		return int_parse(setting, text, source, value, err);
+	return text_parse(setting, text, source, value, err);
 }
 
 static bool
-environment_check(
+environment_check_names(
     const setting_t *table, size_t count, const char *prefix, err_t *err)
 {
 	size_t prefix_len = strlen(prefix);
@@ -155,7 +155,7 @@
 		if (text == NULL)
 			continue;
 		source_name(&table[i], prefix, false, source, sizeof(source));
-		if (!setting_take(&table[i], text, source, values, err))
+		if (!setting_parse(&table[i], text, source, values, err))
 			return false;
 		given[i] = true;
 	}
@@ -163,7 +163,7 @@
 }
 
 static bool
-fallbacks_load(const setting_t *table, size_t count, const char *prefix,
+defaults_load(const setting_t *table, size_t count, const char *prefix,
     void *values, const bool *given, err_t *err)
 {
 	for (size_t i = 0; i < count; i++) {
@@ -179,7 +179,7 @@
 			    table[i].type == SETTING_SECRET ? ""
 							    : table[i].name);
 		}
-		if (!setting_take(&table[i], table[i].default_text, "default",
+		if (!setting_parse(&table[i], table[i].default_text, "default",
 			values, err))
 			return false;
 	}
@@ -212,15 +212,15 @@
 		const setting_t *setting = &table[option - 1];
 		char source[NAME_SIZE];
 		char *text;
-		bool taken;
+		bool parsed;
 
 		if (option == OPTION_HELP)
 			return SETTINGS_HELP;
 		source_name(setting, prefix, true, source, sizeof(source));
 		text = poptGetOptArg(context);
-		taken = setting_take(setting, text, source, values, err);
+		parsed = setting_parse(setting, text, source, values, err);
 		free(text);
-		if (!taken)
+		if (!parsed)
 			return SETTINGS_INVALID;
 		given[option - 1] = true;
 	}
@@ -254,12 +254,12 @@
 	options_build(table, count, options);
 	context = poptGetContext(NULL, argc, argv, options, 0);
 	result = SETTINGS_INVALID;
-	if (environment_check(table, count, prefix, err) &&
+	if (environment_check_names(table, count, prefix, err) &&
 	    environment_load(table, count, prefix, values, given, err))
 		result = flags_load(context, table, prefix, values, given, err);
 	poptFreeContext(context);
 	if (result == SETTINGS_OK &&
-	    !fallbacks_load(table, count, prefix, values, given, err))
+	    !defaults_load(table, count, prefix, values, given, err))
 		result = SETTINGS_INVALID;
 	return result;
 }
--- a/common/table.c
+++ b/common/table.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_CAP 8
+#define INITIAL_CAP 8
 
 void
 table_init(table_t *table, size_t row_size)
@@ -24,7 +24,7 @@
 	void *row;
 
 	if (table->len == table->cap) {
-		uint32_t cap = table->cap ? table->cap * 2 : FIRST_CAP;
+		uint32_t cap = table->cap ? table->cap * 2 : INITIAL_CAP;
 		void *rows = realloc(table->rows, cap * table->row_size);
 
 		if (rows == NULL)
--- a/common/task.c
+++ b/common/task.c
@@ -11,7 +11,7 @@
 }
 
 static void
-task_run(evutil_socket_t fd, short what, void *arg)
+task_deliver(evutil_socket_t fd, short what, void *arg)
 {
 	task_t *task = arg;
 	task_msg_t *msg = task->queue_head;
@@ -36,7 +36,7 @@
 {
 	*task = (task_t){.handler = handler, .state = state};
 	task->queue_tail = &task->queue_head;
-	task->wake_event = event_new(base, -1, 0, task_run, task);
+	task->wake_event = event_new(base, -1, 0, task_deliver, task);
 	return task->wake_event != NULL;
 }
 
--- a/common/timeline.c
+++ b/common/timeline.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 
 /* In the order of event_type_t. */
-static const char *const names[EVENT_TYPE_COUNT] = {
+static const char *const event_names[EVENT_TYPE_COUNT] = {
     "started",
     "draining",
     "stopped",
@@ -74,5 +74,5 @@
 const char *
 event_type_name(event_type_t type)
 {
-	return type < EVENT_TYPE_COUNT ? names[type] : "?";
+	return type < EVENT_TYPE_COUNT ? event_names[type] : "?";
 }
--- a/include/common/clock_source.h
+++ b/include/common/clock_source.h
@@ -39,11 +39,11 @@
 /** Microseconds from @p from until @p to. */
 int64_t timespec_us_between(struct timespec from, struct timespec to);
 
-/** @p at moved on by @p ms milliseconds. */
-struct timespec timespec_add_ms(struct timespec at, int64_t ms);
+/** @p ts moved on by @p ms milliseconds. */
+struct timespec timespec_add_ms(struct timespec ts, int64_t ms);
 
-/** @p at in milliseconds since its epoch. */
-int64_t timespec_to_ms(struct timespec at);
+/** @p ts in milliseconds since its epoch. */
+int64_t timespec_to_ms(struct timespec ts);
 
 /** The time @p ms milliseconds after the epoch. */
 struct timespec timespec_from_ms(int64_t ms);
--- a/test/unit/settings_test.c
+++ b/test/unit/settings_test.c
@@ -39,7 +39,7 @@
 }
 
 static void
-flag_wins_over_environment(void **state)
+flags_override_the_environment(void **state)
 {
 	values_t values;
 	err_t err;
@@ -56,7 +56,7 @@
 }
 
 static void
-out_of_range_names_all(void **state)
+range_errors_name_setting_value_range_and_source(void **state)
 {
 	values_t values;
 	err_t err;
@@ -75,7 +75,7 @@
 }
 
 static void
-unknown_ones_are_refused(void **state)
+unknown_settings_are_refused(void **state)
 {
 	values_t values;
 	err_t err;
@@ -90,7 +90,7 @@
 }
 
 static void
-addresses_are_checked(void **state)
+invalid_addresses_are_refused(void **state)
 {
 	static const char *const bad[] = {"localhost:80", "127.0.0.1",
 	    "127.0.0.1:0", "127.0.0.1:x", "127.0.0.1:70000"};
@@ -104,7 +104,7 @@
 }
 
 static void
-secrets_come_from_the_environment_and_stay_hidden(void **state)
+secrets_are_read_from_the_environment_only_and_not_printed(void **state)
 {
 	values_t values;
 	err_t err;
@@ -125,11 +125,12 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(flag_wins_over_environment),
-	    cmocka_unit_test(out_of_range_names_all),
-	    cmocka_unit_test(unknown_ones_are_refused),
-	    cmocka_unit_test(addresses_are_checked),
-	    cmocka_unit_test(secrets_come_from_the_environment_and_stay_hidden),
+	    cmocka_unit_test(flags_override_the_environment),
+	    cmocka_unit_test(range_errors_name_setting_value_range_and_source),
+	    cmocka_unit_test(unknown_settings_are_refused),
+	    cmocka_unit_test(invalid_addresses_are_refused),
+	    cmocka_unit_test(
+		secrets_are_read_from_the_environment_only_and_not_printed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/suspend_watch_test.c
+++ b/test/unit/suspend_watch_test.c
@@ -27,32 +27,32 @@
 }
 
 static struct timespec
-vm_steady(const clock_source_t *clock)
+vm_monotonic(const clock_source_t *clock)
 {
 	const vm_clock_t *vm = (const vm_clock_t *)clock;
 
 	return timespec_add_ms(vm->now, -vm->suspended_ms);
 }
 
-static const clock_ops_t vm_ops = {vm_now, vm_now, vm_steady};
+static const clock_ops_t vm_ops = {vm_now, vm_now, vm_monotonic};
 
 static void
-time_passes(vm_clock_t *clock, int64_t ms)
+vm_clock_advance(vm_clock_t *clock, int64_t ms)
 {
 	clock->now = timespec_add_ms(clock->now, ms);
 }
 
 static void
-a_suspension_is_told_once(void **state)
+a_suspension_is_reported_once(void **state)
 {
 	vm_clock_t clock = {{&vm_ops}, {1000, 0}, 0};
 	suspend_watch_t watch = {0};
 
 	(void)state;
 	assert_int_equal(suspend_watch_poll(&watch, &clock.source), 0);
-	time_passes(&clock, 200);
+	vm_clock_advance(&clock, 200);
 	assert_int_equal(suspend_watch_poll(&watch, &clock.source), 0);
-	time_passes(&clock, SUSPENDED_MS + 100);
+	vm_clock_advance(&clock, SUSPENDED_MS + 100);
 	clock.suspended_ms += SUSPENDED_MS;
 	assert_int_equal(
 	    suspend_watch_poll(&watch, &clock.source), SUSPENDED_MS);
@@ -60,19 +60,19 @@
 }
 
 static void
-a_process_that_stood_still_was_not_suspended(void **state)
+a_stalled_process_is_not_a_suspension(void **state)
 {
 	vm_clock_t clock = {{&vm_ops}, {1000, 0}, 0};
 	suspend_watch_t watch = {0};
 
 	(void)state;
 	suspend_watch_poll(&watch, &clock.source);
-	time_passes(&clock, SUSPENDED_MS);
+	vm_clock_advance(&clock, SUSPENDED_MS);
 	assert_int_equal(suspend_watch_poll(&watch, &clock.source), 0);
 }
 
 static void
-a_vm_that_had_been_suspended_before_the_start_is_not(void **state)
+suspensions_before_the_first_poll_are_ignored(void **state)
 {
 	vm_clock_t clock = {{&vm_ops}, {1000, 0}, SUSPENDED_MS};
 	suspend_watch_t watch = {0};
@@ -85,10 +85,9 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_suspension_is_told_once),
-	    cmocka_unit_test(a_process_that_stood_still_was_not_suspended),
-	    cmocka_unit_test(
-		a_vm_that_had_been_suspended_before_the_start_is_not),
+	    cmocka_unit_test(a_suspension_is_reported_once),
+	    cmocka_unit_test(a_stalled_process_is_not_a_suspension),
+	    cmocka_unit_test(suspensions_before_the_first_poll_are_ignored),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
