--- a/common/http_call.c
+++ b/common/http_call.c
@@ -9,7 +9,7 @@
 
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
-#define REPLY_MAX (64L << 20)
+#define RESPONSE_MAX (64L << 20)
 
 /** A call under way. It owns its connection: libevent frees one by itself when
  * an answer came, and keeps it when it never connected. */
@@ -18,7 +18,8 @@
 	struct evhttp_connection *conn;
 	http_call_done_t done;
 	void *arg;
-	struct event *ended; /**< frees it, outside the connection's callback */
+	struct event
+	    *cleanup; /**< frees it, outside the connection's callback */
 	struct pending_call *next;
 	struct pending_call *prev;
 } pending_call_t;
@@ -76,13 +77,13 @@
 		call->next->prev = call->prev;
 	if (call->conn != NULL)
 		evhttp_connection_free(call->conn);
-	if (call->ended != NULL)
-		event_free(call->ended);
+	if (call->cleanup != NULL)
+		event_free(call->cleanup);
 	free(call);
 }
 
 static void
-call_ended(evutil_socket_t fd, short what, void *arg)
+on_cleanup(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
@@ -90,30 +91,30 @@
 }
 
 static void
-call_done(struct evhttp_request *req, void *arg)
+on_response(struct evhttp_request *req, void *arg)
 {
 	pending_call_t *call = arg;
 	http_call_done_t done = call->done;
-	http_response_t reply = {0};
+	http_response_t response = {0};
 	struct evbuffer *input;
 
 	if (req != NULL && evhttp_request_get_response_code(req) != 0) {
 		input = evhttp_request_get_input_buffer(req);
 		evbuffer_add(input, "", 1);
-		reply.status = evhttp_request_get_response_code(req);
-		reply.body_len = evbuffer_get_length(input) - 1;
-		reply.body = (const char *)evbuffer_pullup(input, -1);
-		reply.headers = evhttp_request_get_input_headers(req);
+		response.status = evhttp_request_get_response_code(req);
+		response.body_len = evbuffer_get_length(input) - 1;
+		response.body = (const char *)evbuffer_pullup(input, -1);
+		response.headers = evhttp_request_get_input_headers(req);
 	}
 	call->done = NULL;
-	event_active(call->ended, EV_TIMEOUT, 0);
-	done(call->arg, &reply);
+	event_active(call->cleanup, EV_TIMEOUT, 0);
+	done(call->arg, &response);
 }
 
 static struct evhttp_request *
 request_new(const http_call_t *call, pending_call_t *pending)
 {
-	struct evhttp_request *req = evhttp_request_new(call_done, pending);
+	struct evhttp_request *req = evhttp_request_new(on_response, pending);
 	struct evkeyvalq *headers;
 
 	if (req == NULL)
@@ -143,7 +144,7 @@
 	pending->base = base;
 	pending->done = done;
 	pending->arg = arg;
-	pending->ended = event_new(base, -1, 0, call_ended, pending);
+	pending->cleanup = event_new(base, -1, 0, on_cleanup, pending);
 	pending->conn = call->tls != NULL
 	    ? tls_connection_new(call->tls, base, address->host, address->port)
 	    : evhttp_connection_base_new(
@@ -152,7 +153,7 @@
 	if (pending_calls != NULL)
 		pending_calls->prev = pending;
 	pending_calls = pending;
-	if (pending->conn != NULL && pending->ended != NULL)
+	if (pending->conn != NULL && pending->cleanup != NULL)
 		return pending;
 	pending_free(pending);
 	return NULL;
@@ -174,7 +175,7 @@
 		return false;
 	}
 	evhttp_connection_set_timeout_tv(pending->conn, &timeout);
-	evhttp_connection_set_max_body_size(pending->conn, REPLY_MAX);
+	evhttp_connection_set_max_body_size(pending->conn, RESPONSE_MAX);
 	/* evhttp frees the request on failure too. */
 	if (evhttp_make_request(pending->conn, req, call->method, call->path) !=
 	    0) {
@@ -190,7 +191,7 @@
 	pending_call_t *call = pending_calls;
 
 	while (call != NULL) {
-		const http_response_t none = {0};
+		const http_response_t no_response = {0};
 		http_call_done_t done = call->done;
 		void *arg = call->arg;
 
@@ -200,7 +201,7 @@
 		}
 		pending_free(call);
 		if (done != NULL)
-			done(arg, &none);
+			done(arg, &no_response);
 		call = pending_calls;
 	}
 }
@@ -221,9 +222,9 @@
 }
 
 json_t *
-http_response_json(const http_response_t *reply)
+http_response_json(const http_response_t *response)
 {
-	if (reply->body == NULL)
+	if (response->body == NULL)
 		return NULL;
-	return json_loadb(reply->body, reply->body_len, 0, NULL);
+	return json_loadb(response->body, response->body_len, 0, NULL);
 }
--- a/common/http_inbound.c
+++ b/common/http_inbound.c
@@ -10,13 +10,13 @@
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 /* What a caller may send ahead while its request is being handled. */
-#define AHEAD_MAX 65536
+#define PIPELINED_MAX 65536
 /* How long a closed connection is read on, so that the answer before the close
  * is not lost to a reset. */
 #define LINGER_MS 1000
 /* A caller that takes nothing for this long is gone. */
-#define DEAD_CALLER_MS 15000
-#define NEVER_S 86400
+#define WRITE_TIMEOUT_MS 15000
+#define NO_TIMEOUT_S 86400
 
 static void inbound_read(http_inbound_t *conn);
 
@@ -28,10 +28,10 @@
 	if (conn->prev != NULL)
 		conn->prev->next = conn->next;
 	else
-		server->first = conn->next;
+		server->connections = conn->next;
 	if (conn->next != NULL)
 		conn->next->prev = conn->prev;
-	server->open--;
+	server->connections_len--;
 	http_reader_finish(&conn->reader);
 	bufferevent_free(conn->bev);
 	free(conn);
@@ -41,8 +41,8 @@
 timeouts_set(http_inbound_t *conn, int64_t read_ms)
 {
 	/* libevent may go on with an old limit that is merely taken away. */
-	struct timeval read = {NEVER_S, 0};
-	struct timeval write = {DEAD_CALLER_MS / MS_PER_SEC, 0};
+	struct timeval read = {NO_TIMEOUT_S, 0};
+	struct timeval write = {WRITE_TIMEOUT_MS / MS_PER_SEC, 0};
 
 	if (read_ms > 0)
 		read = (struct timeval){
@@ -67,7 +67,7 @@
 {
 	conn->server->ops->on_refused(conn->server->arg, err);
 	conn->state = INBOUND_HANDLING;
-	conn->close_after = true;
+	conn->close_after_response = true;
 	http_inbound_respond(
 	    conn, err_info(err->code)->http_status, NULL, NULL);
 }
@@ -77,10 +77,11 @@
 {
 	http_inbound_t *conn = arg;
 	const char *expect = http_msg_field(msg, "Expect");
-	static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+	static const char continue_response[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
 	if (expect != NULL && strcasecmp(expect, "100-continue") == 0)
-		bufferevent_write(conn->bev, go_on, sizeof(go_on) - 1);
+		bufferevent_write(conn->bev, continue_response,
+		    sizeof(continue_response) - 1);
 }
 
 static void
@@ -90,18 +91,18 @@
 	struct evbuffer *body = conn->reader.msg.body;
 
 	if (evbuffer_get_length(body) + len > conn->server->limits.body_max)
-		conn->too_large = true;
+		conn->body_too_large = true;
 	else
 		evbuffer_add(body, bytes, len);
 }
 
 static void
-on_whole(void *arg)
+on_complete(void *arg)
 {
 	(void)arg;
 }
 
-static const http_reader_ops_t reader_ops = {on_head, on_body, on_whole};
+static const http_reader_ops_t reader_ops = {on_head, on_body, on_complete};
 
 static void
 inbound_handle(http_inbound_t *conn)
@@ -112,9 +113,9 @@
 	conn->state = INBOUND_HANDLING;
 	timeouts_set(conn, 0);
 	/* The caller's close is to be noticed until the answer is out. */
-	bufferevent_setwatermark(conn->bev, EV_READ, 0, AHEAD_MAX);
+	bufferevent_setwatermark(conn->bev, EV_READ, 0, PIPELINED_MAX);
 	if (!conn->reader.msg.keep_alive)
-		conn->close_after = true;
+		conn->close_after_response = true;
 	if (!http_msg_check(&conn->reader.msg, &err))
 		inbound_refuse(conn, &err);
 	else
@@ -122,7 +123,7 @@
 }
 
 static void
-inbound_bad(http_inbound_t *conn)
+inbound_refuse_invalid(http_inbound_t *conn)
 {
 	const http_reader_t *reader = &conn->reader;
 	err_t err;
@@ -145,7 +146,7 @@
 
 	switch (http_reader_feed(&conn->reader, in)) {
 	case HTTP_READ_INCOMPLETE:
-		if (conn->too_large) {
+		if (conn->body_too_large) {
 			err_set(
 			    &err, ERR_BODY_TOO_LARGE, "the body is too large");
 			inbound_refuse(conn, &err);
@@ -160,7 +161,7 @@
 		inbound_handle(conn);
 		return;
 	case HTTP_READ_INVALID:
-		inbound_bad(conn);
+		inbound_refuse_invalid(conn);
 		return;
 	}
 }
@@ -202,7 +203,7 @@
 }
 
 bool
-inbound_begun(const http_inbound_t *conn)
+inbound_request_started(const http_inbound_t *conn)
 {
 	return conn->reader.in_message ||
 	    evbuffer_get_length(bufferevent_get_input(conn->bev)) > 0;
@@ -220,7 +221,7 @@
 	}
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
 	conn->server = server;
-	conn->turn = server->turn++;
+	conn->wait_seq = server->next_wait_seq++;
 	conn->bev =
 	    bufferevent_socket_new(server->base, fd, BEV_OPT_CLOSE_ON_FREE);
 	if (conn->bev == NULL) {
@@ -230,11 +231,11 @@
 	}
 	http_reader_init(&conn->reader, HTTP_REQUEST, &reader_ops, conn,
 	    server->limits.head_max);
-	conn->next = server->first;
-	if (server->first != NULL)
-		server->first->prev = conn;
-	server->first = conn;
-	server->open++;
+	conn->next = server->connections;
+	if (server->connections != NULL)
+		server->connections->prev = conn;
+	server->connections = conn;
+	server->connections_len++;
 	bufferevent_setcb(conn->bev, on_readable, on_written, on_event, conn);
 	timeouts_set(conn, server->limits.idle_timeout_ms);
 	bufferevent_enable(conn->bev, EV_READ | EV_WRITE);
@@ -247,19 +248,19 @@
 }
 
 void
-http_inbound_set_user_data(http_inbound_t *conn, void *user)
+http_inbound_set_user_data(http_inbound_t *conn, void *user_data)
 {
-	conn->user = user;
+	conn->user_data = user_data;
 }
 
 void *
 http_inbound_user_data(const http_inbound_t *conn)
 {
-	return conn->user;
+	return conn->user_data;
 }
 
 static const char *
-reason(int status)
+reason_phrase(int status)
 {
 	const char *text = http_status_str((enum http_status)status);
 
@@ -267,29 +268,29 @@
 }
 
 static void
-head_write(
+response_head_write(
     http_inbound_t *conn, int status, const char *head, const char *framing)
 {
 	if (conn->server->draining)
-		conn->close_after = true;
+		conn->close_after_response = true;
 	evbuffer_add_printf(bufferevent_get_output(conn->bev),
-	    "HTTP/1.1 %d %s\r\n%s%s%s\r\n", status, reason(status),
+	    "HTTP/1.1 %d %s\r\n%s%s%s\r\n", status, reason_phrase(status),
 	    head != NULL ? head : "", framing,
-	    conn->close_after ? "Connection: close\r\n" : "");
+	    conn->close_after_response ? "Connection: close\r\n" : "");
 }
 
 /* The answer is whole: take the next request, or close. */
 static void
-inbound_next(http_inbound_t *conn)
+inbound_response_completed(http_inbound_t *conn)
 {
-	conn->user = NULL;
-	if (conn->close_after) {
+	conn->user_data = NULL;
+	if (conn->close_after_response) {
 		inbound_linger(conn);
 		return;
 	}
 	http_reader_reset(&conn->reader);
 	conn->state = INBOUND_READING;
-	conn->turn = conn->server->turn++;
+	conn->wait_seq = conn->server->next_wait_seq++;
 	bufferevent_setwatermark(conn->bev, EV_READ, 0, 0);
 	timeouts_set(conn, conn->server->limits.idle_timeout_ms);
 	/* Deferred, so that a caller that sends ahead can't deepen the stack.
@@ -300,7 +301,7 @@
 }
 
 static bool
-body_follows(const http_inbound_t *conn)
+response_has_body(const http_inbound_t *conn)
 {
 	return strcmp(conn->reader.msg.method != NULL ? conn->reader.msg.method
 						      : "",
@@ -315,17 +316,18 @@
 	char framing[64];
 
 	snprintf(framing, sizeof(framing), "Content-Length: %zu\r\n", len);
-	head_write(conn, status, head, framing);
-	if (len > 0 && body_follows(conn))
+	response_head_write(conn, status, head, framing);
+	if (len > 0 && response_has_body(conn))
 		evbuffer_add_buffer(bufferevent_get_output(conn->bev), body);
-	inbound_next(conn);
+	inbound_response_completed(conn);
 }
 
 void
 http_inbound_stream_begin(http_inbound_t *conn, int status, const char *head)
 {
 	conn->state = INBOUND_STREAMING;
-	head_write(conn, status, head, "Transfer-Encoding: chunked\r\n");
+	response_head_write(
+	    conn, status, head, "Transfer-Encoding: chunked\r\n");
 }
 
 void
@@ -344,10 +346,10 @@
 void
 http_inbound_stream_end(http_inbound_t *conn)
 {
-	static const char last[] = "0\r\n\r\n";
+	static const char last_chunk[] = "0\r\n\r\n";
 
-	bufferevent_write(conn->bev, last, sizeof(last) - 1);
-	inbound_next(conn);
+	bufferevent_write(conn->bev, last_chunk, sizeof(last_chunk) - 1);
+	inbound_response_completed(conn);
 }
 
 void
--- a/common/http_inbound_priv.h
+++ b/common/http_inbound_priv.h
@@ -23,10 +23,11 @@
 	struct bufferevent *bev;
 	http_reader_t reader;
 	inbound_state_t state;
-	bool close_after;
-	bool too_large;
-	uint64_t turn; /**< counted on when it began to wait for a request */
-	void *user;
+	bool close_after_response;
+	bool body_too_large;
+	uint64_t
+	    wait_seq; /**< counted on when it began to wait for a request */
+	void *user_data;
 	http_inbound_t *next;
 	http_inbound_t *prev;
 };
@@ -37,9 +38,9 @@
 	const http_inbound_ops_t *ops;
 	void *arg;
 	http_inbound_limits_t limits;
-	http_inbound_t *first;
-	uint32_t open;
-	uint64_t turn;
+	http_inbound_t *connections;
+	uint32_t connections_len;
+	uint64_t next_wait_seq;
 	bool draining;
 };
 
@@ -49,6 +50,6 @@
 /** Close; its handler is not told. */
 void inbound_free(http_inbound_t *);
 /** Whether a request has begun to come in. */
-bool inbound_begun(const http_inbound_t *);
+bool inbound_request_started(const http_inbound_t *);
 
 #endif
--- a/common/http_inbound_server.c
+++ b/common/http_inbound_server.c
@@ -10,19 +10,21 @@
  * else the one that has been longest about its request. None that waits for an
  * answer does. @return false: all of them do */
 static bool
-room_make(http_inbound_server_t *server)
+waiting_connection_evict(http_inbound_server_t *server)
 {
 	http_inbound_t *oldest = NULL;
 
-	for (http_inbound_t *one = server->first; one != NULL;
-	     one = one->next) {
-		if (one->state != INBOUND_READING)
+	for (http_inbound_t *conn = server->connections; conn != NULL;
+	     conn = conn->next) {
+		if (conn->state != INBOUND_READING)
 			continue;
 		if (oldest == NULL ||
-		    inbound_begun(one) < inbound_begun(oldest) ||
-		    (inbound_begun(one) == inbound_begun(oldest) &&
-			one->turn < oldest->turn))
-			oldest = one;
+		    inbound_request_started(conn) <
+			inbound_request_started(oldest) ||
+		    (inbound_request_started(conn) ==
+			    inbound_request_started(oldest) &&
+			conn->wait_seq < oldest->wait_seq))
+			oldest = conn;
 	}
 	if (oldest == NULL)
 		return false;
@@ -39,8 +41,8 @@
 	(void)listener;
 	(void)address;
 	(void)len;
-	if (server->open >= server->limits.connections_max &&
-	    !room_make(server))
+	if (server->connections_len >= server->limits.connections_max &&
+	    !waiting_connection_evict(server))
 		evutil_closesocket(fd);
 	else
 		inbound_open(server, fd);
@@ -51,7 +53,7 @@
     const http_inbound_ops_t *ops, void *arg, err_t *err)
 {
 	http_inbound_server_t *server = calloc(1, sizeof(*server));
-	struct sockaddr_in to = {
+	struct sockaddr_in bind_address = {
 	    .sin_family = AF_INET, .sin_port = htons(address->port)};
 
 	if (server == NULL) {
@@ -61,10 +63,10 @@
 	server->base = base;
 	server->ops = ops;
 	server->arg = arg;
-	if (inet_pton(AF_INET, address->host, &to.sin_addr) == 1)
+	if (inet_pton(AF_INET, address->host, &bind_address.sin_addr) == 1)
 		server->listener = evconnlistener_new_bind(base, on_accept,
 		    server, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, BACKLOG,
-		    (struct sockaddr *)&to, sizeof(to));
+		    (struct sockaddr *)&bind_address, sizeof(bind_address));
 	if (server->listener == NULL) {
 		err_set(err, ERR_SETTING, "cannot listen on %s:%u",
 		    address->host, address->port);
@@ -77,8 +79,8 @@
 void
 http_inbound_server_free(http_inbound_server_t *server)
 {
-	while (server->first != NULL)
-		inbound_free(server->first);
+	while (server->connections != NULL)
+		inbound_free(server->connections);
 	if (server->listener != NULL)
 		evconnlistener_free(server->listener);
 	free(server);
@@ -116,7 +118,8 @@
 	if (server->listener != NULL)
 		evconnlistener_free(server->listener);
 	server->listener = NULL;
-	for (http_inbound_t *conn = server->first; conn != NULL; conn = next) {
+	for (http_inbound_t *conn = server->connections; conn != NULL;
+	     conn = next) {
 		next = conn->next;
 		if (conn->state == INBOUND_READING &&
 		    !conn->reader.in_message &&
@@ -128,5 +131,5 @@
 uint32_t
 http_inbound_connection_count(const http_inbound_server_t *server)
 {
-	return server->open;
+	return server->connections_len;
 }
--- a/common/http_msg.c
+++ b/common/http_msg.c
@@ -7,12 +7,12 @@
 #define STATUS_CONTINUE 100
 #define STATUS_SWITCHING 101
 #define STATUS_OK 200
-#define FIELDS_FIRST 16
+#define FIELDS_INITIAL_CAP 16
 
 static bool
-text_append(http_reader_t *reader, char **text, const char *more, size_t len)
+text_append(http_reader_t *reader, char **text, const char *bytes, size_t len)
 {
-	size_t old = *text != NULL ? strlen(*text) : 0;
+	size_t old_len = *text != NULL ? strlen(*text) : 0;
 	char *grown;
 
 	reader->msg.head_bytes += len;
@@ -20,19 +20,19 @@
 		reader->head_too_large = true;
 		return false;
 	}
-	grown = realloc(*text, old + len + 1);
+	grown = realloc(*text, old_len + len + 1);
 	if (grown == NULL) {
 		reader->out_of_memory = true;
 		return false;
 	}
-	memcpy(grown + old, more, len);
-	grown[old + len] = '\0';
+	memcpy(grown + old_len, bytes, len);
+	grown[old_len + len] = '\0';
 	*text = grown;
 	return true;
 }
 
 static void
-fields_cut(http_msg_t *msg, size_t len)
+fields_truncate(http_msg_t *msg, size_t len)
 {
 	for (size_t i = len; i < msg->fields_len; i++) {
 		free(msg->fields[i].name);
@@ -44,7 +44,7 @@
 static void
 msg_clear(http_msg_t *msg)
 {
-	fields_cut(msg, 0);
+	fields_truncate(msg, 0);
 	free(msg->target);
 	msg->target = NULL;
 	msg->head_bytes = 0;
@@ -54,7 +54,7 @@
 }
 
 static int
-on_begin(http_parser *parser)
+on_message_begin(http_parser *parser)
 {
 	http_reader_t *reader = parser->data;
 
@@ -80,8 +80,8 @@
 	http_msg_t *msg = &reader->msg;
 
 	if (msg->fields_len == msg->fields_cap) {
-		size_t cap =
-		    msg->fields_cap > 0 ? 2 * msg->fields_cap : FIELDS_FIRST;
+		size_t cap = msg->fields_cap > 0 ? 2 * msg->fields_cap
+						 : FIELDS_INITIAL_CAP;
 		http_field_t *grown =
 		    realloc(msg->fields, cap * sizeof(*grown));
 
@@ -97,7 +97,7 @@
 }
 
 static int
-on_field(http_parser *parser, const char *at, size_t len)
+on_field_name(http_parser *parser, const char *at, size_t len)
 {
 	http_reader_t *reader = parser->data;
 	http_field_t *field;
@@ -114,7 +114,7 @@
 }
 
 static int
-on_value(http_parser *parser, const char *at, size_t len)
+on_field_value(http_parser *parser, const char *at, size_t len)
 {
 	http_reader_t *reader = parser->data;
 	http_msg_t *msg = &reader->msg;
@@ -128,7 +128,7 @@
 
 /* A header without a value has an empty one. */
 static bool
-values_fill(http_reader_t *reader)
+fields_set_empty_values(http_reader_t *reader)
 {
 	http_msg_t *msg = &reader->msg;
 
@@ -142,15 +142,15 @@
 }
 
 static int
-on_head(http_parser *parser)
+on_headers_complete(http_parser *parser)
 {
 	http_reader_t *reader = parser->data;
 	http_msg_t *msg = &reader->msg;
 
-	if (!values_fill(reader))
+	if (!fields_set_empty_values(reader))
 		return -1;
 	/* Trailers are read as fields too, and dropped at the end. */
-	reader->head_fields = msg->fields_len;
+	reader->head_fields_len = msg->fields_len;
 	msg->keep_alive = http_should_keep_alive(parser) != 0;
 	msg->chunked = (parser->flags & F_CHUNKED) != 0;
 	if (parser->type == HTTP_REQUEST) {
@@ -177,27 +177,27 @@
 }
 
 static int
-on_whole(http_parser *parser)
+on_message_complete(http_parser *parser)
 {
 	http_reader_t *reader = parser->data;
 
 	reader->in_message = false;
 	if (reader->interim)
 		return 0;
-	fields_cut(&reader->msg, reader->head_fields);
+	fields_truncate(&reader->msg, reader->head_fields_len);
 	reader->complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
 
-static const http_parser_settings settings = {
-    .on_message_begin = on_begin,
+static const http_parser_settings parser_settings = {
+    .on_message_begin = on_message_begin,
     .on_url = on_target,
-    .on_header_field = on_field,
-    .on_header_value = on_value,
-    .on_headers_complete = on_head,
+    .on_header_field = on_field_name,
+    .on_header_value = on_field_value,
+    .on_headers_complete = on_headers_complete,
     .on_body = on_body,
-    .on_message_complete = on_whole,
+    .on_message_complete = on_message_complete,
 };
 
 void
@@ -243,8 +243,8 @@
 		size_t len = evbuffer_get_contiguous_space(in);
 		const char *bytes =
 		    (const char *)evbuffer_pullup(in, (ev_ssize_t)len);
-		size_t used =
-		    http_parser_execute(&reader->parser, &settings, bytes, len);
+		size_t used = http_parser_execute(
+		    &reader->parser, &parser_settings, bytes, len);
 
 		evbuffer_drain(in, used);
 		if (reader->complete)
@@ -262,7 +262,7 @@
 	if (!reader->in_message)
 		return reader->complete ? HTTP_READ_COMPLETE
 					: HTTP_READ_INVALID;
-	http_parser_execute(&reader->parser, &settings, NULL, 0);
+	http_parser_execute(&reader->parser, &parser_settings, NULL, 0);
 	return reader->complete ? HTTP_READ_COMPLETE : HTTP_READ_INVALID;
 }
 
@@ -289,14 +289,14 @@
 }
 
 static bool
-list_has(const char *list, const char *word, size_t word_len)
+list_has_token(const char *list, const char *token, size_t token_len)
 {
 	while (*list != '\0') {
 		size_t len;
 
 		list += strspn(list, " \t,");
 		len = strcspn(list, " \t,");
-		if (len == word_len && strncasecmp(list, word, len) == 0)
+		if (len == token_len && strncasecmp(list, token, len) == 0)
 			return true;
 		list += len;
 	}
@@ -304,12 +304,12 @@
 }
 
 bool
-http_msg_field_has_token(
-    const http_msg_t *msg, const char *name, const char *word, size_t word_len)
+http_msg_field_has_token(const http_msg_t *msg, const char *name,
+    const char *token, size_t token_len)
 {
 	for (size_t i = 0; i < msg->fields_len; i++) {
 		if (strcasecmp(msg->fields[i].name, name) == 0 &&
-		    list_has(msg->fields[i].value, word, word_len))
+		    list_has_token(msg->fields[i].value, token, token_len))
 			return true;
 	}
 	return false;
@@ -319,20 +319,21 @@
 http_field_is_hop_by_hop(const http_msg_t *msg, const char *name)
 {
 	/* RFC 9110, 7.6.1, and what frames the message. */
-	static const char *const hops[] = {"Connection", "Content-Length",
+	static const char *const hop_by_hop[] = {"Connection", "Content-Length",
 	    "Expect", "Host", "Keep-Alive", "Proxy-Authenticate",
 	    "Proxy-Authorization", "Proxy-Connection", "TE", "Trailer",
 	    "Transfer-Encoding", "Upgrade"};
 
-	for (size_t i = 0; i < sizeof(hops) / sizeof(hops[0]); i++) {
-		if (strcasecmp(name, hops[i]) == 0)
+	for (size_t i = 0; i < sizeof(hop_by_hop) / sizeof(hop_by_hop[0]);
+	     i++) {
+		if (strcasecmp(name, hop_by_hop[i]) == 0)
 			return true;
 	}
 	return http_msg_field_has_token(msg, "Connection", name, strlen(name));
 }
 
 static bool
-name_is_token(const char *name)
+field_name_is_valid(const char *name)
 {
 	return *name != '\0' && strpbrk(name, " \t\r\n") == NULL;
 }
@@ -343,7 +344,7 @@
 	const char *encoding = http_msg_field(msg, "Transfer-Encoding");
 
 	for (size_t i = 0; i < msg->fields_len; i++) {
-		if (!name_is_token(msg->fields[i].name))
+		if (!field_name_is_valid(msg->fields[i].name))
 			return err_set(err, ERR_BAD_REQUEST,
 			    "a header's name holds a space");
 	}
--- a/common/http_outbound.c
+++ b/common/http_outbound.c
@@ -9,25 +9,25 @@
 
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
-#define NEVER_S 86400
-#define ANSWER_HEAD_MAX 65536 /* bytes */
+#define NO_TIMEOUT_S 86400
+#define OUTBOUND_HEAD_MAX 65536 /* bytes */
 /* The kernel asks an idle connection's other end whether it is there in whole
  * seconds only; how often, once it was silent for the first of them. */
-#define PROBE_PAUSE_S 1
+#define KEEPALIVE_INTERVAL_S 1
 
 struct http_outbound {
 	struct bufferevent *bev;
 	http_reader_t reader;
 	const http_outbound_ops_t *ops; /**< NULL: no request under way */
 	void *arg;
-	http_outbound_idle_closed_t idle_end;
+	http_outbound_idle_closed_t idle_closed;
 	void *idle_arg;
-	struct evbuffer *waiting; /**< until connected */
+	struct evbuffer *unsent_request; /**< until connected */
 	bool connected;
-	bool answered; /**< some byte of an answer came */
-	bool whole;    /**< the answer ended in good order */
-	bool inside;   /**< inside a callback of the reader */
-	bool dead;     /**< free it after the callback */
+	bool response_started;	 /**< some byte of an answer came */
+	bool response_completed; /**< the answer ended in good order */
+	bool in_reader;		 /**< inside a callback of the reader */
+	bool free_pending;	 /**< free it after the callback */
 };
 
 static void
@@ -35,7 +35,7 @@
 {
 	http_outbound_t *conn = arg;
 
-	if (!conn->dead)
+	if (!conn->free_pending)
 		conn->ops->on_head(conn->arg, msg);
 }
 
@@ -44,24 +44,24 @@
 {
 	http_outbound_t *conn = arg;
 
-	if (!conn->dead)
+	if (!conn->free_pending)
 		conn->ops->on_body(conn->arg, bytes, len);
 }
 
 static void
-on_whole(void *arg)
+on_complete(void *arg)
 {
 	(void)arg;
 }
 
-static const http_reader_ops_t reader_ops = {on_head, on_body, on_whole};
+static const http_reader_ops_t reader_ops = {on_head, on_body, on_complete};
 
 static void
-conn_release(http_outbound_t *conn)
+conn_destroy(http_outbound_t *conn)
 {
 	http_reader_finish(&conn->reader);
-	if (conn->waiting != NULL)
-		evbuffer_free(conn->waiting);
+	if (conn->unsent_request != NULL)
+		evbuffer_free(conn->unsent_request);
 	bufferevent_free(conn->bev);
 	free(conn);
 }
@@ -70,23 +70,23 @@
 request_fail(http_outbound_t *conn, http_outbound_failure_t failure)
 {
 	const http_outbound_ops_t *ops = conn->ops;
-	http_outbound_idle_closed_t idle_end = conn->idle_end;
+	http_outbound_idle_closed_t idle_closed = conn->idle_closed;
 
 	if (ops != NULL) {
 		conn->ops = NULL;
 		ops->on_failed(conn->arg, failure);
-	} else if (idle_end != NULL) {
-		conn->idle_end = NULL;
-		idle_end(conn->idle_arg, conn);
+	} else if (idle_closed != NULL) {
+		conn->idle_closed = NULL;
+		idle_closed(conn->idle_arg, conn);
 	}
 }
 
 static void
-request_done(http_outbound_t *conn)
+request_complete(http_outbound_t *conn)
 {
 	const http_outbound_ops_t *ops = conn->ops;
 
-	conn->whole = true;
+	conn->response_completed = true;
 	conn->ops = NULL;
 	ops->on_complete(conn->arg);
 }
@@ -96,14 +96,14 @@
 static bool
 reader_step(http_outbound_t *conn, bool end, http_read_result_t *result)
 {
-	conn->inside = true;
+	conn->in_reader = true;
 	*result = end
 	    ? http_reader_eof(&conn->reader)
 	    : http_reader_feed(&conn->reader, bufferevent_get_input(conn->bev));
-	conn->inside = false;
-	if (!conn->dead)
+	conn->in_reader = false;
+	if (!conn->free_pending)
 		return true;
-	conn_release(conn);
+	conn_destroy(conn);
 	return false;
 }
 
@@ -116,15 +116,15 @@
 	(void)bev;
 	if (conn->ops == NULL) {
 		/* Nobody asked for these bytes. */
-		conn->whole = false;
+		conn->response_completed = false;
 		request_fail(conn, HTTP_OUTBOUND_BAD_RESPONSE);
 		return;
 	}
-	conn->answered = true;
+	conn->response_started = true;
 	if (!reader_step(conn, false, &result))
 		return;
 	if (result == HTTP_READ_COMPLETE)
-		request_done(conn);
+		request_complete(conn);
 	else if (result == HTTP_READ_INVALID)
 		request_fail(conn, HTTP_OUTBOUND_BAD_RESPONSE);
 }
@@ -134,7 +134,7 @@
 {
 	/* libevent goes on with a persistent event's old time limit when it is
 	 * merely taken away: a long one replaces it. */
-	static const struct timeval never = {NEVER_S, 0};
+	static const struct timeval never = {NO_TIMEOUT_S, 0};
 
 	conn->connected = true;
 	bufferevent_set_timeouts(conn->bev, NULL, &never);
@@ -142,15 +142,15 @@
 		return;
 	if (!conn->ops->on_connected(conn->arg))
 		return; /* the owner may have freed the connection */
-	if (conn->waiting != NULL)
-		bufferevent_write_buffer(conn->bev, conn->waiting);
+	if (conn->unsent_request != NULL)
+		bufferevent_write_buffer(conn->bev, conn->unsent_request);
 	conn->ops->on_sent(conn->arg);
 }
 
 static void
-on_end(http_outbound_t *conn, short what)
+on_disconnected(http_outbound_t *conn, short what)
 {
-	bool in_order = (what & BEV_EVENT_EOF) != 0;
+	bool eof = (what & BEV_EVENT_EOF) != 0;
 	bool refused = (what & BEV_EVENT_ERROR) != 0 &&
 	    EVUTIL_SOCKET_ERROR() == ECONNREFUSED;
 	http_read_result_t result;
@@ -161,18 +161,18 @@
 			    : HTTP_OUTBOUND_NOT_SENT);
 		return;
 	}
-	if (in_order && conn->answered) {
+	if (eof && conn->response_started) {
 		if (!reader_step(conn, true, &result))
 			return;
 		if (result == HTTP_READ_COMPLETE) {
 			conn->reader.msg.keep_alive = false;
-			request_done(conn);
+			request_complete(conn);
 			return;
 		}
 	}
 	request_fail(conn,
-	    conn->answered ? HTTP_OUTBOUND_BAD_RESPONSE
-			   : HTTP_OUTBOUND_NO_RESPONSE);
+	    conn->response_started ? HTTP_OUTBOUND_BAD_RESPONSE
+				   : HTTP_OUTBOUND_NO_RESPONSE);
 }
 
 static void
@@ -184,13 +184,14 @@
 	if ((what & BEV_EVENT_CONNECTED) != 0)
 		on_connected(conn);
 	else
-		on_end(conn, what);
+		on_disconnected(conn, what);
 }
 
 void
-http_outbound_set_silence_timeout(http_outbound_t *conn, int64_t silent_ms)
+http_outbound_set_silence_timeout(
+    http_outbound_t *conn, int64_t silence_timeout_ms)
 {
-	unsigned int unacknowledged = (unsigned int)silent_ms;
+	unsigned int unacknowledged = (unsigned int)silence_timeout_ms;
 
 	setsockopt(bufferevent_getfd(conn->bev), IPPROTO_TCP, TCP_USER_TIMEOUT,
 	    &unacknowledged, sizeof(unacknowledged));
@@ -198,11 +199,11 @@
 
 /* An open connection may fall silent for good, while new ones work. */
 static void
-socket_tune(http_outbound_t *conn, int64_t silent_ms)
+socket_set_options(http_outbound_t *conn, int64_t silence_timeout_ms)
 {
 	evutil_socket_t fd = bufferevent_getfd(conn->bev);
-	int idle_s = (int)(silent_ms / MS_PER_SEC);
-	int pause_s = PROBE_PAUSE_S;
+	int idle_s = (int)(silence_timeout_ms / MS_PER_SEC);
+	int interval_s = KEEPALIVE_INTERVAL_S;
 	int yes = 1;
 
 	if (idle_s < 1)
@@ -210,18 +211,19 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &yes, sizeof(yes));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &pause_s, sizeof(pause_s));
-	http_outbound_set_silence_timeout(conn, silent_ms);
+	setsockopt(
+	    fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof(interval_s));
+	http_outbound_set_silence_timeout(conn, silence_timeout_ms);
 }
 
 http_outbound_t *
 http_outbound_new(struct event_base *base, const http_address_t *address,
-    int64_t connect_ms, int64_t silent_ms)
+    int64_t connect_timeout_ms, int64_t silence_timeout_ms)
 {
 	http_outbound_t *conn = calloc(1, sizeof(*conn));
-	struct timeval limit = {
-	    connect_ms / MS_PER_SEC, connect_ms % MS_PER_SEC * US_PER_MS};
-	struct sockaddr_in to = {
+	struct timeval limit = {connect_timeout_ms / MS_PER_SEC,
+	    connect_timeout_ms % MS_PER_SEC * US_PER_MS};
+	struct sockaddr_in server = {
 	    .sin_family = AF_INET, .sin_port = htons(address->port)};
 
 	if (conn == NULL)
@@ -229,23 +231,23 @@
 	conn->bev = bufferevent_socket_new(
 	    base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
 	if (conn->bev == NULL ||
-	    inet_pton(AF_INET, address->host, &to.sin_addr) != 1) {
+	    inet_pton(AF_INET, address->host, &server.sin_addr) != 1) {
 		if (conn->bev != NULL)
 			bufferevent_free(conn->bev);
 		free(conn);
 		return NULL;
 	}
 	http_reader_init(
-	    &conn->reader, HTTP_RESPONSE, &reader_ops, conn, ANSWER_HEAD_MAX);
+	    &conn->reader, HTTP_RESPONSE, &reader_ops, conn, OUTBOUND_HEAD_MAX);
 	bufferevent_setcb(conn->bev, on_readable, NULL, on_event, conn);
 	bufferevent_set_timeouts(conn->bev, &limit, &limit);
 	bufferevent_enable(conn->bev, EV_READ | EV_WRITE);
 	if (bufferevent_socket_connect(
-		conn->bev, (struct sockaddr *)&to, sizeof(to)) != 0) {
-		conn_release(conn);
+		conn->bev, (struct sockaddr *)&server, sizeof(server)) != 0) {
+		conn_destroy(conn);
 		return NULL;
 	}
-	socket_tune(conn, silent_ms);
+	socket_set_options(conn, silence_timeout_ms);
 	return conn;
 }
 
@@ -253,11 +255,11 @@
 http_outbound_free(http_outbound_t *conn)
 {
 	conn->ops = NULL;
-	conn->idle_end = NULL;
-	if (conn->inside)
-		conn->dead = true;
+	conn->idle_closed = NULL;
+	if (conn->in_reader)
+		conn->free_pending = true;
 	else
-		conn_release(conn);
+		conn_destroy(conn);
 }
 
 void
@@ -268,9 +270,9 @@
 	conn->reader.no_body = no_body;
 	conn->ops = ops;
 	conn->arg = arg;
-	conn->idle_end = NULL;
-	conn->answered = false;
-	conn->whole = false;
+	conn->idle_closed = NULL;
+	conn->response_started = false;
+	conn->response_completed = false;
 	if (conn->connected) {
 		bufferevent_write_buffer(conn->bev, head);
 		if (body != NULL)
@@ -278,25 +280,25 @@
 		ops->on_sent(arg);
 		return;
 	}
-	conn->waiting = evbuffer_new();
-	evbuffer_add_buffer(conn->waiting, head);
+	conn->unsent_request = evbuffer_new();
+	evbuffer_add_buffer(conn->unsent_request, head);
 	if (body != NULL)
-		evbuffer_add_buffer(conn->waiting, body);
+		evbuffer_add_buffer(conn->unsent_request, body);
 }
 
 bool
 http_outbound_reusable(const http_outbound_t *conn)
 {
-	return conn->whole && conn->reader.msg.keep_alive &&
+	return conn->response_completed && conn->reader.msg.keep_alive &&
 	    evbuffer_get_length(bufferevent_get_input(conn->bev)) == 0 &&
 	    evbuffer_get_length(bufferevent_get_output(conn->bev)) == 0;
 }
 
 void
 http_outbound_set_idle(
-    http_outbound_t *conn, http_outbound_idle_closed_t ended, void *arg)
+    http_outbound_t *conn, http_outbound_idle_closed_t closed, void *arg)
 {
-	conn->idle_end = ended;
+	conn->idle_closed = closed;
 	conn->idle_arg = arg;
 	http_outbound_pause_reading(conn, false);
 }
--- a/common/http_server.c
+++ b/common/http_server.c
@@ -43,19 +43,19 @@
 	struct evbuffer *input = evhttp_request_get_input_buffer(req);
 	size_t len = evbuffer_get_length(input);
 	const char *text = (const char *)evbuffer_pullup(input, -1);
-	json_error_t failure;
+	json_error_t json_error;
 	json_t *value;
 
 	value = len == 0
 	    ? NULL
-	    : json_loadb(text, len, JSON_REJECT_DUPLICATES, &failure);
+	    : json_loadb(text, len, JSON_REJECT_DUPLICATES, &json_error);
 	if (json_is_object(value))
 		return value;
 	if (len == 0)
 		err_set(err, ERR_BAD_REQUEST, "the body is empty");
 	else if (value == NULL)
 		err_set(err, ERR_BAD_REQUEST, "the body is no JSON: %.80s",
-		    failure.text);
+		    json_error.text);
 	else
 		err_set(err, ERR_BAD_REQUEST, "the body is no JSON object");
 	json_decref(value);
@@ -84,11 +84,11 @@
 }
 
 /* How much a caller may send ahead of its answer. */
-#define AHEAD_MAX 65536
+#define PIPELINED_MAX 65536
 
 void
 http_request_watch_close(struct evhttp_request *req,
-    void (*gone)(struct evhttp_connection *, void *), void *arg)
+    void (*closed)(struct evhttp_connection *, void *), void *arg)
 {
 	struct evhttp_connection *conn = evhttp_request_get_connection(req);
 	struct bufferevent *bev = evhttp_connection_get_bufferevent(conn);
@@ -101,10 +101,10 @@
 	 */
 	setsockopt(bufferevent_getfd(bev), IPPROTO_TCP, TCP_NODELAY, &yes,
 	    sizeof(yes));
-	evhttp_connection_set_closecb(conn, gone, arg);
+	evhttp_connection_set_closecb(conn, closed, arg);
 	bufferevent_getcb(bev, &readable, &writable, &event, &state);
 	bufferevent_setcb(bev, NULL, writable, event, state);
-	bufferevent_setwatermark(bev, EV_READ, 0, AHEAD_MAX);
+	bufferevent_setwatermark(bev, EV_READ, 0, PIPELINED_MAX);
 	bufferevent_enable(bev, EV_READ);
 }
 
--- a/include/common/http_call.h
+++ b/include/common/http_call.h
@@ -46,7 +46,7 @@
 	struct evkeyvalq *headers; /**< NULL when no reply came */
 } http_response_t;
 
-typedef void (*http_call_done_t)(void *arg, const http_response_t *reply);
+typedef void (*http_call_done_t)(void *arg, const http_response_t *response);
 
 /** "HOST:PORT" to an address. @return false: it is none */
 bool http_address_parse(const char *text, http_address_t *address);
--- a/include/common/http_inbound.h
+++ b/include/common/http_inbound.h
@@ -52,7 +52,7 @@
 uint32_t http_inbound_connection_count(const http_inbound_server_t *);
 
 const http_msg_t *http_inbound_request(const http_inbound_t *);
-void http_inbound_set_user_data(http_inbound_t *, void *user);
+void http_inbound_set_user_data(http_inbound_t *, void *user_data);
 void *http_inbound_user_data(const http_inbound_t *);
 
 /** Answer at once. @param head further header lines, each ended by CRLF; may
--- a/include/common/http_msg.h
+++ b/include/common/http_msg.h
@@ -52,14 +52,14 @@
 	const http_reader_ops_t *ops;
 	void *arg;
 	http_msg_t msg;
-	size_t head_max;     /**< bytes of a head; more is an error */
-	size_t head_fields;  /**< header lines before the trailers */
-	bool no_body;	     /**< the answer to HEAD has none */
-	bool in_value;	     /**< the last piece was of a value */
-	bool in_message;     /**< bytes of the current message were read */
-	bool complete;	     /**< the current message has ended */
-	bool head_too_large; /**< head_max was passed */
-	bool interim;	     /**< an answer of 1xx, which is skipped */
+	size_t head_max;	/**< bytes of a head; more is an error */
+	size_t head_fields_len; /**< header lines before the trailers */
+	bool no_body;		/**< the answer to HEAD has none */
+	bool in_value;		/**< the last piece was of a value */
+	bool in_message;	/**< bytes of the current message were read */
+	bool complete;		/**< the current message has ended */
+	bool head_too_large;	/**< head_max was passed */
+	bool interim;		/**< an answer of 1xx, which is skipped */
 	bool out_of_memory;
 } http_reader_t;
 
@@ -92,7 +92,7 @@
 
 /** Whether a list header (such as Connection) names the word. */
 bool http_msg_field_has_token(
-    const http_msg_t *, const char *name, const char *word, size_t word_len);
+    const http_msg_t *, const char *name, const char *token, size_t token_len);
 
 /** Whether the header concerns one connection only. */
 bool http_field_is_hop_by_hop(const http_msg_t *, const char *name);
--- a/include/common/http_outbound.h
+++ b/include/common/http_outbound.h
@@ -43,14 +43,16 @@
 typedef void (*http_outbound_idle_closed_t)(void *arg, http_outbound_t *);
 
 /** Start to connect.
- * @param silent_ms how long the other end may be silent, while bytes are on
- * their way to it or the connection idles, before the connection is given up
+ * @param silence_timeout_ms how long the other end may be silent, while bytes
+ * are on their way to it or the connection idles, before the connection is
+ * given up
  * @return NULL: no socket could be had */
 http_outbound_t *http_outbound_new(struct event_base *, const http_address_t *,
-    int64_t connect_ms, int64_t silent_ms);
+    int64_t connect_timeout_ms, int64_t silence_timeout_ms);
 
 /** Change how long sent bytes may be unacknowledged. */
-void http_outbound_set_silence_timeout(http_outbound_t *, int64_t silent_ms);
+void http_outbound_set_silence_timeout(
+    http_outbound_t *, int64_t silence_timeout_ms);
 
 /** Close; a request under way is given up without a further word. */
 void http_outbound_free(http_outbound_t *);
@@ -66,7 +68,7 @@
 
 /** Keep the connection without a request. */
 void http_outbound_set_idle(
-    http_outbound_t *, http_outbound_idle_closed_t ended, void *arg);
+    http_outbound_t *, http_outbound_idle_closed_t closed, void *arg);
 
 /** Read no more for now, or go on: the caller is slow. */
 void http_outbound_pause_reading(http_outbound_t *, bool pause);
--- a/include/common/http_server.h
+++ b/include/common/http_server.h
@@ -31,7 +31,7 @@
  * connection state"); so that callback is taken out until the answer is sent.
  */
 void http_request_watch_close(struct evhttp_request *,
-    void (*gone)(struct evhttp_connection *, void *), void *arg);
+    void (*closed)(struct evhttp_connection *, void *), void *arg);
 
 /** Stop noticing. */
 void http_request_unwatch_close(struct evhttp_request *);
--- a/test/fuzz/messages_fuzz.c
+++ b/test/fuzz/messages_fuzz.c
@@ -13,8 +13,8 @@
 
 typedef struct result {
 	http_read_result_t read;
-	bool taken;
-	size_t left; /**< bytes after the message */
+	bool accepted;
+	size_t bytes_left; /**< bytes after the message */
 	char body[BODY_MAX];
 	size_t body_len;
 	size_t fields;
@@ -61,11 +61,11 @@
 		if (result->read == HTTP_READ_INCOMPLETE)
 			result->read = http_reader_feed(&reader, in);
 	}
-	result->left = evbuffer_get_length(in);
+	result->bytes_left = evbuffer_get_length(in);
 	result->fields = reader.msg.fields_len;
-	result->taken = result->read == HTTP_READ_COMPLETE &&
+	result->accepted = result->read == HTTP_READ_COMPLETE &&
 	    http_msg_check(&reader.msg, &err);
-	if (result->taken) {
+	if (result->accepted) {
 		FUZZ_CHECK(http_msg_field_count(&reader.msg, "Host") == 1);
 		FUZZ_CHECK(
 		    http_msg_field_count(&reader.msg, "Content-Length") <= 1);
@@ -85,10 +85,10 @@
 	read_in_pieces(bytes + 1, len - 1, len, &whole);
 	read_in_pieces(bytes + 1, len - 1, 1 + bytes[0] % 7, &pieces);
 	FUZZ_CHECK(whole.read == pieces.read);
-	FUZZ_CHECK(whole.taken == pieces.taken);
+	FUZZ_CHECK(whole.accepted == pieces.accepted);
 	if (whole.read != HTTP_READ_COMPLETE)
 		return 0;
-	FUZZ_CHECK(whole.left == pieces.left);
+	FUZZ_CHECK(whole.bytes_left == pieces.bytes_left);
 	FUZZ_CHECK(whole.fields == pieces.fields);
 	FUZZ_CHECK(whole.body_len == pieces.body_len);
 	FUZZ_CHECK(memcmp(whole.body, pieces.body, whole.body_len) == 0);
--- a/test/unit/http_call_test.c
+++ b/test/unit/http_call_test.c
@@ -17,9 +17,9 @@
 #define GROWTH_MAX 20000 /* bytes: a kept connection is over 1,000 */
 
 static void
-count_refused(void *arg, const http_response_t *reply)
+count_refused(void *arg, const http_response_t *response)
 {
-	assert_int_equal(reply->status, 0);
+	assert_int_equal(response->status, 0);
 	(*(int *)arg)++;
 }
 
@@ -42,7 +42,7 @@
 }
 
 static void
-calls_make(struct event_base *base, const http_call_t *call, int *refused)
+make_calls(struct event_base *base, const http_call_t *call, int *refused)
 {
 	for (int i = 0; i < CALLS; i++) {
 		assert_true(
@@ -52,7 +52,7 @@
 }
 
 static void
-a_refused_call_leaves_nothing(void **state)
+refused_calls_leak_nothing(void **state)
 {
 	struct event_base *base = event_base_new();
 	int fd;
@@ -65,9 +65,9 @@
 	size_t before;
 
 	(void)state;
-	calls_make(base, &call, &refused);
+	make_calls(base, &call, &refused);
 	before = mallinfo2().uordblks;
-	calls_make(base, &call, &refused);
+	make_calls(base, &call, &refused);
 	assert_int_equal(refused, 2 * CALLS);
 	assert_true(mallinfo2().uordblks < before + GROWTH_MAX);
 	evutil_closesocket(fd);
@@ -75,7 +75,7 @@
 }
 
 static void
-calls_under_way_end_with_the_process(void **state)
+cancelled_calls_report_no_response(void **state)
 {
 	struct event_base *base = event_base_new();
 	int fd;
@@ -100,8 +100,8 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_refused_call_leaves_nothing),
-	    cmocka_unit_test(calls_under_way_end_with_the_process),
+	    cmocka_unit_test(refused_calls_leak_nothing),
+	    cmocka_unit_test(cancelled_calls_report_no_response),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/http_inbound_test.c
+++ b/test/unit/http_inbound_test.c
@@ -17,10 +17,10 @@
 
 #include "common/http_inbound.h"
 
-#define PLACES 4
+#define CONNECTIONS_MAX 4
 #define STEP_US 50000
 #define PORT_FIRST 18700
-#define PORTS 200
+#define PORT_COUNT 200
 
 static int handled;
 static http_inbound_t *held;
@@ -38,7 +38,7 @@
 }
 
 static void
-on_gone(void *arg, http_inbound_t *conn)
+on_closed(void *arg, http_inbound_t *conn)
 {
 	(void)arg;
 	if (conn == held)
@@ -60,7 +60,7 @@
 }
 
 static const http_inbound_ops_t ops = {
-    on_request, on_gone, on_drained, on_refused};
+    on_request, on_closed, on_drained, on_refused};
 
 typedef struct fixture {
 	struct event_base *base;
@@ -69,7 +69,7 @@
 } fixture_t;
 
 static void
-step(const fixture_t *fixture)
+run_loop(const fixture_t *fixture)
 {
 	struct timeval limit = {0, STEP_US};
 
@@ -85,7 +85,7 @@
 	    .body_max = 4096,
 	    .read_timeout_ms = 60000,
 	    .idle_timeout_ms = 60000,
-	    .connections_max = PLACES};
+	    .connections_max = CONNECTIONS_MAX};
 	err_t err;
 
 	handled = 0;
@@ -93,9 +93,9 @@
 	held = NULL;
 	fixture = (fixture_t){
 	    .base = event_base_new(), .address = {.host = "127.0.0.1"}};
-	for (int i = 0; i < PORTS && fixture.server == NULL; i++) {
+	for (int i = 0; i < PORT_COUNT && fixture.server == NULL; i++) {
 		fixture.address.port =
-		    (uint16_t)(PORT_FIRST + (getpid() + i) % PORTS);
+		    (uint16_t)(PORT_FIRST + (getpid() + i) % PORT_COUNT);
 		fixture.server = http_inbound_listen(
 		    fixture.base, &fixture.address, &ops, NULL, &err);
 	}
@@ -118,20 +118,21 @@
 static int
 client(const fixture_t *fixture, const char *text)
 {
-	struct sockaddr_in to = {.sin_family = AF_INET,
+	struct sockaddr_in server = {.sin_family = AF_INET,
 	    .sin_port = htons(fixture->address.port),
 	    .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
-	assert_int_equal(connect(fd, (struct sockaddr *)&to, sizeof(to)), 0);
+	assert_int_equal(
+	    connect(fd, (struct sockaddr *)&server, sizeof(server)), 0);
 	if (text[0] != '\0')
 		assert_true(send(fd, text, strlen(text), MSG_NOSIGNAL) > 0);
-	step(fixture);
+	run_loop(fixture);
 	return fd;
 }
 
 static bool
-answered(int fd)
+response_received(int fd)
 {
 	char bytes[64] = "";
 
@@ -139,82 +140,82 @@
 	    strncmp(bytes, "HTTP/1.1 200", 12) == 0;
 }
 
-static const char whole[] = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
+static const char complete_request[] = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
 static void
-fill_and_ask(const fixture_t *fixture, const char *text)
+fill_then_request(const fixture_t *fixture, const char *text)
 {
-	int others[PLACES];
+	int others[CONNECTIONS_MAX];
 
-	for (int i = 0; i < PLACES; i++)
+	for (int i = 0; i < CONNECTIONS_MAX; i++)
 		others[i] = client(fixture, text);
-	for (int i = 0; i < 3 * PLACES; i++) {
-		int fd = client(fixture, whole);
+	for (int i = 0; i < 3 * CONNECTIONS_MAX; i++) {
+		int fd = client(fixture, complete_request);
 
-		assert_true(answered(fd));
+		assert_true(response_received(fd));
 		close(fd);
 	}
-	for (int i = 0; i < PLACES; i++)
+	for (int i = 0; i < CONNECTIONS_MAX; i++)
 		close(others[i]);
-	step(fixture);
+	run_loop(fixture);
 }
 
 static void
-idle_connections_make_room(void **state)
+idle_connections_are_evicted(void **state)
 {
-	fill_and_ask(*state, "");
+	fill_then_request(*state, "");
 }
 
 static void
-slow_heads_make_room(void **state)
+connections_with_partial_heads_are_evicted(void **state)
 {
-	fill_and_ask(*state, "GET / HTTP/1.1\r\nHos");
+	fill_then_request(*state, "GET / HTTP/1.1\r\nHos");
 }
 
 static void
-those_that_were_served_make_room(void **state)
+reusable_connections_are_evicted(void **state)
 {
-	fill_and_ask(*state, whole);
+	fill_then_request(*state, complete_request);
 }
 
 /* Connections that come before a server is ready wait for it. */
 static void
-early_connections_wait(void **state)
+connections_wait_while_accepting_is_paused(void **state)
 {
 	const fixture_t *fixture = *state;
 	int fd;
 
 	http_inbound_pause_accepting(fixture->server, true);
-	fd = client(fixture, whole);
+	fd = client(fixture, complete_request);
 	assert_int_equal(handled, 0);
-	assert_false(answered(fd));
+	assert_false(response_received(fd));
 	http_inbound_pause_accepting(fixture->server, false);
-	step(fixture);
-	assert_true(answered(fd));
+	run_loop(fixture);
+	assert_true(response_received(fd));
 	close(fd);
-	step(fixture);
+	run_loop(fixture);
 }
 
 /* A request under way is never cut off for a new connection. */
 static void
-who_waits_for_an_answer_keeps_its_place(void **state)
+connections_awaiting_a_response_are_not_evicted(void **state)
 {
 	const fixture_t *fixture = *state;
-	int fds[PLACES], more;
+	int fds[CONNECTIONS_MAX], more;
 
 	hold = true;
-	for (int i = 0; i < PLACES; i++)
-		fds[i] = client(fixture, whole);
-	more = client(fixture, whole);
-	assert_int_equal(handled, PLACES);
+	for (int i = 0; i < CONNECTIONS_MAX; i++)
+		fds[i] = client(fixture, complete_request);
+	more = client(fixture, complete_request);
+	assert_int_equal(handled, CONNECTIONS_MAX);
 	assert_non_null(held);
 	http_inbound_respond(held, 200, "", NULL);
-	step(fixture);
-	assert_true(answered(fds[PLACES - 1]));
+	run_loop(fixture);
+	assert_true(response_received(fds[CONNECTIONS_MAX - 1]));
 	close(more);
-	for (int i = 0; i < PLACES; i++)
+	for (int i = 0; i < CONNECTIONS_MAX; i++)
 		close(fds[i]);
-	step(fixture);
+	run_loop(fixture);
 }
 
 int
@@ -222,15 +223,16 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test_setup_teardown(
-		idle_connections_make_room, setup, teardown),
+		idle_connections_are_evicted, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		slow_heads_make_room, setup, teardown),
+		connections_with_partial_heads_are_evicted, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		those_that_were_served_make_room, setup, teardown),
+		reusable_connections_are_evicted, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		early_connections_wait, setup, teardown),
+		connections_wait_while_accepting_is_paused, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		who_waits_for_an_answer_keeps_its_place, setup, teardown),
+		connections_awaiting_a_response_are_not_evicted, setup,
+		teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/http_msg_test.c
+++ b/test/unit/http_msg_test.c
@@ -14,31 +14,31 @@
 
 #include "common/http_msg.h"
 
-/** What a reader told. */
-typedef struct told {
+/** What a reader received. */
+typedef struct received {
 	int heads;
 	int status;
 	char body[256];
 	size_t body_len;
-} told_t;
+} received_t;
 
 static void
 on_head(void *arg, http_msg_t *msg)
 {
-	told_t *told = arg;
+	received_t *received = arg;
 
-	told->heads++;
-	told->status = msg->status;
+	received->heads++;
+	received->status = msg->status;
 }
 
 static void
 on_body(void *arg, const char *bytes, size_t len)
 {
-	told_t *told = arg;
+	received_t *received = arg;
 
-	assert_true(told->body_len + len < sizeof(told->body));
-	memcpy(told->body + told->body_len, bytes, len);
-	told->body_len += len;
+	assert_true(received->body_len + len < sizeof(received->body));
+	memcpy(received->body + received->body_len, bytes, len);
+	received->body_len += len;
 }
 
 static void
@@ -50,61 +50,62 @@
 static const http_reader_ops_t ops = {on_head, on_body, on_done};
 
 /** A reader that was fed one text. */
-typedef struct fed {
-	told_t told;
+typedef struct parse {
+	received_t received;
 	http_reader_t reader;
 	struct evbuffer *in;
 	http_read_result_t result;
 	err_t err;
-} fed_t;
+} parse_t;
 
-static fed_t *
-feed(fed_t *fed, enum http_parser_type type, const char *text, size_t len)
+static parse_t *
+feed(parse_t *parse, enum http_parser_type type, const char *text, size_t len)
 {
-	*fed = (fed_t){.in = evbuffer_new()};
-	http_reader_init(&fed->reader, type, &ops, &fed->told, 4096);
-	evbuffer_add(fed->in, text, len);
-	fed->result = http_reader_feed(&fed->reader, fed->in);
-	return fed;
+	*parse = (parse_t){.in = evbuffer_new()};
+	http_reader_init(&parse->reader, type, &ops, &parse->received, 4096);
+	evbuffer_add(parse->in, text, len);
+	parse->result = http_reader_feed(&parse->reader, parse->in);
+	return parse;
 }
 
 static void
-fed_finish(fed_t *fed)
+parse_finish(parse_t *parse)
 {
-	http_reader_finish(&fed->reader);
-	evbuffer_free(fed->in);
+	http_reader_finish(&parse->reader);
+	evbuffer_free(parse->in);
 }
 
 static bool
-request_taken(const char *text, size_t len)
+request_is_accepted(const char *text, size_t len)
 {
-	fed_t fed;
-	bool taken;
-
-	feed(&fed, HTTP_REQUEST, text, len);
-	taken = fed.result == HTTP_READ_COMPLETE &&
-	    http_msg_check(&fed.reader.msg, &fed.err);
-	fed_finish(&fed);
-	return taken;
+	parse_t parse;
+	bool accepted;
+
+	feed(&parse, HTTP_REQUEST, text, len);
+	accepted = parse.result == HTTP_READ_COMPLETE &&
+	    http_msg_check(&parse.reader.msg, &parse.err);
+	parse_finish(&parse);
+	return accepted;
 }
 
-#define TAKEN(text) assert_true(request_taken(text, sizeof(text) - 1))
-#define REFUSED(text) assert_false(request_taken(text, sizeof(text) - 1))
+#define ACCEPTED(text) assert_true(request_is_accepted(text, sizeof(text) - 1))
+#define REFUSED(text) assert_false(request_is_accepted(text, sizeof(text) - 1))
 
 static void
-proper_requests_are_taken(void **state)
+well_formed_requests_are_accepted(void **state)
 {
 	(void)state;
-	TAKEN("GET /a/b?c=d HTTP/1.1\r\nHost: h\r\n\r\n");
-	TAKEN("DELETE /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
-	TAKEN("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
-	TAKEN("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
-	      "\r\n4;a=b\r\nabcd\r\n0\r\nX-Sum: 1\r\n\r\n");
-	TAKEN("PURGE /a HTTP/1.1\r\nHost: h\r\n\r\n");
+	ACCEPTED("GET /a/b?c=d HTTP/1.1\r\nHost: h\r\n\r\n");
+	ACCEPTED(
+	    "DELETE /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
+	ACCEPTED("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
+	ACCEPTED("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
+		 "\r\n4;a=b\r\nabcd\r\n0\r\nX-Sum: 1\r\n\r\n");
+	ACCEPTED("PURGE /a HTTP/1.1\r\nHost: h\r\n\r\n");
 }
 
 static void
-what_has_two_readings_is_refused(void **state)
+ambiguous_requests_are_refused(void **state)
 {
 	(void)state;
 	REFUSED("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
@@ -124,112 +125,112 @@
 }
 
 static void
-bytes_after_a_message_are_left(void **state)
+bytes_after_a_message_are_not_consumed(void **state)
 {
 	static const char two[] =
 	    "GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\n";
-	fed_t fed;
+	parse_t parse;
 
 	(void)state;
-	feed(&fed, HTTP_REQUEST, two, sizeof(two) - 1);
-	assert_int_equal(fed.result, HTTP_READ_COMPLETE);
-	assert_int_equal(evbuffer_get_length(fed.in), 17);
-	fed_finish(&fed);
+	feed(&parse, HTTP_REQUEST, two, sizeof(two) - 1);
+	assert_int_equal(parse.result, HTTP_READ_COMPLETE);
+	assert_int_equal(evbuffer_get_length(parse.in), 17);
+	parse_finish(&parse);
 }
 
 static void
-trailers_are_no_headers(void **state)
+trailers_are_not_headers(void **state)
 {
 	static const char text[] =
 	    "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
 	    "1\r\na\r\n0\r\nHost: other\r\n\r\n";
-	fed_t fed;
+	parse_t parse;
 
 	(void)state;
-	feed(&fed, HTTP_REQUEST, text, sizeof(text) - 1);
-	assert_int_equal(fed.result, HTTP_READ_COMPLETE);
-	assert_int_equal(http_msg_field_count(&fed.reader.msg, "Host"), 1);
-	assert_string_equal(http_msg_field(&fed.reader.msg, "host"), "h");
-	fed_finish(&fed);
+	feed(&parse, HTTP_REQUEST, text, sizeof(text) - 1);
+	assert_int_equal(parse.result, HTTP_READ_COMPLETE);
+	assert_int_equal(http_msg_field_count(&parse.reader.msg, "Host"), 1);
+	assert_string_equal(http_msg_field(&parse.reader.msg, "host"), "h");
+	parse_finish(&parse);
 }
 
 static void
-a_head_that_is_too_large_is_refused(void **state)
+too_large_heads_are_refused(void **state)
 {
 	char text[8192];
-	fed_t fed;
+	parse_t parse;
 	int len = snprintf(text, sizeof(text),
 	    "GET /a HTTP/1.1\r\nHost: h\r\nX: %05000d\r\n\r\n", 1);
 
 	(void)state;
-	feed(&fed, HTTP_REQUEST, text, (size_t)len);
-	assert_int_equal(fed.result, HTTP_READ_INVALID);
-	assert_true(fed.reader.head_too_large);
-	fed_finish(&fed);
+	feed(&parse, HTTP_REQUEST, text, (size_t)len);
+	assert_int_equal(parse.result, HTTP_READ_INVALID);
+	assert_true(parse.reader.head_too_large);
+	parse_finish(&parse);
 }
 
 static void
-interim_answers_are_skipped(void **state)
+interim_responses_are_skipped(void **state)
 {
 	static const char text[] =
 	    "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 	    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-	fed_t fed;
+	parse_t parse;
 
 	(void)state;
-	feed(&fed, HTTP_RESPONSE, text, sizeof(text) - 1);
-	assert_int_equal(fed.result, HTTP_READ_COMPLETE);
-	assert_int_equal(fed.told.heads, 1);
-	assert_int_equal(fed.told.status, 200);
-	assert_int_equal(fed.told.body_len, 2);
-	fed_finish(&fed);
+	feed(&parse, HTTP_RESPONSE, text, sizeof(text) - 1);
+	assert_int_equal(parse.result, HTTP_READ_COMPLETE);
+	assert_int_equal(parse.received.heads, 1);
+	assert_int_equal(parse.received.status, 200);
+	assert_int_equal(parse.received.body_len, 2);
+	parse_finish(&parse);
 }
 
 static void
-an_answer_without_length_ends_with_its_connection(void **state)
+responses_without_length_end_with_the_connection(void **state)
 {
 	static const char text[] = "HTTP/1.1 200 OK\r\n\r\nsome";
-	fed_t fed;
+	parse_t parse;
 
 	(void)state;
-	feed(&fed, HTTP_RESPONSE, text, sizeof(text) - 1);
-	assert_int_equal(fed.result, HTTP_READ_INCOMPLETE);
-	assert_int_equal(http_reader_eof(&fed.reader), HTTP_READ_COMPLETE);
-	assert_false(http_should_keep_alive(&fed.reader.parser));
-	fed_finish(&fed);
+	feed(&parse, HTTP_RESPONSE, text, sizeof(text) - 1);
+	assert_int_equal(parse.result, HTTP_READ_INCOMPLETE);
+	assert_int_equal(http_reader_eof(&parse.reader), HTTP_READ_COMPLETE);
+	assert_false(http_should_keep_alive(&parse.reader.parser));
+	parse_finish(&parse);
 }
 
 static void
-an_answer_cut_short_is_not_whole(void **state)
+truncated_responses_are_invalid(void **state)
 {
 	static const char length[] =
 	    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsome";
 	static const char chunks[] = "HTTP/1.1 200 OK\r\n"
 				     "Transfer-Encoding: chunked\r\n\r\n"
 				     "4\r\nsome\r\n";
-	fed_t fed;
+	parse_t parse;
 
 	(void)state;
-	feed(&fed, HTTP_RESPONSE, length, sizeof(length) - 1);
-	assert_int_equal(http_reader_eof(&fed.reader), HTTP_READ_INVALID);
-	fed_finish(&fed);
-	feed(&fed, HTTP_RESPONSE, chunks, sizeof(chunks) - 1);
-	assert_int_equal(http_reader_eof(&fed.reader), HTTP_READ_INVALID);
-	fed_finish(&fed);
+	feed(&parse, HTTP_RESPONSE, length, sizeof(length) - 1);
+	assert_int_equal(http_reader_eof(&parse.reader), HTTP_READ_INVALID);
+	parse_finish(&parse);
+	feed(&parse, HTTP_RESPONSE, chunks, sizeof(chunks) - 1);
+	assert_int_equal(http_reader_eof(&parse.reader), HTTP_READ_INVALID);
+	parse_finish(&parse);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(proper_requests_are_taken),
-	    cmocka_unit_test(what_has_two_readings_is_refused),
-	    cmocka_unit_test(bytes_after_a_message_are_left),
-	    cmocka_unit_test(trailers_are_no_headers),
-	    cmocka_unit_test(a_head_that_is_too_large_is_refused),
-	    cmocka_unit_test(interim_answers_are_skipped),
-	    cmocka_unit_test(an_answer_without_length_ends_with_its_connection),
-	    cmocka_unit_test(an_answer_cut_short_is_not_whole),
+	    cmocka_unit_test(well_formed_requests_are_accepted),
+	    cmocka_unit_test(ambiguous_requests_are_refused),
+	    cmocka_unit_test(bytes_after_a_message_are_not_consumed),
+	    cmocka_unit_test(trailers_are_not_headers),
+	    cmocka_unit_test(too_large_heads_are_refused),
+	    cmocka_unit_test(interim_responses_are_skipped),
+	    cmocka_unit_test(responses_without_length_end_with_the_connection),
+	    cmocka_unit_test(truncated_responses_are_invalid),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/http_outbound_test.c
+++ b/test/unit/http_outbound_test.c
@@ -123,7 +123,7 @@
 }
 
 static void
-a_request_that_is_wanted_leaves(void **state)
+wanted_requests_are_sent(void **state)
 {
 	owner_t owner;
 
@@ -133,7 +133,7 @@
 }
 
 static void
-one_that_is_given_up_while_connecting_does_not(void **state)
+requests_abandoned_while_connecting_are_not_sent(void **state)
 {
 	owner_t owner;
 
@@ -146,8 +146,8 @@
  * stands for a link that has fallen silent: in both, sent bytes are not
  * acknowledged, and no reset comes. */
 static void
-send_in_vain(
-    owner_t *owner, int64_t connect_ms, int64_t silent_ms, time_t limit_s)
+send_to_stalled_server(owner_t *owner, int64_t connect_timeout_ms,
+    int64_t silence_timeout_ms, time_t limit_s)
 {
 	struct event_base *base = event_base_new();
 	struct sockaddr_in at = {
@@ -167,8 +167,9 @@
 	assert_int_equal(listen(listener, 1), 0);
 	getsockname(listener, (struct sockaddr *)&at, &len);
 	address.port = ntohs(at.sin_port);
-	owner->conn = http_outbound_new(base, &address, connect_ms, 60000);
-	http_outbound_set_silence_timeout(owner->conn, silent_ms);
+	owner->conn =
+	    http_outbound_new(base, &address, connect_timeout_ms, 60000);
+	http_outbound_set_silence_timeout(owner->conn, silence_timeout_ms);
 	evbuffer_add_printf(
 	    head, "PUT / HTTP/1.1\r\nContent-Length: %u\r\n\r\n", BODY_LEN);
 	evbuffer_add(body, bytes, BODY_LEN);
@@ -185,29 +186,29 @@
 }
 
 static void
-a_silent_connection_is_given_up(void **state)
+silent_connections_fail(void **state)
 {
 	owner_t owner;
 
 	(void)state;
-	send_in_vain(&owner, 1000, SILENT_MS, LIMIT_S);
+	send_to_stalled_server(&owner, 1000, SILENT_MS, LIMIT_S);
 	assert_int_equal(owner.failed, 1);
 	assert_int_equal(owner.failure, HTTP_OUTBOUND_NO_RESPONSE);
 }
 
 /* The bound for connecting is none for what comes after. */
 static void
-a_server_that_reads_slowly_is_waited_for(void **state)
+the_connect_timeout_ends_with_connecting(void **state)
 {
 	owner_t owner;
 
 	(void)state;
-	send_in_vain(&owner, 200, 60000, 2);
+	send_to_stalled_server(&owner, 200, 60000, 2);
 	assert_int_equal(owner.failed, 0);
 }
 
 static void
-a_port_without_a_listener_is_told_apart(void **state)
+connection_refusals_are_distinguished(void **state)
 {
 	struct event_base *base = event_base_new();
 	struct sockaddr_in at = {
@@ -238,11 +239,11 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_request_that_is_wanted_leaves),
-	    cmocka_unit_test(one_that_is_given_up_while_connecting_does_not),
-	    cmocka_unit_test(a_silent_connection_is_given_up),
-	    cmocka_unit_test(a_server_that_reads_slowly_is_waited_for),
-	    cmocka_unit_test(a_port_without_a_listener_is_told_apart),
+	    cmocka_unit_test(wanted_requests_are_sent),
+	    cmocka_unit_test(requests_abandoned_while_connecting_are_not_sent),
+	    cmocka_unit_test(silent_connections_fail),
+	    cmocka_unit_test(the_connect_timeout_ends_with_connecting),
+	    cmocka_unit_test(connection_refusals_are_distinguished),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
