--- a/common/counters.c
+++ b/common/counters.c
@@ -7,7 +7,7 @@
 	const char *help;
 } counter_info_t;
 
-/* In the order of counter_t. */
+/* Indexed by counter_t. The names and help texts are exported. */
 static const counter_info_t infos[COUNTER_COUNT] = {
     {"requests", "Requests received from callers."},
     {"answers", "Whole answers delivered."},
--- a/common/err.c
+++ b/common/err.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Sorted by code: err_info() indexes it. */
+/* Indexed by err_code_t. The names are part of the API. */
 static const err_info_t infos[ERR_CODE_COUNT] = {
     {ERR_NONE, "none", 200, ERR_NOT_EXECUTED, false},
     {ERR_AUTHENTICATION, "authentication", 401, ERR_NOT_EXECUTED, false},
--- a/common/event_log.c
+++ b/common/event_log.c
@@ -9,22 +9,24 @@
 
 #define LINE_SIZE 640
 #define MS_PER_SEC 1000.0
-/* Lines that may come at once, as seconds of the rate. */
+/* Size of the token bucket, in seconds of the rate. */
 #define BURST_S 2.0
-/* Lines of one kind that are written in a second. A start of 295 daemons with
- * 166 endpoints wrote 49,000 lines on endpoints, and 133 lines of one daemon
- * were dropped beside them, also those on what it does. */
+/* Lines of a throttled kind written per second. Without this limit, starting
+ * 295 daemons with 166 endpoints wrote 49,000 lines on endpoints, and one
+ * daemon dropped 133 lines under the overall rate limit, including those on its
+ * own decisions. */
 #define THROTTLE_LINES_MAX 8
 #define THROTTLE_WINDOW_MS 1000
 
 void
-event_log_init(event_log_t *log, const clock_source_t *clock, double per_s)
+event_log_init(
+    event_log_t *log, const clock_source_t *clock, double lines_per_s)
 {
 	int flags = fcntl(STDOUT_FILENO, F_GETFL);
 
 	*log = (event_log_t){.clock = clock,
-	    .lines_per_s = per_s,
-	    .tokens = per_s * BURST_S,
+	    .lines_per_s = lines_per_s,
+	    .tokens = lines_per_s * BURST_S,
 	    .refilled_at = clock_boottime(clock)};
 	if (flags >= 0)
 		fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
@@ -93,7 +95,8 @@
     [EVENT_THROTTLED_SUSPECT] = "suspect",
 };
 
-/* A second that is over is told of, and the next one begins. */
+/* Start a new window if the current one has ended, and report the lines that
+ * were suppressed in it. */
 static void
 throttle_update_window(event_log_t *log, event_throttle_kind_t kind)
 {
--- a/common/suspend_watch.c
+++ b/common/suspend_watch.c
@@ -1,7 +1,7 @@
 #include "common/suspend_watch.h"
 
-/* The two clocks are read one after the other, and a thread may wait between.
- */
+/* The thread may be preempted between the readings of the two clocks, so that
+ * small differences are no suspension. */
 #define SUSPENSION_MIN_MS 50
 
 int64_t
--- a/common/timeline.c
+++ b/common/timeline.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-/* In the order of event_type_t. */
+/* Indexed by event_type_t. The names are exported. */
 static const char *const event_names[EVENT_TYPE_COUNT] = {
     "started",
     "draining",
--- a/include/common/clock_source.h
+++ b/include/common/clock_source.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * The clock as an interface, and arithmetic on struct timespec.
+ * Clock interface, so that tests can supply the time, and arithmetic on
+ * struct timespec.
  */
 #ifndef COMMON_CLOCK_SOURCE_H
 #define COMMON_CLOCK_SOURCE_H
@@ -10,18 +11,19 @@
 
 typedef struct clock_source clock_source_t;
 
-/** What a clock can do. */
+/** Operations of a clock. */
 typedef struct clock_ops {
-	/** Time since boot; counts while the machine or process is suspended.
-	 */
+	/** Time since boot, including time for which the VM or the process was
+	 * suspended (CLOCK_BOOTTIME). */
 	struct timespec (*boottime)(const clock_source_t *);
-	/** Wall-clock time, UTC. */
+	/** Wall-clock time, UTC (CLOCK_REALTIME). */
 	struct timespec (*wall)(const clock_source_t *);
-	/** The clock by which timers run; stands while the VM is suspended. */
+	/** The clock by which timers run; stops while the VM is suspended
+	 * (CLOCK_MONOTONIC). */
 	struct timespec (*monotonic)(const clock_source_t *);
 } clock_ops_t;
 
-/** A clock: a table of functions. */
+/** A clock. Implementations embed it as their first member. */
 struct clock_source {
 	const clock_ops_t *ops;
 };
@@ -39,7 +41,7 @@
 /** Microseconds from @p from until @p to. */
 int64_t timespec_us_between(struct timespec from, struct timespec to);
 
-/** @p ts moved on by @p ms milliseconds. */
+/** @p ts plus @p ms milliseconds, which may be negative. */
 struct timespec timespec_add_ms(struct timespec ts, int64_t ms);
 
 /** @p ts in milliseconds since its epoch. */
--- a/include/common/counters.h
+++ b/include/common/counters.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The project's own counters, written out in the Prometheus text format.
+ * The daemon's counters, exported in the Prometheus text format.
  */
 #ifndef COMMON_COUNTERS_H
 #define COMMON_COUNTERS_H
@@ -10,7 +10,7 @@
 
 #include "common/err.h"
 
-/** Counters without a label. The order is that of the table in counters.c. */
+/** Counters without a label, in the order of the table in counters.c. */
 typedef enum counter {
 	COUNTER_REQUESTS,
 	COUNTER_RESPONSES,
--- a/include/common/err.h
+++ b/include/common/err.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The error struct that is passed down: every failure has a type.
+ * Errors: a failure type and a message, filled in by the function that fails.
  */
 #ifndef COMMON_ERR_H
 #define COMMON_ERR_H
@@ -9,15 +9,13 @@
 
 #define ERR_DETAIL_SIZE 192
 
-/** What a failure says about the caller's request. */
+/** Whether the caller's request may have been executed. */
 typedef enum err_execution {
-	ERR_NOT_EXECUTED,   /**< no byte of the request was given to an endpoint
-			     */
-	ERR_MAYBE_EXECUTED, /**< it may have run: never retry a non-idempotent
-			       one */
+	ERR_NOT_EXECUTED,   /**< no byte was sent to an endpoint */
+	ERR_MAYBE_EXECUTED, /**< retry only if it is idempotent */
 } err_execution_t;
 
-/** Every failure type. The order is that of the table in err.c. */
+/** Failure types, in the order of the table in err.c. */
 typedef enum err_code {
 	ERR_NONE,
 	ERR_AUTHENTICATION,
@@ -58,30 +56,30 @@
 	ERR_CODE_COUNT /* count */
 } err_code_t;
 
-/** One failure: its type, and a sentence for a person. */
+/** A failure: its type and a message for people. */
 typedef struct err {
 	err_code_t code;
 	char detail[ERR_DETAIL_SIZE];
 } err_t;
 
-/** What is fixed for a failure type. */
+/** Properties of a failure type. */
 typedef struct err_info {
 	err_code_t code;
-	const char *name;	   /**< the type as callers see it */
-	int http_status;	   /**< HTTP status */
-	err_execution_t execution; /**< what it says about the request */
-	bool retryable; /**< a retry of the same request is safe and useful */
+	const char *name; /**< of the type, as callers see it */
+	int http_status;
+	err_execution_t execution; /**< of the request */
+	bool retryable; /**< retrying the same request is safe and useful */
 } err_info_t;
 
-/** Fill @p err (may be NULL) and return false, so that a caller can return it.
- */
+/** Fill in @p err, which may be NULL.
+ * @return false, so that a function can return the call's result */
 bool err_set(err_t *err, err_code_t code, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 
-/** The fixed facts of @p code; never NULL. */
+/** The properties of @p code; those of ERR_INTERNAL if it is out of range. */
 const err_info_t *err_info(err_code_t code);
 
-/** The type with this name, or ERR_NONE. */
+/** The type with this name, or ERR_NONE if there is none. */
 err_code_t err_code_from_name(const char *name);
 
 #endif
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * The logger: one short line an event, with a fixed prefix for each part.
+ * The logger: one short line per event, with a fixed prefix for each part of
+ * the system.
  */
 #ifndef COMMON_LOG_H
 #define COMMON_LOG_H
@@ -22,10 +23,11 @@
 /** Most important first. */
 typedef enum log_level { LOG_ERROR, LOG_WARN, LOG_INFO, LOG_DEBUG } log_level_t;
 
-/** Set the name printed on each line and the least important level shown. */
+/** Set the program name printed on each line and the least important level
+ * that is written. */
 void log_init(const char *program, log_level_t level);
 
-/** Write one line to standard error. Secrets are never passed here. */
+/** Write a line to standard error. Never pass secrets. */
 void log_line(log_level_t level, log_part_t part, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 
--- a/include/common/rng.h
+++ b/include/common/rng.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Random numbers as an interface: libsodium's in the daemons, a seeded
- * generator of GSL in experiments.
+ * Random number interface: libsodium in the daemons, a seeded GSL generator in
+ * experiments.
  */
 #ifndef COMMON_RNG_H
 #define COMMON_RNG_H
@@ -11,14 +11,14 @@
 typedef struct rng rng_t;
 
 struct rng {
-	uint32_t (*next)(rng_t *); /**< uniform over all values */
-	uint64_t state;		   /**< of those that have one */
+	uint32_t (*next)(rng_t *); /**< uniform over all 32-bit values */
+	uint64_t state;		   /**< of generators that need one */
 };
 
-/** The machine's random numbers. */
+/** Use the operating system's random numbers, through libsodium. */
 void rng_system_init(rng_t *);
 
-/** Uniform from 0 to @p bound - 1. */
+/** A uniform random number from 0 to @p bound - 1. */
 uint32_t rng_below(rng_t *, uint32_t bound);
 
 /** 64 random bits. */
--- a/include/common/table.h
+++ b/include/common/table.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * A growing table of rows of one size; a row is named by its small handle.
+ * A growable array of rows of equal size. Rows are referred to by handles,
+ * since their addresses change when the table grows.
  */
 #ifndef COMMON_TABLE_H
 #define COMMON_TABLE_H
@@ -8,7 +9,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** No row. */
+/** The handle of no row. */
 #define HANDLE_NONE UINT32_MAX
 
 /** The index of a row in a table_t. */
@@ -24,10 +25,11 @@
 void table_init(table_t *, size_t row_size);
 void table_finish(table_t *);
 
-/** Append a zeroed row; NULL when memory is out. Moves earlier rows. */
+/** Append a zeroed row. Invalidates pointers to earlier rows.
+ * @return NULL when out of memory */
 void *table_add(table_t *);
 
-/** The row of @p handle, or NULL when there is none. */
+/** The row of @p handle, or NULL if there is none. */
 void *table_at(const table_t *, handle_t handle);
 
 #endif
--- a/include/common/task.h
+++ b/include/common/task.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Tasks on one event loop. A task owns its sockets and its state; others reach
- * it only by posting a message, which is delivered from the loop, never from
- * inside the sender's call.
+ * Tasks on one event loop. A task owns its sockets and state; other tasks
+ * communicate with it only by posting messages, which are delivered from the
+ * event loop, never from within the sender's call.
  */
 #ifndef COMMON_TASK_H
 #define COMMON_TASK_H
@@ -14,16 +14,16 @@
 typedef struct task task_t;
 typedef struct task_msg task_msg_t;
 
-/** A message: its kind (the receiver's enumeration) and a body that the message
- * owns; @p release frees what the body points to. */
+/** A message: its kind, from an enumeration of the receiver, and a body that it
+ * owns. */
 struct task_msg {
 	int kind;
 	void *body;
-	void (*release)(void *body);
+	void (*release)(void *body); /**< frees the body */
 	task_msg_t *next;
 };
 
-/** Handles one message; the task frees it afterwards. */
+/** Handles a message, which the task frees afterwards. */
 typedef void (*task_handler_t)(void *state, task_msg_t *msg);
 
 struct task {
@@ -32,16 +32,18 @@
 	void *state;
 	task_msg_t *queue_head;
 	task_msg_t **queue_tail;
-	uint32_t queued; /**< messages waiting */
+	uint32_t queued; /**< messages not yet delivered */
 };
 
+/** @return false when out of memory */
 bool task_init(task_t *, struct event_base *, task_handler_t, void *state);
+/** Free the messages that were not delivered. */
 void task_finish(task_t *);
 
 /**
- * Queue a message. Takes over @p body, also on failure.
- * @param release how to free @p body; NULL: free()
- * @return false when memory is out
+ * Queue a message. Takes ownership of @p body, also on failure.
+ * @param release frees @p body; NULL: free()
+ * @return false when out of memory
  */
 bool task_post(task_t *, int kind, void *body, void (*release)(void *));
 
--- a/include/common/timeline.h
+++ b/include/common/timeline.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The time line: a bounded ring of typed events in each process.
+ * The timeline: a ring buffer of the latest typed events of a process.
  */
 #ifndef COMMON_TIMELINE_H
 #define COMMON_TIMELINE_H
@@ -14,7 +14,7 @@
 #define TIMELINE_SUBJECT_SIZE 48
 #define TIMELINE_NOTE_SIZE 48
 
-/** Event types; the order is that of the table in timeline.c. */
+/** Event types, in the order of the table in timeline.c. */
 typedef enum event_type {
 	EVENT_STARTED,
 	EVENT_DRAINING,
@@ -50,7 +50,7 @@
 } event_type_t;
 
 typedef struct timeline_event {
-	uint64_t stamp; /**< hybrid logical clock */
+	uint64_t stamp; /**< of the hybrid logical clock */
 	event_type_t type;
 	char subject[TIMELINE_SUBJECT_SIZE]; /**< request, plan, endpoint ... */
 	char note[TIMELINE_NOTE_SIZE];
@@ -59,18 +59,20 @@
 typedef struct timeline {
 	const clock_source_t *clock;
 	hlc_t hlc;
-	uint64_t
-	    event_count; /**< events ever written; the last ones are kept */
+	uint64_t event_count; /**< added so far, including overwritten ones */
 	timeline_event_t events[TIMELINE_EVENTS];
 } timeline_t;
 
 void timeline_init(timeline_t *, const clock_source_t *);
 
-/** Write one event. @param subject what it is about @param fmt a short note */
+/** Add an event, overwriting the oldest one once the ring is full.
+ * @param subject what it concerns
+ * @param fmt a short note */
 void timeline_add(timeline_t *, event_type_t, const char *subject,
     const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
-/** The @p back -th event before the newest, or NULL when it is not kept. */
+/** The event @p back places before the newest one, or NULL if there is none or
+ * it was overwritten. */
 const timeline_event_t *timeline_get(const timeline_t *, uint64_t back);
 
 const char *event_type_name(event_type_t);
--- a/test/support/manual_clock.h
+++ b/test/support/manual_clock.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * A clock that a test moves.
+ * A clock that is advanced by the test.
  */
 #ifndef TEST_SUPPORT_MANUAL_CLOCK_H
 #define TEST_SUPPORT_MANUAL_CLOCK_H
@@ -9,7 +9,7 @@
 
 typedef struct manual_clock {
 	clock_source_t source;
-	struct timespec now; /**< of the wall and since the start alike */
+	struct timespec now; /**< returned for all three clocks */
 } manual_clock_t;
 
 static inline struct timespec
--- a/test/unit/event_log_test.c
+++ b/test/unit/event_log_test.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Lines on standard output: bounded in rate, and never waited for.
+ * The event log is limited in rate, also for each throttled kind, and never
+ * blocks on standard output.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,7 +19,7 @@
 
 #define OUT_SIZE (1 << 16)
 
-/* Standard output is a pipe while a test runs. */
+/* Standard output is redirected to a pipe while a test runs. */
 typedef struct fixture {
 	manual_clock_t clock;
 	event_log_t log;
@@ -44,7 +45,7 @@
 	event_log_init(&fixture->log, &fixture->clock.source, per_s);
 }
 
-/* What was written since; standard output is what it was again. */
+/* Restore standard output and return what was written to the pipe. */
 static const char *
 fixture_finish(fixture_t *fixture)
 {
@@ -113,7 +114,7 @@
 	assert_int_equal(count_occurrences(out, "dropped_lines=80 id=last"), 1);
 }
 
-/* Nobody reads: the daemon goes on, and says later what is missing. */
+/* Nobody reads the pipe: lines are dropped and counted instead. */
 static void
 does_not_block_when_stdout_is_not_read(void **state)
 {
--- a/test/unit/settings_test.c
+++ b/test/unit/settings_test.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Settings: each bad one is named, with its value, range and source.
+ * Invalid settings are refused with an error that names the setting, its value,
+ * range and source.
  */
 #include <setjmp.h>
 #include <stdarg.h>
--- a/test/unit/suspend_watch_test.c
+++ b/test/unit/suspend_watch_test.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Time that a VM was suspended is told once, and none else: timers that come
- * late, or a wall clock that jumps, are no suspension.
+ * A suspension of the VM is reported once, with its duration. Late timers of a
+ * stalled process and jumps of the wall clock are not suspensions, and a
+ * suspension before the first poll is not reported.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,7 +14,7 @@
 
 #define SUSPENDED_MS 4000
 
-/** A clock whose steady time stands while the VM is suspended. */
+/** A clock whose monotonic time stops while the VM is suspended. */
 typedef struct vm_clock {
 	clock_source_t source;
 	struct timespec now;
