--- a/common/http_call.c
+++ b/common/http_call.c
@@ -11,20 +11,19 @@
 #define US_PER_MS 1000
 #define RESPONSE_MAX (64L << 20)
 
-/** A call under way. It owns its connection: libevent frees one by itself when
- * an answer came, and keeps it when it never connected. */
+/** A call in flight. It owns its connection, since libevent frees connections
+ * by itself only after a response and leaks those that never connected. */
 typedef struct pending_call {
 	struct event_base *base;
 	struct evhttp_connection *conn;
 	http_call_done_t done;
 	void *arg;
-	struct event
-	    *cleanup; /**< frees it, outside the connection's callback */
+	struct event *cleanup; /**< frees the call outside evhttp's callback */
 	struct pending_call *next;
 	struct pending_call *prev;
 } pending_call_t;
 
-/* All that are under way, so that they can be ended with their loop. */
+/* All calls in flight, so that they can be cancelled with their event loop. */
 static pending_call_t *pending_calls;
 
 static bool
@@ -176,7 +175,7 @@
 	}
 	evhttp_connection_set_timeout_tv(pending->conn, &timeout);
 	evhttp_connection_set_max_body_size(pending->conn, RESPONSE_MAX);
-	/* evhttp frees the request on failure too. */
+	/* evhttp frees the request also on failure. */
 	if (evhttp_make_request(pending->conn, req, call->method, call->path) !=
 	    0) {
 		pending_free(pending);
--- a/common/http_inbound.c
+++ b/common/http_inbound.c
@@ -9,12 +9,13 @@
 
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
-/* What a caller may send ahead while its request is being handled. */
+/* Bytes buffered from a caller that sends ahead while its request is being
+ * handled. */
 #define PIPELINED_MAX 65536
-/* How long a closed connection is read on, so that the answer before the close
- * is not lost to a reset. */
+/* How long a closing connection is still read, since a reset by unread bytes
+ * could destroy the response before the caller reads it. */
 #define LINGER_MS 1000
-/* A caller that takes nothing for this long is gone. */
+/* A caller that reads nothing for this long is considered disconnected. */
 #define WRITE_TIMEOUT_MS 15000
 #define NO_TIMEOUT_S 86400
 
@@ -40,7 +41,8 @@
 static void
 timeouts_set(http_inbound_t *conn, int64_t read_ms)
 {
-	/* libevent may go on with an old limit that is merely taken away. */
+	/* libevent may keep using an old timeout that is merely removed, so a
+	 * long one replaces it. */
 	struct timeval read = {NO_TIMEOUT_S, 0};
 	struct timeval write = {WRITE_TIMEOUT_MS / MS_PER_SEC, 0};
 
@@ -50,7 +52,8 @@
 	bufferevent_set_timeouts(conn->bev, &read, &write);
 }
 
-/* Nothing more is read as a request; what comes is thrown away. */
+/* Discard further input until the caller closes the connection or sends nothing
+ * for LINGER_MS. */
 static void
 inbound_linger(http_inbound_t *conn)
 {
@@ -112,7 +115,7 @@
 
 	conn->state = INBOUND_HANDLING;
 	timeouts_set(conn, 0);
-	/* The caller's close is to be noticed until the answer is out. */
+	/* Keep reading, so that a close by the caller is noticed. */
 	bufferevent_setwatermark(conn->bev, EV_READ, 0, PIPELINED_MAX);
 	if (!conn->reader.msg.keep_alive)
 		conn->close_after_response = true;
@@ -129,7 +132,8 @@
 	err_t err;
 
 	if (reader->head_too_large)
-		err_set(&err, ERR_HEAD_TOO_LARGE, "the head is too large");
+		err_set(
+		    &err, ERR_HEAD_TOO_LARGE, "the request head is too large");
 	else if (reader->out_of_memory)
 		err_set(&err, ERR_MEMORY, "out of memory");
 	else
@@ -147,8 +151,8 @@
 	switch (http_reader_feed(&conn->reader, in)) {
 	case HTTP_READ_INCOMPLETE:
 		if (conn->body_too_large) {
-			err_set(
-			    &err, ERR_BODY_TOO_LARGE, "the body is too large");
+			err_set(&err, ERR_BODY_TOO_LARGE,
+			    "the request body is too large");
 			inbound_refuse(conn, &err);
 			return;
 		}
@@ -279,7 +283,7 @@
 	    conn->close_after_response ? "Connection: close\r\n" : "");
 }
 
-/* The answer is whole: take the next request, or close. */
+/* After a response: read the next request, or close the connection. */
 static void
 inbound_response_completed(http_inbound_t *conn)
 {
@@ -293,8 +297,7 @@
 	conn->wait_seq = conn->server->next_wait_seq++;
 	bufferevent_setwatermark(conn->bev, EV_READ, 0, 0);
 	timeouts_set(conn, conn->server->limits.idle_timeout_ms);
-	/* Deferred, so that a caller that sends ahead can't deepen the stack.
-	 */
+	/* Deferred, so that pipelined requests can't nest on the stack. */
 	if (evbuffer_get_length(bufferevent_get_input(conn->bev)) > 0)
 		bufferevent_trigger(conn->bev, EV_READ,
 		    BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
--- a/common/http_inbound_priv.h
+++ b/common/http_inbound_priv.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What the files of http_inbound share: connections (http_inbound.c) and the
- * server that takes them (http_inbound_server.c).
+ * Private definitions of the HTTP server: its connections (http_inbound.c), and
+ * the server that accepts them (http_inbound_server.c).
  */
 #ifndef COMMON_HTTP_INBOUND_PRIV_H
 #define COMMON_HTTP_INBOUND_PRIV_H
@@ -12,10 +12,10 @@
 #include "common/http_inbound.h"
 
 typedef enum inbound_state {
-	INBOUND_READING,
-	INBOUND_HANDLING,  /**< the request is with its handler */
-	INBOUND_STREAMING, /**< its answer is under way */
-	INBOUND_LINGERING, /**< the answer is written; the connection closes */
+	INBOUND_READING,   /**< idle, or receiving a request */
+	INBOUND_HANDLING,  /**< the request is being handled */
+	INBOUND_STREAMING, /**< the response is being streamed */
+	INBOUND_LINGERING, /**< the response is complete; closing */
 } inbound_state_t;
 
 struct http_inbound {
@@ -25,8 +25,7 @@
 	inbound_state_t state;
 	bool close_after_response;
 	bool body_too_large;
-	uint64_t
-	    wait_seq; /**< counted on when it began to wait for a request */
+	uint64_t wait_seq; /**< order of starting to wait for a request */
 	void *user_data;
 	http_inbound_t *next;
 	http_inbound_t *prev;
@@ -44,12 +43,12 @@
 	bool draining;
 };
 
-/** Begin to read requests of a new connection; its socket is taken over, also
- * on failure. */
+/** Start to read requests from a new connection. Takes ownership of the socket,
+ * also on failure. */
 void inbound_open(http_inbound_server_t *, evutil_socket_t fd);
-/** Close; its handler is not told. */
+/** Close the connection without calling on_closed. */
 void inbound_free(http_inbound_t *);
-/** Whether a request has begun to come in. */
+/** Whether bytes of a request were received. */
 bool inbound_request_started(const http_inbound_t *);
 
 #endif
--- a/common/http_inbound_server.c
+++ b/common/http_inbound_server.c
@@ -6,9 +6,10 @@
 
 #define BACKLOG 1024
 
-/* Make room for a new connection: the one that has idled the longest goes, or
- * else the one that has been longest about its request. None that waits for an
- * answer does. @return false: all of them do */
+/* Make room for a new connection by closing the one that has been idle for the
+ * longest time or, if none is idle, the one whose request has been incomplete
+ * for the longest time. Connections that wait for a response are never closed.
+ * @return false if all of them do */
 static bool
 waiting_connection_evict(http_inbound_server_t *server)
 {
@@ -94,11 +95,11 @@
 }
 
 void
-http_inbound_pause_accepting(http_inbound_server_t *server, bool hold)
+http_inbound_pause_accepting(http_inbound_server_t *server, bool pause)
 {
 	if (server->listener == NULL)
 		return;
-	if (hold)
+	if (pause)
 		evconnlistener_disable(server->listener);
 	else
 		evconnlistener_enable(server->listener);
--- a/common/http_msg.c
+++ b/common/http_msg.c
@@ -126,7 +126,7 @@
 	    : -1;
 }
 
-/* A header without a value has an empty one. */
+/* Give fields for which the parser reported no value an empty one. */
 static bool
 fields_set_empty_values(http_reader_t *reader)
 {
@@ -149,7 +149,7 @@
 
 	if (!fields_set_empty_values(reader))
 		return -1;
-	/* Trailers are read as fields too, and dropped at the end. */
+	/* Trailers are added to the fields too, and removed at the end. */
 	reader->head_fields_len = msg->fields_len;
 	msg->keep_alive = http_should_keep_alive(parser) != 0;
 	msg->chunked = (parser->flags & F_CHUNKED) != 0;
@@ -318,7 +318,7 @@
 bool
 http_field_is_hop_by_hop(const http_msg_t *msg, const char *name)
 {
-	/* RFC 9110, 7.6.1, and what frames the message. */
+	/* Those of RFC 9110, 7.6.1, and those that frame the message. */
 	static const char *const hop_by_hop[] = {"Connection", "Content-Length",
 	    "Expect", "Host", "Keep-Alive", "Proxy-Authenticate",
 	    "Proxy-Authorization", "Proxy-Connection", "TE", "Trailer",
@@ -346,18 +346,18 @@
 	for (size_t i = 0; i < msg->fields_len; i++) {
 		if (!field_name_is_valid(msg->fields[i].name))
 			return err_set(err, ERR_BAD_REQUEST,
-			    "a header's name holds a space");
+			    "a header name is empty or contains whitespace");
 	}
 	if (msg->target == NULL || msg->target[0] != '/')
-		return err_set(
-		    err, ERR_BAD_REQUEST, "the target is no absolute path");
+		return err_set(err, ERR_BAD_REQUEST,
+		    "the request target is not an absolute path");
 	if (http_msg_field_count(msg, "Host") != 1)
 		return err_set(
-		    err, ERR_BAD_REQUEST, "not exactly one Host header");
+		    err, ERR_BAD_REQUEST, "expected exactly one Host header");
 	if (http_msg_field_count(msg, "Content-Length") > 1 ||
 	    http_msg_field_count(msg, "Transfer-Encoding") > 1)
-		return err_set(
-		    err, ERR_BAD_REQUEST, "the length is given twice");
+		return err_set(err, ERR_BAD_REQUEST,
+		    "duplicate Content-Length or Transfer-Encoding header");
 	if (encoding != NULL && strcasecmp(encoding, "chunked") != 0)
 		return err_set(err, ERR_BAD_REQUEST,
 		    "the transfer encoding is not chunked");
--- a/common/http_outbound.c
+++ b/common/http_outbound.c
@@ -11,23 +11,23 @@
 #define US_PER_MS 1000
 #define NO_TIMEOUT_S 86400
 #define OUTBOUND_HEAD_MAX 65536 /* bytes */
-/* The kernel asks an idle connection's other end whether it is there in whole
- * seconds only; how often, once it was silent for the first of them. */
+/* Interval of TCP keep-alive probes after the first one; the kernel counts it
+ * in whole seconds. */
 #define KEEPALIVE_INTERVAL_S 1
 
 struct http_outbound {
 	struct bufferevent *bev;
 	http_reader_t reader;
-	const http_outbound_ops_t *ops; /**< NULL: no request under way */
+	const http_outbound_ops_t *ops; /**< NULL: no request in flight */
 	void *arg;
 	http_outbound_idle_closed_t idle_closed;
 	void *idle_arg;
 	struct evbuffer *unsent_request; /**< until connected */
 	bool connected;
-	bool response_started;	 /**< some byte of an answer came */
-	bool response_completed; /**< the answer ended in good order */
-	bool in_reader;		 /**< inside a callback of the reader */
-	bool free_pending;	 /**< free it after the callback */
+	bool response_started;	 /**< a byte of it was received */
+	bool response_completed; /**< without an error */
+	bool in_reader;		 /**< during a callback of the reader */
+	bool free_pending;	 /**< to be freed after the callback */
 };
 
 static void
@@ -91,8 +91,8 @@
 	ops->on_complete(conn->arg);
 }
 
-/* Run a reader's step, during which the owner may free the connection.
- * @return false: it is gone */
+/* Parse received bytes or, with @p end, the end of the connection. The
+ * callbacks may free the connection. @return false if they did */
 static bool
 reader_step(http_outbound_t *conn, bool end, http_read_result_t *result)
 {
@@ -115,7 +115,7 @@
 
 	(void)bev;
 	if (conn->ops == NULL) {
-		/* Nobody asked for these bytes. */
+		/* Bytes without a request. */
 		conn->response_completed = false;
 		request_fail(conn, HTTP_OUTBOUND_BAD_RESPONSE);
 		return;
@@ -132,8 +132,8 @@
 static void
 on_connected(http_outbound_t *conn)
 {
-	/* libevent goes on with a persistent event's old time limit when it is
-	 * merely taken away: a long one replaces it. */
+	/* libevent keeps using a persistent event's old timeout when it is
+	 * merely removed, so a long one replaces it. */
 	static const struct timeval never = {NO_TIMEOUT_S, 0};
 
 	conn->connected = true;
@@ -141,7 +141,7 @@
 	if (conn->ops == NULL)
 		return;
 	if (!conn->ops->on_connected(conn->arg))
-		return; /* the owner may have freed the connection */
+		return; /* the callback may have freed the connection */
 	if (conn->unsent_request != NULL)
 		bufferevent_write_buffer(conn->bev, conn->unsent_request);
 	conn->ops->on_sent(conn->arg);
@@ -197,7 +197,8 @@
 	    &unacknowledged, sizeof(unacknowledged));
 }
 
-/* An open connection may fall silent for good, while new ones work. */
+/* Detect connections that have stopped carrying packets without a reset,
+ * although new connections to the same server work. */
 static void
 socket_set_options(http_outbound_t *conn, int64_t silence_timeout_ms)
 {
--- a/common/http_server.c
+++ b/common/http_server.c
@@ -54,10 +54,10 @@
 	if (len == 0)
 		err_set(err, ERR_BAD_REQUEST, "the body is empty");
 	else if (value == NULL)
-		err_set(err, ERR_BAD_REQUEST, "the body is no JSON: %.80s",
-		    json_error.text);
+		err_set(err, ERR_BAD_REQUEST,
+		    "the body is not valid JSON: %.80s", json_error.text);
 	else
-		err_set(err, ERR_BAD_REQUEST, "the body is no JSON object");
+		err_set(err, ERR_BAD_REQUEST, "the body is not a JSON object");
 	json_decref(value);
 	return NULL;
 }
@@ -83,7 +83,8 @@
 	evbuffer_free(out);
 }
 
-/* How much a caller may send ahead of its answer. */
+/* Bytes buffered from a caller that sends ahead while its request is being
+ * handled. */
 #define PIPELINED_MAX 65536
 
 void
@@ -97,8 +98,8 @@
 	void *state;
 	int yes = 1;
 
-	/* Small events must not wait for the acknowledgement of the last one.
-	 */
+	/* Small events must not wait for the acknowledgement of the previous
+	 * one. */
 	setsockopt(bufferevent_getfd(bev), IPPROTO_TCP, TCP_NODELAY, &yes,
 	    sizeof(yes));
 	evhttp_connection_set_closecb(conn, closed, arg);
--- a/include/common/http_inbound.h
+++ b/include/common/http_inbound.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The server's side of HTTP/1.1 on bufferevents: one request at a time on each
- * connection, read whole, answered whole or as a stream.
+ * HTTP/1.1 server on bufferevents. Each connection carries one request at a
+ * time, which is read completely before it is handled; its response is sent at
+ * once or as a stream.
  */
 #ifndef COMMON_HTTP_INBOUND_H
 #define COMMON_HTTP_INBOUND_H
@@ -15,25 +16,27 @@
 typedef struct http_inbound http_inbound_t;
 typedef struct http_inbound_server http_inbound_server_t;
 
-/** Bounds of what a caller may send; all from the configuration in force. */
+/** Limits on what callers may send, from the current configuration. */
 typedef struct http_inbound_limits {
-	size_t head_max;	 /**< bytes */
-	size_t body_max;	 /**< bytes */
-	int64_t read_timeout_ms; /**< for a head, and between reads of a body */
-	int64_t idle_timeout_ms; /**< between requests */
+	size_t head_max;	  /**< bytes */
+	size_t body_max;	  /**< bytes */
+	int64_t read_timeout_ms;  /**< without new bytes of a request */
+	int64_t idle_timeout_ms;  /**< before the first byte of a request */
 	uint32_t connections_max; /**< open at the same time */
 } http_inbound_limits_t;
 
 typedef struct http_inbound_ops {
-	/** A request is whole. It is answered by http_inbound_respond(), or by
-	 * http_inbound_stream_begin(), _write() and _end(), or broken off. */
+	/** A complete request was received. The handler responds by
+	 * http_inbound_respond(), or by http_inbound_stream_begin(), _write()
+	 * and _end(), or calls http_inbound_abort(). */
 	void (*on_request)(void *arg, http_inbound_t *);
-	/** The caller has gone before its answer was whole; the connection is
-	 * freed after the call. */
+	/** The connection was closed before the response was complete; it is
+	 * freed after this call. */
 	void (*on_closed)(void *arg, http_inbound_t *);
-	/** What was written has left; called while an answer is under way. */
+	/** The output buffer was written out; called only while a response is
+	 * streamed. */
 	void (*on_drained)(void *arg, http_inbound_t *);
-	/** A message was refused before it became a request. */
+	/** A message was refused and not passed to on_request. */
 	void (*on_refused)(void *arg, const err_t *);
 } http_inbound_ops_t;
 
@@ -43,11 +46,11 @@
 void
 http_inbound_set_limits(http_inbound_server_t *, const http_inbound_limits_t *);
 
-/** New connections wait, or are taken again. */
-void http_inbound_pause_accepting(http_inbound_server_t *, bool hold);
-/** From now on each answer closes its connection. */
+/** Leave new connections in the listen queue, or accept them again. */
+void http_inbound_pause_accepting(http_inbound_server_t *, bool pause);
+/** From now on, close each connection after its response. */
 void http_inbound_drain(http_inbound_server_t *);
-/** Take no new connections, and close those without a request. */
+/** Close the listening socket, and the connections without a request. */
 void http_inbound_stop_accepting(http_inbound_server_t *);
 uint32_t http_inbound_connection_count(const http_inbound_server_t *);
 
@@ -55,20 +58,24 @@
 void http_inbound_set_user_data(http_inbound_t *, void *user_data);
 void *http_inbound_user_data(const http_inbound_t *);
 
-/** Answer at once. @param head further header lines, each ended by CRLF; may
- * be NULL @param body may be NULL; drained */
+/** Send a complete response.
+ * @param head additional header lines, each terminated by CRLF; may be NULL
+ * @param body may be NULL; drained */
 void http_inbound_respond(
     http_inbound_t *, int status, const char *head, struct evbuffer *body);
 
-/** Begin an answer whose end is not known yet. */
+/** Start a response of unknown length, in chunked transfer encoding.
+ * @param head as for http_inbound_respond() */
 void http_inbound_stream_begin(http_inbound_t *, int status, const char *head);
+/** Send a chunk. @param bytes drained */
 void http_inbound_stream_write(http_inbound_t *, struct evbuffer *bytes);
 void http_inbound_stream_end(http_inbound_t *);
 
-/** Break the connection off, so that the answer shows as not whole. */
+/** Close the connection without completing the response, so that the caller
+ * sees that it is truncated. */
 void http_inbound_abort(http_inbound_t *);
 
-/** Bytes of the answer that the caller has not taken yet. */
+/** Bytes of the response that were not yet written to the socket. */
 size_t http_inbound_unsent_bytes(const http_inbound_t *);
 
 #endif
--- a/include/common/http_outbound.h
+++ b/include/common/http_outbound.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * The client's side of HTTP/1.1 on a bufferevent: one connection to one
- * server, one request at a time, its answer told as it arrives.
+ * HTTP/1.1 client on a bufferevent: a connection to one server with one request
+ * at a time, whose response is passed on as it arrives.
  *
- * A failure says whether a byte of the request may have left, since only then
- * may the server have run it.
+ * Failures distinguish whether a byte of the request may have been sent, since
+ * only then may the server have executed it.
  */
 #ifndef COMMON_HTTP_OUTBOUND_H
 #define COMMON_HTTP_OUTBOUND_H
@@ -17,36 +17,38 @@
 
 typedef struct http_outbound http_outbound_t;
 
-/** How a request failed on its connection. */
+/** How a request failed. */
 typedef enum http_outbound_failure {
-	HTTP_OUTBOUND_NOT_SENT,		  /**< never connected: no byte left */
-	HTTP_OUTBOUND_CONNECTION_REFUSED, /**< the same: nothing listens there
-					   */
-	HTTP_OUTBOUND_NO_RESPONSE,  /**< sent; no byte of an answer came */
-	HTTP_OUTBOUND_BAD_RESPONSE, /**< the answer broke off, or is none */
+	/** Never connected: no byte was sent. */
+	HTTP_OUTBOUND_NOT_SENT,
+	/** The same, since nothing listens on the port. */
+	HTTP_OUTBOUND_CONNECTION_REFUSED,
+	/** Sent, but no byte of a response was received. */
+	HTTP_OUTBOUND_NO_RESPONSE,
+	/** The response is truncated or not valid HTTP. */
+	HTTP_OUTBOUND_BAD_RESPONSE,
 } http_outbound_failure_t;
 
-/** What a connection tells the owner of its request. The connection may be
- * freed inside any of them. */
+/** Callbacks for a request. Each of them may free the connection. */
 typedef struct http_outbound_ops {
-	/** A connection that had to be made is up. @return false: the request
-	 * was given up, and none of it leaves */
+	/** A new connection is established. @return false: the request was
+	 * abandoned, and none of it is sent */
 	bool (*on_connected)(void *arg);
-	void (*on_sent)(void *arg); /**< the request leaves now */
+	void (*on_sent)(void *arg); /**< the request is being sent */
 	void (*on_head)(void *arg, const http_msg_t *);
 	void (*on_body)(void *arg, const char *bytes, size_t len);
-	void (*on_complete)(void *arg); /**< the answer is whole */
+	void (*on_complete)(void *arg); /**< the response is complete */
 	void (*on_failed)(void *arg, http_outbound_failure_t);
 } http_outbound_ops_t;
 
-/** An idle connection ended, or said something unasked: forget it. */
+/** An idle connection was closed or received unexpected bytes; the owner must
+ * not use it any more. */
 typedef void (*http_outbound_idle_closed_t)(void *arg, http_outbound_t *);
 
 /** Start to connect.
- * @param silence_timeout_ms how long the other end may be silent, while bytes
- * are on their way to it or the connection idles, before the connection is
- * given up
- * @return NULL: no socket could be had */
+ * @param silence_timeout_ms how long the peer may be silent, while sent bytes
+ * are unacknowledged or the connection is idle, before the connection fails
+ * @return NULL if no socket could be created */
 http_outbound_t *http_outbound_new(struct event_base *, const http_address_t *,
     int64_t connect_timeout_ms, int64_t silence_timeout_ms);
 
@@ -54,23 +56,26 @@
 void http_outbound_set_silence_timeout(
     http_outbound_t *, int64_t silence_timeout_ms);
 
-/** Close; a request under way is given up without a further word. */
+/** Close. A request in flight is abandoned, and no callback is called. */
 void http_outbound_free(http_outbound_t *);
 
-/** Send a request. @param head the whole head; drained @param body may be
- * NULL; drained @param no_body the answer has no body (HEAD) */
+/** Send a request.
+ * @param head the complete head; drained
+ * @param body may be NULL; drained
+ * @param no_body the response has no body (HEAD) */
 void http_outbound_send(http_outbound_t *, const http_outbound_ops_t *,
     void *arg, struct evbuffer *head, struct evbuffer *body, bool no_body);
 
-/** Whether another request may be sent: after done, and only if nothing else
- * came and all was sent. */
+/** Whether another request may be sent: after on_complete, and only if no
+ * further bytes were received and the request was sent completely. */
 bool http_outbound_reusable(const http_outbound_t *);
 
-/** Keep the connection without a request. */
+/** Keep the connection open without a request.
+ * @param closed called when the connection can no longer be used */
 void http_outbound_set_idle(
     http_outbound_t *, http_outbound_idle_closed_t closed, void *arg);
 
-/** Read no more for now, or go on: the caller is slow. */
+/** Pause or resume reading, for back-pressure from a slow caller. */
 void http_outbound_pause_reading(http_outbound_t *, bool pause);
 
 #endif
--- a/include/common/http_server.h
+++ b/include/common/http_server.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Small helpers over evhttp's server side.
+ * Helpers for requests that evhttp serves.
  */
 #ifndef COMMON_HTTP_SERVER_H
 #define COMMON_HTTP_SERVER_H
@@ -10,33 +10,35 @@
 
 #include "common/err.h"
 
-/** A header of the request, or NULL. */
+/** The value of a request header, or NULL. */
 const char *http_request_header(struct evhttp_request *, const char *name);
 
-/** A query parameter of the request, copied to @p out; false if absent. */
+/** Copy a query parameter of the request to @p out. @return false if absent */
 bool http_request_query_param(
     struct evhttp_request *, const char *name, char *out, size_t size);
 
-/** The body of the request as a JSON object; NULL fills @p err. */
+/** The request body as a JSON object, or NULL with @p err set. */
 json_t *http_request_json(struct evhttp_request *, err_t *err);
 
-/** Answer with a JSON value, whose reference is taken. */
+/** Respond with a JSON value; takes over its reference. */
 void http_respond_json(struct evhttp_request *, int status, json_t *value);
 
 /**
- * Notice when the caller goes away while its request is being handled.
+ * Call @p closed when the caller closes the connection while its request is
+ * being handled.
  *
- * libevent 2.1 stops reading meanwhile, and reading again with its own read
- * callback in place ends the process when the caller sends more (an "illegal
- * connection state"); so that callback is taken out until the answer is sent.
+ * libevent 2.1 stops reading while a request is handled. If reading were
+ * enabled with its own read callback in place, the process would abort as soon
+ * as the caller sends more ("illegal connection state"), so that callback is
+ * removed until the response is sent.
  */
 void http_request_watch_close(struct evhttp_request *,
     void (*closed)(struct evhttp_connection *, void *), void *arg);
 
-/** Stop noticing. */
+/** Stop watching the connection. */
 void http_request_unwatch_close(struct evhttp_request *);
 
-/** Add a header to the answer. */
+/** Add a header to the response. */
 void http_response_add_header(
     struct evhttp_request *, const char *name, const char *value);
 
--- a/include/common/tls.h
+++ b/include/common/tls.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * TLS for evhttp, by OpenSSL through libevent's bufferevents.
+ * TLS for evhttp, by OpenSSL through libevent's bufferevents, version 1.2 or
+ * newer.
  */
 #ifndef COMMON_TLS_H
 #define COMMON_TLS_H
@@ -11,19 +12,20 @@
 
 typedef struct tls tls_t;
 
-/** A server's side: its certificate chain and key, PEM files. */
+/** A server context. @param cert_file certificate chain, PEM
+ * @param key_file private key, PEM */
 tls_t *tls_server_new(const char *cert_file, const char *key_file, err_t *err);
 
-/** A client's side, which trusts the certificates in a PEM file alone. */
+/** A client context that trusts only the certificates in a PEM file. */
 tls_t *tls_client_new(const char *ca_file, err_t *err);
 
 void tls_free(tls_t *);
 
-/** Let every connection of the server speak TLS. */
+/** Use TLS on every connection of the server. */
 void tls_server_enable(tls_t *, struct evhttp *);
 
-/** A connection to a host, by IP number, that speaks TLS and checks that the
- * certificate is for it. */
+/** A TLS connection to a host, given as an IP address, which the certificate
+ * must name. */
 struct evhttp_connection *tls_connection_new(
     tls_t *, struct event_base *, const char *host, unsigned short port);
 
--- a/test/fuzz/input.h
+++ b/test/fuzz/input.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Reads a fuzzer's input as small decisions.
+ * Interprets a fuzzer's input as a sequence of small decisions.
  */
 #ifndef TEST_FUZZ_INPUT_H
 #define TEST_FUZZ_INPUT_H
@@ -23,7 +23,7 @@
 	return input->at >= input->len;
 }
 
-/** The next decision: from 0 to @p bound - 1; 0 once the input is over. */
+/** The next decision, from 0 to @p bound - 1; 0 at the end of the input. */
 static inline uint32_t
 input_below(input_t *input, uint32_t bound)
 {
@@ -32,7 +32,8 @@
 	return input->bytes[input->at++] % bound;
 }
 
-/** End the run as a finding. */
+/** Abort if a condition does not hold, which the fuzzer reports as a finding.
+ */
 #define FUZZ_CHECK(holds)                                                  \
 	do {                                                               \
 		if (!(holds)) {                                            \
--- a/test/fuzz/messages_fuzz.c
+++ b/test/fuzz/messages_fuzz.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * A message cut into pieces anywhere reads as in one piece, and what is taken
- * has one length and one host.
+ * A message split into pieces anywhere is parsed as if received at once, and
+ * each accepted request has at most one length and exactly one host.
  */
 #include <string.h>
 
--- a/test/unit/http_call_test.c
+++ b/test/unit/http_call_test.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Small calls: one answer each, and nothing left behind when none comes.
+ * Each call ends with exactly one callback, and a call without a response leaks
+ * nothing: evhttp itself does not free connections that were refused.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +15,7 @@
 #include "common/http_call.h"
 
 #define CALLS 200
-#define GROWTH_MAX 20000 /* bytes: a kept connection is over 1,000 */
+#define GROWTH_MAX 20000 /* bytes; a leaked connection takes over 1,000 */
 
 static void
 count_refused(void *arg, const http_response_t *response)
@@ -23,7 +24,7 @@
 	(*(int *)arg)++;
 }
 
-/* Nobody listens on the port of a socket that is bound and not listening. */
+/* A port that refuses connections: its socket is bound but not listening. */
 static http_address_t
 refusing_address(int *fd)
 {
--- a/test/unit/http_inbound_test.c
+++ b/test/unit/http_inbound_test.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Who takes new connections goes on taking them: idle ones and slow readers
- * make room.
+ * At the connection limit the server still accepts new connections: it closes
+ * idle ones and those that send their request slowly, but none that waits for
+ * its response.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -178,7 +179,7 @@
 	fill_then_request(*state, complete_request);
 }
 
-/* Connections that come before a server is ready wait for it. */
+/* Connections made before the server is ready wait in the listen queue. */
 static void
 connections_wait_while_accepting_is_paused(void **state)
 {
@@ -196,7 +197,7 @@
 	run_loop(fixture);
 }
 
-/* A request under way is never cut off for a new connection. */
+/* A request in flight is never aborted for a new connection. */
 static void
 connections_awaiting_a_response_are_not_evicted(void **state)
 {
--- a/test/unit/http_msg_test.c
+++ b/test/unit/http_msg_test.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * What is taken for one message, and what is refused since it could be read
- * as two.
+ * Valid messages are accepted, and requests whose framing or routing is
+ * ambiguous are refused.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +14,7 @@
 
 #include "common/http_msg.h"
 
-/** What a reader received. */
+/** What the reader's callbacks received. */
 typedef struct received {
 	int heads;
 	int status;
@@ -49,7 +49,7 @@
 
 static const http_reader_ops_t ops = {on_head, on_body, on_done};
 
-/** A reader that was fed one text. */
+/** A reader that was fed one text, and its result. */
 typedef struct parse {
 	received_t received;
 	http_reader_t reader;
--- a/test/unit/http_outbound_test.c
+++ b/test/unit/http_outbound_test.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * A request leaves only if its owner still wants it when the connection is up,
- * and a connection on which nothing moves any more is given up.
+ * A request is sent only if its owner still wants it once the connection is
+ * established, and a connection whose sent bytes are not acknowledged fails.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,12 +17,12 @@
 #include "common/http_outbound.h"
 
 #define SILENT_MS 300
-/* Far longer than that, and far below what a connection has without it. */
+/* Far longer than SILENT_MS, and far shorter than the kernel's own timeout. */
 #define LIMIT_S 8
 #define BODY_LEN (16U << 20)
 #define WINDOW 4096
 
-/** What the owner of a request was told. */
+/** The owner of a request: counts the callbacks. */
 typedef struct owner {
 	bool wanted;
 	int sent;
@@ -85,7 +85,8 @@
 static const http_outbound_ops_t ops = {
     on_ready, on_sent, on_head, on_body, on_done, on_failed};
 
-/* Bytes that a server gets of a request whose owner wants it or not. */
+/* Bytes of a request that a server receives. @param wanted whether its owner
+ * still wants it once connected */
 static ssize_t
 bytes_received(bool wanted, owner_t *owner)
 {
@@ -142,9 +143,9 @@
 	assert_int_equal(owner.sent, 0);
 }
 
-/* Send more than the server takes, and wait. A server that takes nothing more
- * stands for a link that has fallen silent: in both, sent bytes are not
- * acknowledged, and no reset comes. */
+/* Send more than the server reads, and wait. A server that stops reading
+ * simulates a link that loses all packets: in both cases sent bytes are not
+ * acknowledged, and no reset is received. */
 static void
 send_to_stalled_server(owner_t *owner, int64_t connect_timeout_ms,
     int64_t silence_timeout_ms, time_t limit_s)
@@ -196,7 +197,8 @@
 	assert_int_equal(owner.failure, HTTP_OUTBOUND_NO_RESPONSE);
 }
 
-/* The bound for connecting is none for what comes after. */
+/* The connect timeout must not apply to an established connection whose server
+ * reads slowly. */
 static void
 the_connect_timeout_ends_with_connecting(void **state)
 {
