--- a/test/fuzz/messages_fuzz.c
+++ b/test/fuzz/messages_fuzz.c
@@ -78,19 +78,19 @@
 int
 LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t len)
 {
-	static result_t whole, pieces;
+	static result_t at_once, pieces;
 
 	if (len < 2 || len > BODY_MAX)
 		return 0;
-	read_in_pieces(bytes + 1, len - 1, len, &whole);
+	read_in_pieces(bytes + 1, len - 1, len, &at_once);
 	read_in_pieces(bytes + 1, len - 1, 1 + bytes[0] % 7, &pieces);
-	FUZZ_CHECK(whole.read == pieces.read);
-	FUZZ_CHECK(whole.accepted == pieces.accepted);
-	if (whole.read != HTTP_READ_COMPLETE)
+	FUZZ_CHECK(at_once.read == pieces.read);
+	FUZZ_CHECK(at_once.accepted == pieces.accepted);
+	if (at_once.read != HTTP_READ_COMPLETE)
 		return 0;
-	FUZZ_CHECK(whole.bytes_left == pieces.bytes_left);
-	FUZZ_CHECK(whole.fields == pieces.fields);
-	FUZZ_CHECK(whole.body_len == pieces.body_len);
-	FUZZ_CHECK(memcmp(whole.body, pieces.body, whole.body_len) == 0);
+	FUZZ_CHECK(at_once.bytes_left == pieces.bytes_left);
+	FUZZ_CHECK(at_once.fields == pieces.fields);
+	FUZZ_CHECK(at_once.body_len == pieces.body_len);
+	FUZZ_CHECK(memcmp(at_once.body, pieces.body, at_once.body_len) == 0);
 	return 0;
 }
--- a/test/unit/http_inbound_test.c
+++ b/test/unit/http_inbound_test.c
@@ -24,16 +24,16 @@
 #define PORT_COUNT 200
 
 static int handled;
-static http_inbound_t *held;
-static bool hold;
+static http_inbound_t *deferred;
+static bool defer_response;
 
 static void
 on_request(void *arg, http_inbound_t *conn)
 {
 	(void)arg;
 	handled++;
-	if (hold)
-		held = conn;
+	if (defer_response)
+		deferred = conn;
 	else
 		http_inbound_respond(conn, 200, "", NULL);
 }
@@ -42,8 +42,8 @@
 on_closed(void *arg, http_inbound_t *conn)
 {
 	(void)arg;
-	if (conn == held)
-		held = NULL;
+	if (conn == deferred)
+		deferred = NULL;
 }
 
 static void
@@ -90,8 +90,8 @@
 	err_t err;
 
 	handled = 0;
-	hold = false;
-	held = NULL;
+	defer_response = false;
+	deferred = NULL;
 	fixture = (fixture_t){
 	    .base = event_base_new(), .address = {.host = "127.0.0.1"}};
 	for (int i = 0; i < PORT_COUNT && fixture.server == NULL; i++) {
@@ -204,13 +204,13 @@
 	const fixture_t *fixture = *state;
 	int fds[CONNECTIONS_MAX], more;
 
-	hold = true;
+	defer_response = true;
 	for (int i = 0; i < CONNECTIONS_MAX; i++)
 		fds[i] = client(fixture, complete_request);
 	more = client(fixture, complete_request);
 	assert_int_equal(handled, CONNECTIONS_MAX);
-	assert_non_null(held);
-	http_inbound_respond(held, 200, "", NULL);
+	assert_non_null(deferred);
+	http_inbound_respond(deferred, 200, "", NULL);
 	run_loop(fixture);
 	assert_true(response_received(fds[CONNECTIONS_MAX - 1]));
 	close(more);
