--- a/common/http_msg.c
+++ b/common/http_msg.c
@@ -7,32 +7,32 @@
 #define STATUS_CONTINUE 100
 #define STATUS_SWITCHING 101
 #define STATUS_OK 200
-#define FIELDS_FIRST 16
+#define FIELDS_INITIAL_CAP 16
 
 static bool
-text_append(http_reader_t *reader, char **text, const char *more, size_t len)
+text_append(http_reader_t *reader, char **text, const char *bytes, size_t len)
 {
-	size_t old = *text != NULL ? strlen(*text) : 0;
+	size_t old_len = *text != NULL ? strlen(*text) : 0;
 	char *grown;
 
 	reader->msg.head_bytes += len;
 	if (reader->msg.head_bytes > reader->head_max) {
-		reader->head_over = true;
+		reader->head_too_large = true;
 		return false;
 	}
-	grown = realloc(*text, old + len + 1);
+	grown = realloc(*text, old_len + len + 1);
 	if (grown == NULL) {
 		reader->out_of_memory = true;
 		return false;
 	}
-	memcpy(grown + old, more, len);
-	grown[old + len] = '\0';
+	memcpy(grown + old_len, bytes, len);
+	grown[old_len + len] = '\0';
 	*text = grown;
 	return true;
 }
 
 static void
-fields_cut(http_msg_t *msg, size_t len)
+fields_truncate(http_msg_t *msg, size_t len)
 {
 	for (size_t i = len; i < msg->fields_len; i++) {
 		free(msg->fields[i].name);
@@ -44,7 +44,7 @@
 static void
 msg_clear(http_msg_t *msg)
 {
-	fields_cut(msg, 0);
+	fields_truncate(msg, 0);
 	free(msg->target);
 	msg->target = NULL;
 	msg->head_bytes = 0;
@@ -54,14 +54,14 @@
 }
 
 static int
-on_begin(http_parser *parser)
+on_message_begin(http_parser *parser)
 {
 	http_reader_t *reader = parser->data;
 
 	msg_clear(&reader->msg);
 	reader->in_value = true;
-	reader->started = true;
-	reader->whole = false;
+	reader->in_message = true;
+	reader->complete = false;
 	reader->interim = false;
 	return 0;
 }
@@ -80,8 +80,8 @@
 	http_msg_t *msg = &reader->msg;
 
 	if (msg->fields_len == msg->fields_cap) {
-		size_t cap =
-		    msg->fields_cap > 0 ? 2 * msg->fields_cap : FIELDS_FIRST;
+		size_t cap = msg->fields_cap > 0 ? 2 * msg->fields_cap
+						 : FIELDS_INITIAL_CAP;
 		http_field_t *grown =
 		    realloc(msg->fields, cap * sizeof(*grown));
 
@@ -97,7 +97,7 @@
 }
 
 static int
-on_field(http_parser *parser, const char *at, size_t len)
+on_field_name(http_parser *parser, const char *at, size_t len)
 {
 	http_reader_t *reader = parser->data;
 	http_field_t *field;
@@ -114,7 +114,7 @@
 }
 
 static int
-on_value(http_parser *parser, const char *at, size_t len)
+on_field_value(http_parser *parser, const char *at, size_t len)
 {
 	http_reader_t *reader = parser->data;
 	http_msg_t *msg = &reader->msg;
@@ -126,9 +126,9 @@
 	    : -1;
 }
 
-/* A header without a value has an empty one. */
+/* Give fields for which the parser reported no value an empty one. */
 static bool
-values_fill(http_reader_t *reader)
+fields_set_empty_values(http_reader_t *reader)
 {
 	http_msg_t *msg = &reader->msg;
 
@@ -142,27 +142,27 @@
 }
 
 static int
-on_head(http_parser *parser)
+on_headers_complete(http_parser *parser)
 {
 	http_reader_t *reader = parser->data;
 	http_msg_t *msg = &reader->msg;
 
-	if (!values_fill(reader))
+	if (!fields_set_empty_values(reader))
 		return -1;
-	/* Trailers are read as fields too, and dropped at the end. */
-	reader->head_fields = msg->fields_len;
+	/* Trailers are added to the fields too, and removed at the end. */
+	reader->head_fields_len = msg->fields_len;
 	msg->keep_alive = http_should_keep_alive(parser) != 0;
 	msg->chunked = (parser->flags & F_CHUNKED) != 0;
 	if (parser->type == HTTP_REQUEST) {
 		msg->method = http_method_str((enum http_method)parser->method);
-		reader->ops->head(reader->arg, msg);
+		reader->ops->on_head(reader->arg, msg);
 		return 0;
 	}
 	msg->status = (int)parser->status_code;
 	reader->interim = msg->status >= STATUS_CONTINUE &&
 	    msg->status < STATUS_OK && msg->status != STATUS_SWITCHING;
 	if (!reader->interim)
-		reader->ops->head(reader->arg, msg);
+		reader->ops->on_head(reader->arg, msg);
 	return reader->no_body ? 1 : 0;
 }
 
@@ -172,32 +172,32 @@
 	http_reader_t *reader = parser->data;
 
 	if (!reader->interim)
-		reader->ops->body(reader->arg, at, len);
+		reader->ops->on_body(reader->arg, at, len);
 	return 0;
 }
 
 static int
-on_whole(http_parser *parser)
+on_message_complete(http_parser *parser)
 {
 	http_reader_t *reader = parser->data;
 
-	reader->started = false;
+	reader->in_message = false;
 	if (reader->interim)
 		return 0;
-	fields_cut(&reader->msg, reader->head_fields);
-	reader->whole = true;
+	fields_truncate(&reader->msg, reader->head_fields_len);
+	reader->complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
 
-static const http_parser_settings settings = {
-    .on_message_begin = on_begin,
+static const http_parser_settings parser_settings = {
+    .on_message_begin = on_message_begin,
     .on_url = on_target,
-    .on_header_field = on_field,
-    .on_header_value = on_value,
-    .on_headers_complete = on_head,
+    .on_header_field = on_field_name,
+    .on_header_value = on_field_value,
+    .on_headers_complete = on_headers_complete,
     .on_body = on_body,
-    .on_message_complete = on_whole,
+    .on_message_complete = on_message_complete,
 };
 
 void
@@ -223,7 +223,7 @@
 }
 
 void
-http_reader_next(http_reader_t *reader)
+http_reader_reset(http_reader_t *reader)
 {
 	enum http_parser_type type = reader->parser.type;
 
@@ -231,38 +231,39 @@
 	http_parser_init(&reader->parser, type);
 	reader->parser.data = reader;
 	reader->in_value = true;
-	reader->started = false;
-	reader->whole = false;
+	reader->in_message = false;
+	reader->complete = false;
 	reader->interim = false;
 }
 
 http_read_result_t
 http_reader_feed(http_reader_t *reader, struct evbuffer *in)
 {
-	while (!reader->whole && evbuffer_get_length(in) > 0) {
+	while (!reader->complete && evbuffer_get_length(in) > 0) {
 		size_t len = evbuffer_get_contiguous_space(in);
 		const char *bytes =
 		    (const char *)evbuffer_pullup(in, (ev_ssize_t)len);
-		size_t used =
-		    http_parser_execute(&reader->parser, &settings, bytes, len);
+		size_t used = http_parser_execute(
+		    &reader->parser, &parser_settings, bytes, len);
 
 		evbuffer_drain(in, used);
-		if (reader->whole)
+		if (reader->complete)
 			break;
 		if (HTTP_PARSER_ERRNO(&reader->parser) != HPE_OK ||
 		    reader->parser.upgrade)
-			return HTTP_READ_BAD;
+			return HTTP_READ_INVALID;
 	}
-	return reader->whole ? HTTP_READ_WHOLE : HTTP_READ_MORE;
+	return reader->complete ? HTTP_READ_COMPLETE : HTTP_READ_INCOMPLETE;
 }
 
 http_read_result_t
-http_reader_end(http_reader_t *reader)
+http_reader_eof(http_reader_t *reader)
 {
-	if (!reader->started)
-		return reader->whole ? HTTP_READ_WHOLE : HTTP_READ_BAD;
-	http_parser_execute(&reader->parser, &settings, NULL, 0);
-	return reader->whole ? HTTP_READ_WHOLE : HTTP_READ_BAD;
+	if (!reader->in_message)
+		return reader->complete ? HTTP_READ_COMPLETE
+					: HTTP_READ_INVALID;
+	http_parser_execute(&reader->parser, &parser_settings, NULL, 0);
+	return reader->complete ? HTTP_READ_COMPLETE : HTTP_READ_INVALID;
 }
 
 const char *
@@ -276,7 +277,7 @@
 }
 
 size_t
-http_msg_count(const http_msg_t *msg, const char *name)
+http_msg_field_count(const http_msg_t *msg, const char *name)
 {
 	size_t count = 0;
 
@@ -288,14 +289,14 @@
 }
 
 static bool
-list_has(const char *list, const char *word, size_t word_len)
+list_has_token(const char *list, const char *token, size_t token_len)
 {
 	while (*list != '\0') {
 		size_t len;
 
 		list += strspn(list, " \t,");
 		len = strcspn(list, " \t,");
-		if (len == word_len && strncasecmp(list, word, len) == 0)
+		if (len == token_len && strncasecmp(list, token, len) == 0)
 			return true;
 		list += len;
 	}
@@ -303,35 +304,36 @@
 }
 
 bool
-http_msg_lists(
-    const http_msg_t *msg, const char *name, const char *word, size_t word_len)
+http_msg_field_has_token(const http_msg_t *msg, const char *name,
+    const char *token, size_t token_len)
 {
 	for (size_t i = 0; i < msg->fields_len; i++) {
 		if (strcasecmp(msg->fields[i].name, name) == 0 &&
-		    list_has(msg->fields[i].value, word, word_len))
+		    list_has_token(msg->fields[i].value, token, token_len))
 			return true;
 	}
 	return false;
 }
 
 bool
-http_field_is_hop(const http_msg_t *msg, const char *name)
+http_field_is_hop_by_hop(const http_msg_t *msg, const char *name)
 {
-	/* RFC 9110, 7.6.1, and what frames the message. */
-	static const char *const hops[] = {"Connection", "Content-Length",
+	/* Those of RFC 9110, 7.6.1, and those that frame the message. */
+	static const char *const hop_by_hop[] = {"Connection", "Content-Length",
 	    "Expect", "Host", "Keep-Alive", "Proxy-Authenticate",
 	    "Proxy-Authorization", "Proxy-Connection", "TE", "Trailer",
 	    "Transfer-Encoding", "Upgrade"};
 
-	for (size_t i = 0; i < sizeof(hops) / sizeof(hops[0]); i++) {
-		if (strcasecmp(name, hops[i]) == 0)
+	for (size_t i = 0; i < sizeof(hop_by_hop) / sizeof(hop_by_hop[0]);
+	     i++) {
+		if (strcasecmp(name, hop_by_hop[i]) == 0)
 			return true;
 	}
-	return http_msg_lists(msg, "Connection", name, strlen(name));
+	return http_msg_field_has_token(msg, "Connection", name, strlen(name));
 }
 
 static bool
-name_is_token(const char *name)
+field_name_is_valid(const char *name)
 {
 	return *name != '\0' && strpbrk(name, " \t\r\n") == NULL;
 }
@@ -342,20 +344,20 @@
 	const char *encoding = http_msg_field(msg, "Transfer-Encoding");
 
 	for (size_t i = 0; i < msg->fields_len; i++) {
-		if (!name_is_token(msg->fields[i].name))
+		if (!field_name_is_valid(msg->fields[i].name))
 			return err_set(err, ERR_BAD_REQUEST,
-			    "a header's name holds a space");
+			    "a header name is empty or contains whitespace");
 	}
 	if (msg->target == NULL || msg->target[0] != '/')
+		return err_set(err, ERR_BAD_REQUEST,
+		    "the request target is not an absolute path");
+	if (http_msg_field_count(msg, "Host") != 1)
 		return err_set(
-		    err, ERR_BAD_REQUEST, "the target is no absolute path");
-	if (http_msg_count(msg, "Host") != 1)
-		return err_set(
-		    err, ERR_BAD_REQUEST, "not exactly one Host header");
-	if (http_msg_count(msg, "Content-Length") > 1 ||
-	    http_msg_count(msg, "Transfer-Encoding") > 1)
-		return err_set(
-		    err, ERR_BAD_REQUEST, "the length is given twice");
+		    err, ERR_BAD_REQUEST, "expected exactly one Host header");
+	if (http_msg_field_count(msg, "Content-Length") > 1 ||
+	    http_msg_field_count(msg, "Transfer-Encoding") > 1)
+		return err_set(err, ERR_BAD_REQUEST,
+		    "duplicate Content-Length or Transfer-Encoding header");
 	if (encoding != NULL && strcasecmp(encoding, "chunked") != 0)
 		return err_set(err, ERR_BAD_REQUEST,
 		    "the transfer encoding is not chunked");
--- a/common/http_server.c
+++ b/common/http_server.c
@@ -17,7 +17,7 @@
 }
 
 bool
-http_request_query(
+http_request_query_param(
     struct evhttp_request *req, const char *name, char *out, size_t size)
 {
 	const char *query =
@@ -43,27 +43,27 @@
 	struct evbuffer *input = evhttp_request_get_input_buffer(req);
 	size_t len = evbuffer_get_length(input);
 	const char *text = (const char *)evbuffer_pullup(input, -1);
-	json_error_t failure;
+	json_error_t json_error;
 	json_t *value;
 
 	value = len == 0
 	    ? NULL
-	    : json_loadb(text, len, JSON_REJECT_DUPLICATES, &failure);
+	    : json_loadb(text, len, JSON_REJECT_DUPLICATES, &json_error);
 	if (json_is_object(value))
 		return value;
 	if (len == 0)
 		err_set(err, ERR_BAD_REQUEST, "the body is empty");
 	else if (value == NULL)
-		err_set(err, ERR_BAD_REQUEST, "the body is no JSON: %.80s",
-		    failure.text);
+		err_set(err, ERR_BAD_REQUEST,
+		    "the body is not valid JSON: %.80s", json_error.text);
 	else
-		err_set(err, ERR_BAD_REQUEST, "the body is no JSON object");
+		err_set(err, ERR_BAD_REQUEST, "the body is not a JSON object");
 	json_decref(value);
 	return NULL;
 }
 
 void
-http_answer_json(struct evhttp_request *req, int status, json_t *value)
+http_respond_json(struct evhttp_request *req, int status, json_t *value)
 {
 	struct evbuffer *out = evbuffer_new();
 	char *text = json_dumps(value, JSON_COMPACT);
@@ -78,17 +78,18 @@
 	}
 	evbuffer_add_printf(out, "%s\n", text);
 	free(text);
-	http_answer_header(req, "Content-Type", "application/json");
+	http_response_add_header(req, "Content-Type", "application/json");
 	evhttp_send_reply(req, status, NULL, out);
 	evbuffer_free(out);
 }
 
-/* How much a caller may send ahead of its answer. */
-#define AHEAD_MAX 65536
+/* Bytes buffered from a caller that sends ahead while its request is being
+ * handled. */
+#define PIPELINED_MAX 65536
 
 void
-http_request_watch(struct evhttp_request *req,
-    void (*gone)(struct evhttp_connection *, void *), void *arg)
+http_request_watch_close(struct evhttp_request *req,
+    void (*closed)(struct evhttp_connection *, void *), void *arg)
 {
 	struct evhttp_connection *conn = evhttp_request_get_connection(req);
 	struct bufferevent *bev = evhttp_connection_get_bufferevent(conn);
@@ -97,19 +98,19 @@
 	void *state;
 	int yes = 1;
 
-	/* Small events must not wait for the acknowledgement of the last one.
-	 */
+	/* Small events must not wait for the acknowledgement of the previous
+	 * one. */
 	setsockopt(bufferevent_getfd(bev), IPPROTO_TCP, TCP_NODELAY, &yes,
 	    sizeof(yes));
-	evhttp_connection_set_closecb(conn, gone, arg);
+	evhttp_connection_set_closecb(conn, closed, arg);
 	bufferevent_getcb(bev, &readable, &writable, &event, &state);
 	bufferevent_setcb(bev, NULL, writable, event, state);
-	bufferevent_setwatermark(bev, EV_READ, 0, AHEAD_MAX);
+	bufferevent_setwatermark(bev, EV_READ, 0, PIPELINED_MAX);
 	bufferevent_enable(bev, EV_READ);
 }
 
 void
-http_request_unwatch(struct evhttp_request *req)
+http_request_unwatch_close(struct evhttp_request *req)
 {
 	struct evhttp_connection *conn = evhttp_request_get_connection(req);
 
@@ -121,7 +122,7 @@
 }
 
 void
-http_answer_header(
+http_response_add_header(
     struct evhttp_request *req, const char *name, const char *value)
 {
 	evhttp_add_header(evhttp_request_get_output_headers(req), name, value);
--- a/common/settings.c
+++ b/common/settings.c
@@ -38,7 +38,7 @@
 }
 
 static bool
-int_check(const setting_t *setting, const char *text, const char *source,
+int_parse(const setting_t *setting, const char *text, const char *source,
     void *value, err_t *err)
 {
 	char *end;
@@ -59,7 +59,7 @@
 }
 
 static bool
-address_check(const char *text)
+address_is_valid(const char *text)
 {
 	char host[64];
 	const char *colon = strrchr(text, ':');
@@ -77,7 +77,7 @@
 }
 
 static bool
-text_check(const setting_t *setting, const char *text, const char *source,
+text_parse(const setting_t *setting, const char *text, const char *source,
     char *value, err_t *err)
 {
 	int64_t len = (int64_t)strlen(text);
@@ -91,7 +91,7 @@
 		    setting->name, shown, setting->min, setting->max, source);
 	}
 	if (setting->type == SETTING_ADDRESS && len > 0 &&
-	    !address_check(text)) {
+	    !address_is_valid(text)) {
 		return err_set(err, ERR_SETTING,
 		    "%s is '%.40s'; allowed: IP:PORT (from %s)", setting->name,
 		    text, source);
@@ -101,18 +101,18 @@
 }
 
 static bool
-setting_take(const setting_t *setting, const char *text, const char *source,
+setting_parse(const setting_t *setting, const char *text, const char *source,
     void *values, err_t *err)
 {
 	void *value = (char *)values + setting->offset;
 
 	if (setting->type == SETTING_INT)
-		return int_check(setting, text, source, value, err);
-	return text_check(setting, text, source, value, err);
+		return int_parse(setting, text, source, value, err);
+	return text_parse(setting, text, source, value, err);
 }
 
 static bool
-environment_check(
+environment_check_names(
     const setting_t *table, size_t count, const char *prefix, err_t *err)
 {
 	size_t prefix_len = strlen(prefix);
@@ -155,7 +155,7 @@
 		if (text == NULL)
 			continue;
 		source_name(&table[i], prefix, false, source, sizeof(source));
-		if (!setting_take(&table[i], text, source, values, err))
+		if (!setting_parse(&table[i], text, source, values, err))
 			return false;
 		given[i] = true;
 	}
@@ -163,7 +163,7 @@
 }
 
 static bool
-fallbacks_load(const setting_t *table, size_t count, const char *prefix,
+defaults_load(const setting_t *table, size_t count, const char *prefix,
     void *values, const bool *given, err_t *err)
 {
 	for (size_t i = 0; i < count; i++) {
@@ -172,15 +172,15 @@
 		if (given[i])
 			continue;
 		variable_name(prefix, table[i].name, name, sizeof(name));
-		if (table[i].fallback == NULL) {
+		if (table[i].default_text == NULL) {
 			return err_set(err, ERR_SETTING,
 			    "%s is not set; give %s%s%s", table[i].name, name,
 			    table[i].type == SETTING_SECRET ? "" : " or --",
 			    table[i].type == SETTING_SECRET ? ""
 							    : table[i].name);
 		}
-		if (!setting_take(
-			&table[i], table[i].fallback, "default", values, err))
+		if (!setting_parse(&table[i], table[i].default_text, "default",
+			values, err))
 			return false;
 	}
 	return true;
@@ -212,28 +212,28 @@
 		const setting_t *setting = &table[option - 1];
 		char source[NAME_SIZE];
 		char *text;
-		bool taken;
+		bool parsed;
 
 		if (option == OPTION_HELP)
 			return SETTINGS_HELP;
 		source_name(setting, prefix, true, source, sizeof(source));
 		text = poptGetOptArg(context);
-		taken = setting_take(setting, text, source, values, err);
+		parsed = setting_parse(setting, text, source, values, err);
 		free(text);
-		if (!taken)
-			return SETTINGS_BAD;
+		if (!parsed)
+			return SETTINGS_INVALID;
 		given[option - 1] = true;
 	}
 	if (option < -1) {
 		err_set(err, ERR_SETTING, "%s: %s",
 		    poptBadOption(context, POPT_BADOPTION_NOALIAS),
 		    poptStrerror(option));
-		return SETTINGS_BAD;
+		return SETTINGS_INVALID;
 	}
 	if (poptPeekArg(context) != NULL) {
 		err_set(err, ERR_SETTING, "'%s' is not a flag",
 		    poptPeekArg(context));
-		return SETTINGS_BAD;
+		return SETTINGS_INVALID;
 	}
 	return SETTINGS_OK;
 }
@@ -249,23 +249,23 @@
 
 	if (count > SETTINGS_MAX) {
 		err_set(err, ERR_SETTING, "too many settings declared");
-		return SETTINGS_BAD;
+		return SETTINGS_INVALID;
 	}
 	options_build(table, count, options);
 	context = poptGetContext(NULL, argc, argv, options, 0);
-	result = SETTINGS_BAD;
-	if (environment_check(table, count, prefix, err) &&
+	result = SETTINGS_INVALID;
+	if (environment_check_names(table, count, prefix, err) &&
 	    environment_load(table, count, prefix, values, given, err))
 		result = flags_load(context, table, prefix, values, given, err);
 	poptFreeContext(context);
 	if (result == SETTINGS_OK &&
-	    !fallbacks_load(table, count, prefix, values, given, err))
-		result = SETTINGS_BAD;
+	    !defaults_load(table, count, prefix, values, given, err))
+		result = SETTINGS_INVALID;
 	return result;
 }
 
 void
-settings_help(
+settings_print_help(
     const setting_t *table, size_t count, const char *prefix, void *out)
 {
 	for (size_t i = 0; i < count; i++) {
@@ -283,10 +283,10 @@
 			    setting->min, setting->max,
 			    *setting->unit != '\0' ? " " : "", setting->unit);
 		}
-		if (setting->fallback == NULL)
+		if (setting->default_text == NULL)
 			fprintf(out, " [required]\n");
-		else if (*setting->fallback != '\0')
-			fprintf(out, " [%s]\n", setting->fallback);
+		else if (*setting->default_text != '\0')
+			fprintf(out, " [%s]\n", setting->default_text);
 		else
 			fprintf(out, "\n");
 	}
--- a/common/suspend_watch.c
+++ b/common/suspend_watch.c
@@ -1,18 +1,18 @@
 #include "common/suspend_watch.h"
 
-/* The two clocks are read one after the other, and a thread may wait between.
- */
-#define APART_MIN_MS 50
+/* The thread may be preempted between the readings of the two clocks, so that
+ * small differences are no suspension. */
+#define SUSPENSION_MIN_MS 50
 
 int64_t
-suspend_watch_look(suspend_watch_t *watch, const clock_source_t *clock)
+suspend_watch_poll(suspend_watch_t *watch, const clock_source_t *clock)
 {
-	struct timespec steady = clock_steady(clock);
-	struct timespec elapsed = clock_elapsed(clock);
-	int64_t missing = timespec_ms_between(watch->elapsed, elapsed) -
-	    timespec_ms_between(watch->steady, steady);
-	bool looked = watch->looked;
+	struct timespec monotonic = clock_monotonic(clock);
+	struct timespec boottime = clock_boottime(clock);
+	int64_t suspended_ms = timespec_ms_between(watch->boottime, boottime) -
+	    timespec_ms_between(watch->monotonic, monotonic);
+	bool polled = watch->polled;
 
-	*watch = (suspend_watch_t){elapsed, steady, true};
-	return looked && missing >= APART_MIN_MS ? missing : 0;
+	*watch = (suspend_watch_t){boottime, monotonic, true};
+	return polled && suspended_ms >= SUSPENSION_MIN_MS ? suspended_ms : 0;
 }
--- a/include/common/timeline.h
+++ b/include/common/timeline.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The time line: a bounded ring of typed events in each process.
+ * The timeline: a ring buffer of the latest typed events of a process.
  */
 #ifndef COMMON_TIMELINE_H
 #define COMMON_TIMELINE_H
@@ -14,7 +14,7 @@
 #define TIMELINE_SUBJECT_SIZE 48
 #define TIMELINE_NOTE_SIZE 48
 
-/** Event types; the order is that of the table in timeline.c. */
+/** Event types, in the order of the table in timeline.c. */
 typedef enum event_type {
 	EVENT_STARTED,
 	EVENT_DRAINING,
@@ -24,33 +24,33 @@
 	EVENT_PLAN_MADE,
 	EVENT_PLAN_CONFIRMED,
 	EVENT_PLAN_REFUSED,
-	EVENT_REVISION_TAKEN,
+	EVENT_REVISION_APPLIED,
 	EVENT_STALE,
 	EVENT_FRESH,
-	EVENT_STORE_LOST,
-	EVENT_STORE_BACK,
-	EVENT_STORE_BEHIND,
+	EVENT_STORE_UNAVAILABLE,
+	EVENT_STORE_AVAILABLE,
+	EVENT_STORE_OUTDATED_READ,
 	EVENT_ENDPOINT_SEEN,
 	EVENT_ENDPOINT_LEAVING,
 	EVENT_ENDPOINT_EJECTED,
-	EVENT_REQUEST_TAKEN,
+	EVENT_REQUEST_ACCEPTED,
 	EVENT_REQUEST_REFUSED,
 	EVENT_ATTEMPT_SENT,
 	EVENT_ATTEMPT_FAILED,
 	EVENT_STREAM_RESUMED,
-	EVENT_ANSWER_DONE,
-	EVENT_ANSWER_CUT,
-	EVENT_TICKET_GO,
-	EVENT_TICKET_KILLED,
+	EVENT_RESPONSE_COMPLETED,
+	EVENT_RESPONSE_TRUNCATED,
+	EVENT_TICKET_GRANTED,
+	EVENT_TICKET_REVOKED,
 	EVENT_BILL_HELD,
 	EVENT_BILL_FLUSHED,
 	EVENT_GUARD_STOPPED,
 	EVENT_ORDER_SENT,
-	EVENT_TYPES /* count */
+	EVENT_TYPE_COUNT /* count */
 } event_type_t;
 
 typedef struct timeline_event {
-	uint64_t stamp; /**< hybrid logical clock */
+	uint64_t stamp; /**< of the hybrid logical clock */
 	event_type_t type;
 	char subject[TIMELINE_SUBJECT_SIZE]; /**< request, plan, endpoint ... */
 	char note[TIMELINE_NOTE_SIZE];
@@ -59,18 +59,21 @@
 typedef struct timeline {
 	const clock_source_t *clock;
 	hlc_t hlc;
-	uint64_t written; /**< events ever written; the last ones are kept */
+	uint64_t event_count; /**< added so far, including overwritten ones */
 	timeline_event_t events[TIMELINE_EVENTS];
 } timeline_t;
 
 void timeline_init(timeline_t *, const clock_source_t *);
 
-/** Write one event. @param subject what it is about @param fmt a short note */
+/** Add an event, overwriting the oldest one once the ring is full.
+ * @param subject what it concerns
+ * @param fmt a short note */
 void timeline_add(timeline_t *, event_type_t, const char *subject,
     const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
-/** The @p back -th event before the newest, or NULL when it is not kept. */
-const timeline_event_t *timeline_at(const timeline_t *, uint64_t back);
+/** The event @p back places before the newest one, or NULL if there is none or
+ * it was overwritten. */
+const timeline_event_t *timeline_get(const timeline_t *, uint64_t back);
 
 const char *event_type_name(event_type_t);
 
--- a/include/moortack/relay/relay_stats.h
+++ b/include/moortack/relay/relay_stats.h
@@ -62,7 +62,7 @@
 
 typedef struct relay_stats {
 	uint64_t counters[RELAY_COUNTERS];
-	uint64_t failures[ERR_CODES]; /**< error responses by err_code_t */
+	uint64_t failures[ERR_CODE_COUNT]; /**< error responses by err_code_t */
 	stats_outcome_t outcomes[STATS_OUTCOMES_MAX];
 	size_t outcomes_len;
 	/* Milliseconds since a request was received. */
--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -27,7 +27,7 @@
 	if (!rate_take(&front->rates[arrival->organisation % FRONT_RATES_MAX],
 		(double)organisation->limit / daemon_count, arrival->now,
 		&wait_ms))
-		return err_set(err, ERR_LIMIT,
+		return err_set(err, ERR_RATE_LIMIT,
 		    "%s exceeds its limit of %u requests per second; retry in "
 		    "%lld ms",
 		    organisation->name, organisation->limit,
@@ -112,6 +112,6 @@
 			    DEADLINE_HEADER " must be a number from 1 to %d",
 			    DEADLINE_MAX_MS);
 	}
-	exchange->waiter.deadline = timespec_after_ms(arrival->now, ms);
+	exchange->waiter.deadline = timespec_add_ms(arrival->now, ms);
 	return true;
 }
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -25,7 +25,7 @@
 static void
 first_byte_record(exchange_t *exchange)
 {
-	struct timespec now = clock_elapsed(exchange->front->process.clock);
+	struct timespec now = clock_boottime(exchange->front->process.clock);
 
 	if (exchange->first_byte_ms < 0)
 		exchange->first_byte_ms =
@@ -43,10 +43,10 @@
 	memcpy(exchange->session.endpoint, exchange->endpoint_address,
 	    sizeof(exchange->endpoint_address));
 	exchange->session.expires_ms =
-	    timespec_ms(clock_wall(front->process.clock)) +
+	    timespec_to_ms(clock_wall(front->process.clock)) +
 	    front->options->session_ttl_ms;
 	if (session_seal(&front->keyring, &exchange->session, sealed))
-		http_answer_header(exchange->req, SESSION_HEADER, sealed);
+		http_response_add_header(exchange->req, SESSION_HEADER, sealed);
 }
 
 void
@@ -55,11 +55,12 @@
 	struct evhttp_request *req = exchange->req;
 
 	session_header_add(exchange);
-	http_answer_header(req, "Moortack-Version", exchange->version);
-	http_answer_header(req, "Moortack-Place", exchange->endpoint_place);
-	http_answer_header(req, "Moortack-Request", exchange->id);
+	http_response_add_header(req, "Moortack-Version", exchange->version);
+	http_response_add_header(
+	    req, "Moortack-Place", exchange->endpoint_place);
+	http_response_add_header(req, "Moortack-Request", exchange->id);
 	if (exchange->front->draining)
-		http_answer_header(req, "Connection", "close");
+		http_response_add_header(req, "Connection", "close");
 }
 
 static void
@@ -74,7 +75,7 @@
 		if (!exchange->response_started) {
 			exchange->response_started = true;
 			exchange_response_headers_add(exchange);
-			http_answer_header(
+			http_response_add_header(
 			    exchange->req, "Content-Type", "text/event-stream");
 			evhttp_send_reply_start(exchange->req, STATUS_OK, "OK");
 		}
@@ -358,7 +359,7 @@
 }
 
 static void
-cancel_completed(void *arg, const http_reply_t *reply)
+cancel_completed(void *arg, const http_response_t *reply)
 {
 	(void)arg;
 	(void)reply;
@@ -419,7 +420,7 @@
     bool endpoint_at_fault, const char *reason)
 {
 	front_t *front = exchange->front;
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 
 	timeline_add(front->process.timeline, EVENT_ATTEMPT_FAILED,
 	    exchange->id, "%.47s", reason);
@@ -448,7 +449,7 @@
 	}
 	exchange_fail(exchange,
 	    !may_have_run		     ? ERR_NO_ENDPOINT
-		: exchange->response_started ? ERR_STREAM_CUT
+		: exchange->response_started ? ERR_STREAM_TRUNCATED
 		: exchange->at_most_once     ? ERR_UNKNOWN_OUTCOME
 					     : ERR_ENDPOINT_FAILED,
 	    reason);
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -98,7 +98,7 @@
 static void
 session_create(const front_t *front, exchange_t *exchange)
 {
-	exchange->session.id = rng_bits(front->process.rng) | 1;
+	exchange->session.id = rng_u64(front->process.rng) | 1;
 	memcpy(exchange->session.organisation, exchange->organisation,
 	    sizeof(exchange->session.organisation));
 	exchange->session.revision = front->config->revision;
@@ -116,8 +116,8 @@
 	}
 	exchange->existing_session = true;
 	return session_open(&front->keyring, text, exchange->organisation,
-	    timespec_ms(clock_wall(front->process.clock)), &exchange->session,
-	    err);
+	    timespec_to_ms(clock_wall(front->process.clock)),
+	    &exchange->session, err);
 }
 
 static bool
@@ -232,23 +232,24 @@
 		return;
 	/* libevent doesn't free a request whose connection failed. */
 	evhttp_request_free(req);
-	counter_add(front->process.counters, COUNTER_CALLERS_GONE, 1);
+	counter_add(front->process.counters, COUNTER_CALLERS_DISCONNECTED, 1);
 	/* A request that may run at most once continues, so that its outcome
 	 * becomes known. */
 	if (exchange->phase == PHASE_BILLING ||
 	    (exchange->at_most_once && !exchange->is_engine &&
 		exchange->granted))
 		return;
-	exchange_fail(exchange, ERR_STREAM_CUT, "the caller disconnected");
+	exchange_fail(
+	    exchange, ERR_STREAM_TRUNCATED, "the caller disconnected");
 }
 
 static void
 exchange_run(arrival_t *arrival, exchange_t *exchange)
 {
-	timeline_add(arrival->front->process.timeline, EVENT_REQUEST_TAKEN,
+	timeline_add(arrival->front->process.timeline, EVENT_REQUEST_ACCEPTED,
 	    exchange->id, "%.20s %.24s", exchange->organisation,
 	    exchange->version);
-	http_request_watch(arrival->req, caller_disconnected, exchange);
+	http_request_watch_close(arrival->req, caller_disconnected, exchange);
 	if (exchange->phase == PHASE_QUEUED)
 		exchange_dispatch(exchange);
 }
@@ -336,7 +337,7 @@
 {
 	arrival_t arrival = {.front = front,
 	    .req = req,
-	    .now = clock_elapsed(front->process.clock)};
+	    .now = clock_boottime(front->process.clock)};
 	err_t err;
 
 	if (!arrival_admit(&arrival, &err))
@@ -354,7 +355,7 @@
 	arrival_t arrival = {.front = front,
 	    .organisation = config_organisation(front->config, organisation),
 	    .class = CLASS_SHEDDABLE,
-	    .now = clock_elapsed(front->process.clock)};
+	    .now = clock_boottime(front->process.clock)};
 	exchange_t *exchange;
 
 	if (arrival.organisation == HANDLE_NONE)
@@ -376,7 +377,7 @@
 	exchange->job = job;
 	exchange->interrupted_attempts = deferred_interrupted_attempts(job);
 	exchange->phase = PHASE_QUEUED;
-	exchange->waiter.deadline = timespec_after_ms(arrival.now, deadline_ms);
+	exchange->waiter.deadline = timespec_add_ms(arrival.now, deadline_ms);
 	exchange_dispatch(exchange);
 	return true;
 }
@@ -415,7 +416,7 @@
 	arrival_t arrival = {.front = front,
 	    .req = req,
 	    .pools = service_pool(path),
-	    .now = clock_elapsed(front->process.clock)};
+	    .now = clock_boottime(front->process.clock)};
 	err_t err;
 
 	if (!arrival_admit(&arrival, &err))
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -60,7 +60,7 @@
 	static const struct timeval delay = {0, COMMIT_RETRY_MS * 1000};
 	deferred_job_t *job = arg;
 	front_t *front = job->front;
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 
 	(void)reply;
 	if (result == STORE_OK || result == STORE_CONFLICT) {
@@ -68,7 +68,7 @@
 		 * job, or this write took effect and its response was lost. */
 		counter_add(front->process.counters,
 		    result == STORE_OK ? COUNTER_DEFERRED_DONE
-				       : COUNTER_DEFERRED_LOST,
+				       : COUNTER_DEFERRED_CLAIMS_LOST,
 		    1);
 		job_free(job);
 		return;
@@ -157,7 +157,7 @@
 	snprintf(key, sizeof(key), "defer/%s", job->id);
 	json_object_set_new(row, "by", json_string(""));
 	json_object_set_new(row, "until_ms",
-	    json_integer(timespec_ms(clock_wall(job->front->process.clock)) +
+	    json_integer(timespec_to_ms(clock_wall(job->front->process.clock)) +
 		REQUEUE_DELAY_MS));
 	text = json_dump_release(row);
 	job->commit_puts = json_pack("[o]", store_row(key, text));
@@ -249,7 +249,7 @@
 {
 	char incarnation[INCARNATION_TEXT_SIZE];
 	char key[ROW_KEY_SIZE];
-	int64_t wall_ms = timespec_ms(clock_wall(front->process.clock));
+	int64_t wall_ms = timespec_to_ms(clock_wall(front->process.clock));
 	deferred_job_t *job = calloc(1, sizeof(*job));
 
 	if (job == NULL)
@@ -265,8 +265,8 @@
 	job->front = front;
 	job->row = json_incref(row);
 	job->claim = json_dumps(row, JSON_COMPACT);
-	job->lease_end = timespec_after_ms(
-	    clock_elapsed(front->process.clock), front->options->lease_ms);
+	job->lease_end = timespec_add_ms(
+	    clock_boottime(front->process.clock), front->options->lease_ms);
 	snprintf(job->id, sizeof(job->id), "%.39s", id);
 	snprintf(key, sizeof(key), "defer/%s", job->id);
 	if (job->claim == NULL ||
@@ -279,7 +279,7 @@
 row_claim_if_due(front_t *front, const char *text)
 {
 	json_t *row = json_loads(text, 0, NULL);
-	int64_t wall_ms = timespec_ms(clock_wall(front->process.clock));
+	int64_t wall_ms = timespec_to_ms(clock_wall(front->process.clock));
 	const char *id = json_string_value(json_object_get(row, "id"));
 
 	if (id != NULL &&
@@ -313,14 +313,14 @@
 void
 deferred_tick(front_t *front)
 {
-	struct timespec now = clock_elapsed(front->process.clock);
+	struct timespec now = clock_boottime(front->process.clock);
 	err_t err;
 
 	if (front->jobs_looking || front->draining || front->jobs >= JOBS_MAX ||
 	    timespec_ms_between(front->jobs_looked_at, now) < 0 ||
 	    !front_may_work(front, &err))
 		return;
-	front->jobs_looked_at = timespec_after_ms(now,
+	front->jobs_looked_at = timespec_add_ms(now,
 	    POLL_MIN_MS +
 		rng_below(front->process.rng, POLL_MAX_MS - POLL_MIN_MS));
 	front->jobs_looking =
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -29,7 +29,7 @@
 bill_fill(const exchange_t *exchange, bool cut, bill_t *bill)
 {
 	*bill = (bill_t){
-	    .at_ms = timespec_ms(clock_wall(exchange->front->process.clock)),
+	    .at_ms = timespec_to_ms(clock_wall(exchange->front->process.clock)),
 	    .line_count = exchange->bill_line_count,
 	    .cut = cut};
 	memcpy(bill->lines, exchange->bill_lines, sizeof(bill->lines));
@@ -47,7 +47,7 @@
 
 	if (endpoint != NULL)
 		endpoint_succeed(endpoint, (double)exchange->first_byte_ms,
-		    clock_elapsed(exchange->front->process.clock));
+		    clock_boottime(exchange->front->process.clock));
 	exchange->endpoint = HANDLE_NONE;
 }
 
@@ -106,7 +106,8 @@
 plain_response_send(exchange_t *exchange)
 {
 	exchange_response_headers_add(exchange);
-	http_answer_header(exchange->req, "Content-Type", "application/json");
+	http_response_add_header(
+	    exchange->req, "Content-Type", "application/json");
 	evhttp_send_reply(
 	    exchange->req, exchange->status, NULL, exchange->response_body);
 }
@@ -117,16 +118,16 @@
 	front_t *front = exchange->front;
 
 	if (exchange->req != NULL) {
-		http_request_unwatch(exchange->req);
+		http_request_unwatch_close(exchange->req);
 		if (exchange->streaming)
 			stream_finish(exchange);
 		else
 			plain_response_send(exchange);
 		exchange->req = NULL;
-		counter_add(front->process.counters, COUNTER_ANSWERS, 1);
+		counter_add(front->process.counters, COUNTER_RESPONSES, 1);
 		counter_add(front->process.counters, COUNTER_TOKENS,
 		    exchange->sse.tokens);
-		timeline_add(front->process.timeline, EVENT_ANSWER_DONE,
+		timeline_add(front->process.timeline, EVENT_RESPONSE_COMPLETED,
 		    exchange->id, "%llu tokens",
 		    (unsigned long long)exchange->sse.tokens);
 	}
@@ -149,7 +150,7 @@
 	evhttp_send_reply_end(exchange->req);
 	evbuffer_free(out);
 	free(text);
-	counter_add(front->process.counters, COUNTER_STREAMS_CUT, 1);
+	counter_add(front->process.counters, COUNTER_STREAMS_TRUNCATED, 1);
 }
 
 /* Overrides what an error reports as "ran": although this attempt was not run,
@@ -160,7 +161,8 @@
 {
 	if (!exchange->at_most_once || exchange->known_not_run)
 		return NULL;
-	return err_info(err->code)->ran == ERR_NOT_RUN ? "unknown" : NULL;
+	return err_info(err->code)->execution == ERR_NOT_EXECUTED ? "unknown"
+								  : NULL;
 }
 
 /* A new ticket in the error response saves the caller a round trip. */
@@ -170,7 +172,7 @@
 	char sealed[TOKEN_TEXT_MAX];
 	ticket_t ticket;
 
-	if (code != ERR_TICKET_DEAD)
+	if (code != ERR_TICKET_REVOKED)
 		return NULL;
 	ticket_mint(exchange->front, exchange->organisation, &ticket);
 	if (!ticket_seal(&exchange->front->keyring, &ticket, sealed))
@@ -181,11 +183,11 @@
 static void
 failure_send(exchange_t *exchange, const err_t *err)
 {
-	http_request_unwatch(exchange->req);
+	http_request_unwatch_close(exchange->req);
 	if (exchange->response_started) {
 		stream_fail(exchange, err);
 	} else {
-		http_answer_header(
+		http_response_add_header(
 		    exchange->req, "Moortack-Request", exchange->id);
 		answer_failure(exchange->front, exchange->req, err,
 		    ran_override(exchange, err),
@@ -225,7 +227,7 @@
 		exchange->known_not_run = true;
 	}
 	timeline_add(front->process.timeline,
-	    exchange->response_started ? EVENT_ANSWER_CUT
+	    exchange->response_started ? EVENT_RESPONSE_TRUNCATED
 				       : EVENT_REQUEST_REFUSED,
 	    exchange->id, "%s", err_info(code)->name);
 	if (exchange->job != NULL)
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -46,7 +46,7 @@
 }
 
 static void
-rating_requested(void *arg, const http_reply_t *reply)
+rating_requested(void *arg, const http_response_t *reply)
 {
 	(void)arg;
 	(void)reply;
@@ -194,7 +194,7 @@
 		&row->cascade, exchange->cascade_step, exchange->confidence))
 		return false;
 	run_record(exchange);
-	counter_add(front->process.counters, COUNTER_CASCADE_UPS, 1);
+	counter_add(front->process.counters, COUNTER_CASCADE_ESCALATIONS, 1);
 	if (!cascade_model_select(
 		exchange, organisation, row, exchange->cascade_step + 1, &err))
 		exchange_fail(exchange, err.code, err.detail);
--- a/moortack/exchange/ticketing.c
+++ b/moortack/exchange/ticketing.c
@@ -27,7 +27,7 @@
 	exchange->phase = PHASE_REDEEM;
 	if (exchange->attempt_id == 0)
 		exchange->attempt_id =
-		    rng_bits(exchange->front->process.rng) | 1;
+		    rng_u64(exchange->front->process.rng) | 1;
 	redeem_init(&exchange->redeem);
 	for (int which = 0; which < REDEEM_WITNESSES; which++)
 		witness_query(exchange, which, WITNESS_GO, true, 0, NULL, 0);
@@ -67,9 +67,9 @@
 	}
 	out = evbuffer_new();
 	evbuffer_add(out, body, strlen(body));
-	http_request_unwatch(req);
-	http_answer_header(req, "Content-Type", "application/json");
-	http_answer_header(req, "Moortack-Replay", "1");
+	http_request_unwatch_close(req);
+	http_response_add_header(req, "Content-Type", "application/json");
+	http_response_add_header(req, "Moortack-Replay", "1");
 	evhttp_send_reply(req, status, NULL, out);
 	evbuffer_free(out);
 	exchange->req = NULL;
@@ -94,7 +94,7 @@
 	switch (result) {
 	case REDEEM_NOT_RUN:
 		exchange->known_not_run = true;
-		exchange_fail(exchange, ERR_TICKET_DEAD,
+		exchange_fail(exchange, ERR_TICKET_REVOKED,
 		    "nothing was run under this ticket or idempotency key, "
 		    "nor will be; use a new one");
 		return;
@@ -102,7 +102,7 @@
 		response_replay(exchange, status, body);
 		return;
 	case REDEEM_BUSY:
-		exchange_fail(exchange, ERR_WITNESS,
+		exchange_fail(exchange, ERR_WITNESS_FULL,
 		    "a witness has no capacity for more tickets");
 		return;
 	default:
--- a/moortack/quarantine/quarantine.c
+++ b/moortack/quarantine/quarantine.c
@@ -27,7 +27,7 @@
 static int64_t
 age_ms(const quarantine_t *self, struct timespec at)
 {
-	return timespec_ms_between(at, clock_elapsed(self->clock));
+	return timespec_ms_between(at, clock_boottime(self->clock));
 }
 
 void
@@ -201,7 +201,7 @@
 		return false;
 	suspect_add_crash(suspect, incarnation);
 	suspect->version = version;
-	suspect->last_crash_at = clock_elapsed(self->clock);
+	suspect->last_crash_at = clock_boottime(self->clock);
 	suspect->observed_locally |= observed_locally;
 	/* Runs that were in flight when the request was quarantined do not
 	 * renew the quarantine. */
@@ -229,7 +229,7 @@
 	bool quarantined = crashes_len >= QUARANTINE_CRASH_THRESHOLD &&
 	    age_ms < QUARANTINE_EXPIRY_MS;
 	struct timespec since =
-	    timespec_after_ms(clock_elapsed(self->clock), -age_ms);
+	    timespec_add_ms(clock_boottime(self->clock), -age_ms);
 	suspect_t *suspect;
 
 	if (age_ms >= SUSPECT_EXPIRY_MS)
@@ -264,7 +264,7 @@
 	suspect_release(self, suspect, QUARANTINE_CLEARED);
 	suspect->crashes_len = 0;
 	suspect->observed_locally = false;
-	suspect->cleared_at = clock_elapsed(self->clock);
+	suspect->cleared_at = clock_boottime(self->clock);
 	return true;
 }
 
@@ -279,7 +279,7 @@
 	    (is_set(suspect->trial_started_at) &&
 		age_ms(self, suspect->trial_started_at) < TRIAL_TIMEOUT_MS))
 		return false;
-	suspect->trial_started_at = clock_elapsed(self->clock);
+	suspect->trial_started_at = clock_boottime(self->clock);
 	return true;
 }
 
--- a/moortack/relay/endpoint_links.c
+++ b/moortack/relay/endpoint_links.c
@@ -46,14 +46,14 @@
 	endpoint_connection_t *connection = arg;
 
 	connection->endpoint->idle_closed_at =
-	    clock_elapsed(connection->endpoint->set->clock);
+	    clock_boottime(connection->endpoint->set->clock);
 	connection_close(connection, conn);
 }
 
 http_outbound_t *
 endpoint_take_connection(endpoint_t *endpoint, int64_t max_ms)
 {
-	struct timespec now = clock_elapsed(endpoint->set->clock);
+	struct timespec now = clock_boottime(endpoint->set->clock);
 	endpoint_connection_t *connection = endpoint->idle_connections;
 	http_outbound_t *conn;
 	int64_t idle_ms;
@@ -89,9 +89,9 @@
 	}
 	connection->endpoint = endpoint;
 	connection->conn = conn;
-	connection->idle_since = clock_elapsed(endpoint->set->clock);
+	connection->idle_since = clock_boottime(endpoint->set->clock);
 	connection->idle_max_ms = idle_max_ms;
 	connection->next = endpoint->idle_connections;
 	endpoint->idle_connections = connection;
-	http_outbound_rest(conn, on_connection_closed, connection);
+	http_outbound_set_idle(conn, on_connection_closed, connection);
 }
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -37,7 +37,7 @@
 
 	if (keep && was_lapsed)
 		return;
-	event_line_throttled(&node->log, EVENT_THROTTLED_ENDPOINT_GONE,
+	event_log_write_throttled(&node->log, EVENT_THROTTLED_ENDPOINT_REMOVED,
 	    "id=%s service=%s lapsed=%d in_flight=%u", endpoint->info.id,
 	    endpoint->info.service, keep, endpoint->in_flight);
 	if (keep) {
@@ -67,7 +67,7 @@
 	    [INCARNATION_EARLIER] = "earlier",
 	};
 
-	event_line_throttled(&node->log, EVENT_THROTTLED_ENDPOINT,
+	event_log_write_throttled(&node->log, EVENT_THROTTLED_ENDPOINT,
 	    "id=%s service=%s address=%s:%u zone=%s version=%s leaving=%d "
 	    "born_ms=%" PRId64 " incarnation=%s",
 	    info->id, info->service, info->address.host, info->address.port,
@@ -174,7 +174,7 @@
 {
 	const row_watch_t *watch =
 	    row_sync_watch(&node->source, ROW_TABLE_ENDPOINTS);
-	struct timespec now = clock_elapsed(node->ports.clock);
+	struct timespec now = clock_boottime(node->ports.clock);
 	endpoint_t *current, *next;
 
 	if (node->source.following || !watch->reachable ||
--- a/moortack/relay/endpoint_set.c
+++ b/moortack/relay/endpoint_set.c
@@ -150,7 +150,7 @@
 endpoint_mark_cold(endpoint_t *endpoint, int64_t ms)
 {
 	struct timespec until =
-	    timespec_after_ms(clock_elapsed(endpoint->set->clock), ms);
+	    timespec_add_ms(clock_boottime(endpoint->set->clock), ms);
 
 	if (ms > 0 && timespec_ms_between(endpoint->cold_until, until) > 0)
 		endpoint->cold_until = until;
@@ -231,7 +231,7 @@
 		if (endpoint->earlier_entry == NULL)
 			return;
 		endpoint->earlier_entry_at =
-		    clock_elapsed(endpoint->set->clock);
+		    clock_boottime(endpoint->set->clock);
 		endpoint->set->earlier_entries++;
 	}
 	*endpoint->earlier_entry = *info;
@@ -306,7 +306,7 @@
 bool
 endpoint_set_find_earlier(const endpoint_set_t *set, endpoint_info_t *out)
 {
-	struct timespec now = clock_elapsed(set->clock);
+	struct timespec now = clock_boottime(set->clock);
 
 	if (set->earlier_entries == 0)
 		return false;
@@ -342,7 +342,7 @@
 endpoint_record_load(endpoint_t *endpoint, const endpoint_load_t *load)
 {
 	endpoint->load = *load;
-	endpoint->load_reported_at = clock_elapsed(endpoint->set->clock);
+	endpoint->load_reported_at = clock_boottime(endpoint->set->clock);
 	endpoint->load_reported_in_flight = endpoint->in_flight;
 	endpoint->load_reported = true;
 }
@@ -367,7 +367,7 @@
 
 	if (!endpoint->load_reported ||
 	    timespec_ms_between(endpoint->load_reported_at,
-		clock_elapsed(endpoint->set->clock)) > LOAD_REPORT_MAX_AGE_MS)
+		clock_boottime(endpoint->set->clock)) > LOAD_REPORT_MAX_AGE_MS)
 		return own + other_daemons_load(endpoint, daemons);
 	reported = (double)endpoint->load.running + endpoint->load.waiting;
 	reported += own - endpoint->load_reported_in_flight;
--- a/moortack/relay/gossip.c
+++ b/moortack/relay/gossip.c
@@ -137,7 +137,7 @@
 	    .arg = arg,
 	    .fd = -1,
 	    .send_budget = BUDGET_BYTES_MAX,
-	    .send_budget_at = clock_elapsed(clock)};
+	    .send_budget_at = clock_boottime(clock)};
 	if (address[0] == '\0')
 		return true;
 	if (!address_parse(address, &local))
@@ -176,7 +176,7 @@
 static void
 send_budget_refill(gossip_t *self)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	self->send_budget += BUDGET_BYTES_PER_S / MS_PER_SEC *
 	    (double)timespec_ms_between(self->send_budget_at, now);
--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -23,7 +23,7 @@
 static char *
 value_encode(const relay_quarantine_t *self, const suspect_t *suspect)
 {
-	int64_t at_ms = timespec_ms(suspect->last_crash_at) +
+	int64_t at_ms = timespec_to_ms(suspect->last_crash_at) +
 	    self->relay->members->store_offset_ms;
 	json_t *crashes = json_array();
 	json_t *body;
@@ -50,8 +50,8 @@
 	self->write_pending = false;
 	self->relay->members->written |= done;
 	if (!done)
-		self->write_after = timespec_after_ms(
-		    clock_elapsed(self->relay->clock), WRITE_RETRY_MS);
+		self->write_after = timespec_add_ms(
+		    clock_boottime(self->relay->clock), WRITE_RETRY_MS);
 	for (suspect_t *suspect = self->table.suspects; suspect != NULL;
 	     suspect = suspect->hh.next) {
 		if (done && suspect->pending_crashes > 0) {
@@ -60,7 +60,7 @@
 		}
 		suspect->pending_crashes = 0;
 	}
-	event_line(self->relay->log, "quarantine_write", "result=%d",
+	event_log_write(self->relay->log, "quarantine_write", "result=%d",
 	    (int)reply->result);
 }
 
@@ -79,7 +79,7 @@
 	return !self->write_pending &&
 	    self->relay->members->store_clock_known &&
 	    timespec_ms_between(
-		self->write_after, clock_elapsed(self->relay->clock)) >= 0;
+		self->write_after, clock_boottime(self->relay->clock)) >= 0;
 }
 
 void
@@ -169,7 +169,7 @@
 	size_t len = crashes_decode(body, crashes);
 
 	if (members->store_clock_known)
-		age_ms = timespec_ms(clock_elapsed(self->relay->clock)) +
+		age_ms = timespec_to_ms(clock_boottime(self->relay->clock)) +
 		    members->store_offset_ms -
 		    json_integer_value(json_object_get(body, "crashed_ms"));
 	self->source = "store";
@@ -219,7 +219,7 @@
 
 	if (!key_decode(row->key, &digest))
 		return err_set(
-		    err, ERR_NAME, "the key is not a request digest");
+		    err, ERR_BAD_NAME, "the key is not a request digest");
 	if (!row->deleted) {
 		body = json_loadb(row->value, row->value_len, 0, NULL);
 		good = value_check(body, err);
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -27,7 +27,7 @@
 request_age_ms(const relay_request_t *req)
 {
 	return timespec_ms_between(
-	    req->received_at, clock_elapsed(req->relay->clock));
+	    req->received_at, clock_boottime(req->relay->clock));
 }
 
 double
@@ -83,14 +83,14 @@
 	char head[ERROR_HEAD_SIZE] = "Content-Type: application/json\r\n";
 
 	relay->stats.failures[code]++;
-	if (info->retry)
+	if (info->retryable)
 		snprintf(head, sizeof(head),
 		    "Content-Type: application/json\r\n"
 		    "Retry-After: %" PRId64 ".%03" PRId64 "\r\n",
 		    ms / MS_PER_SEC, ms % MS_PER_SEC);
 	if (body != NULL)
 		evbuffer_add_printf(body, "{\"error\":\"%s\"}\n", info->name);
-	http_inbound_answer(caller, info->status, head, body);
+	http_inbound_respond(caller, info->http_status, head, body);
 	if (body != NULL)
 		evbuffer_free(body);
 }
@@ -141,7 +141,7 @@
 	stats_count_outcome(&relay->stats, outcome, why,
 	    req->earlier_tries_ms + req->first_byte_ms >
 		(double)req->route->objective_ms);
-	event_line(relay->log, "request",
+	event_log_write(relay->log, "request",
 	    "id=%s route=%s service=%s organisation=%s outcome=%s why=%s "
 	    "status=%d sends=%u connects_failed=%u model=%s confidence=%d "
 	    "tokens=%u,%u,%u ms=%.0f first_ms=%.0f before_ms=%.0f "
@@ -185,9 +185,11 @@
 		http_inbound_abort(caller);
 		return;
 	}
-	req->status = err_info(code)->status;
+	req->status = err_info(code)->http_status;
 	stats_add(&relay->stats,
-	    err_info(code)->ran == ERR_NOT_RUN ? STAT_REFUSED : STAT_FAILED, 1);
+	    err_info(code)->execution == ERR_NOT_EXECUTED ? STAT_REFUSED
+							  : STAT_FAILED,
+	    1);
 	request_end(req, err_info(code)->name, why);
 	error_send(relay, caller, code, ms);
 }
@@ -286,7 +288,7 @@
 	req->organisation = organisation;
 	req->split_hash = arrival_split_hash(arrival);
 	req->shared_prefix_hash = arrival_shared_prefix_hash(arrival);
-	req->received_at = clock_elapsed(relay->clock);
+	req->received_at = clock_boottime(relay->clock);
 	req->time_limit_ms = arrival_time_limit_ms(route, arrival);
 	req->smallest_confidence = -1;
 	req->earlier_tries_ms =
@@ -313,7 +315,7 @@
 {
 	stats_add(&relay->stats, STAT_REFUSED, 1);
 	stats_count_outcome(&relay->stats, err_info(code)->name, why, false);
-	event_line(relay->log, "refuse",
+	event_log_write(relay->log, "refuse",
 	    "id=%s outcome=%s why=%s config=%" PRIu64 " config_age_ms=%" PRId64
 	    " under_way=%u",
 	    id, err_info(code)->name, why,
@@ -335,7 +337,7 @@
 	err_t err;
 
 	stats_add(&relay->stats, STAT_REQUESTS, 1);
-	http_inbound_set_user(caller, NULL);
+	http_inbound_set_user_data(caller, NULL);
 	if (!relay->caller_dialect->read(msg, &arrival, &err)) {
 		arrival_refuse(relay, caller, "-", err.code, "bad_headers");
 		return;
@@ -359,7 +361,7 @@
 		    relay, caller, arrival.id, ERR_OVERLOAD, "requests_max");
 		return;
 	}
-	http_inbound_set_user(caller, req);
+	http_inbound_set_user_data(caller, req);
 	req->service = relay_route_service(route, req->split_hash);
 	if (req->service != NULL)
 		relay_count_request(relay, req->service, req->received_at);
@@ -370,7 +372,7 @@
 on_caller_gone(void *arg, http_inbound_t *caller)
 {
 	relay_t *relay = arg;
-	relay_request_t *req = http_inbound_user(caller);
+	relay_request_t *req = http_inbound_user_data(caller);
 
 	if (req == NULL)
 		return;
@@ -382,7 +384,7 @@
 static void
 on_drained(void *arg, http_inbound_t *caller)
 {
-	relay_request_t *req = http_inbound_user(caller);
+	relay_request_t *req = http_inbound_user_data(caller);
 
 	(void)arg;
 	if (req != NULL)
@@ -397,7 +399,7 @@
 	stats_add(&relay->stats, STAT_BAD_MESSAGES, 1);
 	stats_count_outcome(
 	    &relay->stats, err_info(err->code)->name, "bad_message", false);
-	event_line(relay->log, "bad_message", "outcome=%s why=\"%s\"",
+	event_log_write(relay->log, "bad_message", "outcome=%s why=\"%s\"",
 	    err_info(err->code)->name, err->detail);
 }
 
@@ -410,11 +412,11 @@
 	const relay_config_t *config = relay->config;
 	const http_inbound_limits_t limits = {.head_max = config->head_max,
 	    .body_max = config->body_max,
-	    .read_ms = config->read_ms,
-	    .idle_ms = config->idle_ms,
-	    .connections = CALLER_CONNECTIONS_MAX};
+	    .read_timeout_ms = config->read_ms,
+	    .idle_timeout_ms = config->idle_ms,
+	    .connections_max = CALLER_CONNECTIONS_MAX};
 
-	http_inbound_limit(relay->server, &limits);
+	http_inbound_set_limits(relay->server, &limits);
 }
 
 bool
@@ -435,8 +437,8 @@
 	relay->config = NULL;
 	relay_config_release(config);
 	relay->daemons_max_seen = 1;
-	relay->started_at = clock_elapsed(relay->clock);
-	http_inbound_hold(relay->server, true);
+	relay->started_at = clock_boottime(relay->clock);
+	http_inbound_pause_accepting(relay->server, true);
 	if (!prefix_index_init(&relay->prefix_index))
 		return err_set(err, ERR_MEMORY, "out of memory");
 	return true;
@@ -462,7 +464,7 @@
 		relay_config_release(config);
 		return;
 	}
-	event_line(relay->log, "config",
+	event_log_write(relay->log, "config",
 	    "version=%" PRIu64 " before=%" PRIu64 " routes=%u services=%u",
 	    config->version, relay->config != NULL ? relay->config->version : 0,
 	    HASH_COUNT(config->routes), HASH_COUNT(config->services));
@@ -485,13 +487,13 @@
 void
 relay_accept_when_ready(relay_t *relay)
 {
-	int64_t age_ms =
-	    timespec_ms_between(relay->started_at, clock_elapsed(relay->clock));
+	int64_t age_ms = timespec_ms_between(
+	    relay->started_at, clock_boottime(relay->clock));
 
 	if (relay->accepting || (!relay_ready(relay) && age_ms < ACCEPT_MAX_MS))
 		return;
 	relay->accepting = true;
-	http_inbound_hold(relay->server, false);
+	http_inbound_pause_accepting(relay->server, false);
 }
 
 void
--- a/moortack/relay/relay_ask.c
+++ b/moortack/relay/relay_ask.c
@@ -134,7 +134,7 @@
 on_prompt_sent(void *arg, const gossip_message_t *message)
 {
 	relay_t *relay = arg;
-	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	int64_t now_ms = timespec_to_ms(clock_boottime(relay->clock));
 	endpoint_t *endpoint = endpoint_set_find_by_short_hash(
 	    relay->endpoints, message->endpoint_hash);
 	prefix_list_t prefixes = {.len = message->prefixes_len};
@@ -153,7 +153,7 @@
 on_query(void *arg, const gossip_message_t *query, gossip_message_t *response)
 {
 	relay_t *relay = arg;
-	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	int64_t now_ms = timespec_to_ms(clock_boottime(relay->clock));
 	const endpoint_t *endpoint = endpoint_set_find_by_short_hash(
 	    relay->endpoints, query->endpoint_hash);
 	prefix_list_t prefixes = {.len = query->prefixes_len};
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -90,7 +90,7 @@
 
 	prefill_queue_cancel(&attempt->endpoint->prefill_queue,
 	    &attempt->prefill_entry,
-	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
+	    (double)timespec_to_ms(clock_boottime(req->relay->clock)));
 	if (!req->attempt.sent)
 		return;
 	session_record(req);
@@ -155,7 +155,7 @@
 	    : endpoint_take_connection(endpoint, max_ms);
 	attempt->reused = attempt->conn != NULL;
 	if (attempt->reused)
-		http_outbound_set_silent(attempt->conn,
+		http_outbound_set_silence_timeout(attempt->conn,
 		    request_idempotent(req)
 			? relay->bounds.reused_silence_timeout_ms
 			: relay->bounds.silence_timeout_ms);
@@ -220,7 +220,7 @@
 	const placement_t *placement = &req->attempt.placement;
 	const relay_t *relay = req->relay;
 
-	event_line(relay->log, "attempt",
+	event_log_write(relay->log, "attempt",
 	    "id=%s endpoint=%s zone=%s model=%s attempt=%u kept=%d resume=%d "
 	    "of=%zu cold=%zu told=%zu load=%.0f wait_ms=%.0f read_ms=%.0f "
 	    "first_ms=%.0f "
@@ -429,7 +429,7 @@
 	attempt_t *attempt = &req->attempt;
 
 	outcome_record(req, outcome);
-	event_line(req->relay->log, "attempt_over",
+	event_log_write(req->relay->log, "attempt_over",
 	    "id=%s endpoint=%s why=%s end=%d sends=%u kept=%d begun=%d "
 	    "last_event=%" PRId64 " model=%s confidence=%d running=%u "
 	    "waiting=%u digest=%016" PRIx64,
--- a/moortack/relay/relay_crashes.c
+++ b/moortack/relay/relay_crashes.c
@@ -20,7 +20,7 @@
 crash_log(const relay_quarantine_t *self, uint64_t digest,
     const endpoint_t *endpoint, const char *how)
 {
-	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
+	event_log_write_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " crashes=%zu endpoint=%s how=%s", digest,
 	    quarantine_crash_count(&self->table, digest), endpoint->info.id,
 	    how);
@@ -57,7 +57,7 @@
 relay_quarantine_endpoint_crashed(
     relay_quarantine_t *self, const endpoint_t *endpoint, const char *how)
 {
-	struct timespec now = clock_elapsed(self->relay->clock);
+	struct timespec now = clock_boottime(self->relay->clock);
 
 	self->crash_count +=
 	    unresolved_attempts_has(&self->interrupted, endpoint->short_hash);
@@ -123,7 +123,7 @@
 	unresolved_attempt_t attempt = {.digest = relay_request_digest(req),
 	    .incarnation = endpoint->short_hash,
 	    .version = endpoint_version_hash(endpoint),
-	    .ended_at = clock_elapsed(req->relay->clock)};
+	    .ended_at = clock_boottime(req->relay->clock)};
 
 	/* An endpoint that is leaving ends once its requests are completed;
 	 * that is no crash. */
@@ -188,7 +188,7 @@
 void
 quarantine_check_unresolved(relay_quarantine_t *self)
 {
-	struct timespec now = clock_elapsed(self->relay->clock);
+	struct timespec now = clock_boottime(self->relay->clock);
 
 	abandoned_probe(self);
 	/* The last probe may have ended without a result. */
--- a/moortack/relay/relay_guard.c
+++ b/moortack/relay/relay_guard.c
@@ -22,7 +22,7 @@
 event_gap_ms(const relay_request_t *req)
 {
 	int64_t us = timespec_us_between(
-	    req->first_event_at, clock_elapsed(req->relay->clock));
+	    req->first_event_at, clock_boottime(req->relay->clock));
 
 	return (double)us / US_PER_MS / (req->attempt_events - 1);
 }
@@ -74,7 +74,7 @@
 
 	if (rollout != NULL && signal_counts(req, signal) &&
 	    canary_analysis_observe(&rollout->canary, &observation,
-		clock_elapsed(req->relay->clock)))
+		clock_boottime(req->relay->clock)))
 		req->attempt.guard_counted = true;
 }
 
@@ -82,7 +82,7 @@
 relay_canary_endpoint_alive(relay_request_t *req)
 {
 	endpoint_t *endpoint = req->attempt.endpoint;
-	struct timespec now = clock_elapsed(req->relay->clock);
+	struct timespec now = clock_boottime(req->relay->clock);
 	rollout_t *rollout = endpoint->suspected_failures_len > 0
 	    ? rollouts_find(req->relay->rollouts, endpoint->info.service)
 	    : NULL;
@@ -157,13 +157,13 @@
 	endpoint->suspected_failures[endpoint->suspected_failures_len++] =
 	    (suspected_failure_t){
 		.answer = observation_make(req, CANARY_FAILED, 0),
-		.at = clock_elapsed(req->relay->clock)};
+		.at = clock_boottime(req->relay->clock)};
 }
 
 void
 relay_canary_check_overdue(relay_t *relay)
 {
-	struct timespec now = clock_elapsed(relay->clock);
+	struct timespec now = clock_boottime(relay->clock);
 
 	for (relay_request_t *req = relay->requests; req != NULL;
 	     req = req->next) {
--- a/moortack/relay/relay_model.c
+++ b/moortack/relay/relay_model.c
@@ -134,7 +134,7 @@
 	if (model == NULL)
 		return;
 	waited_ms = (double)timespec_ms_between(
-	    attempt->sent_at, clock_elapsed(req->relay->clock));
+	    attempt->sent_at, clock_boottime(req->relay->clock));
 	/* The response had not started when the attempt ended. The time waited
 	 * says something only if it is longer than expected. */
 	waited_ms -= attempt->placement.queue_wait_ms;
--- a/moortack/relay/relay_quarantine.c
+++ b/moortack/relay/relay_quarantine.c
@@ -41,13 +41,13 @@
 {
 	relay_quarantine_t *self = arg;
 
-	event_line(self->relay->log, "quarantine",
+	event_log_write(self->relay->log, "quarantine",
 	    "digest=%016" PRIx64 " source=%s crashes=%zu endpoints=%08" PRIx32
 	    ",%08" PRIx32 ",%08" PRIx32 " held_ms=%" PRId64 " witnessed=%d",
 	    suspect->digest, self->source, suspect->crashes_len,
 	    suspect->crashes[0], suspect->crashes[1], suspect->crashes[2],
 	    timespec_ms_between(
-		suspect->quarantined_at, clock_elapsed(self->relay->clock)),
+		suspect->quarantined_at, clock_boottime(self->relay->clock)),
 	    suspect->observed_locally);
 	event_active(self->stop_event, 0, 0);
 }
@@ -60,11 +60,11 @@
 	    [QUARANTINE_EVICTED] = "evicted"};
 	relay_quarantine_t *self = arg;
 
-	event_line(self->relay->log, "quarantine_end",
+	event_log_write(self->relay->log, "quarantine_end",
 	    "digest=%016" PRIx64 " why=%s held_ms=%" PRId64, suspect->digest,
 	    names[reason],
 	    timespec_ms_between(
-		suspect->quarantined_at, clock_elapsed(self->relay->clock)));
+		suspect->quarantined_at, clock_boottime(self->relay->clock)));
 }
 
 static void
@@ -113,7 +113,7 @@
 		0)
 		return;
 	message.digests[0] = relay_request_digest(req);
-	event_line_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
+	event_log_write_throttled(self->relay->log, EVENT_THROTTLED_SUSPECT,
 	    "digest=%016" PRIx64 " crashes=0 endpoint=%s how=cleared",
 	    relay_request_digest(req), req->last_endpoint_id);
 	if (req->quarantine_trial)
@@ -157,7 +157,7 @@
 should_act(
     const relay_quarantine_t *self, const suspect_t *suspect, int64_t delay_ms)
 {
-	struct timespec now = clock_elapsed(self->relay->clock);
+	struct timespec now = clock_boottime(self->relay->clock);
 
 	return gossip_owns_digest(self->relay->gossip, suspect->digest) ||
 	    (suspect->observed_locally &&
@@ -182,7 +182,7 @@
 	    .version_hash = suspect->version,
 	    .crashes_len = suspect->crashes_len,
 	    .quarantined_ms = (uint32_t)timespec_ms_between(
-		suspect->quarantined_at, clock_elapsed(self->relay->clock))};
+		suspect->quarantined_at, clock_boottime(self->relay->clock))};
 
 	memcpy(message.crashes, suspect->crashes, sizeof(message.crashes));
 	gossip_broadcast(self->relay->gossip, &message);
@@ -224,7 +224,7 @@
 void
 relay_quarantine_tick(relay_quarantine_t *self)
 {
-	struct timespec now = clock_elapsed(self->relay->clock);
+	struct timespec now = clock_boottime(self->relay->clock);
 	bool check_versions = timespec_ms_between(self->versions_checked_at,
 				  now) >= VERSIONS_CHECK_MS;
 	suspect_t *suspect, *next;
--- a/moortack/relay/relay_response.c
+++ b/moortack/relay/relay_response.c
@@ -30,7 +30,7 @@
 		const http_field_t *field = &msg->fields[i];
 		int written;
 
-		if (http_field_is_hop(msg, field->name))
+		if (http_field_is_hop_by_hop(msg, field->name))
 			continue;
 		written = snprintf(text + len, RESPONSE_HEAD_MAX - len,
 		    "%s: %s\r\n", field->name, field->value);
@@ -58,7 +58,7 @@
 	req->response_started = true;
 	req->response_model = req->attempt.model;
 	first_byte_observe(req);
-	http_inbound_begin(req->caller, req->status, req->response_head);
+	http_inbound_stream_begin(req->caller, req->status, req->response_head);
 }
 
 static bool
@@ -75,7 +75,7 @@
 	relay_t *relay = req->relay;
 
 	attempt->sent = true;
-	attempt->sent_at = clock_elapsed(relay->clock);
+	attempt->sent_at = clock_boottime(relay->clock);
 	endpoint_request_started(attempt->endpoint);
 	if (req->sends == 0)
 		stats_observe(
@@ -107,10 +107,10 @@
 	attempt_bytes_received(req);
 	prefill_queue_complete(&attempt->endpoint->prefill_queue,
 	    &attempt->prefill_entry,
-	    (double)timespec_ms(clock_elapsed(req->relay->clock)));
+	    (double)timespec_to_ms(clock_boottime(req->relay->clock)));
 	relay_canary_endpoint_alive(req);
 	attempt->first_byte_ms = (double)timespec_ms_between(
-	    attempt->sent_at, clock_elapsed(req->relay->clock));
+	    attempt->sent_at, clock_boottime(req->relay->clock));
 	if (response->has_load)
 		endpoint_record_load(attempt->endpoint, &response->load);
 	if (response->not_run || response->wrong_endpoint)
@@ -141,7 +141,7 @@
 static void
 event_record(relay_request_t *req)
 {
-	struct timespec now = clock_elapsed(req->relay->clock);
+	struct timespec now = clock_boottime(req->relay->clock);
 	double pause_ms;
 
 	if (req->attempt_events++ == 0)
@@ -182,17 +182,17 @@
 		return true;
 	if (!req->response_started)
 		response_start(req);
-	http_inbound_write(req->caller, req->buffered);
+	http_inbound_stream_write(req->caller, req->buffered);
 	return true;
 }
 
 static void
 endpoint_pause_if_caller_slow(relay_request_t *req)
 {
-	if (http_inbound_pending(req->caller) < CALLER_PENDING_MAX)
+	if (http_inbound_unsent_bytes(req->caller) < CALLER_PENDING_MAX)
 		return;
 	req->paused = true;
-	http_outbound_pause(req->attempt.conn, true);
+	http_outbound_pause_reading(req->attempt.conn, true);
 }
 
 static void
@@ -221,7 +221,7 @@
 		response_start(req);
 	if (!req->response_started)
 		return;
-	http_inbound_write(req->caller, req->buffered);
+	http_inbound_stream_write(req->caller, req->buffered);
 	endpoint_pause_if_caller_slow(req);
 }
 
@@ -240,7 +240,7 @@
 	attempt_release(req);
 	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
 	request_end(req, "answered", "whole_stream");
-	http_inbound_end(caller);
+	http_inbound_stream_end(caller);
 }
 
 void
@@ -256,7 +256,7 @@
 	req->response_head = NULL;
 	stats_add(&req->relay->stats, STAT_ANSWERED, 1);
 	request_end(req, "answered", "whole");
-	http_inbound_answer(caller, status, head, body);
+	http_inbound_respond(caller, status, head, body);
 	evbuffer_free(body);
 	free(head);
 }
@@ -276,7 +276,7 @@
 		attempt_succeeded(req);
 		attempt_release(req);
 		request_end(req, "answered", "passed_on");
-		http_inbound_end(caller);
+		http_inbound_stream_end(caller);
 		return;
 	}
 	if (req->status >= STATUS_SERVER_ERROR) {
@@ -315,24 +315,25 @@
 	relay_request_t *req = arg;
 	attempt_t *attempt = &req->attempt;
 
-	if (failure == HTTP_OUTBOUND_NO_ANSWER && attempt->reused) {
+	if (failure == HTTP_OUTBOUND_NO_RESPONSE && attempt->reused) {
 		endpoint_close_idle(attempt->endpoint);
 		req->avoid_reuse = true;
 	}
-	attempt->connection_lost = failure == HTTP_OUTBOUND_NO_ANSWER ||
-	    failure == HTTP_OUTBOUND_BROKEN;
-	attempt->connection_refused = failure == HTTP_OUTBOUND_REFUSED;
+	attempt->connection_lost = failure == HTTP_OUTBOUND_NO_RESPONSE ||
+	    failure == HTTP_OUTBOUND_BAD_RESPONSE;
+	attempt->connection_refused =
+	    failure == HTTP_OUTBOUND_CONNECTION_REFUSED;
 	switch (failure) {
 	case HTTP_OUTBOUND_NOT_SENT:
 		attempt_retry_or_fail(req, ATTEMPT_NOT_SENT, "connect");
 		break;
-	case HTTP_OUTBOUND_REFUSED:
+	case HTTP_OUTBOUND_CONNECTION_REFUSED:
 		attempt_retry_or_fail(req, ATTEMPT_NOT_SENT, "refused");
 		break;
-	case HTTP_OUTBOUND_NO_ANSWER:
+	case HTTP_OUTBOUND_NO_RESPONSE:
 		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "no_answer");
 		break;
-	case HTTP_OUTBOUND_BROKEN:
+	case HTTP_OUTBOUND_BAD_RESPONSE:
 		attempt_retry_or_fail(req, ATTEMPT_UNKNOWN, "broken");
 		break;
 	}
@@ -347,5 +348,5 @@
 	if (!req->paused || req->attempt.endpoint == NULL)
 		return;
 	req->paused = false;
-	http_outbound_pause(req->attempt.conn, false);
+	http_outbound_pause_reading(req->attempt.conn, false);
 }
--- a/moortack/relay/relay_select.c
+++ b/moortack/relay/relay_select.c
@@ -109,7 +109,7 @@
     size_t index, candidates_t *set)
 {
 	const relay_t *relay = req->relay;
-	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	int64_t now_ms = timespec_to_ms(clock_boottime(relay->clock));
 	double cross_zone_ms = (double)evbuffer_get_length(req->body) /
 	    BYTES_PER_KB * CROSS_ZONE_MS_PER_KB;
 	uint32_t shared = shared_tokens(prefixes, req->arrival.tokens_in);
@@ -225,7 +225,7 @@
 	static prefix_list_t prefixes;
 	const char *model = relay_model_name(req, index);
 	relay_t *relay = req->relay;
-	int64_t now_ms = timespec_ms(clock_elapsed(relay->clock));
+	int64_t now_ms = timespec_to_ms(clock_boottime(relay->clock));
 
 	if (req->arrival.parts_len == 0)
 		return;
--- a/moortack/relay/relay_service_state.c
+++ b/moortack/relay/relay_service_state.c
@@ -43,7 +43,7 @@
 
 	return share != NULL &&
 	    retry_share_spend(share, &relay->bounds.retries,
-		relay->daemons_max_seen, clock_elapsed(relay->clock));
+		relay->daemons_max_seen, clock_boottime(relay->clock));
 }
 
 bool
@@ -54,7 +54,7 @@
 	return share != NULL &&
 	    retry_share_remaining(share, &relay->bounds.retries,
 		relay->daemons_max_seen,
-		clock_elapsed(relay->clock)) > RETRY_RESERVE_SHARE;
+		clock_boottime(relay->clock)) > RETRY_RESERVE_SHARE;
 }
 
 void
--- a/moortack/relay/rollout_report.c
+++ b/moortack/relay/rollout_report.c
@@ -80,7 +80,7 @@
 static void
 bad_version_log(const rollout_t *rollout, const canary_tally_t *tally)
 {
-	event_line(rollout->owner->log, "rollout_bad",
+	event_log_write(rollout->owner->log, "rollout_bad",
 	    "service=%s order=%" PRIu64 " route=%016" PRIx64
 	    " new=%u failed=%u slow=%u paced=%u dragged=%u"
 	    " old=%u failed=%u slow=%u paced=%u dragged=%u",
@@ -119,7 +119,7 @@
 {
 	canary_tally_t sums[SUM_ROUTES_MAX];
 	size_t len = canary_analysis_tally(&rollout->canary,
-	    clock_elapsed(rollout->owner->clock), sums, SUM_ROUTES_MAX);
+	    clock_boottime(rollout->owner->clock), sums, SUM_ROUTES_MAX);
 
 	member_tallies_add(rollout, sums, &len);
 	return tallies_are_bad(rollout, sums, len);
@@ -175,7 +175,7 @@
 {
 	canary_tally_t tallies[CANARY_ROUTES_MAX];
 	size_t len = canary_analysis_tally(&rollout->canary,
-	    clock_elapsed(rollout->owner->clock), tallies, CANARY_ROUTES_MAX);
+	    clock_boottime(rollout->owner->clock), tallies, CANARY_ROUTES_MAX);
 	rollout_snapshot_t snapshot = rollout_take_snapshot(rollout);
 	json_t *rows = json_array();
 
@@ -207,7 +207,7 @@
 		return NULL;
 	report = json_pack("{s:o}", "rollouts", report);
 	sessions = recent_sessions_encode(
-	    &self->local_sessions, clock_elapsed(self->clock));
+	    &self->local_sessions, clock_boottime(self->clock));
 	if (sessions != NULL)
 		json_object_set_new(report, "sessions", sessions);
 	return report;
--- a/moortack/relay/rollout_sessions.c
+++ b/moortack/relay/rollout_sessions.c
@@ -8,13 +8,13 @@
 {
 	if (rollout_share_includes(ROLLOUT_FIRST_SHARE, hash))
 		recent_sessions_add(
-		    &self->local_sessions, hash, clock_elapsed(self->clock));
+		    &self->local_sessions, hash, clock_boottime(self->clock));
 }
 
 bool
 rollouts_session_on_old(const rollouts_t *self, uint64_t hash)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	return recent_sessions_contain(&self->local_sessions, hash, now) ||
 	    recent_sessions_contain(&self->peer_sessions, hash, now);
@@ -29,14 +29,14 @@
 		return;
 	list = json_loadb(row->value, row->value_len, 0, NULL);
 	recent_sessions_merge(
-	    &self->peer_sessions, list, clock_elapsed(self->clock));
+	    &self->peer_sessions, list, clock_boottime(self->clock));
 	json_decref(list);
 }
 
 char *
 rollouts_encode_sessions(const rollouts_t *self)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 	json_t *all = json_array();
 	json_t *served = recent_sessions_encode(&self->local_sessions, now);
 	json_t *heard = recent_sessions_encode(&self->peer_sessions, now);
@@ -56,7 +56,7 @@
 void
 rollouts_merge_member_sessions(rollouts_t *self)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	for (const member_t *member = self->members->members; member != NULL;
 	     member = member->hh.next)
--- a/moortack/relay/rollout_state.c
+++ b/moortack/relay/rollout_state.c
@@ -75,7 +75,7 @@
 	    (json_int_t)rollout->order.number, "to", rollout->order.to_version,
 	    "base", rollout_base_version(rollout), "state",
 	    rollout_state_names[state], "began_ms",
-	    (json_int_t)(timespec_ms(rollout_started_at(rollout)) +
+	    (json_int_t)(timespec_to_ms(rollout_started_at(rollout)) +
 		self->store_clock_offset_ms));
 	char *text = json_dumps(value, JSON_COMPACT);
 
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -59,7 +59,7 @@
 	if (rollout->state_order != rollout->order.number ||
 	    rollout->started_ms <= 0 || !self->store_clock_known)
 		return rollout->order_seen_at;
-	return timespec_of_ms(
+	return timespec_from_ms(
 	    rollout->started_ms - self->store_clock_offset_ms);
 }
 
@@ -70,7 +70,7 @@
 
 	return (rollout_snapshot_t){.state = current_state(rollout),
 	    .elapsed_ms = timespec_ms_between(
-		rollout_started_at(rollout), clock_elapsed(self->clock)),
+		rollout_started_at(rollout), clock_boottime(self->clock)),
 	    .duration_ms = rollout->order.duration_ms,
 	    .stopped = rollout->stopped,
 	    .stale = row_watch_age_ms(self->orders_watch) > STALE_MS ||
@@ -94,7 +94,7 @@
 	snapshot = rollout_take_snapshot(rollout);
 	share = rollout_plan_share(&snapshot);
 	if (share != rollout->share) {
-		event_line(rollout->owner->log, "rollout_share",
+		event_log_write(rollout->owner->log, "rollout_share",
 		    "service=%s order=%" PRIu64
 		    " to=%s state=%s share=%.2f elapsed_ms=%" PRId64
 		    " stopped=%d uncertain=%d",
@@ -169,11 +169,11 @@
 	strcpy(rollout->order.to_version, order->to_version);
 	rollout->order.duration_ms = order->duration_ms;
 	rollout->next_order.number = 0;
-	rollout->order_seen_at = clock_elapsed(self->clock);
+	rollout->order_seen_at = clock_boottime(self->clock);
 	rollout->stopped = false;
 	rollout->write_after = (struct timespec){0};
 	canary_analysis_reset(&rollout->canary);
-	event_line(self->log, "rollout_order",
+	event_log_write(self->log, "rollout_order",
 	    "service=%s order=%" PRIu64 " to=%s base=%s duration_ms=%" PRId64,
 	    order->service, order->number, order->to_version,
 	    rollout_base_version(rollout), order->duration_ms);
@@ -253,8 +253,8 @@
 		return;
 	}
 	rollout->next_order = *order;
-	rollout->next_order_seen_at = clock_elapsed(self->clock);
-	event_line(self->log, "rollout_next",
+	rollout->next_order_seen_at = clock_boottime(self->clock);
+	event_log_write(self->log, "rollout_next",
 	    "service=%s order=%" PRIu64 " to=%s before=%" PRIu64,
 	    order->service, order->number, order->to_version,
 	    rollout->order.number);
@@ -266,7 +266,7 @@
 rollouts_set_store_clock(rollouts_t *self, int64_t now_ms)
 {
 	self->store_clock_offset_ms =
-	    now_ms - timespec_ms(clock_elapsed(self->clock));
+	    now_ms - timespec_to_ms(clock_boottime(self->clock));
 	self->store_clock_known = true;
 }
 
@@ -316,7 +316,8 @@
 	bool restored;
 
 	if (rollout == NULL)
-		return err_set(err, ERR_NAME, "the service's name is too long");
+		return err_set(
+		    err, ERR_BAD_NAME, "the service's name is too long");
 	if (row->version <= rollout->stored_version)
 		return true;
 	restored = era > era_version_era(rollout->stored_version);
@@ -339,7 +340,7 @@
 		    era_version_make(era, era_version_sequence(content.order));
 	}
 	state_set(rollout, &content);
-	event_line(self->log, "rollout_state",
+	event_log_write(self->log, "rollout_state",
 	    "service=%s order=%" PRIu64 " state=%s version=%" PRIu64,
 	    rollout->order.service, rollout->state_order,
 	    rollout_state_names[rollout->state], row->version);
@@ -357,10 +358,10 @@
 	/* The state is applied when its row is read, whichever daemon wrote it.
 	 * That also resolves a write whose result is unknown. */
 	rollout->write_after =
-	    timespec_after_ms(clock_elapsed(self->clock), RETRY_DELAY_MS);
+	    timespec_add_ms(clock_boottime(self->clock), RETRY_DELAY_MS);
 	if (!self->states_watch->suspended)
 		row_watch_poll_now(self->states_watch);
-	event_line(self->log, "rollout_write",
+	event_log_write(self->log, "rollout_write",
 	    "service=%s order=%" PRIu64 " state=%s result=%d",
 	    rollout->order.service, rollout->order.number,
 	    rollout_state_names[rollout->write_state], (int)reply->result);
@@ -419,7 +420,7 @@
 rollout_step(rollout_t *rollout)
 {
 	rollouts_t *self = rollout->owner;
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 	rollout_snapshot_t snapshot = rollout_take_snapshot(rollout);
 	rollout_state_t target;
 
@@ -438,7 +439,7 @@
 	if (rollout->state_order > rollout->order.number)
 		return;
 	if (rollout->write_after.tv_sec == 0) {
-		rollout->write_after = timespec_after_ms(now,
+		rollout->write_after = timespec_add_ms(now,
 		    (int64_t)membership_rank(self->members) * RANK_DELAY_MS);
 	}
 	if (timespec_ms_between(rollout->write_after, now) < 0)
--- a/moortack/relay/version_guard.c
+++ b/moortack/relay/version_guard.c
@@ -59,7 +59,7 @@
 static void
 route_advance(canary_route_t *entry, struct timespec now)
 {
-	int64_t slice = timespec_ms(now) / SLICE_MS;
+	int64_t slice = timespec_to_ms(now) / SLICE_MS;
 	int64_t steps = slice - entry->last_slice;
 
 	if (steps <= 0)
--- a/moortack/replication/feed_client.c
+++ b/moortack/replication/feed_client.c
@@ -35,7 +35,7 @@
 	feed_request_clear(&request);
 	if (text == NULL)
 		return false;
-	client->sent_at = clock_elapsed(client->clock);
+	client->sent_at = clock_boottime(client->clock);
 	sent =
 	    zmq_send(client->dealer.socket, text, strlen(text), ZMQ_DONTWAIT);
 	free(text);
--- a/moortack/replication/feed_server.c
+++ b/moortack/replication/feed_server.c
@@ -38,7 +38,7 @@
 	    .store_unavailable = server->store_unavailable,
 	    .leaving = server->leaving,
 	    .held_ms = timespec_ms_between(
-		pending->received_at, clock_elapsed(server->clock))};
+		pending->received_at, clock_boottime(server->clock))};
 	const feed_bytes_t *rows = feed_body_cache_get(&server->body_cache,
 	    server->cache, server->incarnation, &pending->position, &response);
 	char *text;
@@ -73,7 +73,7 @@
 static void
 pending_flush(feed_server_t *server)
 {
-	struct timespec now = clock_elapsed(server->clock);
+	struct timespec now = clock_boottime(server->clock);
 	feed_pending_t **at = &server->pending;
 
 	while (*at != NULL) {
@@ -197,7 +197,7 @@
 		pending->identity_len = len;
 		pending->request_id = request.id;
 		pending->position = request.position;
-		pending->received_at = clock_elapsed(server->clock);
+		pending->received_at = clock_boottime(server->clock);
 		request_hold(server, pending);
 	}
 	feed_request_clear(&request);
--- a/moortack/replication/row_answer.c
+++ b/moortack/replication/row_answer.c
@@ -71,7 +71,7 @@
 		if (table->age_ms < 0)
 			continue;
 		row_watch_advance(&self->watches[i].watch, table->version,
-		    timespec_after_ms(sent, -table->age_ms));
+		    timespec_add_ms(sent, -table->age_ms));
 		self->ops->synced(self->arg, (row_table_t)i, false);
 	}
 }
--- a/moortack/replication/row_cache.c
+++ b/moortack/replication/row_cache.c
@@ -181,7 +181,7 @@
 	    .value_len = row->value_len,
 	    .version = row->version,
 	    .change = row->change,
-	    .replaced_at = clock_elapsed(cache->clock),
+	    .replaced_at = clock_boottime(cache->clock),
 	    .older = row->prior_values};
 	row->value = NULL;
 	row->prior_values = prior;
@@ -245,7 +245,7 @@
 		return false;
 	row_change_record(cache, row);
 	if (update->deleted)
-		row->deleted_at = clock_elapsed(cache->clock);
+		row->deleted_at = clock_boottime(cache->clock);
 	return true;
 }
 
@@ -294,7 +294,7 @@
 void
 row_cache_trim(row_cache_t *cache)
 {
-	struct timespec now = clock_elapsed(cache->clock);
+	struct timespec now = clock_boottime(cache->clock);
 	cached_row_t *row, *next;
 
 	if (timespec_ms_between(cache->trimmed_at, now) < TRIM_INTERVAL_MS)
--- a/moortack/replication/row_follow.c
+++ b/moortack/replication/row_follow.c
@@ -99,12 +99,12 @@
 static void
 parent_stale_handle(row_sync_t *self, const feed_response_t *response)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	if (!self->parent_stale) {
 		self->parent_stale = true;
 		self->parent_stale_since = now;
-		event_line(self->log, "behind", "source=%s", self->parent);
+		event_log_write(self->log, "behind", "source=%s", self->parent);
 	}
 	if (timespec_ms_between(self->parent_stale_since, now) >=
 	    STALE_MAX_MS) {
@@ -147,8 +147,9 @@
 	row_follow_update_status(self);
 	feed_server_respond_all(&self->server);
 	row_sync_suspend_reads(self, true);
-	event_line(self->log, "follow", "source=%s rows=%zu age_ms=%" PRId64,
-	    self->parent, json_array_size(response->rows),
+	event_log_write(self->log, "follow",
+	    "source=%s rows=%zu age_ms=%" PRId64, self->parent,
+	    json_array_size(response->rows),
 	    response->tables[ROW_TABLE_OPERATOR].age_ms);
 }
 
@@ -159,7 +160,7 @@
 {
 	if (response->liveness_age_ms >= 0 &&
 	    membership_vouched(self->members,
-		timespec_after_ms(sent, -response->liveness_age_ms),
+		timespec_add_ms(sent, -response->liveness_age_ms),
 		response->silent))
 		feed_server_respond_all(&self->server);
 }
@@ -170,7 +171,7 @@
 full_rows_request(row_sync_t *self)
 {
 	self->parent_incarnation = 0;
-	event_line(self->log, "base_missing", "source=%s", self->parent);
+	event_log_write(self->log, "base_missing", "source=%s", self->parent);
 }
 
 /* Whether a starting daemon applies the rows in spite of what else the response
@@ -231,7 +232,7 @@
 on_response(void *arg, feed_response_t *response, struct timespec sent_at)
 {
 	row_follow_response(
-	    arg, response, timespec_after_ms(sent_at, response->held_ms));
+	    arg, response, timespec_add_ms(sent_at, response->held_ms));
 }
 
 static void
@@ -239,7 +240,7 @@
 {
 	row_sync_t *self = arg;
 
-	event_line(self->log, "slow", "source=%s", self->parent);
+	event_log_write(self->log, "slow", "source=%s", self->parent);
 	read_from_store(self, ROW_TABLE_ENDPOINTS);
 }
 
@@ -281,7 +282,7 @@
 void
 row_follow_fill_state(const row_sync_t *self, feed_response_t *response)
 {
-	struct timespec now = clock_elapsed(self->clock);
+	struct timespec now = clock_boottime(self->clock);
 
 	for (int i = 0; i < ROW_TABLES; i++) {
 		const row_watch_t *watch = &self->watches[i].watch;
@@ -298,7 +299,7 @@
 		table->age_ms = age_ms == INT64_MAX ? -1 : age_ms;
 	}
 	response->store_now_ms =
-	    self->members->store_offset_ms + timespec_ms(now);
+	    self->members->store_offset_ms + timespec_to_ms(now);
 	response->liveness_age_ms = membership_vouch_age_ms(self->members);
 	response->silent = membership_silent(self->members);
 	response->path = json_pack("[s]", self->members->settings.name);
@@ -341,7 +342,8 @@
 		self, self->incarnation, self->settings.hold_ms) ||
 	    !feed_client_init(&self->client, self->base, self->clock,
 		self->context, &self->auth, &client_ops, self)) {
-		event_line(self->log, "peers_failed", "address=%s", address);
+		event_log_write(
+		    self->log, "peers_failed", "address=%s", address);
 		return;
 	}
 	self->first_response_timer =
--- a/moortack/replication/row_parent.c
+++ b/moortack/replication/row_parent.c
@@ -44,7 +44,7 @@
 {
 	if (self->parent[0] == '\0')
 		return;
-	event_line(
+	event_log_write(
 	    self->log, "unfollow", "source=%s why=%s", self->parent, why);
 	self->parent[0] = '\0';
 	self->following = false;
@@ -101,9 +101,9 @@
 
 	self->parent_store_unavailable = true;
 	self->following = false;
-	self->parent_keep_until = timespec_after_ms(
-	    clock_elapsed(self->clock), ms << self->parent_changes);
-	event_line(self->log, "parent_lost", "source=%s", self->parent);
+	self->parent_keep_until = timespec_add_ms(
+	    clock_boottime(self->clock), ms << self->parent_changes);
+	event_log_write(self->log, "parent_lost", "source=%s", self->parent);
 	row_sync_suspend_reads(
 	    self, membership_rank(self->members) >= PROBERS_MAX);
 	row_follow_update_status(self);
@@ -115,7 +115,7 @@
 	if (!self->parent_store_unavailable)
 		parent_unavailable_begin(self);
 	if (timespec_ms_between(
-		clock_elapsed(self->clock), self->parent_keep_until) > 0)
+		clock_boottime(self->clock), self->parent_keep_until) > 0)
 		return;
 	if (self->parent_changes < PARENT_CHANGES_MAX)
 		self->parent_changes++;
@@ -177,7 +177,7 @@
 first_response_overdue(const row_sync_t *self)
 {
 	return timespec_ms_between(self->parent_since,
-		   clock_elapsed(self->clock)) >= first_response_ms(self);
+		   clock_boottime(self->clock)) >= first_response_ms(self);
 }
 
 void
@@ -197,7 +197,7 @@
 	strcpy(self->parent, member->name);
 	self->parent_incarnation = 0;
 	self->parent_change = 0;
-	self->parent_since = clock_elapsed(self->clock);
+	self->parent_since = clock_boottime(self->clock);
 	self->parent_responded = false;
 	self->parent_store_unavailable = false;
 	if (feed_client_connect(&self->client, address)) {
@@ -260,7 +260,7 @@
 	}
 	if (self->follows_next) {
 		if (timespec_ms_between(self->parent_since,
-			clock_elapsed(self->clock)) >= FOLLOW_NEXT_MS)
+			clock_boottime(self->clock)) >= FOLLOW_NEXT_MS)
 			parent_stop(self, "store_again");
 		return;
 	}
--- a/moortack/replication/row_sync.c
+++ b/moortack/replication/row_sync.c
@@ -134,7 +134,7 @@
 	if (self->has_key)
 		row_parent_update(self);
 	else if (timespec_ms_between(self->started_at,
-		     clock_elapsed(self->clock)) >= KEY_WAIT_MS)
+		     clock_boottime(self->clock)) >= KEY_WAIT_MS)
 		row_sync_suspend_reads(self, false);
 }
 
@@ -249,7 +249,7 @@
 {
 	self->ops = ops;
 	self->arg = arg;
-	self->incarnation = rng_bits(self->rng) >> 1 | 1;
+	self->incarnation = rng_u64(self->rng) >> 1 | 1;
 	for (int i = 0; i < ROW_TABLES; i++) {
 		table_watch_t *watch = table_watch_at(self, (row_table_t)i);
 
@@ -262,7 +262,7 @@
 		self->suspended[i] = i != ROW_TABLE_SYSTEM &&
 		    self->settings.peer_address[0] != '\0';
 	}
-	self->started_at = clock_elapsed(self->clock);
+	self->started_at = clock_boottime(self->clock);
 	watches_update(self);
 	if (self->settings.start_jitter_ms > 0)
 		row_watch_start_after(&self->watches[ROW_TABLE_SYSTEM].watch,
--- a/moortack/replication/row_watch.c
+++ b/moortack/replication/row_watch.c
@@ -24,7 +24,7 @@
 static int64_t
 with_jitter(const row_watch_t *watch, int64_t delay_ms)
 {
-	struct timespec now = clock_elapsed(watch->clock);
+	struct timespec now = clock_boottime(watch->clock);
 
 	return delay_ms +
 	    delay_ms * (now.tv_nsec / US_PER_MS % RETRY_JITTER_PERCENT) / 100;
@@ -167,7 +167,7 @@
 			watch->in_full_read = true;
 			free(watch->page);
 			watch->page = NULL;
-			watch->requested_at = clock_elapsed(watch->clock);
+			watch->requested_at = clock_boottime(watch->clock);
 		}
 		started = row_store_read(watch->store,
 		    watch->synced_once ? ROW_PURPOSE_REREAD
@@ -175,7 +175,7 @@
 		    watch->table, watch->page, watch->timing.timeout_ms,
 		    read_done, watch);
 	} else {
-		watch->requested_at = clock_elapsed(watch->clock);
+		watch->requested_at = clock_boottime(watch->clock);
 		started = row_store_poll(watch->store,
 		    watch->by_follower ? ROW_PURPOSE_FOLLOWER_POLL
 				       : ROW_PURPOSE_POLL,
@@ -276,5 +276,5 @@
 	if (!watch->synced_once)
 		return INT64_MAX;
 	return timespec_ms_between(
-	    watch->synced_at, clock_elapsed(watch->clock));
+	    watch->synced_at, clock_boottime(watch->clock));
 }
--- a/test/fuzz/messages_fuzz.c
+++ b/test/fuzz/messages_fuzz.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * A message cut into pieces anywhere reads as in one piece, and what is taken
- * has one length and one host.
+ * A message split into pieces anywhere is parsed as if received at once, and
+ * each accepted request has at most one length and exactly one host.
  */
 #include <string.h>
 
@@ -13,8 +13,8 @@
 
 typedef struct result {
 	http_read_result_t read;
-	bool taken;
-	size_t left; /**< bytes after the message */
+	bool accepted;
+	size_t bytes_left; /**< bytes after the message */
 	char body[BODY_MAX];
 	size_t body_len;
 	size_t fields;
@@ -54,20 +54,21 @@
 
 	*result = (result_t){0};
 	http_reader_init(&reader, HTTP_REQUEST, &ops, result, HEAD_MAX);
-	result->read = HTTP_READ_MORE;
+	result->read = HTTP_READ_INCOMPLETE;
 	for (size_t at = 0; at < len; at += piece) {
 		evbuffer_add(
 		    in, bytes + at, len - at < piece ? len - at : piece);
-		if (result->read == HTTP_READ_MORE)
+		if (result->read == HTTP_READ_INCOMPLETE)
 			result->read = http_reader_feed(&reader, in);
 	}
-	result->left = evbuffer_get_length(in);
+	result->bytes_left = evbuffer_get_length(in);
 	result->fields = reader.msg.fields_len;
-	result->taken = result->read == HTTP_READ_WHOLE &&
+	result->accepted = result->read == HTTP_READ_COMPLETE &&
 	    http_msg_check(&reader.msg, &err);
-	if (result->taken) {
-		FUZZ_CHECK(http_msg_count(&reader.msg, "Host") == 1);
-		FUZZ_CHECK(http_msg_count(&reader.msg, "Content-Length") <= 1);
+	if (result->accepted) {
+		FUZZ_CHECK(http_msg_field_count(&reader.msg, "Host") == 1);
+		FUZZ_CHECK(
+		    http_msg_field_count(&reader.msg, "Content-Length") <= 1);
 		FUZZ_CHECK(reader.msg.target[0] == '/');
 	}
 	http_reader_finish(&reader);
@@ -77,19 +78,19 @@
 int
 LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t len)
 {
-	static result_t whole, pieces;
+	static result_t at_once, pieces;
 
 	if (len < 2 || len > BODY_MAX)
 		return 0;
-	read_in_pieces(bytes + 1, len - 1, len, &whole);
+	read_in_pieces(bytes + 1, len - 1, len, &at_once);
 	read_in_pieces(bytes + 1, len - 1, 1 + bytes[0] % 7, &pieces);
-	FUZZ_CHECK(whole.read == pieces.read);
-	FUZZ_CHECK(whole.taken == pieces.taken);
-	if (whole.read != HTTP_READ_WHOLE)
+	FUZZ_CHECK(at_once.read == pieces.read);
+	FUZZ_CHECK(at_once.accepted == pieces.accepted);
+	if (at_once.read != HTTP_READ_COMPLETE)
 		return 0;
-	FUZZ_CHECK(whole.left == pieces.left);
-	FUZZ_CHECK(whole.fields == pieces.fields);
-	FUZZ_CHECK(whole.body_len == pieces.body_len);
-	FUZZ_CHECK(memcmp(whole.body, pieces.body, whole.body_len) == 0);
+	FUZZ_CHECK(at_once.bytes_left == pieces.bytes_left);
+	FUZZ_CHECK(at_once.fields == pieces.fields);
+	FUZZ_CHECK(at_once.body_len == pieces.body_len);
+	FUZZ_CHECK(memcmp(at_once.body, pieces.body, at_once.body_len) == 0);
 	return 0;
 }
--- a/test/fuzz/quarantine_fuzz.c
+++ b/test/fuzz/quarantine_fuzz.c
@@ -93,7 +93,7 @@
 static int64_t
 now_ms(void)
 {
-	return timespec_ms(world.clock.now);
+	return timespec_to_ms(world.clock.now);
 }
 
 static uint64_t
@@ -232,7 +232,7 @@
 
 		if (ms > 60000)
 			step = end - now_ms() < 10000 ? end - now_ms() : 10000;
-		world.clock.now = timespec_after_ms(world.clock.now, step);
+		world.clock.now = timespec_add_ms(world.clock.now, step);
 		messages_deliver();
 		suspects_step(input);
 	}
@@ -465,14 +465,14 @@
 	input_t input = {bytes, len, 0};
 
 	memset(&world, 0, sizeof(world));
-	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	world.clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	for (size_t i = 0; i < ENDPOINTS; i++)
 		world.incarnations[i] = ++world.last_incarnation + 10;
 	world.last_incarnation += 10;
 	for (size_t i = 0; i < DAEMONS; i++)
 		quarantine_init(&world.daemons[i].table, &world.clock.source,
 		    &ops, &world.daemons[i]);
-	while (!input_over(&input))
+	while (!input_at_end(&input))
 		step(&input);
 	for (size_t i = 0; i < DAEMONS; i++)
 		quarantine_finish(&world.daemons[i].table);
--- a/test/support/manual_clock.h
+++ b/test/support/manual_clock.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * A clock that a test moves.
+ * A clock that is advanced by the test.
  */
 #ifndef TEST_SUPPORT_MANUAL_CLOCK_H
 #define TEST_SUPPORT_MANUAL_CLOCK_H
@@ -9,15 +9,16 @@
 
 typedef struct manual_clock {
 	clock_source_t source;
-	struct timespec now; /**< of the wall and since the start alike */
+	struct timespec now; /**< returned for all three clocks */
 } manual_clock_t;
 
 static inline struct timespec
-manual_now(const clock_source_t *clock)
+manual_clock_now(const clock_source_t *clock)
 {
 	return ((const manual_clock_t *)clock)->now;
 }
 
-static const clock_ops_t manual_ops = {manual_now, manual_now, manual_now};
+static const clock_ops_t manual_clock_ops = {
+    manual_clock_now, manual_clock_now, manual_clock_now};
 
 #endif
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -59,7 +59,7 @@
 {
 	daemon_t *daemon = calloc(1, sizeof(*daemon));
 
-	daemon->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	daemon->clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	endpoint_set_init(&daemon->endpoints, &daemon->clock.source);
 	for (int i = 0; i < endpoints; i++)
 		endpoint_learn(daemon, backwards ? endpoints - 1 - i : i);
@@ -213,7 +213,7 @@
 		.duration_ms = ORDER_MS},
 	    .state = ROLLOUT_IN_PROGRESS,
 	    .state_order = 5,
-	    .order_seen_at = timespec_after_ms(
+	    .order_seen_at = timespec_add_ms(
 		daemon->clock.now, -(int64_t)(part * ORDER_MS))};
 	HASH_ADD_KEYPTR(hh, daemon->rollouts.by_service, rollout.order.service,
 	    strlen(rollout.order.service), &rollout);
--- a/test/unit/endpoint_set_test.c
+++ b/test/unit/endpoint_set_test.c
@@ -32,7 +32,7 @@
 {
 	static fixture_t fixture;
 
-	fixture.clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	fixture.clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	endpoint_set_init(&fixture.set, &fixture.clock.source);
 	*state = &fixture;
 	return 0;
@@ -121,11 +121,11 @@
 	assert_false(endpoint_is_ejected(endpoint));
 	endpoint_record_refused(endpoint);
 	assert_true(endpoint_is_ejected(endpoint));
-	fixture->clock.now = timespec_after_ms(fixture->clock.now, 500);
+	fixture->clock.now = timespec_add_ms(fixture->clock.now, 500);
 	assert_false(endpoint_is_ejected(endpoint));
 	endpoint_record_success(endpoint);
 	endpoint_record_superseded(endpoint);
-	fixture->clock.now = timespec_after_ms(fixture->clock.now, 3600);
+	fixture->clock.now = timespec_add_ms(fixture->clock.now, 3600);
 	assert_true(endpoint_is_ejected(endpoint));
 	endpoint_record_success(endpoint);
 	assert_false(endpoint_is_ejected(endpoint));
@@ -180,7 +180,7 @@
 	/* The running incarnation writes its entry again: the earlier one was
 	 * late. */
 	assert_ptr_equal(apply_entry(fixture, START_MS + 9), current);
-	fixture->clock.now = timespec_after_ms(fixture->clock.now, LONG_MS);
+	fixture->clock.now = timespec_add_ms(fixture->clock.now, LONG_MS);
 	assert_false(endpoint_set_find_earlier(&fixture->set, &info));
 	assert_int_equal(fixture->set.earlier_entries, 0);
 }
@@ -195,7 +195,7 @@
 
 	apply_entry(fixture, START_MS + 9);
 	apply_entry(fixture, START_MS);
-	fixture->clock.now = timespec_after_ms(fixture->clock.now, LONG_MS);
+	fixture->clock.now = timespec_add_ms(fixture->clock.now, LONG_MS);
 	assert_true(endpoint_set_find_earlier(&fixture->set, &info));
 	assert_int_equal(info.started_ms, START_MS);
 }
--- a/test/unit/feed_body_test.c
+++ b/test/unit/feed_body_test.c
@@ -47,7 +47,7 @@
 {
 	fixture_t *fixture = calloc(1, sizeof(*fixture));
 
-	fixture->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	fixture->clock = (manual_clock_t){{&manual_clock_ops}, {100, 0}};
 	row_cache_init(
 	    &fixture->cache, &fixture->clock.source, bytes_equal, NULL);
 	for (int i = 0; i < ENDPOINTS; i++)
--- a/test/unit/feed_client_test.c
+++ b/test/unit/feed_client_test.c
@@ -39,7 +39,7 @@
 ms_since_request(const follower_t *follower)
 {
 	return timespec_ms_between(
-	    follower->sent_at, clock_elapsed(&follower->clock));
+	    follower->sent_at, clock_boottime(&follower->clock));
 }
 
 static void
@@ -48,7 +48,7 @@
 	follower_t *follower = arg;
 
 	strcpy(request->name, "follower");
-	follower->sent_at = clock_elapsed(&follower->clock);
+	follower->sent_at = clock_boottime(&follower->clock);
 }
 
 static void
--- a/test/unit/feed_delta_test.c
+++ b/test/unit/feed_delta_test.c
@@ -84,7 +84,7 @@
 static void
 fixture_init(fixture_t *fixture)
 {
-	*fixture = (fixture_t){.clock = {{&manual_ops}, {100, 0}}};
+	*fixture = (fixture_t){.clock = {{&manual_clock_ops}, {100, 0}}};
 	row_cache_init(
 	    &fixture->server, &fixture->clock.source, bytes_equal, NULL);
 	row_cache_init(
--- a/test/unit/gossip_test.c
+++ b/test/unit/gossip_test.c
@@ -17,7 +17,7 @@
 #include "moortack/relay/gossip.h"
 #include "moortack/relay/gossip_message.h"
 
-static manual_clock_t manual_clock = {{&manual_ops}, {1000, 0}};
+static manual_clock_t manual_clock = {{&manual_clock_ops}, {1000, 0}};
 
 static const gossip_message_t message = {.endpoint_hash = 0xfedcba98,
     .prefill_ms = 1234,
--- a/test/unit/http_call_test.c
+++ b/test/unit/http_call_test.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Small calls: one answer each, and nothing left behind when none comes.
+ * Each call ends with exactly one callback, and a call without a response leaks
+ * nothing: evhttp itself does not free connections that were refused.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,16 +15,16 @@
 #include "common/http_call.h"
 
 #define CALLS 200
-#define GROWTH_MAX 20000 /* bytes: a kept connection is over 1,000 */
+#define GROWTH_MAX 20000 /* bytes; a leaked connection takes over 1,000 */
 
 static void
-count_refused(void *arg, const http_reply_t *reply)
+count_refused(void *arg, const http_response_t *response)
 {
-	assert_int_equal(reply->status, 0);
+	assert_int_equal(response->status, 0);
 	(*(int *)arg)++;
 }
 
-/* Nobody listens on the port of a socket that is bound and not listening. */
+/* A port that refuses connections: its socket is bound but not listening. */
 static http_address_t
 refusing_address(int *fd)
 {
@@ -42,7 +43,7 @@
 }
 
 static void
-calls_make(struct event_base *base, const http_call_t *call, int *refused)
+make_calls(struct event_base *base, const http_call_t *call, int *refused)
 {
 	for (int i = 0; i < CALLS; i++) {
 		assert_true(
@@ -52,7 +53,7 @@
 }
 
 static void
-a_refused_call_leaves_nothing(void **state)
+refused_calls_leak_nothing(void **state)
 {
 	struct event_base *base = event_base_new();
 	int fd;
@@ -65,9 +66,9 @@
 	size_t before;
 
 	(void)state;
-	calls_make(base, &call, &refused);
+	make_calls(base, &call, &refused);
 	before = mallinfo2().uordblks;
-	calls_make(base, &call, &refused);
+	make_calls(base, &call, &refused);
 	assert_int_equal(refused, 2 * CALLS);
 	assert_true(mallinfo2().uordblks < before + GROWTH_MAX);
 	evutil_closesocket(fd);
@@ -75,7 +76,7 @@
 }
 
 static void
-calls_under_way_end_with_the_process(void **state)
+cancelled_calls_report_no_response(void **state)
 {
 	struct event_base *base = event_base_new();
 	int fd;
@@ -90,7 +91,7 @@
 	for (int i = 0; i < 5; i++)
 		assert_true(
 		    http_call_start(base, &call, count_refused, &ended));
-	http_calls_end(base);
+	http_calls_cancel(base);
 	assert_int_equal(ended, 5);
 	evutil_closesocket(fd);
 	event_base_free(base);
@@ -100,8 +101,8 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_refused_call_leaves_nothing),
-	    cmocka_unit_test(calls_under_way_end_with_the_process),
+	    cmocka_unit_test(refused_calls_leak_nothing),
+	    cmocka_unit_test(cancelled_calls_report_no_response),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/http_outbound_test.c
+++ b/test/unit/http_outbound_test.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * A request leaves only if its owner still wants it when the connection is up,
- * and a connection on which nothing moves any more is given up.
+ * A request is sent only if its owner still wants it once the connection is
+ * established, and a connection whose sent bytes are not acknowledged fails.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,12 +17,12 @@
 #include "common/http_outbound.h"
 
 #define SILENT_MS 300
-/* Far longer than that, and far below what a connection has without it. */
+/* Far longer than SILENT_MS, and far shorter than the kernel's own timeout. */
 #define LIMIT_S 8
 #define BODY_LEN (16U << 20)
 #define WINDOW 4096
 
-/** What the owner of a request was told. */
+/** The owner of a request: counts the callbacks. */
 typedef struct owner {
 	bool wanted;
 	int sent;
@@ -85,7 +85,8 @@
 static const http_outbound_ops_t ops = {
     on_ready, on_sent, on_head, on_body, on_done, on_failed};
 
-/* Bytes that a server gets of a request whose owner wants it or not. */
+/* Bytes of a request that a server receives. @param wanted whether its owner
+ * still wants it once connected */
 static ssize_t
 bytes_received(bool wanted, owner_t *owner)
 {
@@ -123,7 +124,7 @@
 }
 
 static void
-a_request_that_is_wanted_leaves(void **state)
+wanted_requests_are_sent(void **state)
 {
 	owner_t owner;
 
@@ -133,7 +134,7 @@
 }
 
 static void
-one_that_is_given_up_while_connecting_does_not(void **state)
+requests_abandoned_while_connecting_are_not_sent(void **state)
 {
 	owner_t owner;
 
@@ -142,12 +143,12 @@
 	assert_int_equal(owner.sent, 0);
 }
 
-/* Send more than the server takes, and wait. A server that takes nothing more
- * stands for a link that has fallen silent: in both, sent bytes are not
- * acknowledged, and no reset comes. */
+/* Send more than the server reads, and wait. A server that stops reading
+ * simulates a link that loses all packets: in both cases sent bytes are not
+ * acknowledged, and no reset is received. */
 static void
-send_in_vain(
-    owner_t *owner, int64_t connect_ms, int64_t silent_ms, time_t limit_s)
+send_to_stalled_server(owner_t *owner, int64_t connect_timeout_ms,
+    int64_t silence_timeout_ms, time_t limit_s)
 {
 	struct event_base *base = event_base_new();
 	struct sockaddr_in at = {
@@ -167,8 +168,9 @@
 	assert_int_equal(listen(listener, 1), 0);
 	getsockname(listener, (struct sockaddr *)&at, &len);
 	address.port = ntohs(at.sin_port);
-	owner->conn = http_outbound_new(base, &address, connect_ms, 60000);
-	http_outbound_set_silent(owner->conn, silent_ms);
+	owner->conn =
+	    http_outbound_new(base, &address, connect_timeout_ms, 60000);
+	http_outbound_set_silence_timeout(owner->conn, silence_timeout_ms);
 	evbuffer_add_printf(
 	    head, "PUT / HTTP/1.1\r\nContent-Length: %u\r\n\r\n", BODY_LEN);
 	evbuffer_add(body, bytes, BODY_LEN);
@@ -185,29 +187,30 @@
 }
 
 static void
-a_silent_connection_is_given_up(void **state)
+silent_connections_fail(void **state)
 {
 	owner_t owner;
 
 	(void)state;
-	send_in_vain(&owner, 1000, SILENT_MS, LIMIT_S);
+	send_to_stalled_server(&owner, 1000, SILENT_MS, LIMIT_S);
 	assert_int_equal(owner.failed, 1);
-	assert_int_equal(owner.failure, HTTP_OUTBOUND_NO_ANSWER);
+	assert_int_equal(owner.failure, HTTP_OUTBOUND_NO_RESPONSE);
 }
 
-/* The bound for connecting is none for what comes after. */
+/* The connect timeout must not apply to an established connection whose server
+ * reads slowly. */
 static void
-a_server_that_reads_slowly_is_waited_for(void **state)
+the_connect_timeout_ends_with_connecting(void **state)
 {
 	owner_t owner;
 
 	(void)state;
-	send_in_vain(&owner, 200, 60000, 2);
+	send_to_stalled_server(&owner, 200, 60000, 2);
 	assert_int_equal(owner.failed, 0);
 }
 
 static void
-a_port_without_a_listener_is_told_apart(void **state)
+connection_refusals_are_distinguished(void **state)
 {
 	struct event_base *base = event_base_new();
 	struct sockaddr_in at = {
@@ -227,7 +230,7 @@
 	http_outbound_send(owner.conn, &ops, &owner, head, NULL, false);
 	event_base_dispatch(base);
 	assert_int_equal(owner.failed, 1);
-	assert_int_equal(owner.failure, HTTP_OUTBOUND_REFUSED);
+	assert_int_equal(owner.failure, HTTP_OUTBOUND_CONNECTION_REFUSED);
 	http_outbound_free(owner.conn);
 	close(closed);
 	evbuffer_free(head);
@@ -238,11 +241,11 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_request_that_is_wanted_leaves),
-	    cmocka_unit_test(one_that_is_given_up_while_connecting_does_not),
-	    cmocka_unit_test(a_silent_connection_is_given_up),
-	    cmocka_unit_test(a_server_that_reads_slowly_is_waited_for),
-	    cmocka_unit_test(a_port_without_a_listener_is_told_apart),
+	    cmocka_unit_test(wanted_requests_are_sent),
+	    cmocka_unit_test(requests_abandoned_while_connecting_are_not_sent),
+	    cmocka_unit_test(silent_connections_fail),
+	    cmocka_unit_test(the_connect_timeout_ends_with_connecting),
+	    cmocka_unit_test(connection_refusals_are_distinguished),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/quarantine_test.c
+++ b/test/unit/quarantine_test.c
@@ -57,7 +57,7 @@
 setup(void **state)
 {
 	(void)state;
-	test_clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	test_clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	quarantined_calls = released_calls = 0;
 	quarantine_init(&table, &test_clock.source, &ops, NULL);
 	return 0;
@@ -109,7 +109,7 @@
 	/* A report of an earlier crash arrives late. */
 	record_crashes(HARMLESS, 3, 1);
 	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 0);
-	test_clock.now = timespec_after_ms(test_clock.now, MINUTE_MS);
+	test_clock.now = timespec_add_ms(test_clock.now, MINUTE_MS);
 	record_crashes(HARMLESS, 4, 2);
 	assert_true(quarantine_admit(&table, HARMLESS, false));
 	assert_int_equal(quarantined_calls, 0);
@@ -120,7 +120,7 @@
 {
 	(void)state;
 	record_crashes(HARMLESS, 1, 2);
-	test_clock.now = timespec_after_ms(test_clock.now, 61 * MINUTE_MS);
+	test_clock.now = timespec_add_ms(test_clock.now, 61 * MINUTE_MS);
 	quarantine_expire(&table);
 	record_crashes(HARMLESS, 3, 1);
 	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 1);
@@ -131,7 +131,7 @@
 {
 	(void)state;
 	record_crashes(POISON, 1, 3);
-	test_clock.now = timespec_after_ms(test_clock.now, TRIAL_AFTER_MS + 1);
+	test_clock.now = timespec_add_ms(test_clock.now, TRIAL_AFTER_MS + 1);
 	quarantine_expire(&table);
 	assert_false(quarantine_admit(&table, POISON, false));
 	assert_true(quarantine_admit(&table, POISON, true));
@@ -140,10 +140,10 @@
 	 * time again. */
 	record_crashes(POISON, 9, 1);
 	assert_int_equal(quarantined_calls, 2);
-	test_clock.now = timespec_after_ms(test_clock.now, TRIAL_AFTER_MS - 1);
+	test_clock.now = timespec_add_ms(test_clock.now, TRIAL_AFTER_MS - 1);
 	assert_false(quarantine_admit(&table, POISON, true));
 	/* The next trial ends without a crash. */
-	test_clock.now = timespec_after_ms(test_clock.now, 2);
+	test_clock.now = timespec_add_ms(test_clock.now, 2);
 	assert_true(quarantine_admit(&table, POISON, true));
 	assert_true(quarantine_clear(&table, POISON));
 	assert_true(quarantine_admit(&table, POISON, false));
@@ -155,8 +155,7 @@
 {
 	(void)state;
 	record_crashes(POISON, 1, 3);
-	test_clock.now =
-	    timespec_after_ms(test_clock.now, QUARANTINE_EXPIRY_MS);
+	test_clock.now = timespec_add_ms(test_clock.now, QUARANTINE_EXPIRY_MS);
 	quarantine_expire(&table);
 	assert_int_equal(released_calls, 1);
 	assert_true(quarantine_admit(&table, POISON, false));
@@ -164,7 +163,7 @@
 	record_crashes(POISON, 9, 1);
 	assert_false(quarantine_admit(&table, POISON, false));
 	test_clock.now =
-	    timespec_after_ms(test_clock.now, 4 * QUARANTINE_EXPIRY_MS);
+	    timespec_add_ms(test_clock.now, 4 * QUARANTINE_EXPIRY_MS);
 	quarantine_expire(&table);
 	assert_null(quarantine_find(&table, POISON));
 }
@@ -241,7 +240,7 @@
 {
 	return (unresolved_attempt_t){.digest = digest,
 	    .incarnation = incarnation,
-	    .ended_at = clock_elapsed(&test_clock.source)};
+	    .ended_at = clock_boottime(&test_clock.source)};
 }
 
 static void
@@ -279,11 +278,11 @@
 	}
 	assert_int_equal(attempts.len, UNRESOLVED_ATTEMPTS_MAX);
 	assert_false(unresolved_attempts_has(&attempts, 0));
-	test_clock.now = timespec_after_ms(test_clock.now, 5000);
+	test_clock.now = timespec_add_ms(test_clock.now, 5000);
 	one = attempt(HARMLESS, 9999);
 	unresolved_attempts_add(&attempts, &one);
 	unresolved_attempts_expire(
-	    &attempts, clock_elapsed(&test_clock.source), 4000);
+	    &attempts, clock_boottime(&test_clock.source), 4000);
 	assert_int_equal(attempts.len, 1);
 }
 
--- a/test/unit/relay_counts_test.c
+++ b/test/unit/relay_counts_test.c
@@ -51,7 +51,7 @@
 static void
 load_simulate(uint64_t seed, simulation_t *total)
 {
-	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {1000, 0}};
 	relay_t relay = {.clock = &clock.source,
 	    .daemons_max_seen = DAEMONS,
 	    .bounds = {.retries = {0.9, 10000, 222}}};
@@ -63,7 +63,7 @@
 		    STREAMS_PER_S * (now_s < PEAK_S ? 1 : LATER_RATE_SHARE);
 
 		now_s += -log(draw(&state)) / per_s;
-		clock.now = timespec_of_ms(1000000 + (int64_t)(1000 * now_s));
+		clock.now = timespec_from_ms(1000000 + (int64_t)(1000 * now_s));
 		relay_count_request(&relay, SERVICE, clock.now);
 		if (draw(&state) >= LARGER_MODEL_SHARE)
 			continue;
@@ -91,7 +91,7 @@
 static void
 budget_is_reserved_for_failures(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {1000, 0}};
 	relay_t relay = {.clock = &clock.source,
 	    .daemons_max_seen = 1,
 	    .bounds = {.retries = {0.9, 10000, 20}}};
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -74,7 +74,7 @@
 static int
 share_after(input_t first, input_t second, input_t third)
 {
-	manual_clock_t clock = {{&manual_ops}, {1000, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {1000, 0}};
 	event_log_t log;
 	row_watch_t watch = {.clock = &clock.source};
 	membership_t members = {0};
@@ -162,7 +162,7 @@
 fixture_init(fixture_t *fixture)
 {
 	memset(fixture, 0, sizeof(*fixture));
-	fixture->clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	fixture->clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	fixture->watch =
 	    (row_watch_t){.clock = &fixture->clock.source, .suspended = true};
 	fixture->rollouts = (rollouts_t){.clock = &fixture->clock.source,
@@ -240,7 +240,7 @@
 	fixture_init(&fixture);
 	order_apply(&fixture, NEXT_ORDER, "v3");
 	assert_int_equal(fixture.rollout->order.number, ORDER);
-	fixture.clock.now = timespec_after_ms(fixture.clock.now, WAIT_MS);
+	fixture.clock.now = timespec_add_ms(fixture.clock.now, WAIT_MS);
 	order_apply(&fixture, NEXT_ORDER, "v3");
 	state_apply(&fixture, ORDER, "v2", "v1", "in_progress", 13);
 	assert_int_equal(fixture.rollout->order.number, ORDER);
@@ -300,7 +300,7 @@
 	assert_true(rollouts_init(&fixture.rollouts, base));
 	state_apply(&fixture, NEXT_ORDER, "v3", "v2", "in_progress", 12);
 	for (int i = 0; i < 20; i++) {
-		fixture.clock.now = timespec_after_ms(fixture.clock.now, 200);
+		fixture.clock.now = timespec_add_ms(fixture.clock.now, 200);
 		event_active(fixture.rollouts.timer, EV_TIMEOUT, 0);
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	}
@@ -361,7 +361,7 @@
 	assert_false(rollout_is_drained(rollout));
 	life_set_silent(&member.life, true, fixture.clock.now);
 	assert_true(rollout_new_version_is_bad(rollout));
-	fixture.clock.now = timespec_after_ms(fixture.clock.now, DOWN_MS);
+	fixture.clock.now = timespec_add_ms(fixture.clock.now, DOWN_MS);
 	assert_false(rollout_new_version_is_bad(rollout));
 	assert_true(rollout_is_drained(rollout));
 	HASH_DEL(fixture.members.members, &member);
@@ -461,7 +461,7 @@
 	(void)state;
 	fixture_init(&fixture);
 	rollout = rollouts_find(&fixture.rollouts, "s");
-	fixture.clock.now = timespec_after_ms(
+	fixture.clock.now = timespec_add_ms(
 	    fixture.clock.now, (int64_t)(SECOND_STEP_TIME * DURATION_MS));
 	row_watch_advance(&fixture.watch, 2, fixture.clock.now);
 	assert_true(rollout_prefers_new(rollout, SECOND_STEP_HASH, false));
--- a/test/unit/row_source_test.c
+++ b/test/unit/row_source_test.c
@@ -42,7 +42,7 @@
 static void
 a_row_changes_once_and_never_reverts(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	row_cache_t cache;
 	row_t row = row_of("k", "one", 5);
 
@@ -69,7 +69,7 @@
 static void
 encoded_rows_are_decoded_unchanged(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	row_cache_t cache;
 	row_t row = row_of("a \"key\"", "{\"x\":\"\\u00e4\"}", 5), received_row;
 	feed_response_t response = {
@@ -159,7 +159,7 @@
 static void
 a_full_table_deletes_only_unlisted_rows(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	row_cache_t receiver, sender;
 	feed_response_t response = {.request_id = 1, .rows = json_array()};
 	row_t listed = row_of("named", "x", 30);
@@ -193,7 +193,7 @@
 static void
 a_full_table_restores_a_row_written_again_unchanged(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	row_cache_t receiver, sender;
 	feed_response_t response = {.request_id = 1, .rows = json_array()};
 	row_t row = row_of("back", "x", 5);
@@ -229,7 +229,7 @@
 static void
 an_available_store_is_not_reported_as_unavailable(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t members = {0};
--- a/test/unit/row_watch_test.c
+++ b/test/unit/row_watch_test.c
@@ -111,7 +111,7 @@
 static void
 an_outdated_read_is_dropped(void **state)
 {
-	manual_clock_t clock = {{&manual_ops}, {100, 0}};
+	manual_clock_t clock = {{&manual_clock_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	deferred_store_t store = {.store = {&deferred_ops}};
 	const row_watch_timing_t pace = {0, 1, 1, 1, 1000};
--- a/test/unit/settings_test.c
+++ b/test/unit/settings_test.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Settings: each bad one is named, with its value, range and source.
+ * Invalid settings are refused with an error that names the setting, its value,
+ * range and source.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -39,7 +40,7 @@
 }
 
 static void
-flag_wins_over_environment(void **state)
+flags_override_the_environment(void **state)
 {
 	values_t values;
 	err_t err;
@@ -56,40 +57,41 @@
 }
 
 static void
-out_of_range_names_all(void **state)
+range_errors_name_setting_value_range_and_source(void **state)
 {
 	values_t values;
 	err_t err;
 
 	(void)state;
 	assert_int_equal(
-	    load(&values, &err, "--max-count", "101"), SETTINGS_BAD);
+	    load(&values, &err, "--max-count", "101"), SETTINGS_INVALID);
 	assert_string_equal(err.detail,
 	    "max-count is '101'; allowed: a whole number from 1 to 100 ms "
 	    "(from flag --max-count)");
 	setenv("TESTSET_MAX_COUNT", "x", 1);
-	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_BAD);
+	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_INVALID);
 	assert_non_null(
 	    strstr(err.detail, "(from environment TESTSET_MAX_COUNT)"));
 	unsetenv("TESTSET_MAX_COUNT");
 }
 
 static void
-unknown_ones_are_refused(void **state)
+unknown_settings_are_refused(void **state)
 {
 	values_t values;
 	err_t err;
 
 	(void)state;
-	assert_int_equal(load(&values, &err, "--no-such", "1"), SETTINGS_BAD);
+	assert_int_equal(
+	    load(&values, &err, "--no-such", "1"), SETTINGS_INVALID);
 	setenv("TESTSET_NO_SUCH", "1", 1);
-	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_BAD);
+	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_INVALID);
 	assert_non_null(strstr(err.detail, "TESTSET_NO_SUCH"));
 	unsetenv("TESTSET_NO_SUCH");
 }
 
 static void
-addresses_are_checked(void **state)
+invalid_addresses_are_refused(void **state)
 {
 	static const char *const bad[] = {"localhost:80", "127.0.0.1",
 	    "127.0.0.1:0", "127.0.0.1:x", "127.0.0.1:70000"};
@@ -99,19 +101,20 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof(bad) / sizeof(*bad); i++)
 		assert_int_equal(
-		    load(&values, &err, "--listen", bad[i]), SETTINGS_BAD);
+		    load(&values, &err, "--listen", bad[i]), SETTINGS_INVALID);
 }
 
 static void
-secrets_come_from_the_environment_and_stay_hidden(void **state)
+secrets_are_read_from_the_environment_only_and_not_printed(void **state)
 {
 	values_t values;
 	err_t err;
 
 	(void)state;
-	assert_int_equal(load(&values, &err, "--key", "abcd"), SETTINGS_BAD);
+	assert_int_equal(
+	    load(&values, &err, "--key", "abcd"), SETTINGS_INVALID);
 	setenv("TESTSET_KEY", "abc", 1);
-	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_BAD);
+	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_INVALID);
 	assert_null(strstr(err.detail, "abc"));
 	setenv("TESTSET_KEY", "abcd", 1);
 	assert_int_equal(load(&values, &err, NULL, NULL), SETTINGS_OK);
@@ -123,11 +126,12 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(flag_wins_over_environment),
-	    cmocka_unit_test(out_of_range_names_all),
-	    cmocka_unit_test(unknown_ones_are_refused),
-	    cmocka_unit_test(addresses_are_checked),
-	    cmocka_unit_test(secrets_come_from_the_environment_and_stay_hidden),
+	    cmocka_unit_test(flags_override_the_environment),
+	    cmocka_unit_test(range_errors_name_setting_value_range_and_source),
+	    cmocka_unit_test(unknown_settings_are_refused),
+	    cmocka_unit_test(invalid_addresses_are_refused),
+	    cmocka_unit_test(
+		secrets_are_read_from_the_environment_only_and_not_printed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/slow_link_test.c
+++ b/test/unit/slow_link_test.c
@@ -224,7 +224,7 @@
 static int64_t
 run_until(bool (*far)(const follower_t *))
 {
-	struct timespec started_at = clock_elapsed(&fixture.clock);
+	struct timespec started_at = clock_boottime(&fixture.clock);
 	struct timeval interval = {0, 5 * US_PER_MS};
 	int64_t ms = 0;
 
@@ -235,7 +235,7 @@
 		for (int i = 0; i < FOLLOWERS; i++)
 			ready_count += far(&fixture.followers[i]);
 		ms = timespec_ms_between(
-		    started_at, clock_elapsed(&fixture.clock));
+		    started_at, clock_boottime(&fixture.clock));
 		assert_true(ms < LIMIT_S * 1000);
 	}
 	return ms;
