--- a/include/platform/dialects.h
+++ b/include/platform/dialects.h
@@ -8,7 +8,7 @@
 
 #include "moortack/relay/dialect.h"
 
-extern const caller_dialect_t platform_callers;
-extern const endpoint_dialect_t platform_endpoints;
+extern const caller_dialect_t platform_caller_dialect;
+extern const endpoint_dialect_t platform_endpoint_dialect;
 
 #endif
--- a/include/platform/json_split.h
+++ b/include/platform/json_split.h
@@ -12,23 +12,23 @@
 
 /** A part of a text. */
 typedef struct json_span {
-	const char *at;
+	const char *start;
 	size_t len;
 } json_span_t;
 
 /** The value of a member.
  * @return false: the text is no object, or does not have the member exactly
  * once */
-bool json_split_member(
+bool json_split_find_member(
     const char *text, size_t len, const char *name, json_span_t *value);
 
-/** Whether a value is an array; @p rest is then what json_split_next() goes on
- * from. */
-bool json_split_array(const json_span_t *value, json_span_t *rest);
+/** Whether a value is an array; @p rest is then what json_split_next_element()
+ * goes on from. */
+bool json_split_open_array(const json_span_t *value, json_span_t *rest);
 
 /** The next element of an array.
- * @param rest moved on; its @c at is NULL if the array is malformed
+ * @param rest moved on; its @c start is NULL if the array is malformed
  * @return false: there is none */
-bool json_split_next(json_span_t *rest, json_span_t *element);
+bool json_split_next_element(json_span_t *rest, json_span_t *element);
 
 #endif
--- a/include/platform/node_file.h
+++ b/include/platform/node_file.h
@@ -25,28 +25,28 @@
 	char region[NODE_TEXT_SIZE];	   /**< "": not set */
 	node_zone_t zones[NODE_ZONES_MAX]; /**< zones.ZONE=REGION */
 	size_t zones_len;
-	http_address_t callers; /**< listen.frontend */
-	char callers_text[NODE_TEXT_SIZE];
-	http_address_t readiness; /**< listen.readiness */
-	http_address_t directory; /**< listen.registry */
-	http_address_t metrics;	  /**< first of port_range */
-	http_address_t peers;	  /**< second of port_range */
-	http_address_t store;	  /**< platform.address */
-	int64_t memory_mb;	  /**< limits.memory_mb */
-	double cores;		  /**< limits.cpu_quota */
-	int64_t leave_ms;	  /**< bounds.drain_ms */
-	int64_t grace_ms;	  /**< bounds.grace_s */
-	int64_t stable_ms;	  /**< bounds.stable_ms */
-	int64_t revoke_ms;	  /**< bounds.revoke_ms */
-	bool first_start;	  /**< bootstrap */
-	bool revoke_strict;	  /**< bounds.revoke_strict */
-	double retry_ratio;	  /**< bounds.retry_budget_ratio */
-	int64_t retry_window_ms;  /**< bounds.retry_window_s */
-	double retry_min;	  /**< bounds.retry_min */
-	int64_t session_ms;	  /**< bounds.session_s */
-	double warmup_overshoot;  /**< bounds.warmup_overshoot */
-	double warmup_tolerance;  /**< bounds.warmup_tolerance */
-	int64_t ttl_max_ms;	  /**< bounds.ttl_max_s */
+	http_address_t frontend; /**< listen.frontend */
+	char frontend_text[NODE_TEXT_SIZE];
+	http_address_t readiness;  /**< listen.readiness */
+	http_address_t registry;   /**< listen.registry */
+	http_address_t metrics;	   /**< first of port_range */
+	http_address_t peers;	   /**< second of port_range */
+	http_address_t store;	   /**< platform.address */
+	int64_t memory_mb;	   /**< limits.memory_mb */
+	double cpu_quota;	   /**< limits.cpu_quota */
+	int64_t drain_ms;	   /**< bounds.drain_ms */
+	int64_t grace_ms;	   /**< bounds.grace_s */
+	int64_t stable_ms;	   /**< bounds.stable_ms */
+	int64_t revoke_ms;	   /**< bounds.revoke_ms */
+	bool bootstrap;		   /**< bootstrap */
+	bool revoke_strict;	   /**< bounds.revoke_strict */
+	double retry_budget_ratio; /**< bounds.retry_budget_ratio */
+	int64_t retry_window_ms;   /**< bounds.retry_window_s */
+	double retry_min;	   /**< bounds.retry_min */
+	int64_t session_ms;	   /**< bounds.session_s */
+	double warmup_overshoot;   /**< bounds.warmup_overshoot */
+	double warmup_tolerance;   /**< bounds.warmup_tolerance */
+	int64_t ttl_max_ms;	   /**< bounds.ttl_max_s */
 } node_file_t;
 
 /** Read and check the file; a field that is missing or wrong is named. */
--- /dev/null
+++ b/include/platform/platform_http.h
@@ -0,0 +1,28 @@
+/**
+ * @file
+ * The platform's questions to the system: where to connect, whether a daemon
+ * is ready, and its metrics.
+ */
+#ifndef PLATFORM_PLATFORM_HTTP_H
+#define PLATFORM_PLATFORM_HTTP_H
+
+#include <event2/http.h>
+
+#include "moortack/relay/relay_node.h"
+#include "platform/node_file.h"
+#include "platform/store.h"
+
+typedef struct platform_http {
+	relay_node_t *node;
+	const platform_store_t *store;
+	int64_t resolve_ttl_ms; /**< how long callers may keep an answer */
+	struct evhttp *resolve_server;
+	struct evhttp *readiness_server;
+	struct evhttp *metrics_server;
+} platform_http_t;
+
+bool platform_http_init(platform_http_t *, struct event_base *, relay_node_t *,
+    const platform_store_t *, const node_file_t *, err_t *);
+void platform_http_finish(platform_http_t *);
+
+#endif
--- a/include/platform/rows.h
+++ b/include/platform/rows.h
@@ -14,8 +14,8 @@
 #include "moortack/relay/rollouts.h"
 
 /** Tables that the operator and the endpoints write. */
-#define ROWS_ORDERS "op"
-#define ROWS_ENDPOINTS "servers"
+#define ROWS_OPERATOR_TABLE "op"
+#define ROWS_ENDPOINTS_TABLE "servers"
 /** Keys in the operator's table. */
 #define ROWS_CONFIG_KEY "config"
 #define ROWS_ROLLOUT_PREFIX "rollout/"
@@ -33,18 +33,18 @@
 
 /** Whether an entry differs from the previous one only in what changes with
  * each heartbeat. */
-bool endpoint_row_same(
+bool endpoint_row_unchanged(
     const char *before, size_t before_len, const char *now, size_t now_len);
 
 /** @param number of the row: grows with each order */
-bool order_row_decode(
+bool rollout_order_row_decode(
     const char *text, size_t len, uint64_t number, rollout_order_t *, err_t *);
 
 /** Whether the rest of the key of an evacuation is a zone's name. The value of
  * the row is not used. */
-bool evacuation_row_check(const char *zone, err_t *);
+bool evacuation_zone_check(const char *zone, err_t *);
 
 /** How a roll-out's state is told to the operator. */
-extern const rollout_dialect_t platform_rollout_dialect;
+extern const rollout_dialect_t platform_rollout_status_encoder;
 
 #endif
--- a/include/platform/store.h
+++ b/include/platform/store.h
@@ -14,10 +14,10 @@
 	row_store_t store;
 	struct event_base *base;
 	http_address_t address;
-	uint64_t calls;	   /**< made */
-	uint64_t failures; /**< of them */
-	uint64_t bytes;	   /**< of answers */
-	uint64_t unnamed;  /**< rows whose key can't be a name */
+	uint64_t calls;		 /**< made */
+	uint64_t failures;	 /**< of them */
+	uint64_t response_bytes; /**< of answers */
+	uint64_t rows_bad_key;	 /**< rows whose key can't be a name */
 } platform_store_t;
 
 void platform_store_init(
--- a/include/platform/store_rows.h
+++ b/include/platform/store_rows.h
@@ -15,16 +15,16 @@
 typedef struct store_rows {
 	row_t *rows;
 	size_t len;
-	size_t unnamed; /**< rows that were left out */
-	char *next;	/**< of the address of the next page; NULL: none */
+	size_t rows_bad_key; /**< rows that were left out */
+	char *next_page;     /**< of the address of the next page; NULL: none */
 } store_rows_t;
 
 /** An answer's body, or NULL: it is no JSON. @param text may be NULL */
-json_t *store_body_read(const char *text, size_t len);
+json_t *store_body_parse(const char *text, size_t len);
 
 /** Its rows; the body has to outlive them. @param era of the store that told it
  */
-void store_rows_read(const json_t *body, uint64_t era, store_rows_t *);
+void store_rows_decode(const json_t *body, uint64_t era, store_rows_t *);
 void store_rows_free(store_rows_t *);
 
 #endif
--- a/test/platform/decoders_test.c
+++ b/test/platform/decoders_test.c
@@ -218,9 +218,9 @@
 	    endpoint_row_decode("i-1", leaving, strlen(leaving), &facts, &err));
 	assert_true(facts.leaving);
 	assert_true(
-	    endpoint_row_same(entry, strlen(entry), later, strlen(later)));
-	assert_false(
-	    endpoint_row_same(entry, strlen(entry), leaving, strlen(leaving)));
+	    endpoint_row_unchanged(entry, strlen(entry), later, strlen(later)));
+	assert_false(endpoint_row_unchanged(
+	    entry, strlen(entry), leaving, strlen(leaving)));
 }
 
 static bool
@@ -233,7 +233,7 @@
 	    prefix_len, entry, before_ms);
 	snprintf(now, sizeof(now), "%.*s\"warmup_left_ms\":%d}", prefix_len,
 	    entry, now_ms);
-	return endpoint_row_same(before, strlen(before), now, strlen(now));
+	return endpoint_row_unchanged(before, strlen(before), now, strlen(now));
 }
 
 /* Guards against dropping an entry of an endpoint that became cold or warm
@@ -291,9 +291,11 @@
 	    entry);
 	snprintf(two, sizeof(two), "%.*s,\"born\":6}", (int)strlen(entry) - 1,
 	    entry);
-	assert_true(endpoint_row_same(one, strlen(one), one, strlen(one)));
-	assert_false(endpoint_row_same(one, strlen(one), two, strlen(two)));
-	assert_false(endpoint_row_same(entry, strlen(entry), two, strlen(two)));
+	assert_true(endpoint_row_unchanged(one, strlen(one), one, strlen(one)));
+	assert_false(
+	    endpoint_row_unchanged(one, strlen(one), two, strlen(two)));
+	assert_false(
+	    endpoint_row_unchanged(entry, strlen(entry), two, strlen(two)));
 }
 
 static void
@@ -337,9 +339,9 @@
 
 	snprintf(text, sizeof(text), "{\"rows\":[%s],\"has_more\":%s}", rows,
 	    more ? "true" : "false");
-	body = store_body_read(text, strlen(text));
+	body = store_body_parse(text, strlen(text));
 	assert_non_null(body);
-	store_rows_read(body, 0, list);
+	store_rows_decode(body, 0, list);
 	return body;
 }
 
@@ -358,12 +360,12 @@
 
 	(void)state;
 	assert_int_equal(list.len, 4);
-	assert_int_equal(list.unnamed, 2);
+	assert_int_equal(list.rows_bad_key, 2);
 	assert_string_equal(list.rows[0].value, "text");
 	assert_string_equal(list.rows[1].value, "");
 	assert_string_equal(list.rows[2].value, "");
 	assert_true(list.rows[3].deleted);
-	assert_null(list.next);
+	assert_null(list.next_page);
 	store_rows_free(&list);
 	json_decref(body);
 }
@@ -381,12 +383,12 @@
 		       "{\"key\":\"b c\\u0000d\",\"row_version\":5,"
 		       "\"value\":\"\"}",
 	    true, &list);
-	assert_string_equal(list.next, "b%20c%00d");
+	assert_string_equal(list.next_page, "b%20c%00d");
 	store_rows_free(&list);
 	json_decref(body);
 	body = rows_of(
 	    "{\"key\":\"huge\",\"row_version\":4,\"value\":\"\"}", true, &list);
-	assert_string_equal(list.next, "huge%01");
+	assert_string_equal(list.next_page, "huge%01");
 	store_rows_free(&list);
 	json_decref(body);
 }
@@ -402,13 +404,15 @@
 	err_t err;
 
 	(void)state;
-	assert_true(order_row_decode(good, strlen(good), 9, &order, &err));
+	assert_true(
+	    rollout_order_row_decode(good, strlen(good), 9, &order, &err));
 	assert_int_equal(order.duration_ms, 12000);
 	assert_int_equal(order.number, 9);
-	assert_false(order_row_decode(bad, strlen(bad), 9, &order, &err));
+	assert_false(
+	    rollout_order_row_decode(bad, strlen(bad), 9, &order, &err));
 	assert_non_null(strstr(err.detail, "duration_s"));
-	assert_false(order_row_decode("[]", 2, 9, &order, &err));
-	assert_true(platform_rollout_dialect.tell(
+	assert_false(rollout_order_row_decode("[]", 2, 9, &order, &err));
+	assert_true(platform_rollout_status_encoder.tell(
 	    &order, ROLLOUT_REVERTED, &table, &key, &value));
 	assert_string_equal(table, "status");
 	assert_string_equal(key, "rollout/s1");
@@ -437,7 +441,7 @@
 	assert_int_equal(file.grace_ms, 8000);
 	assert_int_equal(file.metrics.port, 7340);
 	assert_int_equal(file.peers.port, 7341);
-	assert_string_equal(file.callers_text, "10.1.0.4:80");
+	assert_string_equal(file.frontend_text, "10.1.0.4:80");
 	snprintf(text, sizeof(text), "%sbounds.drain_ms=soon\n", node);
 	assert_false(node_file_parse(text, &file, &err));
 	assert_non_null(strstr(err.detail, "bounds.drain_ms"));
@@ -497,12 +501,12 @@
 	head_add(&heads, "Moortack-Token-Count", "70,90");
 	head_add(&heads, "Moortack-Prefix-Hash", "ab:60,cd:10");
 	head_add(&heads, "Moortack-Deadline-Ms", "1500");
-	assert_true(platform_callers.read(&heads.msg, &arrival, &err));
+	assert_true(platform_caller_dialect.read(&heads.msg, &arrival, &err));
 	assert_true(arrival.any_model);
 	assert_int_equal(arrival.parts_len, 2);
 	assert_int_equal(arrival.tokens_out, 90);
 	assert_int_equal(arrival.deadline_ms, 1500);
-	platform_endpoints.write(&attempt, out);
+	platform_endpoint_dialect.write(&attempt, out);
 	evbuffer_add(out, "", 1);
 	text = (const char *)evbuffer_pullup(out, -1);
 	assert_non_null(strstr(text, "POST /x/?a=b HTTP/1.1\r\n"));
@@ -533,20 +537,20 @@
 	head_add(&heads, "Moortack-Response-Signature", "s");
 	head_add(&heads, "Moortack-Replica-Load", "3,1,8");
 	head_add(&heads, "Keep-Alive", "timeout=4");
-	platform_endpoints.read(&heads.msg, &arrival, &answer);
+	platform_endpoint_dialect.read(&heads.msg, &arrival, &answer);
 	assert_true(answer.genuine);
 	assert_false(answer.other_request);
 	assert_int_equal(answer.load.waiting, 1);
 	assert_in_range(answer.idle_max_ms, 3000, 4000);
 	strcpy(arrival.id, "id2");
-	platform_endpoints.read(&heads.msg, &arrival, &answer);
+	platform_endpoint_dialect.read(&heads.msg, &arrival, &answer);
 	assert_true(answer.other_request);
 	heads.msg.fields_len = 0;
-	platform_endpoints.read(&heads.msg, &arrival, &answer);
+	platform_endpoint_dialect.read(&heads.msg, &arrival, &answer);
 	assert_true(answer.other_request);
 	heads.msg.status = 503;
 	head_add(&heads, "Moortack-Not-Executed", "1");
-	platform_endpoints.read(&heads.msg, &arrival, &answer);
+	platform_endpoint_dialect.read(&heads.msg, &arrival, &answer);
 	assert_true(answer.not_run);
 	assert_false(answer.other_request);
 }
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -41,16 +41,16 @@
 
 static world_t world;
 
-static const source_dialect_t sources = {.orders_table = ROWS_ORDERS,
+static const source_dialect_t sources = {.orders_table = ROWS_OPERATOR_TABLE,
     .config_key = ROWS_CONFIG_KEY,
     .rollout_prefix = ROWS_ROLLOUT_PREFIX,
     .evacuation_prefix = ROWS_EVACUATION_PREFIX,
-    .evacuation_check = evacuation_row_check,
-    .endpoints_table = ROWS_ENDPOINTS,
+    .evacuation_check = evacuation_zone_check,
+    .endpoints_table = ROWS_ENDPOINTS_TABLE,
     .config = config_row_decode,
     .endpoint = endpoint_row_decode,
-    .order = order_row_decode,
-    .endpoint_same = endpoint_row_same};
+    .order = rollout_order_row_decode,
+    .endpoint_same = endpoint_row_unchanged};
 
 static void
 reader_start(reader_t *reader)
@@ -217,7 +217,7 @@
 	case 1:
 		return config_decode(ended, len);
 	case 2:
-		return order_row_decode(ended, len, 1, &order, NULL);
+		return rollout_order_row_decode(ended, len, 1, &order, NULL);
 	case 3:
 		good = member_row_decode(&row, &member, NULL);
 		member_facts_finish(&member);
@@ -293,11 +293,11 @@
 	row_reply_t reply = {
 	    .result = ROW_OK, .version = world.version, .now_ms = 1};
 	char *text = json_dumps(reader->answer, JSON_COMPACT);
-	json_t *body = store_body_read(text, strlen(text));
+	json_t *body = store_body_parse(text, strlen(text));
 	store_rows_t list;
 
 	FUZZ_CHECK(body != NULL);
-	store_rows_read(body, 0, &list);
+	store_rows_decode(body, 0, &list);
 	if (whole) {
 		watch->read_version = world.version;
 		watch->ops->restart(watch->arg);
--- a/test/platform/zone_decoders_test.c
+++ b/test/platform/zone_decoders_test.c
@@ -162,10 +162,10 @@
 	(void)state;
 	memset(too_long, 'z', sizeof(too_long) - 1);
 	too_long[sizeof(too_long) - 1] = '\0';
-	assert_true(evacuation_row_check("zone-1", &err));
-	assert_false(evacuation_row_check("", &err));
-	assert_false(evacuation_row_check("zone 1", &err));
-	assert_false(evacuation_row_check(too_long, &err));
+	assert_true(evacuation_zone_check("zone-1", &err));
+	assert_false(evacuation_zone_check("", &err));
+	assert_false(evacuation_zone_check("zone 1", &err));
+	assert_false(evacuation_zone_check(too_long, &err));
 }
 
 static const char node[] = "zone=a\nlisten.frontend=10.1.0.4:80\n"
