--- a/test/platform/decoders_test.c
+++ b/test/platform/decoders_test.c
@@ -34,37 +34,37 @@
     "\"priority\":1}]}";
 
 static void
-a_configuration_is_taken(void **state)
+a_configuration_is_decoded(void **state)
 {
 	err_t err;
-	relay_config_t *taken =
+	relay_config_t *decoded =
 	    config_row_decode(config, sizeof(config) - 1, NULL, &err);
 	const relay_route_t *route;
 
 	(void)state;
-	assert_non_null(taken);
-	assert_int_equal(taken->version, 7);
-	route = relay_config_route(taken, "a.example:80", "/x/y/z?q=/x/");
+	assert_non_null(decoded);
+	assert_int_equal(decoded->version, 7);
+	route = relay_config_route(decoded, "a.example:80", "/x/y/z?q=/x/");
 	assert_string_equal(route->name, "r2");
 	assert_int_equal(route->pools_len, 2);
 	assert_true(route->anonymous);
-	route = relay_config_route(taken, "a.example", "/x/z");
+	route = relay_config_route(decoded, "a.example", "/x/z");
 	assert_string_equal(route->name, "r1");
 	assert_int_equal(route->kind, ROUTE_STREAM);
 	assert_int_equal(route->models_len, 2);
 	assert_true(route->models[1].cost > 0.17);
-	assert_null(relay_config_route(taken, "a.example", "/x"));
-	assert_null(relay_config_route(taken, "b.example", "/x/"));
-	assert_string_equal(relay_config_key(taken, "k2")->name, "t1");
-	assert_null(relay_config_key(taken, "k3"));
+	assert_null(relay_config_route(decoded, "a.example", "/x"));
+	assert_null(relay_config_route(decoded, "b.example", "/x/"));
+	assert_string_equal(relay_config_key(decoded, "k2")->name, "t1");
+	assert_null(relay_config_key(decoded, "k3"));
 	assert_int_equal(
-	    relay_config_service(taken, "s1")->connections_max, 370);
-	assert_int_equal(taken->idle_ms, 15000);
-	relay_config_release(taken);
+	    relay_config_service(decoded, "s1")->connections_max, 370);
+	assert_int_equal(decoded->idle_ms, 15000);
+	relay_config_release(decoded);
 }
 
 static char *
-replaced(const char *from, const char *to)
+config_edit(const char *from, const char *to)
 {
 	char *text = malloc(2048);
 	const char *at = strstr(config, from);
@@ -77,24 +77,25 @@
 }
 
 static relay_config_t *
-taken_after(const relay_config_t *before, const char *from, const char *to)
+config_decode_edited(
+    const relay_config_t *before, const char *from, const char *to)
 {
-	char *text = replaced(from, to);
-	relay_config_t *taken =
+	char *text = config_edit(from, to);
+	relay_config_t *decoded =
 	    config_row_decode(text, strlen(text), before, NULL);
 
 	free(text);
-	assert_non_null(taken);
-	return taken;
+	assert_non_null(decoded);
+	return decoded;
 }
 
 static void
-routes_that_stay_are_shared_with_the_configuration_before(void **state)
+unchanged_routes_are_shared(void **state)
 {
 	relay_config_t *before =
 	    config_row_decode(config, sizeof(config) - 1, NULL, NULL);
-	relay_config_t *after =
-	    taken_after(before, "\"max_attempts\":1", "\"max_attempts\":2");
+	relay_config_t *after = config_decode_edited(
+	    before, "\"max_attempts\":1", "\"max_attempts\":2");
 	const relay_route_t *route;
 
 	(void)state;
@@ -111,44 +112,44 @@
 
 /* A model's price stands with the service. */
 static void
-other_prices_make_other_routes(void **state)
+routes_with_changed_prices_are_not_shared(void **state)
 {
 	relay_config_t *before =
 	    config_row_decode(config, sizeof(config) - 1, NULL, NULL);
-	relay_config_t *after = taken_after(before, "0.18", "0.36");
-	const relay_route_t *one, *two;
+	relay_config_t *after = config_decode_edited(before, "0.18", "0.36");
+	const relay_route_t *first, *second;
 
 	(void)state;
-	one = relay_config_route(before, "a.example", "/x/");
-	two = relay_config_route(after, "a.example", "/x/");
-	assert_ptr_not_equal(one, two);
-	assert_true(one->models[1].cost < 0.19);
-	assert_true(two->models[1].cost > 0.35);
+	first = relay_config_route(before, "a.example", "/x/");
+	second = relay_config_route(after, "a.example", "/x/");
+	assert_ptr_not_equal(first, second);
+	assert_true(first->models[1].cost < 0.19);
+	assert_true(second->models[1].cost > 0.35);
 	relay_config_release(before);
 	relay_config_release(after);
 }
 
 static void
-routes_are_taken_however_they_are_spelt(void **state)
+any_spelling_of_routes_is_decoded(void **state)
 {
-	static const char *const spelt[] = {"\"\\u0072outes\":[",
+	static const char *const spellings[] = {"\"\\u0072outes\":[",
 	    "\"routes\" : [ ", "\"routes\":[],\"routes\":["};
 
 	(void)state;
-	for (size_t i = 0; i < sizeof(spelt) / sizeof(spelt[0]); i++) {
-		relay_config_t *taken =
-		    taken_after(NULL, "\"routes\":[", spelt[i]);
+	for (size_t i = 0; i < sizeof(spellings) / sizeof(spellings[0]); i++) {
+		relay_config_t *decoded =
+		    config_decode_edited(NULL, "\"routes\":[", spellings[i]);
 
-		assert_int_equal(HASH_COUNT(taken->routes), 2);
-		relay_config_release(taken);
+		assert_int_equal(HASH_COUNT(decoded->routes), 2);
+		relay_config_release(decoded);
 	}
 }
 
 /* The configuration with one text replaced by another. */
 static void
-refused_with(const char *from, const char *to, const char *names)
+config_refused(const char *from, const char *to, const char *names)
 {
-	char *text = replaced(from, to);
+	char *text = config_edit(from, to);
 	err_t err = {0};
 
 	assert_null(config_row_decode(text, strlen(text), NULL, &err));
@@ -158,7 +159,7 @@
 }
 
 static void
-a_bad_configuration_is_refused_by_the_field(void **state)
+invalid_configurations_are_refused_by_field(void **state)
 {
 	char longer[400];
 
@@ -166,27 +167,29 @@
 	memset(longer, 'x', sizeof(longer));
 	memcpy(longer, "\"name\":\"", 8);
 	memcpy(longer + sizeof(longer) - 2, "\"", 2);
-	refused_with("\"version\":7", "\"version\":\"7\"", "version");
-	refused_with("\"version\":7,", "", "version");
-	refused_with("\"routes\":[", "\"routes\":[,", "routes");
-	refused_with("},{\"name\":\"r2\"", "}{\"name\":\"r2\"", "routes");
-	refused_with("\"anonymous\":true}]", "\"anonymous\":true},]", "routes");
-	refused_with("\"routes\":[", "\"routes\":[5,", "routes");
-	refused_with("\"type\":\"unsafe\"", "\"type\":\"odd\"", "type");
-	refused_with("\"name\":\"r2\"", longer, "name");
-	refused_with("\"host\":\"a.example\"", "\"host\":1", "host");
-	refused_with("\"prefix\":\"/x/\"", "\"prefix\":\"\"", "prefix");
-	refused_with("\"timeout_ms\":20000", "\"timeout_ms\":-1", "timeout_ms");
-	refused_with("\"weight\":90", "\"weight\":\"x\"", "weight");
-	refused_with("\"resumable\":true", "\"resumable\":1", "resumable");
-	refused_with("\"max_conns\":370", "\"max_conns\":0", "max_conns");
-	refused_with("[\"k1\",\"k2\"]", "[\"k1\",2]", "api_keys");
-	refused_with("[\"k1\",\"k2\"]", "[\"k1\",\"k1\"]", "share a key");
-	refused_with("\"routes\":[", "\"other\":[", "routes");
-	refused_with("\"prefix\":\"/x/y/\"", "\"prefix\":\"/x/\"", "prefix");
-	refused_with("\"idle_timeout_ms\":15000", "\"idle_timeout_ms\":{}",
+	config_refused("\"version\":7", "\"version\":\"7\"", "version");
+	config_refused("\"version\":7,", "", "version");
+	config_refused("\"routes\":[", "\"routes\":[,", "routes");
+	config_refused("},{\"name\":\"r2\"", "}{\"name\":\"r2\"", "routes");
+	config_refused(
+	    "\"anonymous\":true}]", "\"anonymous\":true},]", "routes");
+	config_refused("\"routes\":[", "\"routes\":[5,", "routes");
+	config_refused("\"type\":\"unsafe\"", "\"type\":\"odd\"", "type");
+	config_refused("\"name\":\"r2\"", longer, "name");
+	config_refused("\"host\":\"a.example\"", "\"host\":1", "host");
+	config_refused("\"prefix\":\"/x/\"", "\"prefix\":\"\"", "prefix");
+	config_refused(
+	    "\"timeout_ms\":20000", "\"timeout_ms\":-1", "timeout_ms");
+	config_refused("\"weight\":90", "\"weight\":\"x\"", "weight");
+	config_refused("\"resumable\":true", "\"resumable\":1", "resumable");
+	config_refused("\"max_conns\":370", "\"max_conns\":0", "max_conns");
+	config_refused("[\"k1\",\"k2\"]", "[\"k1\",2]", "api_keys");
+	config_refused("[\"k1\",\"k2\"]", "[\"k1\",\"k1\"]", "share a key");
+	config_refused("\"routes\":[", "\"other\":[", "routes");
+	config_refused("\"prefix\":\"/x/y/\"", "\"prefix\":\"/x/\"", "prefix");
+	config_refused("\"idle_timeout_ms\":15000", "\"idle_timeout_ms\":{}",
 	    "idle_timeout_ms");
-	refused_with("{\"version\"", "[{\"version\"", "object");
+	config_refused("{\"version\"", "[{\"version\"", "object");
 }
 
 static const char entry[] =
@@ -195,7 +198,7 @@
     "\"warmup_left_ms\":0,\"sequence\":4}";
 
 static void
-an_endpoint_is_taken(void **state)
+an_endpoint_is_decoded(void **state)
 {
 	static const char later[] =
 	    "{\"service\":\"s1\",\"address\":\"10.0.0.9:8080\",\"zone\":\"a\","
@@ -204,19 +207,19 @@
 	static const char leaving[] =
 	    "{\"service\":\"s1\",\"address\":\"10.0.0.9:8080\",\"zone\":\"a\","
 	    "\"version\":\"v1\",\"batch_slots\":64,\"state\":\"draining\"}";
-	endpoint_info_t facts;
+	endpoint_info_t info;
 	err_t err;
 
 	(void)state;
 	assert_true(
-	    endpoint_row_decode("i-1", entry, strlen(entry), &facts, &err));
-	assert_string_equal(facts.id, "i-1");
-	assert_int_equal(facts.address.port, 8080);
-	assert_int_equal(facts.slots, 64);
-	assert_false(facts.leaving);
+	    endpoint_row_decode("i-1", entry, strlen(entry), &info, &err));
+	assert_string_equal(info.id, "i-1");
+	assert_int_equal(info.address.port, 8080);
+	assert_int_equal(info.slots, 64);
+	assert_false(info.leaving);
 	assert_true(
-	    endpoint_row_decode("i-1", leaving, strlen(leaving), &facts, &err));
-	assert_true(facts.leaving);
+	    endpoint_row_decode("i-1", leaving, strlen(leaving), &info, &err));
+	assert_true(info.leaving);
 	assert_true(
 	    endpoint_row_unchanged(entry, strlen(entry), later, strlen(later)));
 	assert_false(endpoint_row_unchanged(
@@ -224,7 +227,7 @@
 }
 
 static bool
-warmup_same(int before_ms, int now_ms)
+warmup_unchanged(int before_ms, int now_ms)
 {
 	char before[200], now[200];
 	int prefix_len = (int)(strstr(entry, "\"warmup_left_ms\"") - entry);
@@ -242,66 +245,67 @@
 becoming_cold_or_warm_is_a_change(void **state)
 {
 	(void)state;
-	assert_true(warmup_same(3000, 1800));
-	assert_false(warmup_same(0, 3000));
-	assert_false(warmup_same(600, 3000));
-	assert_false(warmup_same(600, 0));
+	assert_true(warmup_unchanged(3000, 1800));
+	assert_false(warmup_unchanged(0, 3000));
+	assert_false(warmup_unchanged(600, 3000));
+	assert_false(warmup_unchanged(600, 0));
 }
 
 static bool
-born_taken(const char *born, int64_t *born_ms)
+start_time_decode(const char *start_time, int64_t *started_ms)
 {
-	endpoint_info_t facts;
+	endpoint_info_t info;
 	char text[400];
 	err_t err;
-	bool taken;
+	bool decoded;
 
 	snprintf(text, sizeof(text), "%.*s,\"born\":%s}",
-	    (int)strlen(entry) - 1, entry, born);
-	taken = endpoint_row_decode("i-1", text, strlen(text), &facts, &err);
-	if (!taken && strstr(err.detail, "born") == NULL)
+	    (int)strlen(entry) - 1, entry, start_time);
+	decoded = endpoint_row_decode("i-1", text, strlen(text), &info, &err);
+	if (!decoded && strstr(err.detail, "born") == NULL)
 		fail_msg("\"%s\" does not name born", err.detail);
-	*born_ms = facts.started_ms;
-	return taken;
+	*started_ms = info.started_ms;
+	return decoded;
 }
 
 static void
-an_endpoint_says_when_it_started(void **state)
+start_times_are_decoded(void **state)
 {
-	static const char *const bad[] = {"\"1700000000000\"", "1.5", "-1",
+	static const char *const invalid[] = {"\"1700000000000\"", "1.5", "-1",
 	    "9007199254740993", "1e300", "null", "true", "[1]", "{}"};
-	int64_t born_ms;
+	int64_t started_ms;
 
 	(void)state;
-	assert_true(born_taken("1700000000123", &born_ms));
-	assert_int_equal(born_ms, 1700000000123);
-	assert_true(born_taken("0", &born_ms));
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_false(born_taken(bad[i], &born_ms));
+	assert_true(start_time_decode("1700000000123", &started_ms));
+	assert_int_equal(started_ms, 1700000000123);
+	assert_true(start_time_decode("0", &started_ms));
+	for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++)
+		assert_false(start_time_decode(invalid[i], &started_ms));
 }
 
 /* An entry whose start alone is another one is news to all. */
 static void
-another_start_is_a_change(void **state)
+another_start_time_is_a_change(void **state)
 {
-	char one[400], two[400];
+	char first[400], second[400];
 
 	(void)state;
-	snprintf(one, sizeof(one), "%.*s,\"born\":5}", (int)strlen(entry) - 1,
-	    entry);
-	snprintf(two, sizeof(two), "%.*s,\"born\":6}", (int)strlen(entry) - 1,
-	    entry);
-	assert_true(endpoint_row_unchanged(one, strlen(one), one, strlen(one)));
-	assert_false(
-	    endpoint_row_unchanged(one, strlen(one), two, strlen(two)));
-	assert_false(
-	    endpoint_row_unchanged(entry, strlen(entry), two, strlen(two)));
+	snprintf(first, sizeof(first), "%.*s,\"born\":5}",
+	    (int)strlen(entry) - 1, entry);
+	snprintf(second, sizeof(second), "%.*s,\"born\":6}",
+	    (int)strlen(entry) - 1, entry);
+	assert_true(
+	    endpoint_row_unchanged(first, strlen(first), first, strlen(first)));
+	assert_false(endpoint_row_unchanged(
+	    first, strlen(first), second, strlen(second)));
+	assert_false(endpoint_row_unchanged(
+	    entry, strlen(entry), second, strlen(second)));
 }
 
 static void
-a_bad_endpoint_is_refused_by_the_field(void **state)
+invalid_endpoints_are_refused_by_field(void **state)
 {
-	static const char *const bad[][2] = {
+	static const char *const invalid[][2] = {
 	    {"{\"address\":\"10.0.0.9:80\"}", "service"},
 	    {"{\"service\":\"s\",\"address\":\"no\",\"zone\":\"a\","
 	     "\"version\":\"v\",\"state\":\"ready\"}",
@@ -317,22 +321,22 @@
 		"batch_slots"},
 	    {"no JSON", "object"},
 	};
-	endpoint_info_t facts;
+	endpoint_info_t info;
 	err_t err;
 
 	(void)state;
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
+	for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
 		assert_false(endpoint_row_decode(
-		    "i-1", bad[i][0], strlen(bad[i][0]), &facts, &err));
-		if (strstr(err.detail, bad[i][1]) == NULL)
-			fail_msg(
-			    "\"%s\" does not name %s", err.detail, bad[i][1]);
+		    "i-1", invalid[i][0], strlen(invalid[i][0]), &info, &err));
+		if (strstr(err.detail, invalid[i][1]) == NULL)
+			fail_msg("\"%s\" does not name %s", err.detail,
+			    invalid[i][1]);
 	}
 }
 
 /* The store's answer, decoded; @c next of the list is what is asked for. */
 static json_t *
-rows_of(const char *rows, bool more, store_rows_t *list)
+rows_decode(const char *rows, bool more, store_rows_t *list)
 {
 	char text[600];
 	json_t *body;
@@ -346,17 +350,17 @@
 }
 
 static void
-rows_that_others_wrote_are_read_as_far_as_they_can_be(void **state)
+malformed_rows_do_not_affect_others(void **state)
 {
 	store_rows_t list;
-	json_t *body =
-	    rows_of("{\"key\":\"a\",\"row_version\":4,\"value\":\"dGV4dA==\"},"
-		    "{\"key\":\"b\",\"row_version\":5,\"value\":\"?\"},"
-		    "{\"key\":\"c\",\"row_version\":6,\"value\":7},"
-		    "{\"key\":\"d\\u0000x\",\"row_version\":7,\"value\":\"\"},"
-		    "{\"key\":5,\"row_version\":8,\"value\":\"\"},"
-		    "{\"key\":\"e\",\"row_version\":9,\"deleted\":true}",
-		false, &list);
+	json_t *body = rows_decode(
+	    "{\"key\":\"a\",\"row_version\":4,\"value\":\"dGV4dA==\"},"
+	    "{\"key\":\"b\",\"row_version\":5,\"value\":\"?\"},"
+	    "{\"key\":\"c\",\"row_version\":6,\"value\":7},"
+	    "{\"key\":\"d\\u0000x\",\"row_version\":7,\"value\":\"\"},"
+	    "{\"key\":5,\"row_version\":8,\"value\":\"\"},"
+	    "{\"key\":\"e\",\"row_version\":9,\"deleted\":true}",
+	    false, &list);
 
 	(void)state;
 	assert_int_equal(list.len, 4);
@@ -373,20 +377,20 @@
 /* A read goes on behind a page whatever its last key is, also if that is all
  * that the page has. */
 static void
-a_read_goes_on_behind_any_key(void **state)
+the_next_page_follows_any_key(void **state)
 {
 	store_rows_t list;
 	json_t *body;
 
 	(void)state;
-	body = rows_of("{\"key\":\"a\",\"row_version\":4,\"value\":\"\"},"
-		       "{\"key\":\"b c\\u0000d\",\"row_version\":5,"
-		       "\"value\":\"\"}",
+	body = rows_decode("{\"key\":\"a\",\"row_version\":4,\"value\":\"\"},"
+			   "{\"key\":\"b c\\u0000d\",\"row_version\":5,"
+			   "\"value\":\"\"}",
 	    true, &list);
 	assert_string_equal(list.next_page, "b%20c%00d");
 	store_rows_free(&list);
 	json_decref(body);
-	body = rows_of(
+	body = rows_decode(
 	    "{\"key\":\"huge\",\"row_version\":4,\"value\":\"\"}", true, &list);
 	assert_string_equal(list.next_page, "huge%01");
 	store_rows_free(&list);
@@ -394,22 +398,22 @@
 }
 
 static void
-orders_and_states_of_rollouts(void **state)
+rollout_orders_and_states(void **state)
 {
-	static const char good[] =
+	static const char valid[] =
 	    "{\"service\":\"s1\",\"to\":\"v2\",\"duration_s\":12}";
-	static const char bad[] = "{\"service\":\"s1\",\"to\":\"v2\"}";
+	static const char invalid[] = "{\"service\":\"s1\",\"to\":\"v2\"}";
 	char *table = NULL, *key = NULL, *value = NULL;
 	rollout_order_t order;
 	err_t err;
 
 	(void)state;
 	assert_true(
-	    rollout_order_row_decode(good, strlen(good), 9, &order, &err));
+	    rollout_order_row_decode(valid, strlen(valid), 9, &order, &err));
 	assert_int_equal(order.duration_ms, 12000);
 	assert_int_equal(order.number, 9);
-	assert_false(
-	    rollout_order_row_decode(bad, strlen(bad), 9, &order, &err));
+	assert_false(rollout_order_row_decode(
+	    invalid, strlen(invalid), 9, &order, &err));
 	assert_non_null(strstr(err.detail, "duration_s"));
 	assert_false(rollout_order_row_decode("[]", 2, 9, &order, &err));
 	assert_true(platform_rollout_status_encoder.tell(
@@ -453,29 +457,29 @@
 }
 
 /** A request with some headers. */
-typedef struct heads {
+typedef struct headers {
 	http_field_t fields[16];
 	http_msg_t msg;
-} heads_t;
+} headers_t;
 
 static void
-head_add(heads_t *heads, const char *name, const char *value)
+header_add(headers_t *headers, const char *name, const char *value)
 {
-	heads->fields[heads->msg.fields_len++] =
+	headers->fields[headers->msg.fields_len++] =
 	    (http_field_t){(char *)(uintptr_t)name, (char *)(uintptr_t)value};
-	heads->msg.fields = heads->fields;
+	headers->msg.fields = headers->fields;
 }
 
 static void
-what_a_caller_may_not_say_is_not_passed_on(void **state)
+router_headers_from_callers_are_dropped(void **state)
 {
-	heads_t heads = {.msg = {.method = "POST", .keep_alive = true}};
-	endpoint_info_t facts = {.id = "i-1"};
+	headers_t headers = {.msg = {.method = "POST", .keep_alive = true}};
+	endpoint_info_t info = {.id = "i-1"};
 	struct evbuffer *out = evbuffer_new();
 	arrival_t arrival;
-	attempt_head_t attempt = {.request = &heads.msg,
+	attempt_head_t attempt = {.request = &headers.msg,
 	    .arrival = &arrival,
-	    .endpoint = &facts,
+	    .endpoint = &info,
 	    .organisation = "t1",
 	    .model = "m0",
 	    .left_ms = 900,
@@ -486,22 +490,22 @@
 	err_t err;
 
 	(void)state;
-	heads.msg.target = (char *)(uintptr_t) "/x/?a=b";
-	head_add(&heads, "Host", "a.example");
-	head_add(&heads, "Moortack-Attempt-Id", "id1");
-	head_add(&heads, "Moortack-Credential", "secret");
-	head_add(&heads, "Moortack-Tenant-Id", "forged");
-	head_add(&heads, "moortack-pin-ms", "5999");
-	head_add(&heads, "Moortack-Kv-Backup", "10.255.0.1:1");
-	head_add(&heads, "Kv-From", "10.255.0.1:1/x");
-	head_add(&heads, "Connection", "X-Hop");
-	head_add(&heads, "X-Hop", "1");
-	head_add(&heads, "X-Kept", "2");
-	head_add(&heads, "Moortack-Model-Id", "*");
-	head_add(&heads, "Moortack-Token-Count", "70,90");
-	head_add(&heads, "Moortack-Prefix-Hash", "ab:60,cd:10");
-	head_add(&heads, "Moortack-Deadline-Ms", "1500");
-	assert_true(platform_caller_dialect.read(&heads.msg, &arrival, &err));
+	headers.msg.target = (char *)(uintptr_t) "/x/?a=b";
+	header_add(&headers, "Host", "a.example");
+	header_add(&headers, "Moortack-Attempt-Id", "id1");
+	header_add(&headers, "Moortack-Credential", "secret");
+	header_add(&headers, "Moortack-Tenant-Id", "forged");
+	header_add(&headers, "moortack-pin-ms", "5999");
+	header_add(&headers, "Moortack-Kv-Backup", "10.255.0.1:1");
+	header_add(&headers, "Kv-From", "10.255.0.1:1/x");
+	header_add(&headers, "Connection", "X-Hop");
+	header_add(&headers, "X-Hop", "1");
+	header_add(&headers, "X-Kept", "2");
+	header_add(&headers, "Moortack-Model-Id", "*");
+	header_add(&headers, "Moortack-Token-Count", "70,90");
+	header_add(&headers, "Moortack-Prefix-Hash", "ab:60,cd:10");
+	header_add(&headers, "Moortack-Deadline-Ms", "1500");
+	assert_true(platform_caller_dialect.read(&headers.msg, &arrival, &err));
 	assert_true(arrival.any_model);
 	assert_int_equal(arrival.parts_len, 2);
 	assert_int_equal(arrival.tokens_out, 90);
@@ -526,57 +530,55 @@
 }
 
 static void
-answers_say_what_they_are(void **state)
+response_heads_are_decoded(void **state)
 {
-	heads_t heads = {.msg = {.status = 200, .keep_alive = true}};
+	headers_t headers = {.msg = {.status = 200, .keep_alive = true}};
 	arrival_t arrival = {.id = "id1"};
-	endpoint_answer_t answer;
+	endpoint_answer_t response;
 
 	(void)state;
-	head_add(&heads, "Moortack-Attempt-Id", "id1");
-	head_add(&heads, "Moortack-Response-Signature", "s");
-	head_add(&heads, "Moortack-Replica-Load", "3,1,8");
-	head_add(&heads, "Keep-Alive", "timeout=4");
-	platform_endpoint_dialect.read(&heads.msg, &arrival, &answer);
-	assert_true(answer.genuine);
-	assert_false(answer.other_request);
-	assert_int_equal(answer.load.waiting, 1);
-	assert_in_range(answer.idle_max_ms, 3000, 4000);
+	header_add(&headers, "Moortack-Attempt-Id", "id1");
+	header_add(&headers, "Moortack-Response-Signature", "s");
+	header_add(&headers, "Moortack-Replica-Load", "3,1,8");
+	header_add(&headers, "Keep-Alive", "timeout=4");
+	platform_endpoint_dialect.read(&headers.msg, &arrival, &response);
+	assert_true(response.genuine);
+	assert_false(response.other_request);
+	assert_int_equal(response.load.waiting, 1);
+	assert_in_range(response.idle_max_ms, 3000, 4000);
 	strcpy(arrival.id, "id2");
-	platform_endpoint_dialect.read(&heads.msg, &arrival, &answer);
-	assert_true(answer.other_request);
-	heads.msg.fields_len = 0;
-	platform_endpoint_dialect.read(&heads.msg, &arrival, &answer);
-	assert_true(answer.other_request);
-	heads.msg.status = 503;
-	head_add(&heads, "Moortack-Not-Executed", "1");
-	platform_endpoint_dialect.read(&heads.msg, &arrival, &answer);
-	assert_true(answer.not_run);
-	assert_false(answer.other_request);
+	platform_endpoint_dialect.read(&headers.msg, &arrival, &response);
+	assert_true(response.other_request);
+	headers.msg.fields_len = 0;
+	platform_endpoint_dialect.read(&headers.msg, &arrival, &response);
+	assert_true(response.other_request);
+	headers.msg.status = 503;
+	header_add(&headers, "Moortack-Not-Executed", "1");
+	platform_endpoint_dialect.read(&headers.msg, &arrival, &response);
+	assert_true(response.not_run);
+	assert_false(response.other_request);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_configuration_is_taken),
-	    cmocka_unit_test(a_bad_configuration_is_refused_by_the_field),
-	    cmocka_unit_test(
-		routes_that_stay_are_shared_with_the_configuration_before),
-	    cmocka_unit_test(other_prices_make_other_routes),
-	    cmocka_unit_test(routes_are_taken_however_they_are_spelt),
-	    cmocka_unit_test(an_endpoint_is_taken),
+	    cmocka_unit_test(a_configuration_is_decoded),
+	    cmocka_unit_test(invalid_configurations_are_refused_by_field),
+	    cmocka_unit_test(unchanged_routes_are_shared),
+	    cmocka_unit_test(routes_with_changed_prices_are_not_shared),
+	    cmocka_unit_test(any_spelling_of_routes_is_decoded),
+	    cmocka_unit_test(an_endpoint_is_decoded),
 	    cmocka_unit_test(becoming_cold_or_warm_is_a_change),
-	    cmocka_unit_test(an_endpoint_says_when_it_started),
-	    cmocka_unit_test(another_start_is_a_change),
-	    cmocka_unit_test(a_bad_endpoint_is_refused_by_the_field),
-	    cmocka_unit_test(
-		rows_that_others_wrote_are_read_as_far_as_they_can_be),
-	    cmocka_unit_test(a_read_goes_on_behind_any_key),
-	    cmocka_unit_test(orders_and_states_of_rollouts),
+	    cmocka_unit_test(start_times_are_decoded),
+	    cmocka_unit_test(another_start_time_is_a_change),
+	    cmocka_unit_test(invalid_endpoints_are_refused_by_field),
+	    cmocka_unit_test(malformed_rows_do_not_affect_others),
+	    cmocka_unit_test(the_next_page_follows_any_key),
+	    cmocka_unit_test(rollout_orders_and_states),
 	    cmocka_unit_test(a_settings_file_is_checked),
-	    cmocka_unit_test(what_a_caller_may_not_say_is_not_passed_on),
-	    cmocka_unit_test(answers_say_what_they_are),
+	    cmocka_unit_test(router_headers_from_callers_are_dropped),
+	    cmocka_unit_test(response_heads_are_decoded),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -19,15 +19,15 @@
 #include "platform/store_rows.h"
 
 #define STEPS_MAX 40
-#define KEYS 4
+#define KEY_COUNT 4
 #define TEXT_SIZE 1024
 #define VALUE_SIZE 512
 
 /** A daemon that is told the rows. */
-typedef struct reader {
+typedef struct daemon {
 	relay_node_t node;
-	json_t *answer; /**< of the store, being made */
-} reader_t;
+	json_t *response; /**< of the store, being made */
+} daemon_t;
 
 typedef struct world {
 	manual_clock_t clock;
@@ -35,8 +35,8 @@
 	rng_t rng;
 	row_store_t store;
 	uint64_t version;
-	reader_t clean;	 /**< reads no bad rows */
-	reader_t spoilt; /**< reads them too */
+	daemon_t clean; /**< reads no bad rows */
+	daemon_t mixed; /**< reads them too */
 } world_t;
 
 static world_t world;
@@ -53,7 +53,7 @@
     .endpoint_same = endpoint_row_unchanged};
 
 static void
-reader_start(reader_t *reader)
+daemon_start(daemon_t *daemon)
 {
 	static const caller_dialect_t callers;
 	static const endpoint_dialect_t endpoints;
@@ -70,15 +70,15 @@
 	    &world.store, &sources, &callers, &endpoints, &rollouts};
 	err_t err;
 
-	memset(reader, 0, sizeof(*reader));
-	FUZZ_CHECK(relay_node_init(&reader->node, &ports, &settings, &err));
+	memset(daemon, 0, sizeof(*daemon));
+	FUZZ_CHECK(relay_node_init(&daemon->node, &ports, &settings, &err));
 }
 
 /* The rows that the tables have. ---------------------------------------------
  */
 
 static row_table_t
-table_of(uint32_t kind)
+table_of_kind(uint32_t kind)
 {
 	static const row_table_t tables[] = {ROW_TABLE_ENDPOINTS,
 	    ROW_TABLE_ORDERS, ROW_TABLE_ORDERS, ROW_TABLE_OWN, ROW_TABLE_OWN};
@@ -88,10 +88,10 @@
 
 /* A good row of a kind, which is the same kind as in table_of(). */
 static void
-good_row(input_t *input, uint32_t kind, char *key, char *value)
+valid_row(input_t *input, uint32_t kind, char *key, char *value)
 {
-	uint32_t i = input_below(input, KEYS);
-	uint32_t more = input_below(input, 3);
+	uint32_t i = input_below(input, KEY_COUNT);
+	uint32_t variant = input_below(input, 3);
 
 	switch (kind) {
 	case 0:
@@ -100,7 +100,8 @@
 		    "{\"service\":\"s%u\",\"address\":\"10.1.0.%u:80\","
 		    "\"zone\":\"a\",\"version\":\"v1\",\"state\":\"%s\","
 		    "\"born\":%u,\"sequence\":%u}",
-		    i % 2, i + 1, more == 1 ? "draining" : "ready", more, i);
+		    i % 2, i + 1, variant == 1 ? "draining" : "ready", variant,
+		    i);
 		break;
 	case 1:
 		strcpy(key, ROWS_CONFIG_KEY);
@@ -112,14 +113,14 @@
 		snprintf(key, TEXT_SIZE, ROWS_ROLLOUT_PREFIX "s%u", i);
 		snprintf(value, VALUE_SIZE,
 		    "{\"service\":\"s%u\",\"to\":\"v%u\",\"duration_s\":12}", i,
-		    more);
+		    variant);
 		break;
 	case 3:
 		snprintf(key, TEXT_SIZE, MEMBER_PREFIX "10.0.0.%u:80", i);
 		snprintf(value, VALUE_SIZE,
 		    "{\"place\":\"a\",\"peer\":\"10.0.0.%u:81\","
 		    "\"state\":\"%s\",\"strength\":0.5,\"beat\":1}",
-		    i, more == 1 ? "leaving" : "ready");
+		    i, variant == 1 ? "leaving" : "ready");
 		break;
 	default:
 		snprintf(key, TEXT_SIZE, ROLLOUT_PREFIX "s%u", i);
@@ -132,7 +133,7 @@
 }
 
 static json_t *
-row_json(const char *key, size_t key_len, const char *value, size_t len)
+row_encode(const char *key, size_t key_len, const char *value, size_t len)
 {
 	char text[2 * VALUE_SIZE];
 
@@ -144,7 +145,7 @@
 
 /* Break a good value: cut it, change bytes, or give a field another type. */
 static size_t
-value_break(input_t *input, char *value)
+value_corrupt(input_t *input, char *value)
 {
 	static const char *const fields[] = {"service", "address", "zone",
 	    "version", "state", "born", "routes", "to", "duration_s", "place",
@@ -183,45 +184,45 @@
 static bool
 config_decode(const char *text, size_t len)
 {
-	relay_config_t *alone = config_row_decode(text, len, NULL, NULL);
-	relay_config_t *again = config_row_decode(text, len, alone, NULL);
-	bool good = alone != NULL;
+	relay_config_t *fresh = config_row_decode(text, len, NULL, NULL);
+	relay_config_t *shared = config_row_decode(text, len, fresh, NULL);
+	bool valid = fresh != NULL;
 
-	FUZZ_CHECK(good == (again != NULL));
-	if (good)
+	FUZZ_CHECK(valid == (shared != NULL));
+	if (valid)
 		FUZZ_CHECK(
-		    HASH_COUNT(alone->routes) == HASH_COUNT(again->routes));
-	relay_config_release(alone);
-	relay_config_release(again);
-	return good;
+		    HASH_COUNT(fresh->routes) == HASH_COUNT(shared->routes));
+	relay_config_release(fresh);
+	relay_config_release(shared);
+	return valid;
 }
 
 /* Whether the row, by the platform's and the product's decoders, names
  * something. */
 static bool
-names_something(uint32_t kind, const char *key, const char *value, size_t len)
+row_is_valid(uint32_t kind, const char *key, const char *value, size_t len)
 {
 	row_t row = {.key = key, .value = value, .value_len = len};
-	char ended[VALUE_SIZE + 1];
+	char text[VALUE_SIZE + 1];
 	endpoint_info_t endpoint;
 	rollout_order_t order;
 	member_facts_t member;
-	bool good;
+	bool valid;
 
-	memcpy(ended, value, len);
-	ended[len] = '\0';
-	row.value = ended;
+	memcpy(text, value, len);
+	text[len] = '\0';
+	row.value = text;
 	switch (kind) {
 	case 0:
-		return endpoint_row_decode(key, ended, len, &endpoint, NULL);
+		return endpoint_row_decode(key, text, len, &endpoint, NULL);
 	case 1:
-		return config_decode(ended, len);
+		return config_decode(text, len);
 	case 2:
-		return rollout_order_row_decode(ended, len, 1, &order, NULL);
+		return rollout_order_row_decode(text, len, 1, &order, NULL);
 	case 3:
-		good = member_row_decode(&row, &member, NULL);
+		valid = member_row_decode(&row, &member, NULL);
 		member_facts_finish(&member);
-		return good;
+		return valid;
 	default:
 		return true;
 	}
@@ -229,13 +230,13 @@
 
 /* A row that names nothing, under a key that no good row has. */
 static json_t *
-bad_row(input_t *input, uint32_t kind)
+invalid_row(input_t *input, uint32_t kind)
 {
 	char key[TEXT_SIZE], value[VALUE_SIZE];
 	size_t key_len, len;
 
-	good_row(input, kind, key, value);
-	len = value_break(input, value);
+	valid_row(input, kind, key, value);
+	len = value_corrupt(input, value);
 	key_len = strlen(key);
 	switch (input_below(input, 4)) {
 	case 0:
@@ -255,7 +256,7 @@
 	}
 	key[key_len] = '\0';
 	if (strlen(key) == key_len &&
-	    (kind == 4 || names_something(kind, key, value, len)))
+	    (kind == 4 || row_is_valid(kind, key, value, len)))
 		return NULL;
 	switch (input_below(input, 4)) {
 	case 0:
@@ -266,7 +267,7 @@
 		return json_pack("{s:s#, s:i, s:I}", "key", key, (int)key_len,
 		    "value", 5, "row_version", (json_int_t)world.version);
 	default:
-		return row_json(key, key_len, value, len);
+		return row_encode(key, key_len, value, len);
 	}
 }
 
@@ -274,80 +275,81 @@
  */
 
 static void
-row_add(reader_t *reader, json_t *row)
+row_add(daemon_t *daemon, json_t *row)
 {
-	json_array_append(json_object_get(reader->answer, "rows"), row);
+	json_array_append(json_object_get(daemon->response, "rows"), row);
 }
 
 static void
-answer_begin(reader_t *reader)
+response_begin(daemon_t *daemon)
 {
-	reader->answer = json_pack("{s:[], s:b}", "rows", "has_more", 0);
+	daemon->response = json_pack("{s:[], s:b}", "rows", "has_more", 0);
 }
 
 /* The answer goes through the store's text, as it does on the wire. */
 static void
-answer_take(reader_t *reader, row_table_t table, bool whole)
+response_apply(daemon_t *daemon, row_table_t table, bool complete)
 {
-	row_watch_t *watch = &reader->node.source.watches[table].watch;
+	row_watch_t *watch = &daemon->node.source.watches[table].watch;
 	row_reply_t reply = {
 	    .result = ROW_OK, .version = world.version, .now_ms = 1};
-	char *text = json_dumps(reader->answer, JSON_COMPACT);
+	char *text = json_dumps(daemon->response, JSON_COMPACT);
 	json_t *body = store_body_parse(text, strlen(text));
 	store_rows_t list;
 
 	FUZZ_CHECK(body != NULL);
 	store_rows_decode(body, 0, &list);
-	if (whole) {
+	if (complete) {
 		watch->read_version = world.version;
 		watch->ops->restart(watch->arg);
 	}
 	for (size_t i = 0; i < list.len; i++)
 		watch->ops->row(watch->arg, &list.rows[i]);
 	row_watch_vouch(watch, world.version, world.clock.now);
-	watch->ops->settled(watch->arg, whole, &reply);
+	watch->ops->settled(watch->arg, complete, &reply);
 	store_rows_free(&list);
 	json_decref(body);
-	json_decref(reader->answer);
-	reader->answer = NULL;
+	json_decref(daemon->response);
+	daemon->response = NULL;
 	free(text);
 }
 
 static void
-read_table(input_t *input)
+table_read(input_t *input)
 {
 	uint32_t kind = input_below(input, 5);
 	size_t rows = input_below(input, 6);
-	bool whole = input_below(input, 2) == 1;
+	bool complete = input_below(input, 2) == 1;
 
 	world.version++;
-	answer_begin(&world.clean);
-	answer_begin(&world.spoilt);
+	response_begin(&world.clean);
+	response_begin(&world.mixed);
 	for (size_t i = 0; i < rows; i++) {
 		char key[TEXT_SIZE], value[VALUE_SIZE];
 		json_t *row;
 
 		if (input_below(input, 2) == 0) {
-			row = bad_row(input, kind);
+			row = invalid_row(input, kind);
 			if (row != NULL)
-				row_add(&world.spoilt, row);
+				row_add(&world.mixed, row);
 		} else {
-			good_row(input, kind, key, value);
-			row = row_json(key, strlen(key), value, strlen(value));
+			valid_row(input, kind, key, value);
+			row =
+			    row_encode(key, strlen(key), value, strlen(value));
 			row_add(&world.clean, row);
-			row_add(&world.spoilt, row);
+			row_add(&world.mixed, row);
 		}
 		json_decref(row);
 	}
-	answer_take(&world.clean, table_of(kind), whole);
-	answer_take(&world.spoilt, table_of(kind), whole);
+	response_apply(&world.clean, table_of_kind(kind), complete);
+	response_apply(&world.mixed, table_of_kind(kind), complete);
 }
 
 /* What they know. ------------------------------------------------------------
  */
 
 static void
-same_endpoints(const relay_node_t *a, const relay_node_t *b)
+endpoints_compare(const relay_node_t *a, const relay_node_t *b)
 {
 	FUZZ_CHECK(HASH_COUNT(a->endpoints.endpoints) ==
 	    HASH_COUNT(b->endpoints.endpoints));
@@ -363,7 +365,7 @@
 }
 
 static void
-same_members(const relay_node_t *a, const relay_node_t *b)
+members_compare(const relay_node_t *a, const relay_node_t *b)
 {
 	const member_t *other;
 
@@ -377,7 +379,7 @@
 }
 
 static void
-same_rollouts(const relay_node_t *a, const relay_node_t *b)
+rollouts_compare(const relay_node_t *a, const relay_node_t *b)
 {
 	for (const rollout_t *one = a->rollouts.all; one != NULL;
 	     one = one->hh.next) {
@@ -393,7 +395,7 @@
 
 /* Others are told of the same endpoints and daemons. */
 static void
-same_told(const row_cache_t *a, const row_cache_t *b)
+cached_rows_compare(const row_cache_t *a, const row_cache_t *b)
 {
 	for (const cached_row_t *row = b->rows; row != NULL;
 	     row = row->hh.next) {
@@ -409,15 +411,15 @@
 }
 
 static void
-same_known(void)
+daemons_compare(void)
 {
 	const relay_node_t *a = &world.clean.node;
-	const relay_node_t *b = &world.spoilt.node;
+	const relay_node_t *b = &world.mixed.node;
 
-	same_endpoints(a, b);
-	same_members(a, b);
-	same_rollouts(a, b);
-	same_told(&a->source.cache, &b->source.cache);
+	endpoints_compare(a, b);
+	members_compare(a, b);
+	rollouts_compare(a, b);
+	cached_rows_compare(&a->source.cache, &b->source.cache);
 	FUZZ_CHECK((a->relay.config == NULL) == (b->relay.config == NULL));
 	FUZZ_CHECK(a->relay.config == NULL ||
 	    a->relay.config->version == b->relay.config->version);
@@ -437,14 +439,14 @@
 	world.store = (row_store_t){.ops = &silent_ops};
 	world.version = 10;
 	rng_system_init(&world.rng);
-	reader_start(&world.clean);
-	reader_start(&world.spoilt);
+	daemon_start(&world.clean);
+	daemon_start(&world.mixed);
 	for (size_t i = 0; i < STEPS_MAX && !input_over(&input); i++) {
-		read_table(&input);
-		same_known();
+		table_read(&input);
+		daemons_compare();
 	}
 	relay_node_finish(&world.clean.node);
-	relay_node_finish(&world.spoilt.node);
+	relay_node_finish(&world.mixed.node);
 	event_base_free(world.base);
 	return 0;
 }
--- a/test/platform/store_eras_test.c
+++ b/test/platform/store_eras_test.c
@@ -18,7 +18,7 @@
 #include "moortack/replication/era_version.h"
 #include "platform/store.h"
 
-#define NUMBER 7
+#define SEQUENCE 7
 #define TIMEOUT_MS 2000
 
 /** The stand-in of the store, and what was last asked and answered. */
@@ -27,15 +27,15 @@
 	struct evhttp *server;
 	platform_store_t store;
 	int era; /**< 0: not told */
-	int number;
+	int sequence;
 	char body[512];
 	row_result_t result;
 	uint64_t version;
-	uint64_t row;
+	uint64_t row_version;
 } world;
 
 static void
-serve(struct evhttp_request *req, void *arg)
+on_request(struct evhttp_request *req, void *arg)
 {
 	struct evbuffer *in = evhttp_request_get_input_buffer(req);
 	struct evbuffer *out = evbuffer_new();
@@ -53,7 +53,7 @@
 	evbuffer_add_printf(out,
 	    "{\"row_version\":%d,\"now_ms\":1,\"rows\":[{\"key\":\"k\","
 	    "\"value\":\"\",\"row_version\":%d}]}",
-	    world.number, world.number);
+	    world.sequence, world.sequence);
 	evhttp_send_reply(req, 200, "OK", out);
 	evbuffer_free(out);
 }
@@ -70,13 +70,13 @@
 	memset(&world, 0, sizeof(world));
 	world.base = event_base_new();
 	world.server = evhttp_new(world.base);
-	evhttp_set_gencb(world.server, serve, NULL);
+	evhttp_set_gencb(world.server, on_request, NULL);
 	socket = evhttp_bind_socket_with_handle(world.server, "127.0.0.1", 0);
 	getsockname(
 	    evhttp_bound_socket_get_fd(socket), (struct sockaddr *)&at, &len);
 	address.port = ntohs(at.sin_port);
 	platform_store_init(&world.store, world.base, &address);
-	world.number = NUMBER;
+	world.sequence = SEQUENCE;
 	return 0;
 }
 
@@ -96,7 +96,7 @@
 	(void)arg;
 	world.result = reply->result;
 	world.version = reply->version;
-	world.row = reply->rows_len > 0 ? reply->rows[0].version : 0;
+	world.row_version = reply->rows_len > 0 ? reply->rows[0].version : 0;
 	event_base_loopbreak(world.base);
 }
 
@@ -131,57 +131,57 @@
 }
 
 static void
-a_later_era_is_newer_whatever_its_numbers(void **state)
+versions_of_a_later_era_are_newer(void **state)
 {
 	(void)state;
 	assert_int_equal(read_page(NULL), ROW_OK);
-	assert_int_equal(world.version, NUMBER);
+	assert_int_equal(world.version, SEQUENCE);
 	world.era = 1;
-	world.number = NUMBER - 2;
+	world.sequence = SEQUENCE - 2;
 	assert_int_equal(read_page(NULL), ROW_OK);
-	assert_true(world.version > NUMBER);
-	assert_int_equal(world.row, era_version_of(1, NUMBER - 2));
+	assert_true(world.version > SEQUENCE);
+	assert_int_equal(world.row_version, era_version_of(1, SEQUENCE - 2));
 	assert_int_equal(world.store.store.era, 1);
 }
 
 static void
-changes_of_another_era_continue_nothing(void **state)
+changes_of_another_era_are_no_continuation(void **state)
 {
 	(void)state;
-	assert_int_equal(feed(NUMBER), ROW_OK);
+	assert_int_equal(feed(SEQUENCE), ROW_OK);
 	/* The same number, given out again. */
 	world.era = 1;
-	assert_int_equal(feed(NUMBER), ROW_FORGOTTEN);
-	assert_int_equal(feed(era_version_of(1, NUMBER)), ROW_OK);
+	assert_int_equal(feed(SEQUENCE), ROW_FORGOTTEN);
+	assert_int_equal(feed(era_version_of(1, SEQUENCE)), ROW_OK);
 	world.era = 2;
 	assert_int_equal(read_page("k"), ROW_FORGOTTEN);
 }
 
 static void
-a_late_answer_of_an_earlier_era_tells_nothing(void **state)
+late_responses_of_an_earlier_era_are_ignored(void **state)
 {
 	(void)state;
 	world.era = 2;
 	assert_int_equal(read_page(NULL), ROW_OK);
 	world.era = 1;
-	world.number = NUMBER + 100;
+	world.sequence = SEQUENCE + 100;
 	assert_int_equal(read_page(NULL), ROW_LOST);
-	assert_int_equal(feed(era_version_of(2, NUMBER)), ROW_LOST);
+	assert_int_equal(feed(era_version_of(2, SEQUENCE)), ROW_LOST);
 	assert_int_equal(world.store.store.era, 2);
 }
 
 static void
-a_condition_of_an_earlier_era_is_met_by_no_row(void **state)
+conditions_of_an_earlier_era_always_fail(void **state)
 {
 	char text[64];
 
 	(void)state;
 	world.era = 1;
 	assert_int_equal(read_page(NULL), ROW_OK);
-	write_expecting(NUMBER);
-	snprintf(text, sizeof(text), "\"row_version\":%d}", NUMBER);
+	write_expecting(SEQUENCE);
+	snprintf(text, sizeof(text), "\"row_version\":%d}", SEQUENCE);
 	assert_null(strstr(world.body, text));
-	write_expecting(era_version_of(1, NUMBER));
+	write_expecting(era_version_of(1, SEQUENCE));
 	assert_non_null(strstr(world.body, text));
 	write_expecting(0);
 	assert_non_null(strstr(world.body, "\"row_version\":0}"));
@@ -192,14 +192,13 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test_setup_teardown(
-		a_later_era_is_newer_whatever_its_numbers, setup, teardown),
+		versions_of_a_later_era_are_newer, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		changes_of_another_era_continue_nothing, setup, teardown),
+		changes_of_another_era_are_no_continuation, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_late_answer_of_an_earlier_era_tells_nothing, setup, teardown),
+		late_responses_of_an_earlier_era_are_ignored, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_condition_of_an_earlier_era_is_met_by_no_row, setup,
-		teardown),
+		conditions_of_an_earlier_era_always_fail, setup, teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
