--- a/include/platform/rows.h
+++ b/include/platform/rows.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * What the operator and the endpoints write to the platform's store, decoded
- * into the product's types. A field that is missing, of the wrong type or too
- * long is a typed error that names it.
+ * Decoders for the rows that the operator and the endpoints write to the
+ * platform's store. A field that is missing, of the wrong type or too long is a
+ * typed error that names it.
  */
 #ifndef PLATFORM_ROWS_H
 #define PLATFORM_ROWS_H
@@ -13,7 +13,7 @@
 #include "moortack/relay/relay_config.h"
 #include "moortack/relay/rollouts.h"
 
-/** Tables that the operator and the endpoints write. */
+/** Tables that the operator and the endpoints write to. */
 #define ROWS_OPERATOR_TABLE "op"
 #define ROWS_ENDPOINTS_TABLE "servers"
 /** Keys in the operator's table. */
@@ -21,30 +21,33 @@
 #define ROWS_ROLLOUT_PREFIX "rollout/"
 #define ROWS_EVACUATION_PREFIX "evacuate/"
 
-/** A configuration, or NULL and the error. */
-/** @param before in force until now; may be NULL. Routes of the same text are
- * shared with it: a change of one of 1,550 routes takes 3 to 7 ms of a
- * processor instead of 33 to 38. */
+/** Decode a configuration.
+ * @param before the configuration in force; may be NULL. Routes whose text is
+ * unchanged are shared with it: applying a change to one of 1,550 routes then
+ * takes 3 to 7 ms of CPU time instead of 33 to 38 ms.
+ * @return NULL: the row is invalid; fills the error */
 relay_config_t *config_row_decode(
     const char *text, size_t len, const relay_config_t *before, err_t *);
 
+/** Decode the entry of an endpoint. */
 bool endpoint_row_decode(
     const char *id, const char *text, size_t len, endpoint_info_t *, err_t *);
 
-/** Whether an entry differs from the previous one only in what changes with
- * each heartbeat. */
+/** Whether an entry differs from the previous one only in fields that change
+ * with each heartbeat. False if either is invalid. */
 bool endpoint_row_unchanged(
     const char *before, size_t before_len, const char *now, size_t now_len);
 
-/** @param number of the row: grows with each order */
+/** Decode an order for a roll-out.
+ * @param number of the row; grows with each order */
 bool rollout_order_row_decode(
     const char *text, size_t len, uint64_t number, rollout_order_t *, err_t *);
 
-/** Whether the rest of the key of an evacuation is a zone's name. The value of
- * the row is not used. */
+/** Whether a zone's name is valid: the key of an evacuation's row after its
+ * prefix. The value of the row is not used. */
 bool evacuation_zone_check(const char *zone, err_t *);
 
-/** How a roll-out's state is told to the operator. */
+/** Encodes a roll-out's state into the row that the operator reads. */
 extern const rollout_dialect_t platform_rollout_status_encoder;
 
 #endif
