--- a/include/platform/store.h
+++ b/include/platform/store.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The platform's metadata store as a row store: its calls over HTTP.
+ * A row store on the platform's metadata store, called over HTTP.
  */
 #ifndef PLATFORM_STORE_H
 #define PLATFORM_STORE_H
@@ -14,10 +14,10 @@
 	row_store_t store;
 	struct event_base *base;
 	http_address_t address;
-	uint64_t calls;		 /**< made */
-	uint64_t failures;	 /**< of them */
-	uint64_t response_bytes; /**< of answers */
-	uint64_t rows_bad_key;	 /**< rows whose key can't be a name */
+	uint64_t calls;		 /**< started */
+	uint64_t failures;	 /**< calls that did not succeed */
+	uint64_t response_bytes; /**< bytes of response bodies */
+	uint64_t rows_bad_key;	 /**< rows skipped: no valid key */
 } platform_store_t;
 
 void platform_store_init(
