--- a/include/platform/node_file.h
+++ b/include/platform/node_file.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The platform's settings file of a process: lines of the form a.b=value.
+ * The platform's settings file for a daemon: lines of the form a.b=value.
  */
 #ifndef PLATFORM_NODE_FILE_H
 #define PLATFORM_NODE_FILE_H
@@ -10,16 +10,16 @@
 #include "moortack/relay/zone_table.h"
 
 #define NODE_TEXT_SIZE 128
-/** Lines zones.ZONE=REGION in a file. */
+/** Most lines zones.ZONE=REGION in a file. */
 #define NODE_ZONES_MAX 256
 
-/** The region of a zone. */
+/** A zone and its region. */
 typedef struct node_zone {
 	char name[ZONE_NAME_SIZE];
 	char region[ZONE_NAME_SIZE];
 } node_zone_t;
 
-/** What the system uses of the file. */
+/** The fields of the file that are used; others are ignored. */
 typedef struct node_file {
 	char zone[NODE_TEXT_SIZE];
 	char region[NODE_TEXT_SIZE];	   /**< "": not set */
@@ -49,7 +49,7 @@
 	int64_t ttl_max_ms;	   /**< bounds.ttl_max_s */
 } node_file_t;
 
-/** Read and check the file; a field that is missing or wrong is named. */
+/** Read and validate the file. The error names a missing or invalid field. */
 bool node_file_read(const char *path, node_file_t *, err_t *);
 
 /** The same, from a text. */
--- a/include/platform/platform_http.h
+++ b/include/platform/platform_http.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The platform's questions to the system: where to connect, whether a daemon
- * is ready, and its metrics.
+ * HTTP servers for the platform: daemons to connect to, readiness of this
+ * daemon, and its metrics.
  */
 #ifndef PLATFORM_PLATFORM_HTTP_H
 #define PLATFORM_PLATFORM_HTTP_H
@@ -15,7 +15,7 @@
 typedef struct platform_http {
 	relay_node_t *node;
 	const platform_store_t *store;
-	int64_t resolve_ttl_ms; /**< how long callers may keep an answer */
+	int64_t resolve_ttl_ms; /**< how long callers may cache one */
 	struct evhttp *resolve_server;
 	struct evhttp *readiness_server;
 	struct evhttp *metrics_server;
