--- a/include/platform/platform_http.h
+++ b/include/platform/platform_http.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * HTTP servers for the platform: daemons to connect to, readiness of this
- * daemon, and its metrics.
+ * The platform's HTTP servers: where callers connect to, whether this daemon
+ * is ready, and its metrics.
  */
 #ifndef PLATFORM_PLATFORM_HTTP_H
 #define PLATFORM_PLATFORM_HTTP_H
--- a/test/platform/decoders_test.c
+++ b/test/platform/decoders_test.c
@@ -1,6 +1,8 @@
 /**
  * @file
- * The platform's messages: what is taken, and what is refused by name.
+ * Decoding of the platform's rows, settings and headers: valid ones give the
+ * expected values, and invalid ones are refused with an error that names the
+ * field.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -110,7 +112,8 @@
 	relay_config_release(after);
 }
 
-/* A model's price stands with the service. */
+/* Guards against keeping old prices in a shared route: the price of a model is
+ * in the service, not in the route's text. */
 static void
 routes_with_changed_prices_are_not_shared(void **state)
 {
@@ -145,7 +148,8 @@
 	}
 }
 
-/* The configuration with one text replaced by another. */
+/* Checks that the configuration with @p from replaced by @p to is refused, with
+ * @p names in the error. */
 static void
 config_refused(const char *from, const char *to, const char *names)
 {
@@ -283,7 +287,8 @@
 		assert_false(start_time_decode(invalid[i], &started_ms));
 }
 
-/* An entry whose start alone is another one is news to all. */
+/* Guards against dropping an entry of an endpoint that started again under the
+ * same id, if nothing else of it changed. */
 static void
 another_start_time_is_a_change(void **state)
 {
@@ -334,7 +339,8 @@
 	}
 }
 
-/* The store's answer, decoded; @c next of the list is what is asked for. */
+/* Decodes a response of the store with these rows.
+ * @param more there is a next page */
 static json_t *
 rows_decode(const char *rows, bool more, store_rows_t *list)
 {
@@ -374,8 +380,8 @@
 	json_decref(body);
 }
 
-/* A read goes on behind a page whatever its last key is, also if that is all
- * that the page has. */
+/* Guards against a read that stops at, or never gets past, a page whose last
+ * key has a zero byte, or that holds only one row. */
 static void
 the_next_page_follows_any_key(void **state)
 {
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -1,10 +1,9 @@
 /**
  * @file
- * Rows of other writers between good ones, through the store's answers and the
- * platform's decoders into two daemons: one reads a table with bad rows in it,
- * the other the same table without. The oracle is the other: what they know of
- * endpoints, configuration, daemons and roll-outs, and what they tell others,
- * is the same after each reading.
+ * Two daemons read the same tables through the store's responses and the
+ * platform's decoders, one of them with invalid rows of other writers added.
+ * Checks after each read that both know the same endpoints, configuration,
+ * daemons and roll-outs, and send the same rows to others.
  */
 #include <event2/event.h>
 #include <sodium.h>
@@ -23,10 +22,10 @@
 #define TEXT_SIZE 1024
 #define VALUE_SIZE 512
 
-/** A daemon that is told the rows. */
+/** A daemon that reads the rows. */
 typedef struct daemon {
 	relay_node_t node;
-	json_t *response; /**< of the store, being made */
+	json_t *response; /**< of the store, under construction */
 } daemon_t;
 
 typedef struct world {
@@ -35,8 +34,8 @@
 	rng_t rng;
 	row_store_t store;
 	uint64_t version;
-	daemon_t clean; /**< reads no bad rows */
-	daemon_t mixed; /**< reads them too */
+	daemon_t clean; /**< reads only valid rows */
+	daemon_t mixed; /**< reads invalid rows as well */
 } world_t;
 
 static world_t world;
@@ -74,7 +73,7 @@
 	FUZZ_CHECK(relay_node_init(&daemon->node, &ports, &settings, &err));
 }
 
-/* The rows that the tables have. ---------------------------------------------
+/* Rows of the tables. ---------------------------------------------
  */
 
 static row_table_t
@@ -86,7 +85,7 @@
 	return tables[kind];
 }
 
-/* A good row of a kind, which is the same kind as in table_of(). */
+/* Makes a valid row of a kind as in table_of_kind(). */
 static void
 valid_row(input_t *input, uint32_t kind, char *key, char *value)
 {
@@ -143,7 +142,8 @@
 	    text, "row_version", (json_int_t)world.version);
 }
 
-/* Break a good value: cut it, change bytes, or give a field another type. */
+/* Truncates a valid value, changes bytes of it, or gives a field another type.
+ */
 static size_t
 value_corrupt(input_t *input, char *value)
 {
@@ -180,9 +180,10 @@
 	return len < VALUE_SIZE ? len : VALUE_SIZE - 1;
 }
 
-/* Whether a configuration is good is the same whatever it is built on. */
+/* Whether a configuration is valid. Checks that this does not depend on the
+ * configuration that it shares routes with. */
 static bool
-config_decode(const char *text, size_t len)
+config_is_valid(const char *text, size_t len)
 {
 	relay_config_t *fresh = config_row_decode(text, len, NULL, NULL);
 	relay_config_t *shared = config_row_decode(text, len, fresh, NULL);
@@ -197,8 +198,7 @@
 	return valid;
 }
 
-/* Whether the row, by the platform's and the product's decoders, names
- * something. */
+/* Whether the decoders accept the row. */
 static bool
 row_is_valid(uint32_t kind, const char *key, const char *value, size_t len)
 {
@@ -216,7 +216,7 @@
 	case 0:
 		return endpoint_row_decode(key, text, len, &endpoint, NULL);
 	case 1:
-		return config_decode(text, len);
+		return config_is_valid(text, len);
 	case 2:
 		return rollout_order_row_decode(text, len, 1, &order, NULL);
 	case 3:
@@ -228,7 +228,8 @@
 	}
 }
 
-/* A row that names nothing, under a key that no good row has. */
+/* Makes a row that the decoders refuse, under a key that no valid row has.
+ * @return NULL: they would accept it */
 static json_t *
 invalid_row(input_t *input, uint32_t kind)
 {
@@ -271,7 +272,7 @@
 	}
 }
 
-/* Readings. ------------------------------------------------------------------
+/* Reads. ------------------------------------------------------------------
  */
 
 static void
@@ -286,7 +287,7 @@
 	daemon->response = json_pack("{s:[], s:b}", "rows", "has_more", 0);
 }
 
-/* The answer goes through the store's text, as it does on the wire. */
+/* Passes the response to the daemon as text, as it comes over the network. */
 static void
 response_apply(daemon_t *daemon, row_table_t table, bool complete)
 {
@@ -345,7 +346,7 @@
 	response_apply(&world.mixed, table_of_kind(kind), complete);
 }
 
-/* What they know. ------------------------------------------------------------
+/* Comparison. ------------------------------------------------------------
  */
 
 static void
@@ -393,7 +394,8 @@
 	}
 }
 
-/* Others are told of the same endpoints and daemons. */
+/* Checks that what the second daemon sends to others of endpoints and daemons,
+ * the first one sends too. */
 static void
 cached_rows_compare(const row_cache_t *a, const row_cache_t *b)
 {
--- a/test/platform/store_eras_test.c
+++ b/test/platform/store_eras_test.c
@@ -1,8 +1,9 @@
 /**
  * @file
- * A store that came back from an older copy gives out its numbers again: what
- * is of another era continues nothing, meets no condition, and is never taken
- * for older or newer by its number.
+ * A store that was restored from an older copy assigns its version numbers
+ * again, in a new era. Guards against comparing versions of different eras by
+ * number, continuing a read across eras, and meeting a condition with a version
+ * of an earlier era.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,12 +22,12 @@
 #define SEQUENCE 7
 #define TIMEOUT_MS 2000
 
-/** The stand-in of the store, and what was last asked and answered. */
+/** A fake store, with its last request and the client's last result. */
 static struct world {
 	struct event_base *base;
 	struct evhttp *server;
 	platform_store_t store;
-	int era; /**< 0: not told */
+	int era; /**< 0: not sent */
 	int sequence;
 	char body[512];
 	row_result_t result;
@@ -149,7 +150,7 @@
 {
 	(void)state;
 	assert_int_equal(feed(SEQUENCE), ROW_OK);
-	/* The same number, given out again. */
+	/* The same number, assigned again in another era. */
 	world.era = 1;
 	assert_int_equal(feed(SEQUENCE), ROW_FORGOTTEN);
 	assert_int_equal(feed(era_version_of(1, SEQUENCE)), ROW_OK);
--- a/test/platform/words.lua
+++ b/test/platform/words.lua
@@ -1,4 +1,5 @@
--- The words for scenarios over the platform's wire.
+-- Helpers for scenarios that run moortack-edge against a fake store and fake
+-- replicas.
 package.path = script_dir .. "/../scenario/?.lua;" .. package.path
 local lib = require("lib")
 local words = {lib = lib}
@@ -13,8 +14,8 @@
     local bits = a * 65536 + (b or 0) * 256 + (c or 0)
     for i = 0, 3 do
       local digit = bits >> (18 - 6 * i) & 63
-      local fill = (i == 2 and not b) or (i == 3 and not c)
-      out[#out + 1] = fill and "=" or ALPHABET:sub(digit + 1, digit + 1)
+      local padding = (i == 2 and not b) or (i == 3 and not c)
+      out[#out + 1] = padding and "=" or ALPHABET:sub(digit + 1, digit + 1)
     end
   end
   return table.concat(out)
@@ -27,17 +28,17 @@
 local World = {}
 World.__index = World
 
-local function standin(name, at, log)
+local function standin(name, listen, log)
   local process = lib.spawn("test/platform/standin-" .. name,
-    {"--listen", at}, {}, log)
-  process.address = at
+    {"--listen", listen}, {}, log)
+  process.address = listen
   lib.wait_until(name .. " listens", function()
-    return lib.http("GET", at, "/runs", {timeout_ms = 500}).status ~= 0
+    return lib.http("GET", listen, "/runs", {timeout_ms = 500}).status ~= 0
   end)
   return process
 end
 
--- Write a row as the operator or a replica would; a nil value removes it.
+-- Writes a row as the operator or a replica would; a nil value removes it.
 function World:put(tbl, key, value)
   local row = {table = tbl, part = "", key = key}
   local body = {expected = {}, write = {}, remove = {}}
@@ -58,7 +59,7 @@
   return answer.json and answer.json.rows or {}
 end
 
--- How often the store was asked so far: by kind and table.
+-- How many calls of this kind the store got for the table so far.
 function World:calls(kind, tbl)
   local calls = lib.http("GET", self.store.address, "/calls").json
   return calls["/-/" .. kind .. " " .. tbl] or 0
@@ -66,13 +67,13 @@
 
 function World:configure(keys, models)
   self.version = (self.version or 0) + 3
-  local function route(name, prefix, kind, more)
-    local one = {name = name, host = "a.example", prefix = prefix,
+  local function route(name, prefix, kind, overrides)
+    local fields = {name = name, host = "a.example", prefix = prefix,
       type = kind, service = "lm", max_attempts = 3, timeout_ms = 8000,
       slo_ms = 1000, priority = 1}
-    for k, v in pairs(more or {}) do one[k] = v end
-    one.regions_allowed = self.route_regions and self.route_regions[name]
-    return one
+    for k, v in pairs(overrides or {}) do fields[k] = v end
+    fields.regions_allowed = self.route_regions and self.route_regions[name]
+    return fields
   end
   self:put("op", "config", {version = self.version,
     routes = {route("stream", "/stream/", "streaming", {resumable = true,
@@ -104,7 +105,7 @@
   return replica
 end
 
--- Start the replica of that number anew where it ended, as another incarnation.
+-- Starts a replica that ended again on its address, as another incarnation.
 function World:revive(i, faults)
   local ended = self.replicas[i]
   local replica = standin("replica", ended.address, "replica" .. i .. ".log")
@@ -117,7 +118,7 @@
   self:replica(i)
 end
 
--- Counts the replicas that end, and starts each anew after a while.
+-- Counts the replicas that end, and starts each again after a delay.
 function World:watch_crashes(faults, after_ms)
   local watch = {ended = 0, back_at = {}}
   function watch.look()
@@ -134,7 +135,7 @@
   return watch
 end
 
--- Wait until each daemon of a small fleet tells all others.
+-- Waits until each daemon of a small fleet sends gossip to all others.
 function World:wait_joined()
   lib.wait_until("the daemons know of each other", function()
     for _, daemon in ipairs(self.daemons) do
@@ -146,14 +147,14 @@
   end)
 end
 
--- Change the zone of a replica; replicas start in zone a.
+-- Changes the zone of a replica; replicas start in zone a.
 function World:set_zone(i, zone)
   self.replicas[i].zone = zone
   self:replica(i)
 end
 
--- Make a replica cold for a time, in which it crashes under more than this many
--- requests a second.
+-- Makes a replica cold for a time, in which it crashes under more than this many
+-- requests per second.
 function World:make_cold(i, ms, limit)
   self:faults(i, {cold_ms = ms, cold_most = limit})
   self.replicas[i].warmup_left_ms = ms
@@ -165,8 +166,8 @@
   self:replica(i)
 end
 
--- The replica has started again under its id; nothing is heard of its earlier
--- process any more.
+-- Simulates a replica that started again under its id: connections to its earlier
+-- process fall silent.
 function World:restart(i)
   local replica = self.replicas[i]
   replica.born = (replica.born or 1700000000000) + 1000
@@ -174,7 +175,7 @@
   self:replica(i)
 end
 
--- A relay to a process: the link on which it is reached.
+-- Starts a relay to a process; the process is reached at the relay's link.
 local function relay_to(target, host, log)
   local relay = lib.spawn("standin/standin-relay",
     {"--listen", address(host, 9100)}, {}, log)
@@ -187,7 +188,7 @@
   return relay
 end
 
--- Put a relay before the replica: its connections can fall silent for good.
+-- Puts a relay before the replica, so that its connections can be made silent.
 function World:link(i)
   local replica = self.replicas[i]
   replica.relay = relay_to(replica.address, 30 + i, "relay" .. i .. ".log")
@@ -195,7 +196,7 @@
   self:replica(i, "v1")
 end
 
--- Put a relay between the daemon of that number and the store, before it starts.
+-- Puts a relay between a daemon and the store. Call it before the daemon starts.
 function World:store_link(i)
   self.store_links = self.store_links or {}
   self.store_links[i] = relay_to(self.store.address, 50 + i,
@@ -207,7 +208,8 @@
   lib.fault(self.store_links[i].address, faults)
 end
 
--- Whatever is open to the replica now passes on nothing any more.
+-- From now on, connections that are open to the replica forward nothing; new ones
+-- work.
 function World:silence(i)
   local replica = self.replicas[i]
   lib.fault(replica.relay.address,
@@ -223,7 +225,8 @@
   return lib.http("GET", self.replicas[i].address, "/runs").json.runs
 end
 
--- Callers that went away while a replica worked for them, over all replicas.
+-- How often a caller disconnected while a replica executed its request, over all
+-- replicas.
 function World:left()
   local count = 0
   for _, replica in pairs(self.replicas) do
@@ -235,27 +238,27 @@
 function World:all_runs()
   local all = {}
   for i in pairs(self.replicas) do
-    for _, one in ipairs(self:runs(i)) do all[#all + 1] = one end
+    for _, executed in ipairs(self:runs(i)) do all[#all + 1] = executed end
   end
   return all
 end
 
--- How often each request ran, over all replicas.
+-- How often each request was executed, over all replicas.
 function World:runs_by_id()
   local counts = {}
-  for _, one in ipairs(self:all_runs()) do
-    local id = one["Moortack-Attempt-Id"]
+  for _, executed in ipairs(self:all_runs()) do
+    local id = executed["Moortack-Attempt-Id"]
     counts[id] = (counts[id] or 0) + 1
   end
   return counts
 end
 
--- The models that a request ran with, in the order of replicas.
+-- The models that a request was executed with, in the order of replicas.
 function World:models(id)
   local names = {}
-  for _, one in ipairs(self:all_runs()) do
-    if one["Moortack-Attempt-Id"] == id then
-      names[#names + 1] = one["Moortack-Model-Id"]
+  for _, executed in ipairs(self:all_runs()) do
+    if executed["Moortack-Attempt-Id"] == id then
+      names[#names + 1] = executed["Moortack-Model-Id"]
     end
   end
   return names
@@ -265,23 +268,24 @@
   return self:runs_by_id()[id] or 0
 end
 
--- The number of the replica that ran a request; nil: none.
+-- The number of the replica that executed a request; nil: none.
 function World:endpoint_of(id)
   for i in ipairs(self.replicas) do
-    for _, one in ipairs(self:runs(i)) do
-      if one["Moortack-Attempt-Id"] == id then return i end
+    for _, executed in ipairs(self:runs(i)) do
+      if executed["Moortack-Attempt-Id"] == id then return i end
     end
   end
 end
 
--- The headers of a long prompt that shares most of it with others on its subject.
+-- The headers of a long prompt, most of which is a prefix that it shares with
+-- others on its subject.
 function words.prompt(subject, own)
   return {["Moortack-Token-Count"] = "9000,10",
     ["Moortack-Prefix-Hash"] = string.format("a1:100,b%d:8000,c%d:900",
       subject, own)}
 end
 
--- Wait until only one daemon reads the store, and the others follow it.
+-- Waits until only one daemon reads the store, and the others follow it.
 function World:reader()
   local found, count
   lib.wait_until("one daemon reads the store", function()
@@ -296,7 +300,7 @@
   return found
 end
 
--- The settings of the daemon of that number, and the path where they belong.
+-- The settings of a daemon by its number, and the path of its settings file.
 function World:settings(i)
   local ip = string.format("%s%d", network, i)
   local path = string.format("%s/scenario-logs/%s/node%d.conf", build,
@@ -316,7 +320,7 @@
     self.extra_settings or ""), path
 end
 
--- Start a daemon whose settings are at the path.
+-- Starts a daemon with the settings file at the path.
 function World:start(i, path)
   local ip = string.format("%s%d", network, i)
   local daemon = lib.spawn("platform/moortack-edge", {},
@@ -342,11 +346,11 @@
     {timeout_ms = 1000}).status == 200
 end
 
--- Whether it runs so far that it takes connections.
+-- Whether the daemon accepts connections.
 function words.listens(daemon)
-  local good, socket = pcall(run.connect, daemon.readiness)
-  if good then run.hang_up(socket) end
-  return good
+  local connected, socket = pcall(run.connect, daemon.readiness)
+  if connected then run.hang_up(socket) end
+  return connected
 end
 
 function words.wait_ready(daemon)
@@ -367,18 +371,18 @@
     name:gsub("%p", "%%%0") .. " ([%d.e+-]+)"))
 end
 
--- The bytes of a request without a key, for a bare connection.
+-- The text of a request without a key, to be sent over a plain connection.
 function words.bare_request(path, id)
   return string.format("GET %s HTTP/1.1\r\nHost: a.example\r\n" ..
     "Moortack-Attempt-Id: %s\r\nMoortack-Deadline-Ms: 4000\r\n\r\n", path, id)
 end
 
-local number = 0
--- Begin a request; its id is in the result.
+local request_count = 0
+-- Begins a request; its id is in the result.
 function words.begin(daemon, path, options)
   options = options or {}
-  number = number + 1
-  local id = options.id or string.format("%s%d", network, number)
+  request_count = request_count + 1
+  local id = options.id or string.format("%s%d", network, request_count)
   local headers = {["Host"] = "a.example", ["Moortack-Attempt-Id"] = id,
     ["Moortack-Deadline-Ms"] = tostring(options.deadline or 8000)}
   if options.key ~= false then
@@ -399,7 +403,7 @@
   return answer
 end
 
--- Whether a stream's body has each event once, in order.
+-- Whether a stream's body has each event exactly once, in order.
 function words.whole(body, events)
   local next_id = 1
   for id in body:gmatch("id: (%d+)\n") do
@@ -409,8 +413,8 @@
   return next_id == events + 1
 end
 
--- Whether the roll-out's state is this one. Its row in base64 holds the word at
--- a place that does not move.
+-- Whether the roll-out is in this state. Its row starts with the state, so that
+-- the first 20 characters of its base64 text identify it.
 function words.status(world, word)
   local value = ""
   for _, row in ipairs(world:rows("status")) do
@@ -421,7 +425,8 @@
       reverted = "eyJzdGF0ZSI6InJldmVy"})[word]
 end
 
--- A store, replicas of version v1, and daemons that are ready.
+-- Starts a store, replicas of version v1, and daemons, and waits until these are
+-- ready.
 -- @param fields of the world that are set before anything starts; optional
 function words.world(replicas, daemons, session_s, fields)
   local world = setmetatable({replicas = {}, daemons = {},
