--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -354,14 +354,14 @@
 {
 	FUZZ_CHECK(HASH_COUNT(a->endpoints.endpoints) ==
 	    HASH_COUNT(b->endpoints.endpoints));
-	for (const endpoint_t *one = a->endpoints.endpoints; one != NULL;
-	     one = one->hh.next) {
+	for (const endpoint_t *endpoint = a->endpoints.endpoints;
+	     endpoint != NULL; endpoint = endpoint->hh.next) {
 		const endpoint_t *other =
-		    endpoint_set_find(&b->endpoints, one->info.id);
+		    endpoint_set_find(&b->endpoints, endpoint->info.id);
 
 		FUZZ_CHECK(other != NULL);
-		FUZZ_CHECK(other->info.leaving == one->info.leaving);
-		FUZZ_CHECK(other->info.started_ms == one->info.started_ms);
+		FUZZ_CHECK(other->info.leaving == endpoint->info.leaving);
+		FUZZ_CHECK(other->info.started_ms == endpoint->info.started_ms);
 	}
 }
 
@@ -372,25 +372,25 @@
 
 	FUZZ_CHECK(
 	    HASH_COUNT(a->members.members) == HASH_COUNT(b->members.members));
-	for (const member_t *one = a->members.members; one != NULL;
-	     one = one->hh.next) {
-		HASH_FIND_STR(b->members.members, one->name, other);
-		FUZZ_CHECK(other != NULL && other->state == one->state);
+	for (const member_t *member = a->members.members; member != NULL;
+	     member = member->hh.next) {
+		HASH_FIND_STR(b->members.members, member->name, other);
+		FUZZ_CHECK(other != NULL && other->state == member->state);
 	}
 }
 
 static void
 rollouts_compare(const relay_node_t *a, const relay_node_t *b)
 {
-	for (const rollout_t *one = a->rollouts.all; one != NULL;
-	     one = one->hh.next) {
+	for (const rollout_t *rollout = a->rollouts.all; rollout != NULL;
+	     rollout = rollout->hh.next) {
 		const rollout_t *other =
-		    rollouts_find(&b->rollouts, one->order.service);
+		    rollouts_find(&b->rollouts, rollout->order.service);
 
 		FUZZ_CHECK(other != NULL);
-		FUZZ_CHECK(other->order.number == one->order.number);
-		FUZZ_CHECK(other->state_order == one->state_order);
-		FUZZ_CHECK(other->state == one->state);
+		FUZZ_CHECK(other->order.number == rollout->order.number);
+		FUZZ_CHECK(other->state_order == rollout->state_order);
+		FUZZ_CHECK(other->state == rollout->state);
 	}
 }
 
--- a/test/platform/store_eras_test.c
+++ b/test/platform/store_eras_test.c
@@ -92,12 +92,13 @@
 }
 
 static void
-on_done(void *arg, const row_reply_t *reply)
+on_done(void *arg, const row_reply_t *response)
 {
 	(void)arg;
-	world.result = reply->result;
-	world.version = reply->version;
-	world.row_version = reply->rows_len > 0 ? reply->rows[0].version : 0;
+	world.result = response->result;
+	world.version = response->version;
+	world.row_version =
+	    response->rows_len > 0 ? response->rows[0].version : 0;
 	event_base_loopbreak(world.base);
 }
 
--- a/test/platform/words.lua
+++ b/test/platform/words.lua
@@ -48,15 +48,15 @@
   else
     body.remove = {row}
   end
-  local answer = lib.http("POST", self.store.address, "/-/rows-tx",
+  local response = lib.http("POST", self.store.address, "/-/rows-tx",
     {body = body})
-  lib.equal(answer.status, 200, "write of " .. key)
+  lib.equal(response.status, 200, "write of " .. key)
 end
 
 function World:rows(tbl)
-  local answer = lib.http("GET", self.store.address,
+  local response = lib.http("GET", self.store.address,
     "/-/rows-get?part=&table=" .. tbl)
-  return answer.json and answer.json.rows or {}
+  return response.json and response.json.rows or {}
 end
 
 -- How many calls of this kind the store got for the table so far.
@@ -360,14 +360,14 @@
 end
 
 function words.addresses(daemon, region)
-  local answer = lib.http("GET", daemon.directory,
+  local response = lib.http("GET", daemon.directory,
     "/-/resolve?name=a.example&zone=a&region=" .. (region or "r"))
-  return answer.status == 200 and answer.json.addresses or {}
+  return response.status == 200 and response.json.addresses or {}
 end
 
 function words.metric(daemon, name)
-  local answer = lib.http("GET", daemon.metrics, "/metrics")
-  return tonumber(answer.body:match("\nmoortack_relay_" ..
+  local response = lib.http("GET", daemon.metrics, "/metrics")
+  return tonumber(response.body:match("\nmoortack_relay_" ..
     name:gsub("%p", "%%%0") .. " ([%d.e+-]+)"))
 end
 
@@ -398,9 +398,9 @@
 
 function words.call(daemon, path, options)
   local call = words.begin(daemon, path, options)
-  local answer = call:finish()
-  answer.id = call.id
-  return answer
+  local response = call:finish()
+  response.id = call.id
+  return response
 end
 
 -- Whether a stream's body has each event exactly once, in order.
