--- a/include/platform/node_file.h
+++ b/include/platform/node_file.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The platform's settings file of a process: lines of the form a.b=value.
+ * The platform's settings file for a daemon: lines of the form a.b=value.
  */
 #ifndef PLATFORM_NODE_FILE_H
 #define PLATFORM_NODE_FILE_H
@@ -10,46 +10,46 @@
 #include "moortack/relay/zone_table.h"
 
 #define NODE_TEXT_SIZE 128
-/** Lines zones.ZONE=REGION in a file. */
+/** Most lines zones.ZONE=REGION in a file. */
 #define NODE_ZONES_MAX 256
 
-/** The region of a zone. */
+/** A zone and its region. */
 typedef struct node_zone {
 	char name[ZONE_NAME_SIZE];
 	char region[ZONE_NAME_SIZE];
 } node_zone_t;
 
-/** What the system uses of the file. */
+/** The fields of the file that are used; others are ignored. */
 typedef struct node_file {
 	char zone[NODE_TEXT_SIZE];
 	char region[NODE_TEXT_SIZE];	   /**< "": not set */
 	node_zone_t zones[NODE_ZONES_MAX]; /**< zones.ZONE=REGION */
 	size_t zones_len;
-	http_address_t callers; /**< listen.frontend */
-	char callers_text[NODE_TEXT_SIZE];
-	http_address_t readiness; /**< listen.readiness */
-	http_address_t directory; /**< listen.registry */
-	http_address_t metrics;	  /**< first of port_range */
-	http_address_t peers;	  /**< second of port_range */
-	http_address_t store;	  /**< platform.address */
-	int64_t memory_mb;	  /**< limits.memory_mb */
-	double cores;		  /**< limits.cpu_quota */
-	int64_t leave_ms;	  /**< bounds.drain_ms */
-	int64_t grace_ms;	  /**< bounds.grace_s */
-	int64_t stable_ms;	  /**< bounds.stable_ms */
-	int64_t revoke_ms;	  /**< bounds.revoke_ms */
-	bool first_start;	  /**< bootstrap */
-	bool revoke_strict;	  /**< bounds.revoke_strict */
-	double retry_ratio;	  /**< bounds.retry_budget_ratio */
-	int64_t retry_window_ms;  /**< bounds.retry_window_s */
-	double retry_min;	  /**< bounds.retry_min */
-	int64_t session_ms;	  /**< bounds.session_s */
-	double warmup_overshoot;  /**< bounds.warmup_overshoot */
-	double warmup_tolerance;  /**< bounds.warmup_tolerance */
-	int64_t ttl_max_ms;	  /**< bounds.ttl_max_s */
+	http_address_t frontend; /**< listen.frontend */
+	char frontend_text[NODE_TEXT_SIZE];
+	http_address_t readiness;  /**< listen.readiness */
+	http_address_t registry;   /**< listen.registry */
+	http_address_t metrics;	   /**< first of port_range */
+	http_address_t peers;	   /**< second of port_range */
+	http_address_t store;	   /**< platform.address */
+	int64_t memory_mb;	   /**< limits.memory_mb */
+	double cpu_quota;	   /**< limits.cpu_quota */
+	int64_t drain_ms;	   /**< bounds.drain_ms */
+	int64_t grace_ms;	   /**< bounds.grace_s */
+	int64_t stable_ms;	   /**< bounds.stable_ms */
+	int64_t revoke_ms;	   /**< bounds.revoke_ms */
+	bool bootstrap;		   /**< bootstrap */
+	bool revoke_strict;	   /**< bounds.revoke_strict */
+	double retry_budget_ratio; /**< bounds.retry_budget_ratio */
+	int64_t retry_window_ms;   /**< bounds.retry_window_s */
+	double retry_min;	   /**< bounds.retry_min */
+	int64_t session_ms;	   /**< bounds.session_s */
+	double warmup_overshoot;   /**< bounds.warmup_overshoot */
+	double warmup_tolerance;   /**< bounds.warmup_tolerance */
+	int64_t ttl_max_ms;	   /**< bounds.ttl_max_s */
 } node_file_t;
 
-/** Read and check the file; a field that is missing or wrong is named. */
+/** Read and validate the file. The error names a missing or invalid field. */
 bool node_file_read(const char *path, node_file_t *, err_t *);
 
 /** The same, from a text. */
