--- a/include/moortack/relay/relay_node.h
+++ b/include/moortack/relay/relay_node.h
@@ -9,7 +9,7 @@
 #include "common/suspend_watch.h"
 #include "moortack/relay/relay.h"
 #include "moortack/relay/row_refusals.h"
-#include "moortack/replication/row_sync.h"
+#include "moortack/replication/row_source.h"
 
 /** Where the operator's and the endpoints' rows stand, and how they read. */
 typedef struct source_dialect {
--- a/include/moortack/replication/row_sync.h
+++ b/include/moortack/replication/row_source.h
@@ -9,8 +9,8 @@
  * This needs no agreement and no stored state: each response states how old
  * its rows are, and two daemons that read the store do no harm.
  */
-#ifndef MOORTACK_REPLICATION_ROW_SYNC_H
-#define MOORTACK_REPLICATION_ROW_SYNC_H
+#ifndef MOORTACK_REPLICATION_ROW_SOURCE_H
+#define MOORTACK_REPLICATION_ROW_SOURCE_H
 
 #include "common/event_log.h"
 #include "common/rng.h"
--- a/moortack/replication/row_sync.c
+++ b/moortack/replication/row_source.c
@@ -1,4 +1,4 @@
-#include "moortack/replication/row_sync.h"
+#include "moortack/replication/row_source.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/moortack/replication/row_sync_priv.h
+++ b/moortack/replication/row_sync_priv.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Shared by the files that implement row_sync_t: row_sync.c reads the store
+ * Shared by the files that implement row_sync_t: row_source.c reads the store
  * and keeps the rows, row_parent.c chooses the parent, row_follow.c exchanges
  * requests and responses with other daemons, row_answer.c applies responses,
  * and fleet_key.c maintains the key with which daemons authenticate each
@@ -9,7 +9,7 @@
 #ifndef MOORTACK_REPLICATION_ROW_SYNC_PRIV_H
 #define MOORTACK_REPLICATION_ROW_SYNC_PRIV_H
 
-#include "moortack/replication/row_sync.h"
+#include "moortack/replication/row_source.h"
 
 /** Whether every table has been up to date once. */
 bool row_sync_synced(const row_sync_t *);
--- a/test/unit/row_source_test.c
+++ b/test/unit/row_source_test.c
@@ -23,7 +23,7 @@
 #include "moortack/replication/feed_wire.h"
 #include "moortack/replication/membership.h"
 #include "moortack/replication/row_cache.h"
-#include "moortack/replication/row_sync.h"
+#include "moortack/replication/row_source.h"
 #include "moortack/replication/row_watch.h"
 
 #define MAX_AGE_MS 2400
