--- a/moortack/replication/fleet_key.c
+++ b/moortack/replication/fleet_key.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "row_sync_priv.h"
+#include "row_source_priv.h"
 
 #define KEY_TIMEOUT_MS 1500
 #define KEY_RETRY_MS 1500
--- a/moortack/replication/row_answer.c
+++ b/moortack/replication/row_answer.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
 #include "moortack/replication/feed_apply.h"
-#include "row_sync_priv.h"
+#include "row_source_priv.h"
 
 /* Whether the sender has fewer of the changes withheld here: its rows do not
  * show their outcome. */
--- a/moortack/replication/row_follow.c
+++ b/moortack/replication/row_follow.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "moortack/replication/feed_delta.h"
-#include "row_sync_priv.h"
+#include "row_source_priv.h"
 
 /* A parent whose rows are outdated for longer is replaced. */
 #define STALE_MAX_MS 3000
--- a/moortack/replication/row_parent.c
+++ b/moortack/replication/row_parent.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "row_sync_priv.h"
+#include "row_source_priv.h"
 
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
--- a/moortack/replication/row_source.c
+++ b/moortack/replication/row_source.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "row_sync_priv.h"
+#include "row_source_priv.h"
 
 /* Tombstones are kept for a minute: a daemon whose rows are older than this
  * requests all rows. */
--- a/moortack/replication/row_sync_priv.h
+++ b/moortack/replication/row_source_priv.h
@@ -6,8 +6,8 @@
  * and fleet_key.c maintains the key with which daemons authenticate each
  * other.
  */
-#ifndef MOORTACK_REPLICATION_ROW_SYNC_PRIV_H
-#define MOORTACK_REPLICATION_ROW_SYNC_PRIV_H
+#ifndef MOORTACK_REPLICATION_ROW_SOURCE_PRIV_H
+#define MOORTACK_REPLICATION_ROW_SOURCE_PRIV_H
 
 #include "moortack/replication/row_source.h"
 
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #include "../../moortack/relay/relay_node_priv.h"
-#include "../../moortack/replication/row_sync_priv.h"
+#include "../../moortack/replication/row_source_priv.h"
 #include "../support/manual_clock.h"
 #include "../support/silent_store.h"
 #include "input.h"
