--- a/include/moortack/relay/caller_targets.h
+++ b/include/moortack/relay/caller_targets.h
@@ -16,7 +16,7 @@
 typedef struct caller_target {
 	const char *address;
 	const char *zone;
-	double order; /**< in which this daemon prefers them */
+	double sort_key; /**< in which this daemon prefers them */
 } caller_target_t;
 
 /** Limits the daemons named to a caller to those in certain regions. */
@@ -31,7 +31,7 @@
  * @param targets room for @p most
  * @return how many were filled in
  */
-size_t caller_targets_fill(const membership_t *, bool own,
+size_t caller_targets_select(const membership_t *, bool own,
     const caller_region_filter_t *filter, caller_target_t *targets,
     size_t most);
 /** How many there are. */
--- a/include/moortack/relay/relay_config.h
+++ b/include/moortack/relay/relay_config.h
@@ -18,13 +18,13 @@
 #include "moortack/relay/model_choice.h"
 #include "moortack/relay/region_list.h"
 
-#define RELAY_POOLS_MAX 16
+#define ROUTE_POOLS_MAX 16
 
 /** What may be repeated. */
 typedef enum route_kind {
-	ROUTE_SAFE,   /**< idempotent */
-	ROUTE_UNSAFE, /**< at most once for each attempt of a caller */
-	ROUTE_STREAM, /**< events; idempotent if it may be resumed */
+	ROUTE_IDEMPOTENT,     /**< idempotent */
+	ROUTE_NOT_IDEMPOTENT, /**< at most once for each attempt of a caller */
+	ROUTE_STREAM,	      /**< events; idempotent if it may be resumed */
 } route_kind_t;
 
 /** A service that takes a part of a route's requests. */
@@ -40,30 +40,30 @@
 } route_model_t;
 
 /** Text that something was made from, as a hash; all zeros: not known. */
-typedef struct text_mark {
+typedef struct text_hash {
 	uint64_t low, high;
-} text_mark_t;
+} text_hash_t;
 
 /** A route is never changed either: a configuration shares those whose text is
  * the same with the one before it. */
 typedef struct relay_route {
-	uint32_t shared;
-	text_mark_t text;
+	uint32_t refs;
+	text_hash_t text_hash;
 
 	char *name;
 	char *host;
-	char *prefix; /**< begins and ends with a slash */
-	char *key;    /**< host and prefix joined, for the look-up */
+	char *prefix;	  /**< begins and ends with a slash */
+	char *lookup_key; /**< host and prefix joined, for the look-up */
 	route_kind_t kind;
-	int64_t timeout_ms;   /**< longest wait for the answer; 0: none */
-	int64_t objective_ms; /**< to the answer, or the first event */
-	int64_t pause_ms;     /**< longest between events; 0: none */
-	int rank;	      /**< 0 is the most urgent */
-	uint32_t attempts;    /**< endpoints that may be tried */
-	bool anonymous;	      /**< no key is asked for */
+	int64_t timeout_ms; /**< longest wait for the answer; 0: none */
+	int64_t latency_objective_ms; /**< to the answer, or the first event */
+	int64_t event_gap_objective_ms; /**< longest between events; 0: none */
+	int priority;			/**< 0 is the most urgent */
+	uint32_t attempts_max;		/**< endpoints that may be tried */
+	bool anonymous;			/**< no key is asked for */
 	bool resumable;
 	region_list_t regions; /**< to which its requests are restricted */
-	route_pool_t pools[RELAY_POOLS_MAX];
+	route_pool_t pools[ROUTE_POOLS_MAX];
 	size_t pools_len;
 	route_model_t models[MODELS_MAX]; /**< smallest first */
 	size_t models_len;
@@ -87,7 +87,7 @@
 
 typedef struct relay_organisation {
 	char *name;
-	int rank;	       /**< goes before a route's; negative: none */
+	int priority;	       /**< goes before a route's; negative: none */
 	region_list_t regions; /**< in addition to those of the route */
 } relay_organisation_t;
 
@@ -99,24 +99,24 @@
 
 typedef struct relay_config {
 	uint64_t version;
-	uint32_t shared;
-	bool keys_used; /**< false: no organisations, no keys */
+	uint32_t refs;
+	bool keys_required; /**< false: no organisations, no keys */
 	relay_route_entry_t *routes;
 	relay_route_entry_t *routes_by_text;
 	/** Of all that its routes are made from besides their own texts. */
-	text_mark_t routes_basis;
+	text_hash_t routes_basis_hash;
 	relay_service_t *services;
 	relay_key_t *keys;
 	relay_organisation_t **organisations;
 	size_t organisations_len;
-	size_t head_max; /**< bytes */
-	size_t body_max; /**< bytes */
-	int64_t read_ms; /**< for a head */
-	int64_t idle_ms; /**< of a connection between requests */
+	size_t head_max;	 /**< bytes */
+	size_t body_max;	 /**< bytes */
+	int64_t read_timeout_ms; /**< for a head */
+	int64_t idle_timeout_ms; /**< of a connection between requests */
 } relay_config_t;
 
 relay_config_t *relay_config_new(uint64_t version);
-relay_config_t *relay_config_share(relay_config_t *);
+relay_config_t *relay_config_acquire(relay_config_t *);
 void relay_config_release(relay_config_t *);
 
 /** Add a route, whose reference is taken over, also on failure. */
@@ -134,27 +134,27 @@
 void relay_route_release(relay_route_t *);
 
 /** The hash of a text. */
-text_mark_t text_mark(const char *text, size_t len);
-bool text_mark_same(text_mark_t, text_mark_t);
+text_hash_t text_hash_compute(const char *text, size_t len);
+bool text_hash_equal(text_hash_t, text_hash_t);
 /** A route that was made from this text, shared, or NULL. */
-relay_route_t *relay_config_share_route(const relay_config_t *, text_mark_t);
+relay_route_t *relay_config_acquire_route(const relay_config_t *, text_hash_t);
 
 /** The route with the longest prefix of @p target, or NULL.
  * @param host as the caller named it, with or without a port */
-const relay_route_t *relay_config_route(
+const relay_route_t *relay_config_find_route(
     const relay_config_t *, const char *host, const char *target);
 
 /** Collect the regions of all routes of a host in an empty list.
  * @return false, with @p out empty: there is no such route, a route is not
  * restricted, or there are too many regions */
-bool relay_config_host_regions(
+bool relay_config_collect_host_regions(
     const relay_config_t *, const char *host, region_list_t *out);
 
 /** The organisation that holds the key, or NULL. */
 const relay_organisation_t *
-relay_config_key(const relay_config_t *, const char *text);
+relay_config_find_organisation(const relay_config_t *, const char *text);
 
 const relay_service_t *
-relay_config_service(const relay_config_t *, const char *name);
+relay_config_find_service(const relay_config_t *, const char *name);
 
 #endif
--- a/moortack/relay/attempt_silence.c
+++ b/moortack/relay/attempt_silence.c
@@ -21,8 +21,8 @@
 	const attempt_t *attempt = &req->attempt;
 	const endpoint_load_t *load = &attempt->endpoint->load;
 
-	return attempt->reused && req->route->kind == ROUTE_SAFE &&
-	    req->sends < req->route->attempts && load->waiting == 0 &&
+	return attempt->reused && req->route->kind == ROUTE_IDEMPOTENT &&
+	    req->sends < req->route->attempts_max && load->waiting == 0 &&
 	    (load->slots == 0 || load->running < load->slots);
 }
 
@@ -74,7 +74,7 @@
 void
 attempt_watch_silence(relay_request_t *req)
 {
-	int64_t ms = (int64_t)((double)req->route->objective_ms *
+	int64_t ms = (int64_t)((double)req->route->latency_objective_ms *
 	    SILENCE_OBJECTIVE_SHARE);
 
 	if (ms > 0 && silence_applies(req))
--- a/moortack/relay/caller_targets.c
+++ b/moortack/relay/caller_targets.c
@@ -27,7 +27,7 @@
 {
 	size_t at = len;
 
-	while (at > 0 && targets[at - 1].order > target->order)
+	while (at > 0 && targets[at - 1].sort_key > target->sort_key)
 		at--;
 	if (at == most)
 		return len;
@@ -48,7 +48,7 @@
 }
 
 size_t
-caller_targets_fill(const membership_t *members, bool own,
+caller_targets_select(const membership_t *members, bool own,
     const caller_region_filter_t *filter, caller_target_t *targets, size_t most)
 {
 	const membership_settings_t *self = &members->settings;
--- a/moortack/relay/endpoint_rows.c
+++ b/moortack/relay/endpoint_rows.c
@@ -12,7 +12,7 @@
 	for (const endpoint_t *endpoint = node->endpoints.endpoints;
 	     endpoint != NULL; endpoint = endpoint->hh.next) {
 		const cached_row_t *row = endpoint->lapsed
-		    ? row_cache_find(&node->source.cache, ROW_TABLE_ENDPOINTS,
+		    ? row_cache_find(&node->row_sync.cache, ROW_TABLE_ENDPOINTS,
 			  endpoint->info.id)
 		    : NULL;
 
@@ -20,7 +20,7 @@
 			oldest = row->version;
 	}
 	row_sync_withhold(
-	    &node->source, ROW_TABLE_ENDPOINTS, oldest == 0 ? 0 : oldest + 1);
+	    &node->row_sync, ROW_TABLE_ENDPOINTS, oldest == 0 ? 0 : oldest + 1);
 }
 
 /* Handles the removal of an entry at a version of the store; followers with an
@@ -30,8 +30,8 @@
 static void
 endpoint_removed(relay_node_t *node, endpoint_t *endpoint, uint64_t version)
 {
-	bool keep =
-	    node->lapses && !node->source.applying && !endpoint->info.leaving;
+	bool keep = node->keep_lapsed && !node->row_sync.applying &&
+	    !endpoint->info.leaving;
 	bool was_lapsed = endpoint->lapsed;
 	row_t tombstone;
 
@@ -50,7 +50,7 @@
 		    &node->relay.quarantine, endpoint);
 	tombstone = (row_t){
 	    .key = endpoint->info.id, .version = version, .deleted = true};
-	row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, &tombstone);
+	row_sync_put(&node->row_sync, ROW_TABLE_ENDPOINTS, &tombstone);
 	endpoint_set_remove(&node->endpoints, endpoint);
 	if (was_lapsed)
 		lapsed_rows_hold_back(node);
@@ -95,7 +95,7 @@
 		return;
 	/* A daemon with an older version still has the row that lapsed here. */
 	endpoint->lapsed = order != INCARNATION_LATER && !is_newer &&
-	    node->source.applying && node->source.applying_older;
+	    node->row_sync.applying && node->row_sync.applying_older;
 	lapsed_rows_hold_back(node);
 }
 
@@ -110,7 +110,7 @@
 	if (known != NULL)
 		endpoint_removed(node, known, row->version);
 	else
-		row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, &tombstone);
+		row_sync_put(&node->row_sync, ROW_TABLE_ENDPOINTS, &tombstone);
 }
 
 /* An endpoint that was removed doesn't come back because a restored older copy
@@ -121,8 +121,8 @@
 removal_stands(
     const relay_node_t *node, const cached_row_t *known, const row_t *row)
 {
-	return !node->source.applying && relay_rows_of_later_era(known, row) &&
-	    known->value == NULL;
+	return !node->row_sync.applying &&
+	    relay_row_has_later_era(known, row) && known->value == NULL;
 }
 
 /* Nor does a leaving endpoint get requests again for that reason. */
@@ -130,17 +130,17 @@
 leaving_stands(const cached_row_t *known, const row_t *row,
     const endpoint_t *endpoint, const endpoint_info_t *info)
 {
-	return relay_rows_of_later_era(known, row) && known->value != NULL &&
+	return relay_row_has_later_era(known, row) && known->value != NULL &&
 	    endpoint != NULL && endpoint->info.leaving && !info->leaving &&
 	    endpoint_compare_incarnation(endpoint, info) == INCARNATION_SAME;
 }
 
 void
-relay_endpoint_row(relay_node_t *node, const row_t *row)
+relay_endpoint_apply_row(relay_node_t *node, const row_t *row)
 {
 	endpoint_t *endpoint = endpoint_set_find(&node->endpoints, row->key);
-	const cached_row_t *known =
-	    row_cache_find(&node->source.cache, ROW_TABLE_ENDPOINTS, row->key);
+	const cached_row_t *known = row_cache_find(
+	    &node->row_sync.cache, ROW_TABLE_ENDPOINTS, row->key);
 	bool is_newer = known == NULL || row->version > known->version;
 	endpoint_info_t info;
 	err_t err;
@@ -150,10 +150,10 @@
 		return;
 	}
 	if (removal_stands(node, known, row)) {
-		relay_rows_keep(node, ROW_TABLE_ENDPOINTS, known, row);
+		relay_row_keep_known(node, ROW_TABLE_ENDPOINTS, known, row);
 		return;
 	}
-	if (!node->ports.sources->endpoint(
+	if (!node->ports.row_dialect->decode_endpoint(
 		row->key, row->value, row->value_len, &info, &err)) {
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_ENDPOINT, row, &err);
@@ -161,28 +161,28 @@
 		return;
 	}
 	if (leaving_stands(known, row, endpoint, &info)) {
-		relay_rows_keep(node, ROW_TABLE_ENDPOINTS, known, row);
+		relay_row_keep_known(node, ROW_TABLE_ENDPOINTS, known, row);
 		return;
 	}
-	row_sync_put(&node->source, ROW_TABLE_ENDPOINTS, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_ENDPOINTS, row);
 	endpoint_apply(node, &info, is_newer);
 }
 
 /* Removes the endpoints whose entries did not come back after an outage. */
 void
-relay_rows_lapsed_end(relay_node_t *node)
+relay_endpoints_remove_lapsed(relay_node_t *node)
 {
 	const row_watch_t *watch =
-	    row_sync_watch(&node->source, ROW_TABLE_ENDPOINTS);
+	    row_sync_watch(&node->row_sync, ROW_TABLE_ENDPOINTS);
 	struct timespec now = clock_elapsed(node->ports.clock);
 	endpoint_t *current, *next;
 
-	if (node->source.following || !watch->reachable ||
-	    timespec_ms_between(node->store_back, now) <
-		node->settings.lapse_ms)
+	if (node->row_sync.following || !watch->reachable ||
+	    timespec_ms_between(node->store_available_at, now) <
+		node->settings.lapsed_keep_ms)
 		return;
-	node->lapses = false;
-	if (node->source.withheld_version[ROW_TABLE_ENDPOINTS] == 0)
+	node->keep_lapsed = false;
+	if (node->row_sync.withheld_version[ROW_TABLE_ENDPOINTS] == 0)
 		return;
 	for (current = node->endpoints.endpoints; current != NULL;
 	     current = next) {
@@ -195,7 +195,7 @@
 /* Accepts uncontradicted entries of earlier incarnations, so that an endpoint
  * isn't lost if it restarts with its clock set back. */
 void
-relay_rows_earlier_take(relay_node_t *node)
+relay_endpoints_accept_earlier(relay_node_t *node)
 {
 	endpoint_info_t info;
 
@@ -211,7 +211,7 @@
 }
 
 void
-relay_rows_lapses_drop(relay_node_t *node)
+relay_endpoints_stop_keeping_lapsed(relay_node_t *node)
 {
-	node->lapses = false;
+	node->keep_lapsed = false;
 }
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -45,7 +45,7 @@
 bool
 request_idempotent(const relay_request_t *req)
 {
-	return req->route->kind == ROUTE_SAFE ||
+	return req->route->kind == ROUTE_IDEMPOTENT ||
 	    (req->route->kind == ROUTE_STREAM && req->route->resumable);
 }
 
@@ -140,7 +140,7 @@
 	stats_observe(&relay->stats.complete_ms, age_ms);
 	stats_count_outcome(&relay->stats, outcome, why,
 	    req->earlier_tries_ms + req->first_byte_ms >
-		(double)req->route->objective_ms);
+		(double)req->route->latency_objective_ms);
 	event_line(relay->log, "request",
 	    "id=%s route=%s service=%s organisation=%s outcome=%s why=%s "
 	    "status=%d sends=%u connects_failed=%u model=%s confidence=%d "
@@ -158,9 +158,10 @@
 	    req->confidence, req->arrival.tokens_in,
 	    req->arrival.tokens_out_max, req->arrival.tokens_out_estimate,
 	    age_ms, req->first_byte_ms, req->earlier_tries_ms,
-	    req->route->objective_ms, req->max_event_gap_ms,
-	    req->route->pause_ms, req->escalated_ms, req->time_limit_ms,
-	    req->config->version, row_watch_age_ms(relay->config_watch),
+	    req->route->latency_objective_ms, req->max_event_gap_ms,
+	    req->route->event_gap_objective_ms, req->escalated_ms,
+	    req->time_limit_ms, req->config->version,
+	    row_watch_age_ms(relay->config_watch),
 	    row_watch_age_ms(relay->endpoint_watch), req->last_endpoint_id,
 	    req->placement.load, req->placement.candidates,
 	    req->placement.owner_reports, req->placement.queue_wait_ms,
@@ -281,7 +282,7 @@
 	req->relay = relay;
 	req->caller = caller;
 	req->arrival = *arrival;
-	req->config = relay_config_share(relay->config);
+	req->config = relay_config_acquire(relay->config);
 	req->route = route;
 	req->organisation = organisation;
 	req->split_hash = arrival_split_hash(arrival);
@@ -410,8 +411,8 @@
 	const relay_config_t *config = relay->config;
 	const http_inbound_limits_t limits = {.head_max = config->head_max,
 	    .body_max = config->body_max,
-	    .read_ms = config->read_ms,
-	    .idle_ms = config->idle_ms,
+	    .read_ms = config->read_timeout_ms,
+	    .idle_ms = config->idle_timeout_ms,
 	    .connections = CALLER_CONNECTIONS_MAX};
 
 	http_inbound_limit(relay->server, &limits);
--- a/moortack/relay/relay_attempt.c
+++ b/moortack/relay/relay_attempt.c
@@ -175,10 +175,10 @@
 static int
 request_rank(const relay_request_t *req)
 {
-	int rank = req->route->rank;
+	int rank = req->route->priority;
 
-	if (req->organisation != NULL && req->organisation->rank >= 0)
-		rank = req->organisation->rank;
+	if (req->organisation != NULL && req->organisation->priority >= 0)
+		rank = req->organisation->priority;
 	return rank < RANK_MAX ? rank : RANK_MAX;
 }
 
@@ -253,7 +253,7 @@
 	if (!relay_model_rebind(req, route))
 		return ERR_NO_ENDPOINT;
 	relay_config_release(req->config);
-	req->config = relay_config_share(relay->config);
+	req->config = relay_config_acquire(relay->config);
 	req->route = route;
 	req->organisation = organisation;
 	req->service = relay_route_service(route, req->split_hash);
@@ -360,7 +360,7 @@
 
 	if (outcome == ATTEMPT_NOT_SENT && req->sends == 0)
 		return req->connects_failed < CONNECTS_FAILED_MAX;
-	if (req->sends >= req->route->attempts ||
+	if (req->sends >= req->route->attempts_max ||
 	    req->connects_failed >= CONNECTS_FAILED_MAX)
 		return false;
 	if (req->may_have_run && !request_idempotent(req))
--- a/moortack/relay/relay_authorize.c
+++ b/moortack/relay/relay_authorize.c
@@ -31,15 +31,16 @@
 	*organisation = NULL;
 	if (config == NULL)
 		return ERR_NOT_READY;
-	*route = relay_config_route(config, arrival->host, target);
+	*route = relay_config_find_route(config, arrival->host, target);
 	if (*route == NULL)
 		return stale ? ERR_CONFIG_STALE : ERR_NOT_FOUND;
-	if (!config->keys_used || (*route)->anonymous)
+	if (!config->keys_required || (*route)->anonymous)
 		return ERR_NONE;
 	if (age_ms > relay->bounds.key_max_age_ms)
 		return ERR_CONFIG_STALE;
 	if (arrival->key != NULL && !arrival->multiple_keys)
-		*organisation = relay_config_key(config, arrival->key);
+		*organisation =
+		    relay_config_find_organisation(config, arrival->key);
 	if (*organisation == NULL)
 		return stale ? ERR_CONFIG_STALE : ERR_AUTHENTICATION;
 	return ERR_NONE;
--- a/moortack/relay/relay_candidates.c
+++ b/moortack/relay/relay_candidates.c
@@ -40,7 +40,7 @@
 connections_share(const relay_request_t *req)
 {
 	const relay_service_t *service =
-	    relay_config_service(req->config, req->service);
+	    relay_config_find_service(req->config, req->service);
 	uint32_t share;
 
 	if (service == NULL)
--- a/moortack/relay/relay_config.c
+++ b/moortack/relay/relay_config.c
@@ -20,38 +20,38 @@
 	if (config == NULL)
 		return NULL;
 	config->version = version;
-	config->shared = 1;
+	config->refs = 1;
 	config->head_max = HEAD_MAX_DEFAULT;
 	config->body_max = BODY_MAX_DEFAULT;
-	config->read_ms = READ_MS_DEFAULT;
-	config->idle_ms = IDLE_MS_DEFAULT;
+	config->read_timeout_ms = READ_MS_DEFAULT;
+	config->idle_timeout_ms = IDLE_MS_DEFAULT;
 	return config;
 }
 
 relay_config_t *
-relay_config_share(relay_config_t *config)
+relay_config_acquire(relay_config_t *config)
 {
 	if (config != NULL)
-		config->shared++;
+		config->refs++;
 	return config;
 }
 
-text_mark_t
-text_mark(const char *text, size_t len)
+text_hash_t
+text_hash_compute(const char *text, size_t len)
 {
 	XXH128_hash_t hash = XXH3_128bits(text, len);
 
-	return (text_mark_t){hash.low64, hash.high64};
+	return (text_hash_t){hash.low64, hash.high64};
 }
 
 bool
-text_mark_same(text_mark_t one, text_mark_t two)
+text_hash_equal(text_hash_t one, text_hash_t two)
 {
 	return one.low == two.low && one.high == two.high;
 }
 
 static bool
-mark_known(text_mark_t mark)
+mark_known(text_hash_t mark)
 {
 	return mark.low != 0 || mark.high != 0;
 }
@@ -59,12 +59,12 @@
 void
 relay_route_release(relay_route_t *route)
 {
-	if (--route->shared > 0)
+	if (--route->refs > 0)
 		return;
 	free(route->name);
 	free(route->host);
 	free(route->prefix);
-	free(route->key);
+	free(route->lookup_key);
 	for (size_t i = 0; i < route->pools_len; i++)
 		free(route->pools[i].service);
 	for (size_t i = 0; i < route->models_len; i++)
@@ -111,7 +111,7 @@
 void
 relay_config_release(relay_config_t *config)
 {
-	if (config != NULL && --config->shared == 0)
+	if (config != NULL && --config->refs == 0)
 		config_free(config);
 }
 
@@ -120,12 +120,13 @@
 {
 	size_t size = strlen(route->host) + strlen(route->prefix) + 1;
 
-	if (route->key != NULL)
+	if (route->lookup_key != NULL)
 		return true;
-	route->key = malloc(size);
-	if (route->key != NULL)
-		snprintf(route->key, size, "%s%s", route->host, route->prefix);
-	return route->key != NULL;
+	route->lookup_key = malloc(size);
+	if (route->lookup_key != NULL)
+		snprintf(route->lookup_key, size, "%s%s", route->host,
+		    route->prefix);
+	return route->lookup_key != NULL;
 }
 
 static bool
@@ -135,7 +136,7 @@
 
 	if (!route_key_make(route))
 		return err_set(err, ERR_MEMORY, "out of memory");
-	HASH_FIND_STR(config->routes, route->key, entry);
+	HASH_FIND_STR(config->routes, route->lookup_key, entry);
 	if (entry != NULL)
 		return err_set(
 		    err, ERR_BAD_REQUEST, "two routes have the same prefix");
@@ -143,11 +144,11 @@
 	if (entry == NULL)
 		return err_set(err, ERR_MEMORY, "out of memory");
 	entry->route = route;
-	HASH_ADD_KEYPTR(
-	    hh, config->routes, route->key, strlen(route->key), entry);
-	if (mark_known(route->text))
-		HASH_ADD_KEYPTR(hh_text, config->routes_by_text, &route->text,
-		    sizeof(route->text), entry);
+	HASH_ADD_KEYPTR(hh, config->routes, route->lookup_key,
+	    strlen(route->lookup_key), entry);
+	if (mark_known(route->text_hash))
+		HASH_ADD_KEYPTR(hh_text, config->routes_by_text,
+		    &route->text_hash, sizeof(route->text_hash), entry);
 	return true;
 }
 
@@ -161,14 +162,14 @@
 }
 
 relay_route_t *
-relay_config_share_route(const relay_config_t *config, text_mark_t text)
+relay_config_acquire_route(const relay_config_t *config, text_hash_t text)
 {
 	relay_route_entry_t *entry;
 
 	HASH_FIND(hh_text, config->routes_by_text, &text, sizeof(text), entry);
 	if (entry == NULL)
 		return NULL;
-	entry->route->shared++;
+	entry->route->refs++;
 	return entry->route;
 }
 
@@ -203,7 +204,7 @@
 		free(organisation);
 		return NULL;
 	}
-	organisation->rank = rank;
+	organisation->priority = rank;
 	config->organisations[config->organisations_len++] = organisation;
 	return organisation;
 }
@@ -238,7 +239,7 @@
 }
 
 const relay_route_t *
-relay_config_route(
+relay_config_find_route(
     const relay_config_t *config, const char *host, const char *target)
 {
 	char text[LOOKUP_SIZE];
@@ -275,7 +276,7 @@
 }
 
 bool
-relay_config_host_regions(
+relay_config_collect_host_regions(
     const relay_config_t *config, const char *host, region_list_t *out)
 {
 	for (const relay_route_entry_t *entry = config->routes; entry != NULL;
@@ -294,7 +295,7 @@
 }
 
 const relay_organisation_t *
-relay_config_key(const relay_config_t *config, const char *text)
+relay_config_find_organisation(const relay_config_t *config, const char *text)
 {
 	relay_key_t *key;
 
@@ -303,7 +304,7 @@
 }
 
 const relay_service_t *
-relay_config_service(const relay_config_t *config, const char *name)
+relay_config_find_service(const relay_config_t *config, const char *name)
 {
 	relay_service_t *service;
 
--- a/moortack/relay/relay_model.c
+++ b/moortack/relay/relay_model.c
@@ -38,7 +38,7 @@
 static double
 objective_remaining_ms(const relay_request_t *req)
 {
-	return (double)req->route->objective_ms -
+	return (double)req->route->latency_objective_ms -
 	    request_since_first_try_ms(req);
 }
 
@@ -181,7 +181,7 @@
 	late_responses_record(req->relay);
 	if (model_choice_is_final(req->confidence))
 		return;
-	input.retry_allowed = req->sends < route->attempts &&
+	input.retry_allowed = req->sends < route->attempts_max &&
 	    relay_retry_has_spare(req->relay, req->service);
 	for (size_t i = input.model + 1; i < input.models; i++)
 		option_fill(req, i, &input.options[i]);
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -64,16 +64,16 @@
 {
 	struct timespec now = clock_elapsed(node->ports.clock);
 	bool active = rollouts_any_active(&node->rollouts);
-	row_watch_t *own = &node->source.watches[ROW_TABLE_SYSTEM].watch;
+	row_watch_t *own = &node->row_sync.watches[ROW_TABLE_SYSTEM].watch;
 
 	own->timing.pause_ms = active ? OWN_PAUSE_BUSY_MS : OWN_PAUSE_MS;
 	if (!node->members.view.settled)
 		own->timing.pause_ms = OWN_PAUSE_DOUBT_MS;
-	if (!node->source.has_key)
+	if (!node->row_sync.has_key)
 		own->timing.pause_ms = OWN_PAUSE_KEY_MS;
-	if (timespec_ms_between(node->reported, now) < REPORT_BUSY_MS)
+	if (timespec_ms_between(node->report_sent_at, now) < REPORT_BUSY_MS)
 		return;
-	node->reported = now;
+	node->report_sent_at = now;
 	if (active && !own->suspended)
 		row_watch_poll_now(own);
 	if (node->members.alone && (active || node->members.report != NULL))
@@ -97,7 +97,7 @@
 	row.value_len = strlen(text);
 	row.version = (uint64_t)(node->members.store_offset_ms +
 	    timespec_ms(clock_elapsed(node->ports.clock)));
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, &row);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, &row);
 	free(text);
 }
 
@@ -105,7 +105,7 @@
 static void
 sessions_take(relay_node_t *node)
 {
-	const char *reader = row_sync_reader(&node->source);
+	const char *reader = row_sync_reader(&node->row_sync);
 	char key[SESSIONS_KEY_SIZE];
 	const cached_row_t *known;
 	row_t row = {.key = key};
@@ -113,7 +113,7 @@
 	if (reader == NULL)
 		return;
 	snprintf(key, sizeof(key), "%s%.95s", ROLLOUT_SESSIONS_PREFIX, reader);
-	known = row_cache_find(&node->source.cache, ROW_TABLE_SYSTEM, key);
+	known = row_cache_find(&node->row_sync.cache, ROW_TABLE_SYSTEM, key);
 	if (known == NULL || known->value == NULL)
 		return;
 	row.value = known->value;
@@ -127,7 +127,7 @@
 	if (!rollouts_any_active(&node->rollouts))
 		return;
 	relay_sessions_record(&node->relay);
-	if (node->source.following)
+	if (node->row_sync.following)
 		sessions_take(node);
 	else
 		sessions_send(node);
@@ -143,11 +143,11 @@
 
 	for (int i = 0; i < ROW_PURPOSES; i++)
 		all += calls[i];
-	if (all == node->calls_told ||
-	    timespec_ms_between(node->calls_told_at, now) < CALLS_TOLD_MS)
+	if (all == node->calls_logged ||
+	    timespec_ms_between(node->calls_logged_at, now) < CALLS_TOLD_MS)
 		return;
-	node->calls_told = all;
-	node->calls_told_at = now;
+	node->calls_logged = all;
+	node->calls_logged_at = now;
 	event_line(&node->log, "store_calls",
 	    "all=%" PRIu64 " read=%" PRIu64 " reread=%" PRIu64
 	    " changes=%" PRIu64 " beside=%" PRIu64 " member=%" PRIu64
@@ -165,17 +165,17 @@
 {
 	bool following;
 
-	row_sync_tick(&node->source);
-	following = node->source.following;
+	row_sync_tick(&node->row_sync);
+	following = node->row_sync.following;
 	if (membership_step(&node->members, following))
-		feed_server_respond_all(&node->source.server);
+		feed_server_respond_all(&node->row_sync.server);
 	/* What was written is told to others once it is read back. */
 	if (node->members.written && !following)
 		row_watch_poll_now(
-		    &node->source.watches[ROW_TABLE_SYSTEM].watch);
+		    &node->row_sync.watches[ROW_TABLE_SYSTEM].watch);
 	node->members.written = false;
 	if (following)
-		relay_rows_lapses_drop(node);
+		relay_endpoints_stop_keeping_lapsed(node);
 }
 
 static void
@@ -195,9 +195,9 @@
 		return;
 	event_line(&node->log, "stop", "under_way=%u part=%.2f",
 	    node->relay.in_flight, part);
-	if (node->gone != NULL)
-		node->gone(node->gone_arg);
-	node->gone = NULL;
+	if (node->on_stopped != NULL)
+		node->on_stopped(node->on_stopped_arg);
+	node->on_stopped = NULL;
 }
 
 static void
@@ -215,7 +215,7 @@
 {
 	relay_node_t *node = arg;
 	int64_t suspended_ms =
-	    suspend_watch_look(&node->suspended, node->ports.clock);
+	    suspend_watch_look(&node->suspend_watch, node->ports.clock);
 
 	(void)fd;
 	(void)what;
@@ -223,8 +223,8 @@
 		woken(node, suspended_ms);
 	event_log_tick(&node->log);
 	relay_accept_when_ready(&node->relay);
-	relay_rows_lapsed_end(node);
-	relay_rows_earlier_take(node);
+	relay_endpoints_remove_lapsed(node);
+	relay_endpoints_accept_earlier(node);
 	relay_evacuations_expire(node);
 	relay_warmup_tick(&node->relay, false);
 	endpoint_set_sample_in_flight(&node->endpoints);
@@ -247,10 +247,10 @@
 rows_same(const void *arg, row_table_t table, const char *key, const char *a,
     size_t a_len, const char *b, size_t b_len)
 {
-	const source_dialect_t *sources = arg;
+	const row_dialect_t *sources = arg;
 
 	if (table == ROW_TABLE_ENDPOINTS)
-		return sources->endpoint_same(a, a_len, b, b_len);
+		return sources->endpoint_unchanged(a, a_len, b, b_len);
 	if (table == ROW_TABLE_SYSTEM &&
 	    strncmp(key, MEMBER_PREFIX, strlen(MEMBER_PREFIX)) == 0)
 		return membership_same(a, a_len, b, b_len);
@@ -265,37 +265,37 @@
 	const relay_ports_t *ports = &node->ports;
 	const relay_node_settings_t *settings = &node->settings;
 
-	node->source = (row_sync_t){
-	    .settings = {.tables = {ports->sources->orders_table,
-			     ports->sources->endpoints_table, MEMBER_TABLE},
-		.timings = {{settings->config_wait_ms, CONFIG_PAUSE_MS,
+	node->row_sync = (row_sync_t){
+	    .settings = {.tables = {ports->row_dialect->operator_table,
+			     ports->row_dialect->endpoints_table, MEMBER_TABLE},
+		.timings = {{settings->operator_poll_wait_ms, CONFIG_PAUSE_MS,
 				STORE_RETRY_MS, STORE_RETRY_MOST_MS,
 				ORDERS_TIMEOUT_MS},
-		    {0, settings->endpoints_pause_ms, STORE_RETRY_MS,
+		    {0, settings->endpoints_poll_pause_ms, STORE_RETRY_MS,
 			STORE_RETRY_MOST_MS, ENDPOINTS_TIMEOUT_MS},
 		    {0, OWN_PAUSE_KEY_MS, STORE_RETRY_MS, STORE_RETRY_MOST_MS,
 			OWN_TIMEOUT_MS}},
-		.hold_ms = settings->config_wait_ms,
+		.hold_ms = settings->operator_poll_wait_ms,
 		.start_jitter_ms =
-		    settings->first_start ? FIRST_START_WITHIN_MS : 0,
-		.max_age_ms = {settings->old_ms, settings->endpoints_old_ms,
-		    OWN_OLD_MS}},
+		    settings->bootstrap ? FIRST_START_WITHIN_MS : 0,
+		.max_age_ms = {settings->operator_rows_max_age_ms,
+		    settings->endpoint_rows_max_age_ms, OWN_OLD_MS}},
 	    .base = ports->base,
 	    .store = ports->store,
 	    .clock = ports->clock,
 	    .rng = ports->rng,
 	    .log = &node->log,
 	    .members = &node->members};
-	strcpy(node->source.settings.peer_address, settings->peer);
+	strcpy(node->row_sync.settings.peer_address, settings->peer_address);
 	row_cache_init(
-	    &node->source.cache, ports->clock, rows_same, ports->sources);
-	return row_sync_init(&node->source, &relay_rows_ops, node);
+	    &node->row_sync.cache, ports->clock, rows_same, ports->row_dialect);
+	return row_sync_init(&node->row_sync, &relay_rows_ops, node);
 }
 
 static life_bounds_t
 life_bounds(const relay_node_settings_t *settings)
 {
-	double named_ms = (double)settings->off_named_ms;
+	double named_ms = (double)settings->down_listed_max_ms;
 
 	return (life_bounds_t){.silent_ms = (int64_t)(named_ms * SILENT_PART),
 	    .vouch_ms = (int64_t)(named_ms * VOUCH_PART),
@@ -306,9 +306,10 @@
 static bool
 zone_regions_set(relay_node_t *node, const relay_node_settings_t *settings)
 {
-	for (size_t i = 0; i < settings->zones_len; i++) {
+	for (size_t i = 0; i < settings->zone_regions_len; i++) {
 		if (!zone_table_set_region(&node->endpoints.zones,
-			settings->zones[i].zone, settings->zones[i].region))
+			settings->zone_regions[i].zone,
+			settings->zone_regions[i].region))
 			return false;
 	}
 	return true;
@@ -322,42 +323,42 @@
 	    .strength = node->settings.strength,
 	    .life = life_bounds(&node->settings)};
 	const row_watch_t *orders =
-	    row_sync_watch(&node->source, ROW_TABLE_OPERATOR);
+	    row_sync_watch(&node->row_sync, ROW_TABLE_OPERATOR);
 
 	snprintf(member.name, sizeof(member.name), "%s", node->settings.name);
 	snprintf(member.zone, sizeof(member.zone), "%s", node->settings.zone);
-	strcpy(member.peer, node->settings.peer);
+	strcpy(member.peer, node->settings.peer_address);
 	endpoint_set_init(&node->endpoints, ports->clock);
 	if (!zone_regions_set(node, &node->settings))
 		return err_set(
 		    err, ERR_SETTING, "cannot set the region of a zone");
 	node->rollouts = (rollouts_t){.store = ports->store,
 	    .clock = ports->clock,
-	    .status_encoder = ports->rollouts,
+	    .status_encoder = ports->rollout_status_encoder,
 	    .members = &node->members,
 	    .orders_watch = orders,
-	    .states_watch = &node->source.watches[ROW_TABLE_SYSTEM].watch,
+	    .states_watch = &node->row_sync.watches[ROW_TABLE_SYSTEM].watch,
 	    .log = &node->log,
 	    .old_in_flight = relay_old_version_in_flight,
 	    .group_base_version = relay_group_base_version,
 	    .relay = &node->relay};
 	recent_sessions_init(
-	    &node->rollouts.local_sessions, node->settings.session_ms);
+	    &node->rollouts.local_sessions, node->settings.session_window_ms);
 	recent_sessions_init(
-	    &node->rollouts.peer_sessions, node->settings.session_ms);
+	    &node->rollouts.peer_sessions, node->settings.session_window_ms);
 	node->relay = (relay_t){.base = ports->base,
 	    .clock = ports->clock,
 	    .rng = ports->rng,
 	    .log = &node->log,
-	    .caller_dialect = ports->callers,
-	    .endpoint_dialect = ports->endpoints,
+	    .caller_dialect = ports->caller_dialect,
+	    .endpoint_dialect = ports->endpoint_dialect,
 	    .endpoints = &node->endpoints,
 	    .members = &node->members,
 	    .gossip = &node->gossip,
 	    .rollouts = &node->rollouts,
 	    .config_watch = orders,
 	    .endpoint_watch =
-		row_sync_watch(&node->source, ROW_TABLE_ENDPOINTS),
+		row_sync_watch(&node->row_sync, ROW_TABLE_ENDPOINTS),
 	    .bounds = node->settings.bounds};
 	warmup_daemons_init(&node->relay.warmup_daemons, node->settings.name);
 	snprintf(node->relay.zone, sizeof(node->relay.zone), "%s",
@@ -366,7 +367,7 @@
 	    !relay_quarantine_init(
 		&node->relay.quarantine, &node->relay, ports->store) ||
 	    !gossip_init(&node->gossip, ports->base, ports->clock,
-		&node->members, node->settings.peer, &relay_gossip_ops,
+		&node->members, node->settings.peer_address, &relay_gossip_ops,
 		&node->relay, err))
 		return false;
 	membership_init(
@@ -385,15 +386,16 @@
 	memset(node, 0, sizeof(*node));
 	node->ports = *ports;
 	node->settings = *settings;
-	event_log_init(&node->log, ports->clock, settings->log_per_s);
+	event_log_init(&node->log, ports->clock, settings->log_lines_per_s);
 	node->refusals =
 	    (row_refusals_t){.clock = ports->clock, .log = &node->log};
 	if (!parts_init(node, err))
 		return false;
-	node->settings.zones = NULL;
-	node->settings.zones_len = 0;
-	node->tick = event_new(ports->base, -1, EV_PERSIST, on_tick, node);
-	if (node->tick == NULL || event_add(node->tick, &tick) != 0)
+	node->settings.zone_regions = NULL;
+	node->settings.zone_regions_len = 0;
+	node->tick_timer =
+	    event_new(ports->base, -1, EV_PERSIST, on_tick, node);
+	if (node->tick_timer == NULL || event_add(node->tick_timer, &tick) != 0)
 		return err_set(err, ERR_MEMORY, "out of memory");
 	event_line(&node->log, "start", "name=%s zone=%s", settings->name,
 	    settings->zone);
@@ -403,10 +405,10 @@
 void
 relay_node_finish(relay_node_t *node)
 {
-	event_free(node->tick);
+	event_free(node->tick_timer);
 	relay_finish(&node->relay);
 	relay_quarantine_finish(&node->relay.quarantine);
-	row_sync_finish(&node->source);
+	row_sync_finish(&node->row_sync);
 	gossip_finish(&node->gossip);
 	rollouts_finish(&node->rollouts);
 	membership_finish(&node->members);
@@ -418,33 +420,34 @@
 {
 	node->settings.bounds = settings->bounds;
 	node->settings.grace_ms = settings->grace_ms;
-	node->settings.endpoints_pause_ms = settings->endpoints_pause_ms;
-	node->source.settings.max_age_ms[ROW_TABLE_ENDPOINTS] =
-	    settings->endpoints_old_ms;
-	node->settings.off_named_ms = settings->off_named_ms;
+	node->settings.endpoints_poll_pause_ms =
+	    settings->endpoints_poll_pause_ms;
+	node->row_sync.settings.max_age_ms[ROW_TABLE_ENDPOINTS] =
+	    settings->endpoint_rows_max_age_ms;
+	node->settings.down_listed_max_ms = settings->down_listed_max_ms;
 	node->members.settings.life = life_bounds(settings);
 	node->members.view.bounds = node->members.settings.life;
 	node->relay.bounds = settings->bounds;
 	zone_regions_set(node, settings);
-	node->source.watches[ROW_TABLE_ENDPOINTS].watch.timing.pause_ms =
-	    settings->endpoints_pause_ms;
+	node->row_sync.watches[ROW_TABLE_ENDPOINTS].watch.timing.pause_ms =
+	    settings->endpoints_poll_pause_ms;
 	event_line(&node->log, "reload",
 	    "key_fresh_ms=%" PRId64 " grace_ms=%" PRId64,
 	    settings->bounds.key_max_age_ms, settings->grace_ms);
 }
 
 void
-relay_node_leave(relay_node_t *node, void (*gone)(void *), void *arg)
+relay_node_shut_down(relay_node_t *node, void (*gone)(void *), void *arg)
 {
 	if (node->leaving)
 		return;
 	node->leaving = true;
 	node->leaving_since = clock_elapsed(node->ports.clock);
-	node->gone = gone;
-	node->gone_arg = arg;
+	node->on_stopped = gone;
+	node->on_stopped_arg = arg;
 	event_line(&node->log, "leave", "under_way=%u", node->relay.in_flight);
 	membership_set_state(&node->members, MEMBER_LEAVING);
-	row_sync_stop_serving(&node->source);
+	row_sync_stop_serving(&node->row_sync);
 	relay_drain(&node->relay);
 }
 
--- a/moortack/relay/relay_node_priv.h
+++ b/moortack/relay/relay_node_priv.h
@@ -13,26 +13,26 @@
 extern const row_sync_ops_t relay_rows_ops;
 
 /** Whether the store was restored from an older copy after @p known. */
-bool relay_rows_of_later_era(const cached_row_t *known, const row_t *);
+bool relay_row_has_later_era(const cached_row_t *known, const row_t *);
 /** Keep the known value under the version of a row that is older. */
-void relay_rows_keep(
+void relay_row_keep_known(
     relay_node_t *, row_table_t, const cached_row_t *known, const row_t *);
 
 /** Apply a row of an evacuation that was written or removed. */
-void relay_evacuation_row(relay_node_t *, const row_t *);
+void relay_evacuation_apply_row(relay_node_t *, const row_t *);
 /** End evacuations that stayed unconfirmed for too long; called a few times a
  * second. */
 void relay_evacuations_expire(relay_node_t *);
 
 /** Apply an endpoint's row that was written or removed. */
-void relay_endpoint_row(relay_node_t *, const row_t *);
+void relay_endpoint_apply_row(relay_node_t *, const row_t *);
 /** Entries that did not come back after an outage are gone. */
-void relay_rows_lapsed_end(relay_node_t *);
+void relay_endpoints_remove_lapsed(relay_node_t *);
 
 /** Entries of earlier starts that nothing has contradicted are taken. */
-void relay_rows_earlier_take(relay_node_t *);
+void relay_endpoints_accept_earlier(relay_node_t *);
 
 /** Another daemon tells from now on which endpoints there are. */
-void relay_rows_lapses_drop(relay_node_t *);
+void relay_endpoints_stop_keeping_lapsed(relay_node_t *);
 
 #endif
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -18,7 +18,7 @@
 
 /* Whether the store came back from an older copy since the row was known. */
 bool
-relay_rows_of_later_era(const cached_row_t *known, const row_t *row)
+relay_row_has_later_era(const cached_row_t *known, const row_t *row)
 {
 	return known != NULL &&
 	    era_version_era(row->version) > era_version_era(known->version);
@@ -26,7 +26,7 @@
 
 /* What is known holds on, at the place in the order that the older row has. */
 void
-relay_rows_keep(relay_node_t *node, row_table_t table,
+relay_row_keep_known(relay_node_t *node, row_table_t table,
     const cached_row_t *known, const row_t *row)
 {
 	row_t kept = {.key = row->key,
@@ -41,7 +41,7 @@
 		memcpy(value, known->value, known->value_len);
 	value[known->value_len] = '\0';
 	kept.value = kept.deleted ? NULL : value;
-	row_sync_put(&node->source, table, &kept);
+	row_sync_put(&node->row_sync, table, &kept);
 	free(value);
 	node->rows_kept++;
 }
@@ -51,7 +51,7 @@
 config_steps_back(const relay_node_t *node, const cached_row_t *known,
     const row_t *row, const relay_config_t *config)
 {
-	return relay_rows_of_later_era(known, row) && known->value != NULL &&
+	return relay_row_has_later_era(known, row) && known->value != NULL &&
 	    node->relay.config != NULL &&
 	    (row->deleted ||
 		(config != NULL &&
@@ -62,17 +62,17 @@
 on_config_row(relay_node_t *node, const row_t *row)
 {
 	const cached_row_t *known =
-	    row_cache_find(&node->source.cache, ROW_TABLE_OPERATOR, row->key);
+	    row_cache_find(&node->row_sync.cache, ROW_TABLE_OPERATOR, row->key);
 	relay_config_t *config = NULL;
 	err_t err;
 
 	if (!row->deleted)
-		config = node->ports.sources->config(
+		config = node->ports.row_dialect->decode_config(
 		    row->value, row->value_len, node->relay.config, &err);
 	if (config_steps_back(node, known, row, config))
-		relay_rows_keep(node, ROW_TABLE_OPERATOR, known, row);
+		relay_row_keep_known(node, ROW_TABLE_OPERATOR, known, row);
 	else
-		row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
+		row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, row);
 	if (config != NULL)
 		relay_configure(&node->relay, config);
 	else if (!row->deleted)
@@ -89,7 +89,7 @@
 
 	if (row->deleted)
 		return;
-	if (node->ports.sources->order(
+	if (node->ports.row_dialect->decode_rollout_order(
 		row->value, row->value_len, row->version, &order, &err))
 		rollouts_apply_order(&node->rollouts, &order);
 	else
@@ -100,17 +100,17 @@
 static void
 on_order_row(relay_node_t *node, const row_t *row)
 {
-	const source_dialect_t *sources = node->ports.sources;
+	const row_dialect_t *sources = node->ports.row_dialect;
 
 	if (strcmp(row->key, sources->config_key) == 0) {
 		on_config_row(node, row);
 		return;
 	}
 	if (has_prefix(row, sources->evacuation_prefix)) {
-		relay_evacuation_row(node, row);
+		relay_evacuation_apply_row(node, row);
 		return;
 	}
-	row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, row);
 	if (has_prefix(row, sources->rollout_prefix))
 		order_row(node, row);
 }
@@ -139,7 +139,7 @@
 		taken = (row_t){
 		    .key = row->key, .version = row->version, .deleted = true};
 	}
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, &taken);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, &taken);
 	membership_row(&node->members, &taken);
 }
 
@@ -148,7 +148,7 @@
 {
 	err_t err;
 
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 	if (!rollouts_apply_state_row(&node->rollouts, row, &err))
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_ROLLOUT_STATE, row, &err);
@@ -159,7 +159,7 @@
 {
 	err_t err;
 
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 	if (!row->deleted && !fleet_key_check(row->value, &err))
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_FLEET_KEY, row, &err);
@@ -170,7 +170,7 @@
 {
 	err_t err;
 
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 	if (!relay_quarantine_apply_row(&node->relay.quarantine, row, &err))
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_QUARANTINE, row, &err);
@@ -188,7 +188,7 @@
 	} else if (strcmp(row->key, FLEET_KEY_ROW) == 0) {
 		on_key_row(node, row);
 	} else if (has_prefix(row, ROLLOUT_SESSIONS_PREFIX)) {
-		row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
+		row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 		rollouts_apply_sessions_row(&node->rollouts, row);
 	}
 }
@@ -200,14 +200,14 @@
 
 	/* A question that was out for long brings rows that are older than what
 	 * another daemon told meanwhile. */
-	if (row_cache_has_newer(&node->source.cache, table, row))
+	if (row_cache_has_newer(&node->row_sync.cache, table, row))
 		return;
 	switch (table) {
 	case ROW_TABLE_OPERATOR:
 		on_order_row(node, row);
 		break;
 	case ROW_TABLE_ENDPOINTS:
-		relay_endpoint_row(node, row);
+		relay_endpoint_apply_row(node, row);
 		break;
 	case ROW_TABLE_SYSTEM:
 		on_own_row(node, row);
@@ -226,17 +226,17 @@
 	uint64_t era = node->ports.store->era;
 
 	(void)table;
-	if (era <= node->era)
+	if (era <= node->store_era)
 		return;
 	if (node->relay.config != NULL) {
-		node->lapses = true;
-		node->store_back = clock_elapsed(node->ports.clock);
+		node->keep_lapsed = true;
+		node->store_available_at = clock_elapsed(node->ports.clock);
 	}
 	event_line(&node->log, "store_era",
 	    "era=%" PRIu64 " before=%" PRIu64 " config=%" PRIu64, era,
-	    node->era,
+	    node->store_era,
 	    node->relay.config != NULL ? node->relay.config->version : 0);
-	node->era = era;
+	node->store_era = era;
 }
 
 static void
@@ -251,10 +251,10 @@
 	relay_accept_when_ready(&node->relay);
 	if (table != ROW_TABLE_SYSTEM)
 		return;
-	if (!node->members_read)
+	if (!node->member_rows_read)
 		membership_rows_read(&node->members);
-	relay_warmup_tick(&node->relay, !node->members_read);
-	node->members_read = true;
+	relay_warmup_tick(&node->relay, !node->member_rows_read);
+	node->member_rows_read = true;
 	daemons = membership_count(&node->members);
 	/* Bounds that daemons share are cut by the most ever seen: too many
 	 * costs little, too few breaks them. */
@@ -268,7 +268,7 @@
 	static const char *const names[ROW_TABLES] = {
 	    "orders", "endpoints", "own"};
 	relay_node_t *node = arg;
-	const row_watch_t *watch = row_sync_watch(&node->source, table);
+	const row_watch_t *watch = row_sync_watch(&node->row_sync, table);
 
 	event_line(&node->log, now ? "store_back" : "store_lost",
 	    "table=%s age_ms=%" PRId64, names[table], row_watch_age_ms(watch));
@@ -278,8 +278,8 @@
 	 * one after a time in which others told what the store has. */
 	if (!watch->synced_once || row_watch_age_ms(watch) < OUTAGE_MIN_MS)
 		return;
-	node->lapses = true;
-	node->store_back = clock_elapsed(node->ports.clock);
+	node->keep_lapsed = true;
+	node->store_available_at = clock_elapsed(node->ports.clock);
 }
 
 static void
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -29,7 +29,8 @@
 snapshot_fill(const relay_t *relay, const relay_config_t *config,
     const char *name, warmup_snapshot_t *snapshot)
 {
-	const relay_service_t *service = relay_config_service(config, name);
+	const relay_service_t *service =
+	    relay_config_find_service(config, name);
 	int64_t store_ms = store_now_ms(relay);
 
 	*snapshot = (warmup_snapshot_t){.now = clock_elapsed(relay->clock)};
--- a/moortack/relay/zone_rows.c
+++ b/moortack/relay/zone_rows.c
@@ -12,7 +12,7 @@
 static const char *
 key_zone(const relay_node_t *node, const row_t *row)
 {
-	return row->key + strlen(node->ports.sources->evacuation_prefix);
+	return row->key + strlen(node->ports.row_dialect->evacuation_prefix);
 }
 
 static void
@@ -49,9 +49,9 @@
 evacuation_row_missing(const relay_node_t *node, const zone_t *zone,
     const cached_row_t *known, const row_t *row)
 {
-	return row->deleted && !node->source.applying && zone->evacuated &&
+	return row->deleted && !node->row_sync.applying && zone->evacuated &&
 	    known != NULL && known->value != NULL &&
-	    (zone->unconfirmed || relay_rows_of_later_era(known, row));
+	    (zone->unconfirmed || relay_row_has_later_era(known, row));
 }
 
 static void
@@ -61,22 +61,22 @@
 	if (!zone->unconfirmed)
 		zone->unconfirmed_since = clock_elapsed(node->ports.clock);
 	zone->unconfirmed = true;
-	relay_rows_keep(node, ROW_TABLE_OPERATOR, known, row);
+	relay_row_keep_known(node, ROW_TABLE_OPERATOR, known, row);
 }
 
 void
-relay_evacuation_row(relay_node_t *node, const row_t *row)
+relay_evacuation_apply_row(relay_node_t *node, const row_t *row)
 {
 	const cached_row_t *known =
-	    row_cache_find(&node->source.cache, ROW_TABLE_OPERATOR, row->key);
+	    row_cache_find(&node->row_sync.cache, ROW_TABLE_OPERATOR, row->key);
 	const char *name = key_zone(node, row);
 	zone_t *zone;
 	err_t err;
 
-	if (!node->ports.sources->evacuation_check(name, &err)) {
+	if (!node->ports.row_dialect->check_evacuation_zone(name, &err)) {
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_EVACUATION, row, &err);
-		row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
+		row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, row);
 		return;
 	}
 	zone = zone_table_get(&node->endpoints.zones, name);
@@ -84,7 +84,7 @@
 		evacuation_keep(node, zone, known, row);
 		return;
 	}
-	row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, row);
 	if (zone != NULL)
 		evacuation_apply(node, zone, row);
 }
@@ -93,19 +93,19 @@
 evacuation_expire(relay_node_t *node, zone_t *zone)
 {
 	const row_watch_t *watch =
-	    row_sync_watch(&node->source, ROW_TABLE_OPERATOR);
+	    row_sync_watch(&node->row_sync, ROW_TABLE_OPERATOR);
 	char key[2 * ZONE_NAME_SIZE];
 	row_t removal = {
 	    .key = key, .version = watch->version, .deleted = true};
 	const cached_row_t *known;
 
 	snprintf(key, sizeof(key), "%.95s%s",
-	    node->ports.sources->evacuation_prefix, zone->name);
-	known = row_cache_find(&node->source.cache, ROW_TABLE_OPERATOR, key);
+	    node->ports.row_dialect->evacuation_prefix, zone->name);
+	known = row_cache_find(&node->row_sync.cache, ROW_TABLE_OPERATOR, key);
 	if (known != NULL && known->version > removal.version)
 		removal.version = known->version;
 	removal.version++;
-	row_sync_put(&node->source, ROW_TABLE_OPERATOR, &removal);
+	row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, &removal);
 	evacuation_apply(node, zone, &removal);
 }
 
@@ -114,7 +114,7 @@
 {
 	struct timespec now = clock_elapsed(node->ports.clock);
 
-	if (node->source.following)
+	if (node->row_sync.following)
 		return;
 	for (zone_t *zone = node->endpoints.zones.zones; zone != NULL;
 	     zone = zone->hh.next) {
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -70,31 +70,31 @@
 	static const rollout_status_encoder_t rollouts;
 	relay_node_settings_t settings = {.listen = {"127.0.0.1", 0},
 	    .zone = "a",
-	    .old_ms = 2400,
-	    .endpoints_old_ms = 1300,
-	    .config_wait_ms = 500,
-	    .endpoints_pause_ms = 600,
-	    .lapse_ms = LAPSE_MS,
+	    .operator_rows_max_age_ms = 2400,
+	    .endpoint_rows_max_age_ms = 1300,
+	    .operator_poll_wait_ms = 500,
+	    .endpoints_poll_pause_ms = 600,
+	    .lapsed_keep_ms = LAPSE_MS,
 	    .grace_ms = 1000,
-	    .log_per_s = 1e-9};
+	    .log_lines_per_s = 1e-9};
 	relay_ports_t ports = {world.base, &world.clock.source, &world.rng,
-	    &world.store, &told_sources, &callers, &endpoints, &rollouts};
+	    &world.store, &test_row_dialect, &callers, &endpoints, &rollouts};
 	err_t err;
 
 	memset(daemon, 0, sizeof(*daemon));
 	snprintf(settings.name, sizeof(settings.name), "d%zu", number);
 	FUZZ_CHECK(relay_node_init(&daemon->node, &ports, &settings, &err));
-	daemon->node.source.cache.prior_min_len = TEXT_PAD;
+	daemon->node.row_sync.cache.prior_min_len = TEXT_PAD;
 	for (int i = 0; i < ROW_TABLES; i++)
-		row_watch_advance(
-		    &daemon->node.source.watches[i].watch, 1, world.clock.now);
-	daemon->node.source.watches[ROW_TABLE_ENDPOINTS].watch.version = 0;
+		row_watch_advance(&daemon->node.row_sync.watches[i].watch, 1,
+		    world.clock.now);
+	daemon->node.row_sync.watches[ROW_TABLE_ENDPOINTS].watch.version = 0;
 }
 
 static row_watch_t *
 watch_of(daemon_t *daemon)
 {
-	return &daemon->node.source.watches[ROW_TABLE_ENDPOINTS].watch;
+	return &daemon->node.row_sync.watches[ROW_TABLE_ENDPOINTS].watch;
 }
 
 static void
@@ -128,8 +128,9 @@
 	watch->synced_once = true;
 	for (int i = 0; i < ROW_TABLES; i++) {
 		if (i != ROW_TABLE_ENDPOINTS)
-			row_watch_advance(&daemon->node.source.watches[i].watch,
-			    1, requested_at);
+			row_watch_advance(
+			    &daemon->node.row_sync.watches[i].watch, 1,
+			    requested_at);
 	}
 	watch->ops->synced(watch->arg, full_read, &reply);
 }
@@ -196,17 +197,17 @@
 static void
 unfollow(daemon_t *daemon)
 {
-	daemon->node.source.parent[0] = '\0';
-	daemon->node.source.following = false;
+	daemon->node.row_sync.parent[0] = '\0';
+	daemon->node.row_sync.following = false;
 }
 
 static void
 follow(daemon_t *follower, daemon_t *parent)
 {
-	row_sync_t *sync = &follower->node.source;
+	row_sync_t *sync = &follower->node.row_sync;
 	feed_response_t response = {
-	    .incarnation = parent->node.source.incarnation,
-	    .change = parent->node.source.cache.last_change};
+	    .incarnation = parent->node.row_sync.incarnation,
+	    .change = parent->node.row_sync.cache.last_change};
 	const feed_bytes_t *rows;
 	feed_bytes_t body = {0};
 	feed_position_t position;
@@ -219,10 +220,10 @@
 		sync->parent_change = 0;
 	}
 	row_follow_position(sync, &position);
-	rows = feed_body_cache_get(&parent->node.source.server.body_cache,
-	    &parent->node.source.cache, response.incarnation, &position,
+	rows = feed_body_cache_get(&parent->node.row_sync.server.body_cache,
+	    &parent->node.row_sync.cache, response.incarnation, &position,
 	    &response);
-	row_follow_fill_state(&parent->node.source, &response);
+	row_follow_fill_state(&parent->node.row_sync, &response);
 	response.request_id = 1;
 	text = feed_response_encode(&response);
 	feed_response_clear(&response);
@@ -244,10 +245,10 @@
 	for (size_t i = 0; i < DAEMONS; i++) {
 		relay_node_t *node = &world.daemons[i].node;
 
-		relay_rows_lapsed_end(node);
-		relay_rows_earlier_take(node);
-		if (node->source.following)
-			relay_rows_lapses_drop(node);
+		relay_endpoints_remove_lapsed(node);
+		relay_endpoints_accept_earlier(node);
+		if (node->row_sync.following)
+			relay_endpoints_stop_keeping_lapsed(node);
 	}
 }
 
@@ -373,7 +374,7 @@
 	memset(&world, 0, sizeof(world));
 	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
 	world.base = event_base_new();
-	world.store = (row_store_t){.ops = &silent_ops};
+	world.store = (row_store_t){.ops = &silent_store_ops};
 	world.version = 10;
 	rng_system_init(&world.rng);
 	for (size_t i = 0; i < DAEMONS; i++)
--- a/test/fuzz/lives_fuzz.c
+++ b/test/fuzz/lives_fuzz.c
@@ -181,7 +181,7 @@
 }
 
 static const row_store_ops_t lives_ops = {
-    silent_read, silent_feed, lives_write};
+    silent_store_read, silent_store_poll, lives_write};
 
 static void
 row_tell(daemon_t *daemon, int at, const member_row_t *told)
--- a/test/fuzz/rollouts_fuzz.c
+++ b/test/fuzz/rollouts_fuzz.c
@@ -159,7 +159,7 @@
 }
 
 static const row_store_ops_t state_ops = {
-    silent_read, silent_feed, state_write};
+    silent_store_read, silent_store_poll, state_write};
 
 static bool
 status_encode(const rollout_order_t *order, rollout_state_t state, char **table,
--- a/test/platform/decoders_test.c
+++ b/test/platform/decoders_test.c
@@ -44,22 +44,23 @@
 	(void)state;
 	assert_non_null(taken);
 	assert_int_equal(taken->version, 7);
-	route = relay_config_route(taken, "a.example:80", "/x/y/z?q=/x/");
+	route = relay_config_find_route(taken, "a.example:80", "/x/y/z?q=/x/");
 	assert_string_equal(route->name, "r2");
 	assert_int_equal(route->pools_len, 2);
 	assert_true(route->anonymous);
-	route = relay_config_route(taken, "a.example", "/x/z");
+	route = relay_config_find_route(taken, "a.example", "/x/z");
 	assert_string_equal(route->name, "r1");
 	assert_int_equal(route->kind, ROUTE_STREAM);
 	assert_int_equal(route->models_len, 2);
 	assert_true(route->models[1].cost > 0.17);
-	assert_null(relay_config_route(taken, "a.example", "/x"));
-	assert_null(relay_config_route(taken, "b.example", "/x/"));
-	assert_string_equal(relay_config_key(taken, "k2")->name, "t1");
-	assert_null(relay_config_key(taken, "k3"));
+	assert_null(relay_config_find_route(taken, "a.example", "/x"));
+	assert_null(relay_config_find_route(taken, "b.example", "/x/"));
+	assert_string_equal(
+	    relay_config_find_organisation(taken, "k2")->name, "t1");
+	assert_null(relay_config_find_organisation(taken, "k3"));
 	assert_int_equal(
-	    relay_config_service(taken, "s1")->connections_max, 370);
-	assert_int_equal(taken->idle_ms, 15000);
+	    relay_config_find_service(taken, "s1")->connections_max, 370);
+	assert_int_equal(taken->idle_timeout_ms, 15000);
 	relay_config_release(taken);
 }
 
@@ -99,13 +100,14 @@
 
 	(void)state;
 	assert_non_null(before);
-	route = relay_config_route(before, "a.example", "/x/");
-	assert_ptr_equal(relay_config_route(after, "a.example", "/x/"), route);
+	route = relay_config_find_route(before, "a.example", "/x/");
+	assert_ptr_equal(
+	    relay_config_find_route(after, "a.example", "/x/"), route);
 	relay_config_release(before);
 	assert_string_equal(route->name, "r1");
 	assert_true(route->models[1].cost > 0.17);
-	route = relay_config_route(after, "a.example", "/x/y/");
-	assert_int_equal(route->attempts, 2);
+	route = relay_config_find_route(after, "a.example", "/x/y/");
+	assert_int_equal(route->attempts_max, 2);
 	relay_config_release(after);
 }
 
@@ -119,8 +121,8 @@
 	const relay_route_t *one, *two;
 
 	(void)state;
-	one = relay_config_route(before, "a.example", "/x/");
-	two = relay_config_route(after, "a.example", "/x/");
+	one = relay_config_find_route(before, "a.example", "/x/");
+	two = relay_config_find_route(after, "a.example", "/x/");
 	assert_ptr_not_equal(one, two);
 	assert_true(one->models[1].cost < 0.19);
 	assert_true(two->models[1].cost > 0.35);
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -41,16 +41,16 @@
 
 static world_t world;
 
-static const source_dialect_t sources = {.orders_table = ROWS_ORDERS,
+static const row_dialect_t sources = {.operator_table = ROWS_ORDERS,
     .config_key = ROWS_CONFIG_KEY,
     .rollout_prefix = ROWS_ROLLOUT_PREFIX,
     .evacuation_prefix = ROWS_EVACUATION_PREFIX,
-    .evacuation_check = evacuation_row_check,
+    .check_evacuation_zone = evacuation_row_check,
     .endpoints_table = ROWS_ENDPOINTS,
-    .config = config_row_decode,
-    .endpoint = endpoint_row_decode,
-    .order = order_row_decode,
-    .endpoint_same = endpoint_row_same};
+    .decode_config = config_row_decode,
+    .decode_endpoint = endpoint_row_decode,
+    .decode_rollout_order = order_row_decode,
+    .endpoint_unchanged = endpoint_row_same};
 
 static void
 reader_start(reader_t *reader)
@@ -61,11 +61,11 @@
 	relay_node_settings_t settings = {.listen = {"127.0.0.1", 0},
 	    .name = "10.0.0.99:80",
 	    .zone = "a",
-	    .endpoints_pause_ms = 600,
-	    .config_wait_ms = 500,
-	    .lapse_ms = 2000,
+	    .endpoints_poll_pause_ms = 600,
+	    .operator_poll_wait_ms = 500,
+	    .lapsed_keep_ms = 2000,
 	    .grace_ms = 1000,
-	    .log_per_s = 1e-9};
+	    .log_lines_per_s = 1e-9};
 	relay_ports_t ports = {world.base, &world.clock.source, &world.rng,
 	    &world.store, &sources, &callers, &endpoints, &rollouts};
 	err_t err;
@@ -290,7 +290,7 @@
 static void
 answer_take(reader_t *reader, row_table_t table, bool whole)
 {
-	row_watch_t *watch = &reader->node.source.watches[table].watch;
+	row_watch_t *watch = &reader->node.row_sync.watches[table].watch;
 	row_reply_t reply = {
 	    .result = ROW_OK, .version = world.version, .now_ms = 1};
 	char *text = json_dumps(reader->answer, JSON_COMPACT);
@@ -418,13 +418,13 @@
 	same_endpoints(a, b);
 	same_members(a, b);
 	same_rollouts(a, b);
-	same_told(&a->source.cache, &b->source.cache);
+	same_told(&a->row_sync.cache, &b->row_sync.cache);
 	FUZZ_CHECK((a->relay.config == NULL) == (b->relay.config == NULL));
 	FUZZ_CHECK(a->relay.config == NULL ||
 	    a->relay.config->version == b->relay.config->version);
 	for (int i = 0; i < ROW_TABLES; i++)
-		FUZZ_CHECK(a->source.watches[i].watch.synced_once ==
-		    b->source.watches[i].watch.synced_once);
+		FUZZ_CHECK(a->row_sync.watches[i].watch.synced_once ==
+		    b->row_sync.watches[i].watch.synced_once);
 }
 
 int
@@ -435,7 +435,7 @@
 	memset(&world, 0, sizeof(world));
 	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
 	world.base = event_base_new();
-	world.store = (row_store_t){.ops = &silent_ops};
+	world.store = (row_store_t){.ops = &silent_store_ops};
 	world.version = 10;
 	rng_system_init(&world.rng);
 	reader_start(&world.clean);
--- a/test/platform/zone_decoders_test.c
+++ b/test/platform/zone_decoders_test.c
@@ -65,13 +65,14 @@
 	config = config_decode(",\"regions_allowed\":[\"r\"]", "",
 	    ",\"regions_allowed\":[\"q\"]", &err);
 	assert_non_null(config);
-	route = relay_config_route(config, "a.example", "/x/");
+	route = relay_config_find_route(config, "a.example", "/x/");
 	assert_true(region_list_allows(&route->regions, "r"));
 	assert_false(region_list_allows(&route->regions, "q"));
 	assert_false(region_list_allows(&route->regions, ""));
+	assert_true(region_list_allows(
+	    &relay_config_find_organisation(config, "k1")->regions, "q"));
 	assert_true(
-	    region_list_allows(&relay_config_key(config, "k1")->regions, "q"));
-	assert_true(relay_config_host_regions(config, "a.example", &all));
+	    relay_config_collect_host_regions(config, "a.example", &all));
 	assert_int_equal(all.len, 2);
 	region_list_finish(&all);
 	relay_config_release(config);
@@ -79,9 +80,10 @@
 	config = config_decode(
 	    ",\"regions_allowed\":[]", "", ",\"regions_allowed\":null", &err);
 	assert_non_null(config);
-	route = relay_config_route(config, "a.example", "/x/");
+	route = relay_config_find_route(config, "a.example", "/x/");
 	assert_true(region_list_allows(&route->regions, ""));
-	assert_false(relay_config_host_regions(config, "a.example", &all));
+	assert_false(
+	    relay_config_collect_host_regions(config, "a.example", &all));
 	assert_int_equal(all.len, 0);
 	relay_config_release(config);
 }
@@ -125,12 +127,12 @@
 	config = config_decode(
 	    "", ",\"warmup_s\":2.5,\"warmup_per_s\":8.8", "", &err);
 	assert_non_null(config);
-	service = relay_config_service(config, "s1");
+	service = relay_config_find_service(config, "s1");
 	assert_int_equal(service->warmup_ms, 2500);
 	assert_true(service->warmup_per_s > 8.7);
 	relay_config_release(config);
 	config = config_decode("", "", "", &err);
-	service = relay_config_service(config, "s1");
+	service = relay_config_find_service(config, "s1");
 	assert_int_equal(service->warmup_ms, 0);
 	assert_true(service->warmup_per_s == 0);
 	relay_config_release(config);
--- a/test/support/node_settings.h
+++ b/test/support/node_settings.h
@@ -7,29 +7,30 @@
 
 #include "silent_store.h"
 
-static const relay_node_settings_t node_settings = {.listen = {"127.0.0.1", 0},
+static const relay_node_settings_t test_node_settings = {
+    .listen = {"127.0.0.1", 0},
     .name = "127.0.0.1:1",
     .zone = "a",
-    .endpoints_pause_ms = 600,
-    .endpoints_old_ms = 1300,
-    .config_wait_ms = 500,
-    .lapse_ms = 2000,
+    .endpoints_poll_pause_ms = 600,
+    .endpoint_rows_max_age_ms = 1300,
+    .operator_poll_wait_ms = 500,
+    .lapsed_keep_ms = 2000,
     .grace_ms = 1000,
-    .log_per_s = 1};
+    .log_lines_per_s = 1};
 
 /** Start it. @return false: it did not */
 static inline bool
-node_start(relay_node_t *node, struct event_base *base,
+test_node_start(relay_node_t *node, struct event_base *base,
     const clock_source_t *clock, rng_t *rng, row_store_t *store)
 {
 	static const caller_dialect_t callers;
 	static const endpoint_dialect_t endpoints;
 	static const rollout_status_encoder_t rollouts;
-	const relay_ports_t ports = {base, clock, rng, store, &told_sources,
+	const relay_ports_t ports = {base, clock, rng, store, &test_row_dialect,
 	    &callers, &endpoints, &rollouts};
 	err_t err;
 
-	return relay_node_init(node, &ports, &node_settings, &err);
+	return relay_node_init(node, &ports, &test_node_settings, &err);
 }
 
 #endif
--- a/test/support/silent_store.h
+++ b/test/support/silent_store.h
@@ -13,7 +13,7 @@
 #include "moortack/relay/relay_node.h"
 
 static inline bool
-silent_read(row_store_t *store, const char *table, const char *from,
+silent_store_read(row_store_t *store, const char *table, const char *from,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
 	(void)store;
@@ -26,16 +26,16 @@
 }
 
 static inline bool
-silent_feed(row_store_t *store, const char *table, uint64_t after,
+silent_store_poll(row_store_t *store, const char *table, uint64_t after,
     int64_t wait_ms, int64_t timeout_ms, row_done_t done, void *arg)
 {
 	(void)after;
 	(void)wait_ms;
-	return silent_read(store, table, NULL, timeout_ms, done, arg);
+	return silent_store_read(store, table, NULL, timeout_ms, done, arg);
 }
 
 static inline bool
-silent_write(row_store_t *store, const row_change_t *expected,
+silent_store_write(row_store_t *store, const row_change_t *expected,
     size_t expected_len, const row_change_t *changes, size_t changes_len,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
@@ -43,16 +43,16 @@
 	(void)expected_len;
 	(void)changes;
 	(void)changes_len;
-	return silent_read(store, NULL, NULL, timeout_ms, done, arg);
+	return silent_store_read(store, NULL, NULL, timeout_ms, done, arg);
 }
 
-static const row_store_ops_t silent_ops = {
-    silent_read, silent_feed, silent_write};
+static const row_store_ops_t silent_store_ops = {
+    silent_store_read, silent_store_poll, silent_store_write};
 
 /* An entry's text is "leaving" or the endpoint's version, and after an @ the
  * time of its start, where there is one; "?" is no entry. */
 static inline bool
-told_endpoint(const char *id, const char *text, size_t len,
+test_endpoint_decode(const char *id, const char *text, size_t len,
     endpoint_info_t *facts, err_t *err)
 {
 	const char *born = memchr(text, '@', len);
@@ -72,24 +72,25 @@
 }
 
 static inline bool
-told_same(const char *a, size_t a_len, const char *b, size_t b_len)
+test_endpoint_unchanged(
+    const char *a, size_t a_len, const char *b, size_t b_len)
 {
 	return a_len == b_len && memcmp(a, b, a_len) == 0;
 }
 
 static inline bool
-told_evacuation_check(const char *zone, err_t *err)
+test_evacuation_zone_check(const char *zone, err_t *err)
 {
 	return zone[0] != '\0' || err_set(err, ERR_NAME, "no zone");
 }
 
-static const source_dialect_t told_sources = {.orders_table = "orders",
+static const row_dialect_t test_row_dialect = {.operator_table = "orders",
     .config_key = "config",
     .rollout_prefix = "rollout/",
     .evacuation_prefix = "evacuate/",
-    .evacuation_check = told_evacuation_check,
+    .check_evacuation_zone = test_evacuation_zone_check,
     .endpoints_table = "endpoints",
-    .endpoint = told_endpoint,
-    .endpoint_same = told_same};
+    .decode_endpoint = test_endpoint_decode,
+    .endpoint_unchanged = test_endpoint_unchanged};
 
 #endif
--- a/test/unit/caller_targets_test.c
+++ b/test/unit/caller_targets_test.c
@@ -44,7 +44,7 @@
 
 	world->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
 	world->base = event_base_new();
-	world->store = (row_store_t){.ops = &silent_ops};
+	world->store = (row_store_t){.ops = &silent_store_ops};
 	*state = world;
 	return 0;
 }
@@ -77,7 +77,7 @@
 
 		daemon_begin(world, &self, i, DAEMONS);
 		assert_int_equal(
-		    caller_targets_fill(&self, true, NULL, targets, MOST),
+		    caller_targets_select(&self, true, NULL, targets, MOST),
 		    MOST);
 		for (int j = 0; j < MOST; j++)
 			told[number_of(&targets[j])]++;
@@ -110,9 +110,9 @@
 
 	daemon_begin(*state, &self, 1, 9);
 	assert_int_equal(
-	    caller_targets_fill(&self, true, NULL, targets, MOST), 9);
+	    caller_targets_select(&self, true, NULL, targets, MOST), 9);
 	assert_int_equal(
-	    caller_targets_fill(&self, false, NULL, targets, MOST), 8);
+	    caller_targets_select(&self, false, NULL, targets, MOST), 8);
 	assert_int_equal(caller_targets_count(&self, true), 9);
 	membership_finish(&self);
 }
@@ -126,11 +126,11 @@
 	int gone, same = 0;
 
 	daemon_begin(*state, &self, 1, DAEMONS);
-	caller_targets_fill(&self, true, NULL, before, MOST);
+	caller_targets_select(&self, true, NULL, before, MOST);
 	gone = number_of(&before[MOST / 2]);
 	member_take(&self, gone, "leaving");
 	assert_int_equal(
-	    caller_targets_fill(&self, true, NULL, after, MOST), MOST);
+	    caller_targets_select(&self, true, NULL, after, MOST), MOST);
 	for (int i = 0; i < MOST; i++) {
 		assert_int_not_equal(number_of(&after[i]), gone);
 		for (int j = 0; j < MOST; j++)
--- a/test/unit/lapse_test.c
+++ b/test/unit/lapse_test.c
@@ -13,9 +13,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "../support/told_node.h"
+#include "../support/node_fixture.h"
 
-#define LAPSE_MS (node_settings.lapse_ms)
+#define LAPSE_MS (test_node_settings.lapsed_keep_ms)
 #define OUTAGE_MS 4000
 #define VERSION_ENTRY 40
 #define VERSION_BEFORE 60
@@ -24,51 +24,52 @@
 
 static void
 entry_tell(
-    told_node_t *told, const char *id, const char *text, uint64_t version)
+    node_fixture_t *told, const char *id, const char *text, uint64_t version)
 {
-	row_tell(told, ROW_TABLE_ENDPOINTS, id, text, version);
+	node_fixture_apply_row(told, ROW_TABLE_ENDPOINTS, id, text, version);
 }
 
 /* The store has answered: its entries are known up to the version. */
 static void
-store_answers(told_node_t *told, uint64_t version)
+store_answers(node_fixture_t *told, uint64_t version)
 {
 	row_watch_t *watch =
-	    &told->node.source.watches[ROW_TABLE_ENDPOINTS].watch;
+	    &told->node.row_sync.watches[ROW_TABLE_ENDPOINTS].watch;
 
 	row_watch_advance(watch, version, told->clock.now);
 	watch->reachable = true;
 }
 
 static void
-store_lost(told_node_t *told)
+store_lost(node_fixture_t *told)
 {
-	told->node.source.watches[ROW_TABLE_ENDPOINTS].watch.reachable = false;
+	told->node.row_sync.watches[ROW_TABLE_ENDPOINTS].watch.reachable =
+	    false;
 	relay_rows_ops.reachable(&told->node, ROW_TABLE_ENDPOINTS, false);
 }
 
 static void
-store_back(told_node_t *told, uint64_t version)
+store_back(node_fixture_t *told, uint64_t version)
 {
 	relay_rows_ops.reachable(&told->node, ROW_TABLE_ENDPOINTS, true);
 	store_answers(told, version);
 }
 
 static const endpoint_t *
-entry_of(const told_node_t *told, const char *id)
+entry_of(const node_fixture_t *told, const char *id)
 {
 	return endpoint_set_find(&told->node.endpoints, id);
 }
 
 /* An entry that is known, an outage, and the entry's end just after it. */
 static void
-entry_lapses(told_node_t *told)
+entry_lapses(node_fixture_t *told)
 {
-	told_node_init(told);
+	node_fixture_init(told);
 	entry_tell(told, "e1", "ready", VERSION_ENTRY);
 	store_answers(told, VERSION_BEFORE);
 	store_lost(told);
-	pass(told, OUTAGE_MS);
+	node_fixture_advance(told, OUTAGE_MS);
 	relay_rows_ops.reachable(&told->node, ROW_TABLE_ENDPOINTS, true);
 	entry_tell(told, "e1", NULL, VERSION_END);
 	store_answers(told, VERSION_AFTER);
@@ -77,18 +78,18 @@
 static void
 an_entry_that_lapsed_is_kept_for_a_time(void **state)
 {
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
 	entry_lapses(&told);
 	assert_non_null(entry_of(&told, "e1"));
-	pass(&told, LAPSE_MS - 1);
-	relay_rows_lapsed_end(&told.node);
+	node_fixture_advance(&told, LAPSE_MS - 1);
+	relay_endpoints_remove_lapsed(&told.node);
 	assert_non_null(entry_of(&told, "e1"));
-	pass(&told, 1);
-	relay_rows_lapsed_end(&told.node);
+	node_fixture_advance(&told, 1);
+	relay_endpoints_remove_lapsed(&told.node);
 	assert_null(entry_of(&told, "e1"));
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 /* Whoever goes on from the version that it was told hears of the end. */
@@ -96,42 +97,42 @@
 nobody_is_told_a_version_beyond_an_entry_that_is_kept(void **state)
 {
 	const row_sync_t *source;
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
 	entry_lapses(&told);
-	source = &told.node.source;
+	source = &told.node.row_sync;
 	assert_true(row_sync_published_version(source, ROW_TABLE_ENDPOINTS) <
 	    VERSION_END);
 	assert_int_equal(
 	    row_sync_requested_version(source, ROW_TABLE_ENDPOINTS), 0);
-	pass(&told, LAPSE_MS);
-	relay_rows_lapsed_end(&told.node);
+	node_fixture_advance(&told, LAPSE_MS);
+	relay_endpoints_remove_lapsed(&told.node);
 	assert_int_equal(
 	    row_sync_published_version(source, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
 	assert_int_equal(
 	    row_sync_requested_version(source, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 static void
 an_entry_that_comes_back_is_no_longer_kept_back(void **state)
 {
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
 	entry_lapses(&told);
 	entry_tell(&told, "e1", "ready", VERSION_AFTER + 1);
 	store_answers(&told, VERSION_AFTER + 1);
-	assert_int_equal(
-	    row_sync_published_version(&told.node.source, ROW_TABLE_ENDPOINTS),
+	assert_int_equal(row_sync_published_version(
+			     &told.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER + 1);
-	pass(&told, LAPSE_MS);
-	relay_rows_lapsed_end(&told.node);
+	node_fixture_advance(&told, LAPSE_MS);
+	relay_endpoints_remove_lapsed(&told.node);
 	assert_non_null(entry_of(&told, "e1"));
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 /* Whoever comes back with another start is not the one that lapsed. */
@@ -139,7 +140,7 @@
 an_entry_that_comes_back_as_another_start_is_another_endpoint(void **state)
 {
 	const endpoint_t *before, *now;
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
 	entry_lapses(&told);
@@ -151,11 +152,11 @@
 	assert_ptr_not_equal(now, before);
 	assert_false(now->lapsed);
 	assert_false(before->in_set);
-	assert_int_equal(
-	    row_sync_published_version(&told.node.source, ROW_TABLE_ENDPOINTS),
+	assert_int_equal(row_sync_published_version(
+			     &told.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER + 1);
 	endpoint_release((endpoint_t *)(uintptr_t)before);
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 /* A moment without the store soon after an outage does not keep for good what
@@ -163,18 +164,18 @@
 static void
 a_second_short_loss_ends_no_time(void **state)
 {
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
 	entry_lapses(&told);
-	pass(&told, LAPSE_MS / 2);
+	node_fixture_advance(&told, LAPSE_MS / 2);
 	store_lost(&told);
-	pass(&told, LAPSE_MS / 4);
+	node_fixture_advance(&told, LAPSE_MS / 4);
 	store_back(&told, VERSION_AFTER);
-	pass(&told, LAPSE_MS);
-	relay_rows_lapsed_end(&told.node);
+	node_fixture_advance(&told, LAPSE_MS);
+	relay_endpoints_remove_lapsed(&told.node);
 	assert_null(entry_of(&told, "e1"));
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 /* Whoever begins to follow another while it keeps entries asks it for all, and
@@ -182,30 +183,30 @@
 static void
 who_begins_to_follow_forgets_no_end(void **state)
 {
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
 	entry_lapses(&told);
-	relay_rows_lapses_drop(&told.node);
-	assert_int_equal(
-	    row_sync_requested_version(&told.node.source, ROW_TABLE_ENDPOINTS),
+	relay_endpoints_stop_keeping_lapsed(&told.node);
+	assert_int_equal(row_sync_requested_version(
+			     &told.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    0);
-	told.node.source.applying = true;
+	told.node.row_sync.applying = true;
 	entry_tell(&told, "e1", NULL, VERSION_BEFORE);
 	assert_null(entry_of(&told, "e1"));
-	assert_int_equal(
-	    row_sync_requested_version(&told.node.source, ROW_TABLE_ENDPOINTS),
+	assert_int_equal(row_sync_requested_version(
+			     &told.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 static void
 an_older_row_brings_back_no_endpoint_that_leaves(void **state)
 {
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
-	told_node_init(&told);
+	node_fixture_init(&told);
 	entry_tell(&told, "e1", "leaving", VERSION_BEFORE);
 	entry_tell(&told, "e1", "ready", VERSION_ENTRY);
 	assert_true(entry_of(&told, "e1")->info.leaving);
@@ -214,7 +215,7 @@
 	entry_tell(&told, "e1", NULL, VERSION_END);
 	entry_tell(&told, "e1", "ready", VERSION_BEFORE);
 	assert_null(entry_of(&told, "e1"));
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 /* What another writer put in an entry's place names no endpoint, to nobody. */
@@ -222,11 +223,11 @@
 an_entry_that_is_spoilt_ends_the_endpoint(void **state)
 {
 	const row_cache_t *cache;
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
-	told_node_init(&told);
-	cache = &told.node.source.cache;
+	node_fixture_init(&told);
+	cache = &told.node.row_sync.cache;
 	entry_tell(&told, "e1", "ready", VERSION_ENTRY);
 	entry_tell(&told, "e2", "ready", VERSION_ENTRY);
 	entry_tell(&told, "e1", "?", VERSION_BEFORE);
@@ -243,7 +244,7 @@
 	/* Its next heartbeat brings it back. */
 	entry_tell(&told, "e1", "ready", VERSION_END);
 	assert_non_null(entry_of(&told, "e1"));
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 /* Endpoints of a version that nobody ordered yet do not become the ones to use,
@@ -251,10 +252,10 @@
 static void
 the_version_in_use_is_learned_as_soon_as_it_is_known(void **state)
 {
-	static told_node_t told;
+	static node_fixture_t told;
 
 	(void)state;
-	told_node_init(&told);
+	node_fixture_init(&told);
 	entry_tell(&told, "e1", "v1", VERSION_ENTRY);
 	relay_rows_ops.synced(&told.node, ROW_TABLE_ENDPOINTS, true);
 	entry_tell(&told, "e2", "v2", VERSION_ENTRY + 1);
@@ -263,7 +264,7 @@
 	assert_string_equal(
 	    endpoint_set_find_group(&told.node.endpoints, "s")->base_version,
 	    "v1");
-	told_node_finish(&told);
+	node_fixture_finish(&told);
 }
 
 int
--- a/test/unit/member_row_requests_test.c
+++ b/test/unit/member_row_requests_test.c
@@ -54,7 +54,7 @@
 }
 
 static const row_store_ops_t taking_ops = {
-    silent_read, silent_feed, taking_write};
+    silent_store_read, silent_store_poll, taking_write};
 
 /* The write that is out is answered. */
 static void
--- a/test/unit/member_tree_test.c
+++ b/test/unit/member_tree_test.c
@@ -55,7 +55,7 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	row_store_t store = {.ops = &silent_ops};
+	row_store_t store = {.ops = &silent_store_ops};
 	int parents[DAEMONS], followers[DAEMONS] = {0}, roots = 0;
 	int firsts = 0;
 
@@ -98,7 +98,7 @@
 	enum { LARGE = 90, FOLLOWERS_MOST = 16, FAR_MOST = 12 };
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	row_store_t store = {.ops = &silent_ops};
+	row_store_t store = {.ops = &silent_store_ops};
 	int followers[LARGE] = {0}, far = 0;
 
 	(void)state;
@@ -129,7 +129,7 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	row_store_t store = {.ops = &silent_ops};
+	row_store_t store = {.ops = &silent_store_ops};
 	membership_t self;
 	const member_t *first, *second;
 
@@ -153,7 +153,7 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	row_store_t store = {.ops = &silent_ops};
+	row_store_t store = {.ops = &silent_store_ops};
 	int firsts = 0;
 
 	(void)state;
@@ -192,7 +192,7 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	row_store_t store = {.ops = &silent_ops};
+	row_store_t store = {.ops = &silent_store_ops};
 	membership_t self;
 
 	(void)state;
@@ -222,7 +222,7 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	row_store_t store = {.ops = &silent_ops};
+	row_store_t store = {.ops = &silent_store_ops};
 	membership_t leaf_parent, between, first;
 	const member_t *leaf;
 	json_t *below;
@@ -262,7 +262,7 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	row_store_t store = {.ops = &silent_ops};
+	row_store_t store = {.ops = &silent_store_ops};
 	membership_t self;
 
 	(void)state;
--- a/test/unit/paged_read_test.c
+++ b/test/unit/paged_read_test.c
@@ -48,7 +48,7 @@
 
 	(void)page;
 	(void)timeout_ms;
-	if (strcmp(table, told_sources.endpoints_table) == 0) {
+	if (strcmp(table, test_row_dialect.endpoints_table) == 0) {
 		paged->done = done;
 		paged->arg = arg;
 	}
@@ -56,7 +56,7 @@
 }
 
 static const row_store_ops_t paged_ops = {
-    paged_read, silent_feed, silent_write};
+    paged_read, silent_store_poll, silent_store_write};
 
 static void
 paged_node_init(paged_node_t *paged)
@@ -66,8 +66,8 @@
 	paged->store = (row_store_t){.ops = &paged_ops};
 	paged->base = event_base_new();
 	rng_system_init(&paged->rng);
-	assert_true(node_start(&paged->node, paged->base, &paged->clock.source,
-	    &paged->rng, &paged->store));
+	assert_true(test_node_start(&paged->node, paged->base,
+	    &paged->clock.source, &paged->rng, &paged->store));
 	while (paged->done == NULL)
 		event_base_loop(paged->base, EVLOOP_ONCE);
 }
@@ -107,7 +107,7 @@
 static void
 peer_response_apply(paged_node_t *paged, const char *id, uint64_t version)
 {
-	row_sync_t *sync = &paged->node.source;
+	row_sync_t *sync = &paged->node.row_sync;
 	feed_response_t response = {.incarnation = 7, .rows = json_array()};
 	row_cache_t peer_cache;
 	row_t row = entry(id, 30);
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -139,20 +139,20 @@
 	played_store_t store = {
 	    {.ops = &played_ops}, event_base_new(), whole_read, refused, 0, 0};
 	const relay_ports_t ports = {store.base, &clock, &rng, &store.store,
-	    &told_sources, &callers, &endpoints, &rollouts};
-	relay_node_settings_t settings = node_settings;
+	    &test_row_dialect, &callers, &endpoints, &rollouts};
+	relay_node_settings_t settings = test_node_settings;
 	const cached_row_t *row;
 	uint64_t version;
 	err_t err;
 
-	settings.endpoints_pause_ms = 20;
-	settings.config_wait_ms = 20;
+	settings.endpoints_poll_pause_ms = 20;
+	settings.operator_poll_wait_ms = 20;
 	clock_system_init(&clock);
 	rng_system_init(&rng);
 	assert_true(relay_node_init(&node, &ports, &settings, &err));
 	event_base_loopexit(store.base, &limit);
 	event_base_dispatch(store.base);
-	row = row_cache_find(&node.source.cache, ROW_TABLE_ENDPOINTS, "e1");
+	row = row_cache_find(&node.row_sync.cache, ROW_TABLE_ENDPOINTS, "e1");
 	assert_non_null(row);
 	assert_null(row->value);
 	version = row->version;
--- a/test/unit/row_source_test.c
+++ b/test/unit/row_source_test.c
@@ -231,7 +231,7 @@
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
-	row_store_t store = {.ops = &silent_ops};
+	row_store_t store = {.ops = &silent_store_ops};
 	membership_t members = {0};
 	row_sync_t sync = {.base = base,
 	    .clock = &clock.source,
--- a/test/unit/row_watch_test.c
+++ b/test/unit/row_watch_test.c
@@ -66,7 +66,7 @@
 }
 
 static const row_store_ops_t deferred_ops = {
-    deferred_read, deferred_poll, silent_write};
+    deferred_read, deferred_poll, silent_store_write};
 
 static void
 on_row(void *arg, const row_t *row)
