--- a/include/moortack/relay/caller_targets.h
+++ b/include/moortack/relay/caller_targets.h
@@ -31,10 +31,10 @@
  * @param targets room for @p most
  * @return how many were filled in
  */
-size_t caller_targets_select(const membership_t *, bool own,
+size_t caller_targets_select(const membership_t *, bool include_self,
     const caller_region_filter_t *filter, caller_target_t *targets,
-    size_t most);
+    size_t targets_max);
 /** How many there are. */
-size_t caller_targets_count(const membership_t *, bool own);
+size_t caller_targets_count(const membership_t *, bool include_self);
 
 #endif
--- a/include/moortack/relay/relay_node.h
+++ b/include/moortack/relay/relay_node.h
@@ -20,7 +20,7 @@
 	const char *endpoints_table;
 	/** @param before in force until now; may be NULL */
 	relay_config_t *(*decode_config)(const char *text, size_t len,
-	    const relay_config_t *before, err_t *);
+	    const relay_config_t *previous, err_t *);
 	bool (*decode_endpoint)(const char *id, const char *text, size_t len,
 	    endpoint_info_t *, err_t *);
 	bool (*decode_rollout_order)(const char *text, size_t len,
@@ -113,7 +113,8 @@
 void relay_node_reload(relay_node_t *, const relay_node_settings_t *);
 
 /** Stop in good order. @param gone called when all is done */
-void relay_node_shut_down(relay_node_t *, void (*gone)(void *), void *arg);
+void
+relay_node_shut_down(relay_node_t *, void (*on_stopped)(void *), void *arg);
 
 bool relay_node_ready(const relay_node_t *);
 
--- a/moortack/relay/caller_targets.c
+++ b/moortack/relay/caller_targets.c
@@ -9,11 +9,11 @@
 /* A place in this daemon's own order, as in weighted rendezvous hashing: who
  * goes or comes changes nobody else's. */
 static double
-own_order(const membership_t *members, const char *name, double strength)
+sort_key_compute(const membership_t *members, const char *name, double strength)
 {
-	const char *own = members->settings.name;
+	const char *self_name = members->settings.name;
 	uint64_t hash = XXH3_64bits_withSeed(
-	    name, strlen(name), XXH3_64bits(own, strlen(own)));
+	    name, strlen(name), XXH3_64bits(self_name, strlen(self_name)));
 
 	return -log(((double)hash + 1) / HASH_RANGE) /
 	    (strength > 0 ? strength : 1);
@@ -22,25 +22,25 @@
 /* Keep the first in the order.
  * @return how many there are now */
 static size_t
-target_insert(caller_target_t *targets, size_t len, size_t most,
+target_insert(caller_target_t *targets, size_t len, size_t targets_max,
     const caller_target_t *target)
 {
-	size_t at = len;
+	size_t index = len;
 
-	while (at > 0 && targets[at - 1].sort_key > target->sort_key)
-		at--;
-	if (at == most)
+	while (index > 0 && targets[index - 1].sort_key > target->sort_key)
+		index--;
+	if (index == targets_max)
 		return len;
-	if (len < most)
+	if (len < targets_max)
 		len++;
-	memmove(&targets[at + 1], &targets[at],
-	    (len - at - 1) * sizeof(targets[0]));
-	targets[at] = *target;
+	memmove(&targets[index + 1], &targets[index],
+	    (len - index - 1) * sizeof(targets[0]));
+	targets[index] = *target;
 	return len;
 }
 
 static bool
-region_matches(const caller_region_filter_t *filter, const char *zone)
+region_allowed(const caller_region_filter_t *filter, const char *zone)
 {
 	return filter == NULL ||
 	    region_list_allows(
@@ -48,35 +48,36 @@
 }
 
 size_t
-caller_targets_select(const membership_t *members, bool own,
-    const caller_region_filter_t *filter, caller_target_t *targets, size_t most)
+caller_targets_select(const membership_t *members, bool include_self,
+    const caller_region_filter_t *filter, caller_target_t *targets,
+    size_t targets_max)
 {
 	const membership_settings_t *self = &members->settings;
 	caller_target_t target = {self->name, self->zone,
-	    own_order(members, self->name, self->strength)};
-	size_t len = own && region_matches(filter, self->zone)
-	    ? target_insert(targets, 0, most, &target)
+	    sort_key_compute(members, self->name, self->strength)};
+	size_t len = include_self && region_allowed(filter, self->zone)
+	    ? target_insert(targets, 0, targets_max, &target)
 	    : 0;
 
-	for (const member_t *one = members->members; one != NULL;
-	     one = one->hh.next) {
-		if (!membership_named(members, one) ||
-		    !region_matches(filter, one->zone))
+	for (const member_t *member = members->members; member != NULL;
+	     member = member->hh.next) {
+		if (!membership_named(members, member) ||
+		    !region_allowed(filter, member->zone))
 			continue;
-		target = (caller_target_t){one->name, one->zone,
-		    own_order(members, one->name, one->strength)};
-		len = target_insert(targets, len, most, &target);
+		target = (caller_target_t){member->name, member->zone,
+		    sort_key_compute(members, member->name, member->strength)};
+		len = target_insert(targets, len, targets_max, &target);
 	}
 	return len;
 }
 
 size_t
-caller_targets_count(const membership_t *members, bool own)
+caller_targets_count(const membership_t *members, bool include_self)
 {
-	size_t count = own;
+	size_t count = include_self;
 
-	for (const member_t *one = members->members; one != NULL;
-	     one = one->hh.next)
-		count += membership_named(members, one);
+	for (const member_t *member = members->members; member != NULL;
+	     member = member->hh.next)
+		count += membership_named(members, member);
 	return count;
 }
--- a/moortack/relay/relay_config.c
+++ b/moortack/relay/relay_config.c
@@ -5,7 +5,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define LOOKUP_SIZE 2048 /* bytes: longer hosts and prefixes match nothing */
+/* Bytes; a longer host and path match no route. */
+#define LOOKUP_KEY_SIZE 2048
 #define CONNECTIONS_MAX_DEFAULT 100
 #define HEAD_MAX_DEFAULT 65536
 #define BODY_MAX_DEFAULT (8U << 20)
@@ -45,15 +46,15 @@
 }
 
 bool
-text_hash_equal(text_hash_t one, text_hash_t two)
+text_hash_equal(text_hash_t a, text_hash_t b)
 {
-	return one.low == two.low && one.high == two.high;
+	return a.low == b.low && a.high == b.high;
 }
 
 static bool
-mark_known(text_hash_t mark)
+text_hash_known(text_hash_t hash)
 {
-	return mark.low != 0 || mark.high != 0;
+	return hash.low != 0 || hash.high != 0;
 }
 
 void
@@ -76,24 +77,24 @@
 static void
 config_free(relay_config_t *config)
 {
-	relay_route_entry_t *entry, *next_entry;
-	relay_service_t *service, *next_service;
-	relay_key_t *key, *next_key;
+	relay_route_entry_t *entry, *entry_next;
+	relay_service_t *service, *service_next;
+	relay_key_t *key, *key_next;
 
 	HASH_CLEAR(hh_text, config->routes_by_text);
-	HASH_ITER(hh, config->routes, entry, next_entry)
+	HASH_ITER(hh, config->routes, entry, entry_next)
 	{
 		HASH_DEL(config->routes, entry);
 		relay_route_release(entry->route);
 		free(entry);
 	}
-	HASH_ITER(hh, config->services, service, next_service)
+	HASH_ITER(hh, config->services, service, service_next)
 	{
 		HASH_DEL(config->services, service);
 		free(service->name);
 		free(service);
 	}
-	HASH_ITER(hh, config->keys, key, next_key)
+	HASH_ITER(hh, config->keys, key, key_next)
 	{
 		HASH_DEL(config->keys, key);
 		free(key->text);
@@ -116,7 +117,7 @@
 }
 
 static bool
-route_key_make(relay_route_t *route)
+route_lookup_key_make(relay_route_t *route)
 {
 	size_t size = strlen(route->host) + strlen(route->prefix) + 1;
 
@@ -130,11 +131,11 @@
 }
 
 static bool
-route_enter(relay_config_t *config, relay_route_t *route, err_t *err)
+route_insert(relay_config_t *config, relay_route_t *route, err_t *err)
 {
 	relay_route_entry_t *entry;
 
-	if (!route_key_make(route))
+	if (!route_lookup_key_make(route))
 		return err_set(err, ERR_MEMORY, "out of memory");
 	HASH_FIND_STR(config->routes, route->lookup_key, entry);
 	if (entry != NULL)
@@ -146,7 +147,7 @@
 	entry->route = route;
 	HASH_ADD_KEYPTR(hh, config->routes, route->lookup_key,
 	    strlen(route->lookup_key), entry);
-	if (mark_known(route->text_hash))
+	if (text_hash_known(route->text_hash))
 		HASH_ADD_KEYPTR(hh_text, config->routes_by_text,
 		    &route->text_hash, sizeof(route->text_hash), entry);
 	return true;
@@ -155,18 +156,18 @@
 bool
 relay_config_add_route(relay_config_t *config, relay_route_t *route, err_t *err)
 {
-	if (route_enter(config, route, err))
+	if (route_insert(config, route, err))
 		return true;
 	relay_route_release(route);
 	return false;
 }
 
 relay_route_t *
-relay_config_acquire_route(const relay_config_t *config, text_hash_t text)
+relay_config_acquire_route(const relay_config_t *config, text_hash_t hash)
 {
 	relay_route_entry_t *entry;
 
-	HASH_FIND(hh_text, config->routes_by_text, &text, sizeof(text), entry);
+	HASH_FIND(hh_text, config->routes_by_text, &hash, sizeof(hash), entry);
 	if (entry == NULL)
 		return NULL;
 	entry->route->refs++;
@@ -191,7 +192,7 @@
 
 relay_organisation_t *
 relay_config_add_organisation(
-    relay_config_t *config, const char *name, int rank)
+    relay_config_t *config, const char *name, int priority)
 {
 	relay_organisation_t *organisation = calloc(1, sizeof(*organisation));
 	relay_organisation_t **grown = realloc(config->organisations,
@@ -204,7 +205,7 @@
 		free(organisation);
 		return NULL;
 	}
-	organisation->priority = rank;
+	organisation->priority = priority;
 	config->organisations[config->organisations_len++] = organisation;
 	return organisation;
 }
@@ -231,7 +232,7 @@
 
 /* The host without its port. */
 static size_t
-host_len(const char *host)
+host_name_len(const char *host)
 {
 	const char *colon = strrchr(host, ':');
 
@@ -242,17 +243,17 @@
 relay_config_find_route(
     const relay_config_t *config, const char *host, const char *target)
 {
-	char text[LOOKUP_SIZE];
-	size_t host_part = host_len(host);
-	size_t path = strcspn(target, "?#");
+	char text[LOOKUP_KEY_SIZE];
+	size_t name_len = host_name_len(host);
+	size_t path_len = strcspn(target, "?#");
 	relay_route_entry_t *entry;
 
-	if (host_part + path >= sizeof(text))
+	if (name_len + path_len >= sizeof(text))
 		return NULL;
-	memcpy(text, host, host_part);
-	memcpy(text + host_part, target, path);
+	memcpy(text, host, name_len);
+	memcpy(text + name_len, target, path_len);
 	/* Each prefix ends with a slash: try them from the longest on. */
-	for (size_t end = host_part + path; end > host_part; end--) {
+	for (size_t end = name_len + path_len; end > name_len; end--) {
 		if (text[end - 1] != '/')
 			continue;
 		HASH_FIND(hh, config->routes, text, end, entry);
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -10,52 +10,52 @@
 /* How long an answer may take beyond the time for which the question is held:
  * others follow this daemon, and have to hear within the bounds for changes
  * and for leaving endpoints that the store no longer answers it. */
-#define ORDERS_TIMEOUT_MS 400
+#define OPERATOR_TIMEOUT_MS 400
 #define ENDPOINTS_TIMEOUT_MS 500
-#define OWN_TIMEOUT_MS 900
+#define SYSTEM_TIMEOUT_MS 900
 #define STORE_RETRY_MS 250
-#define STORE_RETRY_MOST_MS 1000
+#define STORE_RETRY_MAX_MS 1000
 /* At the very first start the table of daemons is empty, and each daemon
  * waits for a random part of this time, so that all but the first ones find
  * a running daemon to follow. Without the spread, 295 daemons make eight
  * calls to the store each; with it 257 of them make one or two (their own
  * counters). */
-#define FIRST_START_WITHIN_MS 1500
-#define CONFIG_PAUSE_MS 20
-#define CALLS_TOLD_MS 2000
+#define BOOTSTRAP_JITTER_MS 1500
+#define OPERATOR_PAUSE_MS 20
+#define CALLS_LOG_INTERVAL_MS 2000
 #define SESSIONS_KEY_SIZE (sizeof(ROLLOUT_SESSIONS_PREFIX) + MEMBER_NAME_SIZE)
 /* Rows of the daemons: how often they are read, and written by one of which
  * nobody hears. */
-#define OWN_PAUSE_MS 1500
-#define OWN_OLD_MS 6000
-#define BEAT_ALONE_MS 2000
+#define SYSTEM_PAUSE_MS 1500
+#define SYSTEM_MAX_AGE_MS 6000
+#define ROW_HEARTBEAT_MS 2000
 /* Whom nobody asks takes all others for silent after this time: they may follow
  * somebody else, whom this daemon does not reach. */
-#define LONE_MS 12000
+#define AUTHORITY_TIMEOUT_MS 12000
 /* While it is not known which daemons are alive, their rows are read this
  * often: those that nobody hears of write theirs. */
-#define OWN_PAUSE_DOUBT_MS 500
+#define SYSTEM_PAUSE_LIVENESS_MS 500
 /* Until the fleet's key is known, the rows of the daemons are read this often:
  * nobody can be followed before. */
-#define OWN_PAUSE_KEY_MS 400
+#define SYSTEM_PAUSE_NO_KEY_MS 400
 /* Parts of the time for which a daemon that is off may be named. A daemon asks
  * twice a second, and is heard of through one in between within 1.1 s; whoever
  * loses the one it follows finds another within 1.9 s. What is left of the
  * whole is for the way. */
-#define SILENT_PART 0.35
-#define VOUCH_PART 0.50
+#define SILENCE_TIMEOUT_PART 0.35
+#define SUMMARY_TTL_PART 0.50
 /* A store that is back is noticed within 1.4 s: with this, daemons that went in
  * the outage are named for 2.9 s after it. */
-#define GRANT_PART 0.25
+#define GRACE_PART 0.25
 /* The same while a roll-out is under way: its counts have to be known to all
  * well within the bound for stopping it. */
-#define OWN_PAUSE_BUSY_MS 1000
-#define REPORT_BUSY_MS 700
+#define SYSTEM_PAUSE_ROLLOUT_MS 1000
+#define REPORT_INTERVAL_MS 700
 /* Parts of the time for leaving: until then streams are still taken, idle
  * connections kept, and answers waited for. */
-#define LEAVE_STREAMS_PART 0.25
-#define LEAVE_LISTEN_PART 0.42
-#define LEAVE_MAX_PART 0.96
+#define SHUTDOWN_REFUSE_STREAMS_PART 0.25
+#define SHUTDOWN_STOP_ACCEPTING_PART 0.42
+#define SHUTDOWN_MAX_PART 0.96
 
 /* While nobody is followed and this daemon is not the first, its report goes
  * into its row. */
@@ -64,18 +64,19 @@
 {
 	struct timespec now = clock_elapsed(node->ports.clock);
 	bool active = rollouts_any_active(&node->rollouts);
-	row_watch_t *own = &node->row_sync.watches[ROW_TABLE_SYSTEM].watch;
+	row_watch_t *system = &node->row_sync.watches[ROW_TABLE_SYSTEM].watch;
 
-	own->timing.pause_ms = active ? OWN_PAUSE_BUSY_MS : OWN_PAUSE_MS;
+	system->timing.pause_ms =
+	    active ? SYSTEM_PAUSE_ROLLOUT_MS : SYSTEM_PAUSE_MS;
 	if (!node->members.view.settled)
-		own->timing.pause_ms = OWN_PAUSE_DOUBT_MS;
+		system->timing.pause_ms = SYSTEM_PAUSE_LIVENESS_MS;
 	if (!node->row_sync.has_key)
-		own->timing.pause_ms = OWN_PAUSE_KEY_MS;
-	if (timespec_ms_between(node->report_sent_at, now) < REPORT_BUSY_MS)
+		system->timing.pause_ms = SYSTEM_PAUSE_NO_KEY_MS;
+	if (timespec_ms_between(node->report_sent_at, now) < REPORT_INTERVAL_MS)
 		return;
 	node->report_sent_at = now;
-	if (active && !own->suspended)
-		row_watch_poll_now(own);
+	if (active && !system->suspended)
+		row_watch_poll_now(system);
 	if (node->members.alone && (active || node->members.report != NULL))
 		membership_report(
 		    &node->members, rollouts_report(&node->rollouts));
@@ -84,7 +85,7 @@
 /* While sessions stay where they are, whoever reads the store passes on which
  * ones. */
 static void
-sessions_send(relay_node_t *node)
+sessions_publish(relay_node_t *node)
 {
 	char *text = rollouts_encode_sessions(&node->rollouts);
 	char key[SESSIONS_KEY_SIZE];
@@ -103,7 +104,7 @@
 
 /* What the one that reads the store passed on holds until it changes. */
 static void
-sessions_take(relay_node_t *node)
+sessions_apply(relay_node_t *node)
 {
 	const char *reader = row_sync_reader(&node->row_sync);
 	char key[SESSIONS_KEY_SIZE];
@@ -122,38 +123,39 @@
 }
 
 static void
-sessions_step(relay_node_t *node)
+sessions_sync(relay_node_t *node)
 {
 	if (!rollouts_any_active(&node->rollouts))
 		return;
 	relay_sessions_record(&node->relay);
 	if (node->row_sync.following)
-		sessions_take(node);
+		sessions_apply(node);
 	else
-		sessions_send(node);
+		sessions_publish(node);
 }
 
 /* What the store was asked for so far, every so often. */
 static void
-calls_tell(relay_node_t *node)
+calls_log(relay_node_t *node)
 {
 	const uint64_t *calls = node->ports.store->calls;
 	struct timespec now = clock_elapsed(node->ports.clock);
-	uint64_t all = 0;
+	uint64_t total = 0;
 
 	for (int i = 0; i < ROW_PURPOSES; i++)
-		all += calls[i];
-	if (all == node->calls_logged ||
-	    timespec_ms_between(node->calls_logged_at, now) < CALLS_TOLD_MS)
+		total += calls[i];
+	if (total == node->calls_logged ||
+	    timespec_ms_between(node->calls_logged_at, now) <
+		CALLS_LOG_INTERVAL_MS)
 		return;
-	node->calls_logged = all;
+	node->calls_logged = total;
 	node->calls_logged_at = now;
 	event_line(&node->log, "store_calls",
 	    "all=%" PRIu64 " read=%" PRIu64 " reread=%" PRIu64
 	    " changes=%" PRIu64 " beside=%" PRIu64 " member=%" PRIu64
 	    " clearing=%" PRIu64 " state=%" PRIu64 " key=%" PRIu64
 	    " quarantine=%" PRIu64,
-	    all, calls[ROW_PURPOSE_FIRST_READ], calls[ROW_PURPOSE_REREAD],
+	    total, calls[ROW_PURPOSE_FIRST_READ], calls[ROW_PURPOSE_REREAD],
 	    calls[ROW_PURPOSE_POLL], calls[ROW_PURPOSE_FOLLOWER_POLL],
 	    calls[ROW_PURPOSE_MEMBER], calls[ROW_PURPOSE_MEMBER_CLEANUP],
 	    calls[ROW_PURPOSE_ROLLOUT_STATE], calls[ROW_PURPOSE_FLEET_KEY],
@@ -161,7 +163,7 @@
 }
 
 static void
-members_step(relay_node_t *node)
+members_tick(relay_node_t *node)
 {
 	bool following;
 
@@ -179,18 +181,18 @@
 }
 
 static void
-leave_step(relay_node_t *node)
+shutdown_step(relay_node_t *node)
 {
 	struct timespec now = clock_elapsed(node->ports.clock);
 	double part = (double)timespec_ms_between(node->leaving_since, now) /
 	    (double)node->settings.grace_ms;
 
-	if (part >= LEAVE_STREAMS_PART)
+	if (part >= SHUTDOWN_REFUSE_STREAMS_PART)
 		node->relay.refusing_streams = true;
-	if (part >= LEAVE_LISTEN_PART)
+	if (part >= SHUTDOWN_STOP_ACCEPTING_PART)
 		http_inbound_refuse(node->relay.server);
-	if (part < LEAVE_MAX_PART &&
-	    (part < LEAVE_LISTEN_PART || node->relay.in_flight > 0 ||
+	if (part < SHUTDOWN_MAX_PART &&
+	    (part < SHUTDOWN_STOP_ACCEPTING_PART || node->relay.in_flight > 0 ||
 		node->members.writing))
 		return;
 	event_line(&node->log, "stop", "under_way=%u part=%.2f",
@@ -201,7 +203,7 @@
 }
 
 static void
-woken(relay_node_t *node, int64_t suspended_ms)
+vm_resumed(relay_node_t *node, int64_t suspended_ms)
 {
 	node->suspensions++;
 	event_line(&node->log, "suspended",
@@ -220,7 +222,7 @@
 	(void)fd;
 	(void)what;
 	if (suspended_ms > 0)
-		woken(node, suspended_ms);
+		vm_resumed(node, suspended_ms);
 	event_log_tick(&node->log);
 	relay_accept_when_ready(&node->relay);
 	relay_endpoints_remove_lapsed(node);
@@ -228,29 +230,29 @@
 	relay_evacuations_expire(node);
 	relay_warmup_tick(&node->relay, false);
 	endpoint_set_sample_in_flight(&node->endpoints);
-	members_step(node);
+	members_tick(node);
 	gossip_tick(&node->gossip);
-	sessions_step(node);
+	sessions_sync(node);
 	relay_quarantine_tick(&node->relay.quarantine);
 	if (rollouts_any_active(&node->rollouts))
 		relay_canary_check_overdue(&node->relay);
 	report_send(node);
-	calls_tell(node);
+	calls_log(node);
 	if (node->leaving)
-		leave_step(node);
+		shutdown_step(node);
 	else
 		membership_set_state(&node->members,
 		    relay_node_ready(node) ? MEMBER_READY : MEMBER_STARTING);
 }
 
 static bool
-rows_same(const void *arg, row_table_t table, const char *key, const char *a,
-    size_t a_len, const char *b, size_t b_len)
+row_unchanged(const void *arg, row_table_t table, const char *key,
+    const char *a, size_t a_len, const char *b, size_t b_len)
 {
-	const row_dialect_t *sources = arg;
+	const row_dialect_t *row_dialect = arg;
 
 	if (table == ROW_TABLE_ENDPOINTS)
-		return sources->endpoint_unchanged(a, a_len, b, b_len);
+		return row_dialect->endpoint_unchanged(a, a_len, b, b_len);
 	if (table == ROW_TABLE_SYSTEM &&
 	    strncmp(key, MEMBER_PREFIX, strlen(MEMBER_PREFIX)) == 0)
 		return membership_same(a, a_len, b, b_len);
@@ -260,7 +262,7 @@
 }
 
 static bool
-source_init(relay_node_t *node)
+node_row_sync_init(relay_node_t *node)
 {
 	const relay_ports_t *ports = &node->ports;
 	const relay_node_settings_t *settings = &node->settings;
@@ -268,18 +270,18 @@
 	node->row_sync = (row_sync_t){
 	    .settings = {.tables = {ports->row_dialect->operator_table,
 			     ports->row_dialect->endpoints_table, MEMBER_TABLE},
-		.timings = {{settings->operator_poll_wait_ms, CONFIG_PAUSE_MS,
-				STORE_RETRY_MS, STORE_RETRY_MOST_MS,
-				ORDERS_TIMEOUT_MS},
+		.timings = {{settings->operator_poll_wait_ms, OPERATOR_PAUSE_MS,
+				STORE_RETRY_MS, STORE_RETRY_MAX_MS,
+				OPERATOR_TIMEOUT_MS},
 		    {0, settings->endpoints_poll_pause_ms, STORE_RETRY_MS,
-			STORE_RETRY_MOST_MS, ENDPOINTS_TIMEOUT_MS},
-		    {0, OWN_PAUSE_KEY_MS, STORE_RETRY_MS, STORE_RETRY_MOST_MS,
-			OWN_TIMEOUT_MS}},
+			STORE_RETRY_MAX_MS, ENDPOINTS_TIMEOUT_MS},
+		    {0, SYSTEM_PAUSE_NO_KEY_MS, STORE_RETRY_MS,
+			STORE_RETRY_MAX_MS, SYSTEM_TIMEOUT_MS}},
 		.hold_ms = settings->operator_poll_wait_ms,
 		.start_jitter_ms =
-		    settings->bootstrap ? FIRST_START_WITHIN_MS : 0,
+		    settings->bootstrap ? BOOTSTRAP_JITTER_MS : 0,
 		.max_age_ms = {settings->operator_rows_max_age_ms,
-		    settings->endpoint_rows_max_age_ms, OWN_OLD_MS}},
+		    settings->endpoint_rows_max_age_ms, SYSTEM_MAX_AGE_MS}},
 	    .base = ports->base,
 	    .store = ports->store,
 	    .clock = ports->clock,
@@ -287,24 +289,25 @@
 	    .log = &node->log,
 	    .members = &node->members};
 	strcpy(node->row_sync.settings.peer_address, settings->peer_address);
-	row_cache_init(
-	    &node->row_sync.cache, ports->clock, rows_same, ports->row_dialect);
+	row_cache_init(&node->row_sync.cache, ports->clock, row_unchanged,
+	    ports->row_dialect);
 	return row_sync_init(&node->row_sync, &relay_rows_ops, node);
 }
 
 static life_bounds_t
-life_bounds(const relay_node_settings_t *settings)
+liveness_settings(const relay_node_settings_t *settings)
 {
-	double named_ms = (double)settings->down_listed_max_ms;
+	double listed_ms = (double)settings->down_listed_max_ms;
 
-	return (life_bounds_t){.silent_ms = (int64_t)(named_ms * SILENT_PART),
-	    .vouch_ms = (int64_t)(named_ms * VOUCH_PART),
-	    .grant_ms = (int64_t)(named_ms * GRANT_PART),
-	    .lone_ms = LONE_MS};
+	return (life_bounds_t){
+	    .silent_ms = (int64_t)(listed_ms * SILENCE_TIMEOUT_PART),
+	    .vouch_ms = (int64_t)(listed_ms * SUMMARY_TTL_PART),
+	    .grant_ms = (int64_t)(listed_ms * GRACE_PART),
+	    .lone_ms = AUTHORITY_TIMEOUT_MS};
 }
 
 static bool
-zone_regions_set(relay_node_t *node, const relay_node_settings_t *settings)
+zone_regions_apply(relay_node_t *node, const relay_node_settings_t *settings)
 {
 	for (size_t i = 0; i < settings->zone_regions_len; i++) {
 		if (!zone_table_set_region(&node->endpoints.zones,
@@ -316,12 +319,12 @@
 }
 
 static bool
-parts_init(relay_node_t *node, err_t *err)
+components_init(relay_node_t *node, err_t *err)
 {
 	const relay_ports_t *ports = &node->ports;
-	membership_settings_t member = {.beat_alone_ms = BEAT_ALONE_MS,
+	membership_settings_t member = {.beat_alone_ms = ROW_HEARTBEAT_MS,
 	    .strength = node->settings.strength,
-	    .life = life_bounds(&node->settings)};
+	    .life = liveness_settings(&node->settings)};
 	const row_watch_t *orders =
 	    row_sync_watch(&node->row_sync, ROW_TABLE_OPERATOR);
 
@@ -329,7 +332,7 @@
 	snprintf(member.zone, sizeof(member.zone), "%s", node->settings.zone);
 	strcpy(member.peer, node->settings.peer_address);
 	endpoint_set_init(&node->endpoints, ports->clock);
-	if (!zone_regions_set(node, &node->settings))
+	if (!zone_regions_apply(node, &node->settings))
 		return err_set(
 		    err, ERR_SETTING, "cannot set the region of a zone");
 	node->rollouts = (rollouts_t){.store = ports->store,
@@ -372,7 +375,8 @@
 		return false;
 	membership_init(
 	    &node->members, ports->store, ports->clock, &node->log, &member);
-	if (rollouts_init(&node->rollouts, ports->base) && source_init(node))
+	if (rollouts_init(&node->rollouts, ports->base) &&
+	    node_row_sync_init(node))
 		return true;
 	return err_set(err, ERR_MEMORY, "out of memory");
 }
@@ -389,7 +393,7 @@
 	event_log_init(&node->log, ports->clock, settings->log_lines_per_s);
 	node->refusals =
 	    (row_refusals_t){.clock = ports->clock, .log = &node->log};
-	if (!parts_init(node, err))
+	if (!components_init(node, err))
 		return false;
 	node->settings.zone_regions = NULL;
 	node->settings.zone_regions_len = 0;
@@ -425,10 +429,10 @@
 	node->row_sync.settings.max_age_ms[ROW_TABLE_ENDPOINTS] =
 	    settings->endpoint_rows_max_age_ms;
 	node->settings.down_listed_max_ms = settings->down_listed_max_ms;
-	node->members.settings.life = life_bounds(settings);
+	node->members.settings.life = liveness_settings(settings);
 	node->members.view.bounds = node->members.settings.life;
 	node->relay.bounds = settings->bounds;
-	zone_regions_set(node, settings);
+	zone_regions_apply(node, settings);
 	node->row_sync.watches[ROW_TABLE_ENDPOINTS].watch.timing.pause_ms =
 	    settings->endpoints_poll_pause_ms;
 	event_line(&node->log, "reload",
@@ -437,13 +441,13 @@
 }
 
 void
-relay_node_shut_down(relay_node_t *node, void (*gone)(void *), void *arg)
+relay_node_shut_down(relay_node_t *node, void (*on_stopped)(void *), void *arg)
 {
 	if (node->leaving)
 		return;
 	node->leaving = true;
 	node->leaving_since = clock_elapsed(node->ports.clock);
-	node->on_stopped = gone;
+	node->on_stopped = on_stopped;
 	node->on_stopped_arg = arg;
 	event_line(&node->log, "leave", "under_way=%u", node->relay.in_flight);
 	membership_set_state(&node->members, MEMBER_LEAVING);
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -48,7 +48,7 @@
 
 /* A configuration says by its own version which one is later. */
 static bool
-config_steps_back(const relay_node_t *node, const cached_row_t *known,
+config_is_older(const relay_node_t *node, const cached_row_t *known,
     const row_t *row, const relay_config_t *config)
 {
 	return relay_row_has_later_era(known, row) && known->value != NULL &&
@@ -69,7 +69,7 @@
 	if (!row->deleted)
 		config = node->ports.row_dialect->decode_config(
 		    row->value, row->value_len, node->relay.config, &err);
-	if (config_steps_back(node, known, row, config))
+	if (config_is_older(node, known, row, config))
 		relay_row_keep_known(node, ROW_TABLE_OPERATOR, known, row);
 	else
 		row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, row);
@@ -82,7 +82,7 @@
 }
 
 static void
-order_row(relay_node_t *node, const row_t *row)
+rollout_order_apply(relay_node_t *node, const row_t *row)
 {
 	rollout_order_t order;
 	err_t err;
@@ -98,53 +98,53 @@
 }
 
 static void
-on_order_row(relay_node_t *node, const row_t *row)
+on_operator_row(relay_node_t *node, const row_t *row)
 {
-	const row_dialect_t *sources = node->ports.row_dialect;
+	const row_dialect_t *dialect = node->ports.row_dialect;
 
-	if (strcmp(row->key, sources->config_key) == 0) {
+	if (strcmp(row->key, dialect->config_key) == 0) {
 		on_config_row(node, row);
 		return;
 	}
-	if (has_prefix(row, sources->evacuation_prefix)) {
+	if (has_prefix(row, dialect->evacuation_prefix)) {
 		relay_evacuation_apply_row(node, row);
 		return;
 	}
 	row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, row);
-	if (has_prefix(row, sources->rollout_prefix))
-		order_row(node, row);
+	if (has_prefix(row, dialect->rollout_prefix))
+		rollout_order_apply(node, row);
 }
 
 static bool
-names_member(const row_t *row, err_t *err)
+member_row_valid(const row_t *row, err_t *err)
 {
 	member_facts_t facts;
-	bool good = member_row_decode(row, &facts, err) &&
+	bool valid = member_row_decode(row, &facts, err) &&
 	    member_facts_check(&facts, err);
 
 	member_facts_finish(&facts);
-	return good;
+	return valid;
 }
 
 /* What names no daemon is none. */
 static void
 on_member_row(relay_node_t *node, const row_t *row)
 {
-	row_t taken = *row;
+	row_t applied = *row;
 	err_t err;
 
-	if (!row->deleted && !names_member(row, &err)) {
+	if (!row->deleted && !member_row_valid(row, &err)) {
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_MEMBER, row, &err);
-		taken = (row_t){
+		applied = (row_t){
 		    .key = row->key, .version = row->version, .deleted = true};
 	}
-	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, &taken);
-	membership_row(&node->members, &taken);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, &applied);
+	membership_row(&node->members, &applied);
 }
 
 static void
-on_state_row(relay_node_t *node, const row_t *row)
+on_rollout_state_row(relay_node_t *node, const row_t *row)
 {
 	err_t err;
 
@@ -155,7 +155,7 @@
 }
 
 static void
-on_key_row(relay_node_t *node, const row_t *row)
+on_fleet_key_row(relay_node_t *node, const row_t *row)
 {
 	err_t err;
 
@@ -166,7 +166,7 @@
 }
 
 static void
-on_verdict_row(relay_node_t *node, const row_t *row)
+on_quarantine_row(relay_node_t *node, const row_t *row)
 {
 	err_t err;
 
@@ -177,16 +177,16 @@
 }
 
 static void
-on_own_row(relay_node_t *node, const row_t *row)
+on_system_row(relay_node_t *node, const row_t *row)
 {
 	if (has_prefix(row, MEMBER_PREFIX)) {
 		on_member_row(node, row);
 	} else if (has_prefix(row, ROLLOUT_PREFIX)) {
-		on_state_row(node, row);
+		on_rollout_state_row(node, row);
 	} else if (has_prefix(row, QUARANTINE_PREFIX)) {
-		on_verdict_row(node, row);
+		on_quarantine_row(node, row);
 	} else if (strcmp(row->key, FLEET_KEY_ROW) == 0) {
-		on_key_row(node, row);
+		on_fleet_key_row(node, row);
 	} else if (has_prefix(row, ROLLOUT_SESSIONS_PREFIX)) {
 		row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 		rollouts_apply_sessions_row(&node->rollouts, row);
@@ -204,13 +204,13 @@
 		return;
 	switch (table) {
 	case ROW_TABLE_OPERATOR:
-		on_order_row(node, row);
+		on_operator_row(node, row);
 		break;
 	case ROW_TABLE_ENDPOINTS:
 		relay_endpoint_apply_row(node, row);
 		break;
 	case ROW_TABLE_SYSTEM:
-		on_own_row(node, row);
+		on_system_row(node, row);
 		break;
 	case ROW_TABLES:
 		break;
@@ -220,7 +220,7 @@
 /* The store came back from an older copy: entries of endpoints that are not in
  * it may be written again, as after an outage. */
 static void
-on_restart(void *arg, row_table_t table)
+on_full_read_begin(void *arg, row_table_t table)
 {
 	relay_node_t *node = arg;
 	uint64_t era = node->ports.store->era;
@@ -240,12 +240,12 @@
 }
 
 static void
-on_settled(void *arg, row_table_t table, bool whole)
+on_synced(void *arg, row_table_t table, bool full_read)
 {
 	relay_node_t *node = arg;
 	uint32_t daemons;
 
-	(void)whole;
+	(void)full_read;
 	if (table == ROW_TABLE_ENDPOINTS)
 		endpoint_set_learn_base_versions(&node->endpoints);
 	relay_accept_when_ready(&node->relay);
@@ -263,16 +263,16 @@
 }
 
 static void
-on_reachable(void *arg, row_table_t table, bool now)
+on_reachable(void *arg, row_table_t table, bool available)
 {
 	static const char *const names[ROW_TABLES] = {
 	    "orders", "endpoints", "own"};
 	relay_node_t *node = arg;
 	const row_watch_t *watch = row_sync_watch(&node->row_sync, table);
 
-	event_line(&node->log, now ? "store_back" : "store_lost",
+	event_line(&node->log, available ? "store_back" : "store_lost",
 	    "table=%s age_ms=%" PRId64, names[table], row_watch_age_ms(watch));
-	if (table != ROW_TABLE_ENDPOINTS || !now)
+	if (table != ROW_TABLE_ENDPOINTS || !available)
 		return;
 	/* The first answer of all ends no outage that this daemon saw, nor does
 	 * one after a time in which others told what the store has. */
@@ -299,13 +299,13 @@
 }
 
 static void
-on_secret(void *arg, const char *secret)
+on_fleet_key(void *arg, const char *key)
 {
 	relay_node_t *node = arg;
 
-	gossip_set_secret(&node->gossip, secret);
-	relay_quarantine_set_secret(&node->relay.quarantine, secret);
+	gossip_set_secret(&node->gossip, key);
+	relay_quarantine_set_secret(&node->relay.quarantine, key);
 }
 
-const row_sync_ops_t relay_rows_ops = {on_row, on_restart, on_settled,
-    on_reachable, on_store_clock, on_secret, on_report};
+const row_sync_ops_t relay_rows_ops = {on_row, on_full_read_begin, on_synced,
+    on_reachable, on_store_clock, on_fleet_key, on_report};
--- a/test/support/node_fixture.h
+++ b/test/support/node_fixture.h
@@ -20,33 +20,33 @@
 } node_fixture_t;
 
 static inline void
-node_fixture_init(node_fixture_t *told)
+node_fixture_init(node_fixture_t *fixture)
 {
-	told->clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
-	told->store = (row_store_t){.ops = &silent_store_ops};
-	told->base = event_base_new();
-	rng_system_init(&told->rng);
-	assert_true(test_node_start(&told->node, told->base,
-	    &told->clock.source, &told->rng, &told->store));
+	fixture->clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
+	fixture->store = (row_store_t){.ops = &silent_store_ops};
+	fixture->base = event_base_new();
+	rng_system_init(&fixture->rng);
+	assert_true(test_node_start(&fixture->node, fixture->base,
+	    &fixture->clock.source, &fixture->rng, &fixture->store));
 }
 
 static inline void
-node_fixture_finish(node_fixture_t *told)
+node_fixture_finish(node_fixture_t *fixture)
 {
-	relay_node_finish(&told->node);
-	event_base_free(told->base);
+	relay_node_finish(&fixture->node);
+	event_base_free(fixture->base);
 }
 
 static inline void
-node_fixture_advance(node_fixture_t *told, int64_t ms)
+node_fixture_advance(node_fixture_t *fixture, int64_t ms)
 {
-	told->clock.now = timespec_after_ms(told->clock.now, ms);
+	fixture->clock.now = timespec_after_ms(fixture->clock.now, ms);
 }
 
 /** @param text NULL: the row is removed */
 static inline void
-node_fixture_apply_row(node_fixture_t *told, row_table_t table, const char *key,
-    const char *text, uint64_t version)
+node_fixture_apply_row(node_fixture_t *fixture, row_table_t table,
+    const char *key, const char *text, uint64_t version)
 {
 	row_t row = {.key = key,
 	    .value = text,
@@ -54,7 +54,7 @@
 	    .version = version,
 	    .deleted = text == NULL};
 
-	relay_rows_ops.row(&told->node, table, &row);
+	relay_rows_ops.row(&fixture->node, table, &row);
 }
 
 #endif
--- a/test/support/silent_store.h
+++ b/test/support/silent_store.h
@@ -13,12 +13,12 @@
 #include "moortack/relay/relay_node.h"
 
 static inline bool
-silent_store_read(row_store_t *store, const char *table, const char *from,
+silent_store_read(row_store_t *store, const char *table, const char *page,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
 	(void)store;
 	(void)table;
-	(void)from;
+	(void)page;
 	(void)timeout_ms;
 	(void)done;
 	(void)arg;
@@ -53,22 +53,21 @@
  * time of its start, where there is one; "?" is no entry. */
 static inline bool
 test_endpoint_decode(const char *id, const char *text, size_t len,
-    endpoint_info_t *facts, err_t *err)
+    endpoint_info_t *info, err_t *err)
 {
-	const char *born = memchr(text, '@', len);
+	const char *start = memchr(text, '@', len);
 
 	if (len == 1 && text[0] == '?')
 		return err_set(err, ERR_UNREADABLE, "no entry");
-	*facts = (endpoint_info_t){.service = "s", .zone = "a", .slots = 1};
-	if (born != NULL) {
-		facts->started_ms = strtoll(born + 1, NULL, 10);
-		len = (size_t)(born - text);
+	*info = (endpoint_info_t){.service = "s", .zone = "a", .slots = 1};
+	if (start != NULL) {
+		info->started_ms = strtoll(start + 1, NULL, 10);
+		len = (size_t)(start - text);
 	}
-	snprintf(
-	    facts->version, sizeof(facts->version), "%.*s", (int)len, text);
-	facts->leaving = len == 7 && memcmp(text, "leaving", len) == 0;
-	snprintf(facts->id, sizeof(facts->id), "%s", id);
-	return http_address_parse("127.0.0.1:9", &facts->address);
+	snprintf(info->version, sizeof(info->version), "%.*s", (int)len, text);
+	info->leaving = len == 7 && memcmp(text, "leaving", len) == 0;
+	snprintf(info->id, sizeof(info->id), "%s", id);
+	return http_address_parse("127.0.0.1:9", &info->address);
 }
 
 static inline bool
--- a/test/unit/caller_targets_test.c
+++ b/test/unit/caller_targets_test.c
@@ -19,17 +19,17 @@
 #include "moortack/relay/caller_targets.h"
 
 #define DAEMONS 300
-#define MOST 64
-#define ANSWERS 300
+#define TARGETS_MAX 64
+#define RESPONSES 300
 
-typedef struct world {
+typedef struct fixture {
 	manual_clock_t clock;
 	struct event_base *base;
 	row_store_t store;
-} world_t;
+} fixture_t;
 
 static int
-number_of(const caller_target_t *target)
+daemon_number(const caller_target_t *target)
 {
 	int number;
 
@@ -38,105 +38,107 @@
 }
 
 static int
-world_begin(void **state)
+fixture_setup(void **state)
 {
-	world_t *world = calloc(1, sizeof(*world));
+	fixture_t *fixture = calloc(1, sizeof(*fixture));
 
-	world->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
-	world->base = event_base_new();
-	world->store = (row_store_t){.ops = &silent_store_ops};
-	*state = world;
+	fixture->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
+	fixture->base = event_base_new();
+	fixture->store = (row_store_t){.ops = &silent_store_ops};
+	*state = fixture;
 	return 0;
 }
 
 static int
-world_end(void **state)
+fixture_teardown(void **state)
 {
-	world_t *world = *state;
+	fixture_t *fixture = *state;
 
-	event_base_free(world->base);
-	free(world);
+	event_base_free(fixture->base);
+	free(fixture);
 	return 0;
 }
 
 static void
-daemon_begin(world_t *world, membership_t *self, int number, int daemons)
+membership_start(
+    fixture_t *fixture, membership_t *self, int number, int daemons)
 {
 	membership_of(
-	    self, &world->store, &world->clock.source, number, daemons);
+	    self, &fixture->store, &fixture->clock.source, number, daemons);
 	membership_rows_read(self);
 }
 
 /* How often each daemon is told, over the answers of all. */
 static void
-told_count(world_t *world, int told[DAEMONS])
+selections_count(fixture_t *fixture, int selected[DAEMONS])
 {
-	for (int i = 0; i < ANSWERS; i++) {
-		caller_target_t targets[MOST];
+	for (int i = 0; i < RESPONSES; i++) {
+		caller_target_t targets[TARGETS_MAX];
 		membership_t self;
 
-		daemon_begin(world, &self, i, DAEMONS);
-		assert_int_equal(
-		    caller_targets_select(&self, true, NULL, targets, MOST),
-		    MOST);
-		for (int j = 0; j < MOST; j++)
-			told[number_of(&targets[j])]++;
+		membership_start(fixture, &self, i, DAEMONS);
+		assert_int_equal(caller_targets_select(
+				     &self, true, NULL, targets, TARGETS_MAX),
+		    TARGETS_MAX);
+		for (int j = 0; j < TARGETS_MAX; j++)
+			selected[daemon_number(&targets[j])]++;
 		membership_finish(&self);
 	}
 }
 
 static void
-each_is_told_by_some_and_the_strong_more_often(void **state)
+every_daemon_is_selected_and_strong_ones_more_often(void **state)
 {
-	int told[DAEMONS] = {0};
+	int selected[DAEMONS] = {0};
 	int strong = 0, weak = 0;
 
-	told_count(*state, told);
+	selections_count(*state, selected);
 	for (int i = 0; i < DAEMONS; i++) {
-		assert_in_range(told[i], 1, ANSWERS);
+		assert_in_range(selected[i], 1, RESPONSES);
 		if (strength_of(i) > 0.25)
-			strong += told[i];
+			strong += selected[i];
 		else
-			weak += told[i];
+			weak += selected[i];
 	}
 	assert_true(strong > 2 * weak);
 }
 
 static void
-a_small_fleet_is_told_whole(void **state)
+a_small_fleet_is_selected_completely(void **state)
 {
-	caller_target_t targets[MOST];
+	caller_target_t targets[TARGETS_MAX];
 	membership_t self;
 
-	daemon_begin(*state, &self, 1, 9);
+	membership_start(*state, &self, 1, 9);
 	assert_int_equal(
-	    caller_targets_select(&self, true, NULL, targets, MOST), 9);
+	    caller_targets_select(&self, true, NULL, targets, TARGETS_MAX), 9);
 	assert_int_equal(
-	    caller_targets_select(&self, false, NULL, targets, MOST), 8);
+	    caller_targets_select(&self, false, NULL, targets, TARGETS_MAX), 8);
 	assert_int_equal(caller_targets_count(&self, true), 9);
 	membership_finish(&self);
 }
 
 /* Callers give up connections to who is told no longer. */
 static void
-who_goes_changes_no_other(void **state)
+a_removed_daemon_changes_no_other_selection(void **state)
 {
-	caller_target_t before[MOST], after[MOST];
+	caller_target_t before[TARGETS_MAX], after[TARGETS_MAX];
 	membership_t self;
-	int gone, same = 0;
+	int removed, same = 0;
 
-	daemon_begin(*state, &self, 1, DAEMONS);
-	caller_targets_select(&self, true, NULL, before, MOST);
-	gone = number_of(&before[MOST / 2]);
-	member_take(&self, gone, "leaving");
+	membership_start(*state, &self, 1, DAEMONS);
+	caller_targets_select(&self, true, NULL, before, TARGETS_MAX);
+	removed = daemon_number(&before[TARGETS_MAX / 2]);
+	member_take(&self, removed, "leaving");
 	assert_int_equal(
-	    caller_targets_select(&self, true, NULL, after, MOST), MOST);
-	for (int i = 0; i < MOST; i++) {
-		assert_int_not_equal(number_of(&after[i]), gone);
-		for (int j = 0; j < MOST; j++)
+	    caller_targets_select(&self, true, NULL, after, TARGETS_MAX),
+	    TARGETS_MAX);
+	for (int i = 0; i < TARGETS_MAX; i++) {
+		assert_int_not_equal(daemon_number(&after[i]), removed);
+		for (int j = 0; j < TARGETS_MAX; j++)
 			same += after[i].address == before[j].address;
 	}
-	assert_int_equal(same, MOST - 1);
+	assert_int_equal(same, TARGETS_MAX - 1);
 	membership_finish(&self);
 }
 
@@ -145,12 +147,14 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test_setup_teardown(
-		each_is_told_by_some_and_the_strong_more_often, world_begin,
-		world_end),
+		every_daemon_is_selected_and_strong_ones_more_often,
+		fixture_setup, fixture_teardown),
 	    cmocka_unit_test_setup_teardown(
-		a_small_fleet_is_told_whole, world_begin, world_end),
+		a_small_fleet_is_selected_completely, fixture_setup,
+		fixture_teardown),
 	    cmocka_unit_test_setup_teardown(
-		who_goes_changes_no_other, world_begin, world_end),
+		a_removed_daemon_changes_no_other_selection, fixture_setup,
+		fixture_teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/lapse_test.c
+++ b/test/unit/lapse_test.c
@@ -19,270 +19,268 @@
 #define OUTAGE_MS 4000
 #define VERSION_ENTRY 40
 #define VERSION_BEFORE 60
-#define VERSION_END 75
+#define VERSION_REMOVED 75
 #define VERSION_AFTER 90
 
 static void
-entry_tell(
-    node_fixture_t *told, const char *id, const char *text, uint64_t version)
+entry_apply(
+    node_fixture_t *fixture, const char *id, const char *text, uint64_t version)
 {
-	node_fixture_apply_row(told, ROW_TABLE_ENDPOINTS, id, text, version);
+	node_fixture_apply_row(fixture, ROW_TABLE_ENDPOINTS, id, text, version);
 }
 
 /* The store has answered: its entries are known up to the version. */
 static void
-store_answers(node_fixture_t *told, uint64_t version)
+store_synced(node_fixture_t *fixture, uint64_t version)
 {
 	row_watch_t *watch =
-	    &told->node.row_sync.watches[ROW_TABLE_ENDPOINTS].watch;
+	    &fixture->node.row_sync.watches[ROW_TABLE_ENDPOINTS].watch;
 
-	row_watch_advance(watch, version, told->clock.now);
+	row_watch_advance(watch, version, fixture->clock.now);
 	watch->reachable = true;
 }
 
 static void
-store_lost(node_fixture_t *told)
+store_unavailable(node_fixture_t *fixture)
 {
-	told->node.row_sync.watches[ROW_TABLE_ENDPOINTS].watch.reachable =
+	fixture->node.row_sync.watches[ROW_TABLE_ENDPOINTS].watch.reachable =
 	    false;
-	relay_rows_ops.reachable(&told->node, ROW_TABLE_ENDPOINTS, false);
+	relay_rows_ops.reachable(&fixture->node, ROW_TABLE_ENDPOINTS, false);
 }
 
 static void
-store_back(node_fixture_t *told, uint64_t version)
+store_available(node_fixture_t *fixture, uint64_t version)
 {
-	relay_rows_ops.reachable(&told->node, ROW_TABLE_ENDPOINTS, true);
-	store_answers(told, version);
+	relay_rows_ops.reachable(&fixture->node, ROW_TABLE_ENDPOINTS, true);
+	store_synced(fixture, version);
 }
 
 static const endpoint_t *
-entry_of(const node_fixture_t *told, const char *id)
+endpoint_of(const node_fixture_t *fixture, const char *id)
 {
-	return endpoint_set_find(&told->node.endpoints, id);
+	return endpoint_set_find(&fixture->node.endpoints, id);
 }
 
 /* An entry that is known, an outage, and the entry's end just after it. */
 static void
-entry_lapses(node_fixture_t *told)
+entry_lapse(node_fixture_t *fixture)
 {
-	node_fixture_init(told);
-	entry_tell(told, "e1", "ready", VERSION_ENTRY);
-	store_answers(told, VERSION_BEFORE);
-	store_lost(told);
-	node_fixture_advance(told, OUTAGE_MS);
-	relay_rows_ops.reachable(&told->node, ROW_TABLE_ENDPOINTS, true);
-	entry_tell(told, "e1", NULL, VERSION_END);
-	store_answers(told, VERSION_AFTER);
+	node_fixture_init(fixture);
+	entry_apply(fixture, "e1", "ready", VERSION_ENTRY);
+	store_synced(fixture, VERSION_BEFORE);
+	store_unavailable(fixture);
+	node_fixture_advance(fixture, OUTAGE_MS);
+	relay_rows_ops.reachable(&fixture->node, ROW_TABLE_ENDPOINTS, true);
+	entry_apply(fixture, "e1", NULL, VERSION_REMOVED);
+	store_synced(fixture, VERSION_AFTER);
 }
 
 static void
-an_entry_that_lapsed_is_kept_for_a_time(void **state)
+a_lapsed_entry_is_kept_for_a_while(void **state)
 {
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	entry_lapses(&told);
-	assert_non_null(entry_of(&told, "e1"));
-	node_fixture_advance(&told, LAPSE_MS - 1);
-	relay_endpoints_remove_lapsed(&told.node);
-	assert_non_null(entry_of(&told, "e1"));
-	node_fixture_advance(&told, 1);
-	relay_endpoints_remove_lapsed(&told.node);
-	assert_null(entry_of(&told, "e1"));
-	node_fixture_finish(&told);
+	entry_lapse(&fixture);
+	assert_non_null(endpoint_of(&fixture, "e1"));
+	node_fixture_advance(&fixture, LAPSE_MS - 1);
+	relay_endpoints_remove_lapsed(&fixture.node);
+	assert_non_null(endpoint_of(&fixture, "e1"));
+	node_fixture_advance(&fixture, 1);
+	relay_endpoints_remove_lapsed(&fixture.node);
+	assert_null(endpoint_of(&fixture, "e1"));
+	node_fixture_finish(&fixture);
 }
 
 /* Whoever goes on from the version that it was told hears of the end. */
 static void
-nobody_is_told_a_version_beyond_an_entry_that_is_kept(void **state)
+no_version_beyond_a_kept_entry_is_published(void **state)
 {
 	const row_sync_t *source;
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	entry_lapses(&told);
-	source = &told.node.row_sync;
+	entry_lapse(&fixture);
+	source = &fixture.node.row_sync;
 	assert_true(row_sync_published_version(source, ROW_TABLE_ENDPOINTS) <
-	    VERSION_END);
+	    VERSION_REMOVED);
 	assert_int_equal(
 	    row_sync_requested_version(source, ROW_TABLE_ENDPOINTS), 0);
-	node_fixture_advance(&told, LAPSE_MS);
-	relay_endpoints_remove_lapsed(&told.node);
+	node_fixture_advance(&fixture, LAPSE_MS);
+	relay_endpoints_remove_lapsed(&fixture.node);
 	assert_int_equal(
 	    row_sync_published_version(source, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
 	assert_int_equal(
 	    row_sync_requested_version(source, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
-	node_fixture_finish(&told);
+	node_fixture_finish(&fixture);
 }
 
 static void
-an_entry_that_comes_back_is_no_longer_kept_back(void **state)
+an_entry_that_comes_back_is_no_longer_withheld(void **state)
 {
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	entry_lapses(&told);
-	entry_tell(&told, "e1", "ready", VERSION_AFTER + 1);
-	store_answers(&told, VERSION_AFTER + 1);
+	entry_lapse(&fixture);
+	entry_apply(&fixture, "e1", "ready", VERSION_AFTER + 1);
+	store_synced(&fixture, VERSION_AFTER + 1);
 	assert_int_equal(row_sync_published_version(
-			     &told.node.row_sync, ROW_TABLE_ENDPOINTS),
+			     &fixture.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER + 1);
-	node_fixture_advance(&told, LAPSE_MS);
-	relay_endpoints_remove_lapsed(&told.node);
-	assert_non_null(entry_of(&told, "e1"));
-	node_fixture_finish(&told);
+	node_fixture_advance(&fixture, LAPSE_MS);
+	relay_endpoints_remove_lapsed(&fixture.node);
+	assert_non_null(endpoint_of(&fixture, "e1"));
+	node_fixture_finish(&fixture);
 }
 
 /* Whoever comes back with another start is not the one that lapsed. */
 static void
-an_entry_that_comes_back_as_another_start_is_another_endpoint(void **state)
+an_entry_with_another_start_time_is_another_endpoint(void **state)
 {
 	const endpoint_t *before, *now;
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	entry_lapses(&told);
-	before = entry_of(&told, "e1");
+	entry_lapse(&fixture);
+	before = endpoint_of(&fixture, "e1");
 	endpoint_hold((endpoint_t *)(uintptr_t)before);
-	entry_tell(&told, "e1", "ready@7", VERSION_AFTER + 1);
-	store_answers(&told, VERSION_AFTER + 1);
-	now = entry_of(&told, "e1");
+	entry_apply(&fixture, "e1", "ready@7", VERSION_AFTER + 1);
+	store_synced(&fixture, VERSION_AFTER + 1);
+	now = endpoint_of(&fixture, "e1");
 	assert_ptr_not_equal(now, before);
 	assert_false(now->lapsed);
 	assert_false(before->in_set);
 	assert_int_equal(row_sync_published_version(
-			     &told.node.row_sync, ROW_TABLE_ENDPOINTS),
+			     &fixture.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER + 1);
 	endpoint_release((endpoint_t *)(uintptr_t)before);
-	node_fixture_finish(&told);
+	node_fixture_finish(&fixture);
 }
 
 /* A moment without the store soon after an outage does not keep for good what
  * the outage left behind. */
 static void
-a_second_short_loss_ends_no_time(void **state)
+a_second_short_outage_keeps_no_lapsed_entry(void **state)
 {
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	entry_lapses(&told);
-	node_fixture_advance(&told, LAPSE_MS / 2);
-	store_lost(&told);
-	node_fixture_advance(&told, LAPSE_MS / 4);
-	store_back(&told, VERSION_AFTER);
-	node_fixture_advance(&told, LAPSE_MS);
-	relay_endpoints_remove_lapsed(&told.node);
-	assert_null(entry_of(&told, "e1"));
-	node_fixture_finish(&told);
+	entry_lapse(&fixture);
+	node_fixture_advance(&fixture, LAPSE_MS / 2);
+	store_unavailable(&fixture);
+	node_fixture_advance(&fixture, LAPSE_MS / 4);
+	store_available(&fixture, VERSION_AFTER);
+	node_fixture_advance(&fixture, LAPSE_MS);
+	relay_endpoints_remove_lapsed(&fixture.node);
+	assert_null(endpoint_of(&fixture, "e1"));
+	node_fixture_finish(&fixture);
 }
 
 /* Whoever begins to follow another while it keeps entries asks it for all, and
  * forgets none of them until it was told. */
 static void
-who_begins_to_follow_forgets_no_end(void **state)
+a_daemon_that_starts_to_follow_misses_no_removal(void **state)
 {
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	entry_lapses(&told);
-	relay_endpoints_stop_keeping_lapsed(&told.node);
+	entry_lapse(&fixture);
+	relay_endpoints_stop_keeping_lapsed(&fixture.node);
 	assert_int_equal(row_sync_requested_version(
-			     &told.node.row_sync, ROW_TABLE_ENDPOINTS),
+			     &fixture.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    0);
-	told.node.row_sync.applying = true;
-	entry_tell(&told, "e1", NULL, VERSION_BEFORE);
-	assert_null(entry_of(&told, "e1"));
+	fixture.node.row_sync.applying = true;
+	entry_apply(&fixture, "e1", NULL, VERSION_BEFORE);
+	assert_null(endpoint_of(&fixture, "e1"));
 	assert_int_equal(row_sync_requested_version(
-			     &told.node.row_sync, ROW_TABLE_ENDPOINTS),
+			     &fixture.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
-	node_fixture_finish(&told);
+	node_fixture_finish(&fixture);
 }
 
 static void
-an_older_row_brings_back_no_endpoint_that_leaves(void **state)
+an_older_row_does_not_undo_leaving_or_removal(void **state)
 {
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	node_fixture_init(&told);
-	entry_tell(&told, "e1", "leaving", VERSION_BEFORE);
-	entry_tell(&told, "e1", "ready", VERSION_ENTRY);
-	assert_true(entry_of(&told, "e1")->info.leaving);
-	entry_tell(&told, "e1", NULL, VERSION_ENTRY);
-	assert_non_null(entry_of(&told, "e1"));
-	entry_tell(&told, "e1", NULL, VERSION_END);
-	entry_tell(&told, "e1", "ready", VERSION_BEFORE);
-	assert_null(entry_of(&told, "e1"));
-	node_fixture_finish(&told);
+	node_fixture_init(&fixture);
+	entry_apply(&fixture, "e1", "leaving", VERSION_BEFORE);
+	entry_apply(&fixture, "e1", "ready", VERSION_ENTRY);
+	assert_true(endpoint_of(&fixture, "e1")->info.leaving);
+	entry_apply(&fixture, "e1", NULL, VERSION_ENTRY);
+	assert_non_null(endpoint_of(&fixture, "e1"));
+	entry_apply(&fixture, "e1", NULL, VERSION_REMOVED);
+	entry_apply(&fixture, "e1", "ready", VERSION_BEFORE);
+	assert_null(endpoint_of(&fixture, "e1"));
+	node_fixture_finish(&fixture);
 }
 
 /* What another writer put in an entry's place names no endpoint, to nobody. */
 static void
-an_entry_that_is_spoilt_ends_the_endpoint(void **state)
+an_unreadable_entry_removes_the_endpoint(void **state)
 {
 	const row_cache_t *cache;
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	node_fixture_init(&told);
-	cache = &told.node.row_sync.cache;
-	entry_tell(&told, "e1", "ready", VERSION_ENTRY);
-	entry_tell(&told, "e2", "ready", VERSION_ENTRY);
-	entry_tell(&told, "e1", "?", VERSION_BEFORE);
-	entry_tell(&told, "e3", "?", VERSION_BEFORE);
-	assert_null(entry_of(&told, "e1"));
-	assert_null(entry_of(&told, "e3"));
-	assert_non_null(entry_of(&told, "e2"));
+	node_fixture_init(&fixture);
+	cache = &fixture.node.row_sync.cache;
+	entry_apply(&fixture, "e1", "ready", VERSION_ENTRY);
+	entry_apply(&fixture, "e2", "ready", VERSION_ENTRY);
+	entry_apply(&fixture, "e1", "?", VERSION_BEFORE);
+	entry_apply(&fixture, "e3", "?", VERSION_BEFORE);
+	assert_null(endpoint_of(&fixture, "e1"));
+	assert_null(endpoint_of(&fixture, "e3"));
+	assert_non_null(endpoint_of(&fixture, "e2"));
 	assert_null(row_cache_find(cache, ROW_TABLE_ENDPOINTS, "e1")->value);
 	assert_null(row_cache_find(cache, ROW_TABLE_ENDPOINTS, "e3")->value);
-	assert_int_equal(
-	    told.node.refusals.counts[ROW_KIND_ENDPOINT][ROW_FAULT_UNREADABLE]
-		.count,
+	assert_int_equal(fixture.node.refusals
+			     .counts[ROW_KIND_ENDPOINT][ROW_FAULT_UNREADABLE]
+			     .count,
 	    2);
 	/* Its next heartbeat brings it back. */
-	entry_tell(&told, "e1", "ready", VERSION_END);
-	assert_non_null(entry_of(&told, "e1"));
-	node_fixture_finish(&told);
+	entry_apply(&fixture, "e1", "ready", VERSION_REMOVED);
+	assert_non_null(endpoint_of(&fixture, "e1"));
+	node_fixture_finish(&fixture);
 }
 
 /* Endpoints of a version that nobody ordered yet do not become the ones to use,
  * however many they are. */
 static void
-the_version_in_use_is_learned_as_soon_as_it_is_known(void **state)
+the_base_version_is_learned_at_the_first_sync(void **state)
 {
-	static node_fixture_t told;
+	static node_fixture_t fixture;
 
 	(void)state;
-	node_fixture_init(&told);
-	entry_tell(&told, "e1", "v1", VERSION_ENTRY);
-	relay_rows_ops.synced(&told.node, ROW_TABLE_ENDPOINTS, true);
-	entry_tell(&told, "e2", "v2", VERSION_ENTRY + 1);
-	entry_tell(&told, "e3", "v2", VERSION_ENTRY + 2);
-	relay_rows_ops.synced(&told.node, ROW_TABLE_ENDPOINTS, false);
+	node_fixture_init(&fixture);
+	entry_apply(&fixture, "e1", "v1", VERSION_ENTRY);
+	relay_rows_ops.synced(&fixture.node, ROW_TABLE_ENDPOINTS, true);
+	entry_apply(&fixture, "e2", "v2", VERSION_ENTRY + 1);
+	entry_apply(&fixture, "e3", "v2", VERSION_ENTRY + 2);
+	relay_rows_ops.synced(&fixture.node, ROW_TABLE_ENDPOINTS, false);
 	assert_string_equal(
-	    endpoint_set_find_group(&told.node.endpoints, "s")->base_version,
+	    endpoint_set_find_group(&fixture.node.endpoints, "s")->base_version,
 	    "v1");
-	node_fixture_finish(&told);
+	node_fixture_finish(&fixture);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
+	    cmocka_unit_test(the_base_version_is_learned_at_the_first_sync),
+	    cmocka_unit_test(an_unreadable_entry_removes_the_endpoint),
+	    cmocka_unit_test(a_lapsed_entry_is_kept_for_a_while),
+	    cmocka_unit_test(no_version_beyond_a_kept_entry_is_published),
+	    cmocka_unit_test(an_entry_that_comes_back_is_no_longer_withheld),
 	    cmocka_unit_test(
-		the_version_in_use_is_learned_as_soon_as_it_is_known),
-	    cmocka_unit_test(an_entry_that_is_spoilt_ends_the_endpoint),
-	    cmocka_unit_test(an_entry_that_lapsed_is_kept_for_a_time),
-	    cmocka_unit_test(
-		nobody_is_told_a_version_beyond_an_entry_that_is_kept),
-	    cmocka_unit_test(an_entry_that_comes_back_is_no_longer_kept_back),
-	    cmocka_unit_test(
-		an_entry_that_comes_back_as_another_start_is_another_endpoint),
-	    cmocka_unit_test(a_second_short_loss_ends_no_time),
-	    cmocka_unit_test(who_begins_to_follow_forgets_no_end),
-	    cmocka_unit_test(an_older_row_brings_back_no_endpoint_that_leaves),
+		an_entry_with_another_start_time_is_another_endpoint),
+	    cmocka_unit_test(a_second_short_outage_keeps_no_lapsed_entry),
+	    cmocka_unit_test(a_daemon_that_starts_to_follow_misses_no_removal),
+	    cmocka_unit_test(an_older_row_does_not_undo_leaving_or_removal),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -17,17 +17,17 @@
 #include "../support/node_settings.h"
 
 #define VERSION_FIRST 40
-#define VERSION_GONE 77
+#define VERSION_REMOVED 77
 
 /** A store that knows one endpoint, and then its end. */
-typedef struct played_store {
+typedef struct scripted_store {
 	row_store_t store;
 	struct event_base *base;
-	bool whole_read; /**< the end shows as a row that is missing */
-	bool refused;	 /**< one question before it is turned away */
+	bool compacted;	  /**< the end shows as a row that is missing */
+	bool refuse_once; /**< one question before it is turned away */
 	int reads;
-	int feeds;
-} played_store_t;
+	int polls;
+} scripted_store_t;
 
 /** An answer on its way. */
 typedef struct pending {
@@ -35,12 +35,12 @@
 	void *arg;
 	row_t row;
 	row_reply_t reply;
-} pending_t;
+} pending_reply_t;
 
 static void
-pending_tell(evutil_socket_t fd, short what, void *arg)
+pending_deliver(evutil_socket_t fd, short what, void *arg)
 {
-	pending_t *pending = arg;
+	pending_reply_t *pending = arg;
 
 	(void)fd;
 	(void)what;
@@ -50,11 +50,11 @@
 }
 
 static bool
-answer(played_store_t *store, const row_t *row, uint64_t version,
+respond(scripted_store_t *store, const row_t *row, uint64_t version,
     row_result_t result, row_done_t done, void *arg)
 {
 	static const struct timeval soon = {0, 1000};
-	pending_t *pending = calloc(1, sizeof(*pending));
+	pending_reply_t *pending = calloc(1, sizeof(*pending));
 
 	pending->done = done;
 	pending->arg = arg;
@@ -64,52 +64,53 @@
 	    .rows_len = row != NULL,
 	    .version = version,
 	    .now_ms = 1};
-	return event_base_once(store->base, -1, EV_TIMEOUT, pending_tell,
+	return event_base_once(store->base, -1, EV_TIMEOUT, pending_deliver,
 		   pending, &soon) == 0;
 }
 
 static bool
-played_read(row_store_t *self, const char *table, const char *from,
+scripted_read(row_store_t *self, const char *table, const char *page,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
-	played_store_t *store = (played_store_t *)self;
+	scripted_store_t *store = (scripted_store_t *)self;
 	row_t row = {.key = "e1",
 	    .value = "x",
 	    .value_len = 1,
 	    .version = VERSION_FIRST};
 
-	(void)from;
+	(void)page;
 	(void)timeout_ms;
 	if (strcmp(table, "endpoints") != 0)
-		return answer(store, NULL, VERSION_FIRST, ROW_OK, done, arg);
+		return respond(store, NULL, VERSION_FIRST, ROW_OK, done, arg);
 	if (store->reads++ == 0)
-		return answer(store, &row, VERSION_FIRST, ROW_OK, done, arg);
-	return answer(store, NULL, VERSION_GONE, ROW_OK, done, arg);
+		return respond(store, &row, VERSION_FIRST, ROW_OK, done, arg);
+	return respond(store, NULL, VERSION_REMOVED, ROW_OK, done, arg);
 }
 
 static bool
-played_feed(row_store_t *self, const char *table, uint64_t after,
+scripted_poll(row_store_t *self, const char *table, uint64_t after,
     int64_t wait_ms, int64_t timeout_ms, row_done_t done, void *arg)
 {
-	played_store_t *store = (played_store_t *)self;
-	row_t end = {.key = "e1", .version = VERSION_GONE, .deleted = true};
+	scripted_store_t *store = (scripted_store_t *)self;
+	row_t removal = {
+	    .key = "e1", .version = VERSION_REMOVED, .deleted = true};
 
 	(void)wait_ms;
 	(void)timeout_ms;
-	if (strcmp(table, "endpoints") != 0 || store->feeds > 0)
-		return answer(store, NULL, after, ROW_OK, done, arg);
-	if (store->refused) {
-		store->refused = false;
-		return answer(store, NULL, 0, ROW_REFUSED, done, arg);
+	if (strcmp(table, "endpoints") != 0 || store->polls > 0)
+		return respond(store, NULL, after, ROW_OK, done, arg);
+	if (store->refuse_once) {
+		store->refuse_once = false;
+		return respond(store, NULL, 0, ROW_REFUSED, done, arg);
 	}
-	store->feeds++;
-	if (store->whole_read)
-		return answer(store, NULL, 0, ROW_COMPACTED, done, arg);
-	return answer(store, &end, VERSION_GONE, ROW_OK, done, arg);
+	store->polls++;
+	if (store->compacted)
+		return respond(store, NULL, 0, ROW_COMPACTED, done, arg);
+	return respond(store, &removal, VERSION_REMOVED, ROW_OK, done, arg);
 }
 
 static bool
-played_write(row_store_t *self, const row_change_t *expected,
+scripted_write(row_store_t *self, const row_change_t *expected,
     size_t expected_len, const row_change_t *changes, size_t changes_len,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
@@ -118,16 +119,16 @@
 	(void)changes;
 	(void)changes_len;
 	(void)timeout_ms;
-	return answer(
-	    (played_store_t *)self, NULL, VERSION_FIRST, ROW_OK, done, arg);
+	return respond(
+	    (scripted_store_t *)self, NULL, VERSION_FIRST, ROW_OK, done, arg);
 }
 
-static const row_store_ops_t played_ops = {
-    played_read, played_feed, played_write};
+static const row_store_ops_t scripted_ops = {
+    scripted_read, scripted_poll, scripted_write};
 
 /* The version with which the endpoint's end is passed on. */
 static uint64_t
-end_version(bool whole_read, bool refused)
+removal_version(bool compacted, bool refuse_once)
 {
 	static relay_node_t node;
 	static const caller_dialect_t callers;
@@ -136,8 +137,8 @@
 	struct timeval limit = {1, 0};
 	clock_source_t clock;
 	rng_t rng;
-	played_store_t store = {
-	    {.ops = &played_ops}, event_base_new(), whole_read, refused, 0, 0};
+	scripted_store_t store = {{.ops = &scripted_ops}, event_base_new(),
+	    compacted, refuse_once, 0, 0};
 	const relay_ports_t ports = {store.base, &clock, &rng, &store.store,
 	    &test_row_dialect, &callers, &endpoints, &rollouts};
 	relay_node_settings_t settings = test_node_settings;
@@ -162,34 +163,34 @@
 }
 
 static void
-an_end_is_passed_on_as_new_as_it_is(void **state)
+a_removal_is_published_with_its_version(void **state)
 {
 	(void)state;
-	assert_int_equal(end_version(false, false), VERSION_GONE);
+	assert_int_equal(removal_version(false, false), VERSION_REMOVED);
 }
 
 static void
-a_missing_row_ended_by_the_time_of_the_read(void **state)
+a_missing_row_was_removed_by_the_time_of_the_read(void **state)
 {
 	(void)state;
-	assert_true(end_version(true, false) >= VERSION_GONE);
+	assert_true(removal_version(true, false) >= VERSION_REMOVED);
 }
 
 /* Only in an outage that is longer do entries of living endpoints go. */
 static void
-a_moment_without_the_store_is_no_outage(void **state)
+a_short_loss_of_the_store_is_no_outage(void **state)
 {
 	(void)state;
-	assert_int_equal(end_version(false, true), VERSION_GONE);
+	assert_int_equal(removal_version(false, true), VERSION_REMOVED);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(an_end_is_passed_on_as_new_as_it_is),
-	    cmocka_unit_test(a_moment_without_the_store_is_no_outage),
-	    cmocka_unit_test(a_missing_row_ended_by_the_time_of_the_read),
+	    cmocka_unit_test(a_removal_is_published_with_its_version),
+	    cmocka_unit_test(a_short_loss_of_the_store_is_no_outage),
+	    cmocka_unit_test(a_missing_row_was_removed_by_the_time_of_the_read),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
