--- a/include/moortack/relay/caller_targets.h
+++ b/include/moortack/relay/caller_targets.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * The daemons that callers are told to use. Where there are more than an answer
- * holds, each daemon tells of others of them: the strong ones likelier, and the
- * same ones each time, since callers give up connections to who is told no
- * longer.
+ * Selects the daemons that callers are told to connect to. If there are more
+ * than a response holds, each daemon selects different ones: strong daemons
+ * with a higher probability, and the same ones each time, since callers close
+ * their connections to daemons that are no longer listed.
  */
 #ifndef MOORTACK_RELAY_CALLER_TARGETS_H
 #define MOORTACK_RELAY_CALLER_TARGETS_H
@@ -12,29 +12,30 @@
 #include "moortack/relay/zone_table.h"
 #include "moortack/replication/membership.h"
 
-/** One daemon; the texts are the membership's. */
+/** One daemon; its texts are owned by the membership. */
 typedef struct caller_target {
 	const char *address;
 	const char *zone;
-	double sort_key; /**< in which this daemon prefers them */
+	double sort_key; /**< ascending: the lowest are selected */
 } caller_target_t;
 
-/** Limits the daemons named to a caller to those in certain regions. */
+/** Restricts the daemons listed to a caller to those in certain regions. */
 typedef struct caller_region_filter {
 	const zone_table_t *zones;
 	const region_list_t *regions;
 } caller_region_filter_t;
 
 /**
+ * Select the daemons to list, in ascending order of their sort keys.
+ * @param include_self whether this daemon accepts callers itself
  * @param filter NULL: daemons of all regions
- * @param own whether this daemon takes callers itself
- * @param targets room for @p most
- * @return how many were filled in
+ * @param targets room for @p targets_max
+ * @return number of daemons that were filled in
  */
 size_t caller_targets_select(const membership_t *, bool include_self,
     const caller_region_filter_t *filter, caller_target_t *targets,
     size_t targets_max);
-/** How many there are. */
+/** Number of daemons available to callers, in all regions. */
 size_t caller_targets_count(const membership_t *, bool include_self);
 
 #endif
--- a/include/moortack/relay/relay_config.h
+++ b/include/moortack/relay/relay_config.h
@@ -1,10 +1,11 @@
 /**
  * @file
- * The configuration of opaque routes: hosts and prefixes, the services behind
- * them, organisations with their keys, and the bounds for callers.
+ * The configuration of routes whose bodies are not interpreted: hosts and
+ * prefixes, the services behind them, organisations with their keys, and the
+ * limits for callers.
  *
- * A value is built once by a configuration source, then never changed, and
- * shared by count.
+ * A configuration is built once by a decoder, then never changed, and
+ * reference-counted.
  */
 #ifndef MOORTACK_RELAY_RELAY_CONFIG_H
 #define MOORTACK_RELAY_RELAY_CONFIG_H
@@ -20,75 +21,83 @@
 
 #define ROUTE_POOLS_MAX 16
 
-/** What may be repeated. */
+/** Which requests of a route may be sent again. */
 typedef enum route_kind {
-	ROUTE_IDEMPOTENT,     /**< idempotent */
-	ROUTE_NOT_IDEMPOTENT, /**< at most once for each attempt of a caller */
-	ROUTE_STREAM,	      /**< events; idempotent if it may be resumed */
+	ROUTE_IDEMPOTENT,     /**< may be sent again */
+	ROUTE_NOT_IDEMPOTENT, /**< executed at most once for each attempt of a
+				 caller */
+	ROUTE_STREAM, /**< the response is a stream of events; idempotent if it
+			 is resumable */
 } route_kind_t;
 
-/** A service that takes a part of a route's requests. */
+/** A service that gets a share of a route's requests. */
 typedef struct route_pool {
 	char *service;
-	uint32_t weight;
+	uint32_t weight; /**< share of the sum of all weights */
 } route_pool_t;
 
-/** A model that may answer, with its price. */
+/** A model that may serve a request, with its price. */
 typedef struct route_model {
 	char *name;
-	double cost; /**< for 1,000 generated tokens; 0: not known */
+	double cost; /**< of 1,000 generated tokens; 0: unknown */
 } route_model_t;
 
-/** Text that something was made from, as a hash; all zeros: not known. */
+/** Hash of the text that something was decoded from; all zeros: unknown. */
 typedef struct text_hash {
 	uint64_t low, high;
 } text_hash_t;
 
-/** A route is never changed either: a configuration shares those whose text is
- * the same with the one before it. */
+/** A route is never changed either: a configuration shares the routes whose
+ * text is unchanged with the previous configuration. */
 typedef struct relay_route {
 	uint32_t refs;
 	text_hash_t text_hash;
 
 	char *name;
 	char *host;
-	char *prefix;	  /**< begins and ends with a slash */
+	char *prefix;	  /**< starts and ends with a slash */
 	char *lookup_key; /**< host and prefix joined, for the look-up */
 	route_kind_t kind;
-	int64_t timeout_ms; /**< longest wait for the answer; 0: none */
-	int64_t latency_objective_ms; /**< to the answer, or the first event */
-	int64_t event_gap_objective_ms; /**< longest between events; 0: none */
-	int priority;			/**< 0 is the most urgent */
-	uint32_t attempts_max;		/**< endpoints that may be tried */
-	bool anonymous;			/**< no key is asked for */
-	bool resumable;
-	region_list_t regions; /**< to which its requests are restricted */
+	int64_t timeout_ms; /**< for the response; 0: no limit */
+	int64_t
+	    latency_objective_ms; /**< until the response, or its first event */
+	int64_t event_gap_objective_ms; /**< longest time between two events; 0:
+					   none */
+	int priority;			/**< 0 is the highest */
+	uint32_t
+	    attempts_max; /**< how often a request may be sent to endpoints */
+	bool anonymous;	  /**< no key is required */
+	bool resumable;	  /**< a stream may be continued after its last event */
+	region_list_t regions; /**< restriction of the endpoints */
 	route_pool_t pools[ROUTE_POOLS_MAX];
 	size_t pools_len;
 	route_model_t models[MODELS_MAX]; /**< smallest first */
 	size_t models_len;
 } relay_route_t;
 
-/** A route's place in a configuration. */
+/** A route in the hash tables of one configuration. */
 typedef struct relay_route_entry {
 	relay_route_t *route;
-	UT_hash_handle hh;	/**< by the route's key */
-	UT_hash_handle hh_text; /**< by its text, if that is known */
+	UT_hash_handle hh;	/**< by lookup_key */
+	UT_hash_handle hh_text; /**< by text_hash, if that is known */
 } relay_route_entry_t;
 
 typedef struct relay_service {
 	char *name;
-	uint32_t connections_max; /**< of one endpoint, from all callers */
-	int64_t warmup_ms;	  /**< how long its endpoints stay cold */
-	double warmup_per_s;	  /**< requests a second that a cold endpoint
-				     tolerates; 0: unlimited */
-	UT_hash_handle hh;	  /**< by name */
+	uint32_t
+	    connections_max; /**< to one endpoint, of all daemons together */
+	int64_t
+	    warmup_ms; /**< how long its endpoints are cold after their start */
+	double warmup_per_s; /**< requests a second that a cold endpoint
+				tolerates; 0: unlimited */
+	UT_hash_handle hh;   /**< by name */
 } relay_service_t;
 
 typedef struct relay_organisation {
 	char *name;
-	int priority;	       /**< goes before a route's; negative: none */
-	region_list_t regions; /**< in addition to those of the route */
+	int priority; /**< replaces that of the route; negative: none */
+	region_list_t
+	    regions; /**< restriction in addition to that of the route */
 } relay_organisation_t;
 
 typedef struct relay_key {
@@ -100,10 +109,11 @@
 typedef struct relay_config {
 	uint64_t version;
 	uint32_t refs;
-	bool keys_required; /**< false: no organisations, no keys */
+	bool keys_required; /**< false: requests need no key, as there are no
+			       organisations */
 	relay_route_entry_t *routes;
 	relay_route_entry_t *routes_by_text;
-	/** Of all that its routes are made from besides their own texts. */
+	/** Hash of all that its routes depend on besides their own texts. */
 	text_hash_t routes_basis_hash;
 	relay_service_t *services;
 	relay_key_t *keys;
@@ -111,49 +121,64 @@
 	size_t organisations_len;
 	size_t head_max;	 /**< bytes */
 	size_t body_max;	 /**< bytes */
-	int64_t read_timeout_ms; /**< for a head */
+	int64_t read_timeout_ms; /**< for the head of a request */
 	int64_t idle_timeout_ms; /**< of a connection between requests */
 } relay_config_t;
 
+/** A configuration with default limits and one reference.
+ * @return NULL: out of memory */
 relay_config_t *relay_config_new(uint64_t version);
+/** Add a reference to a configuration, which may be NULL. */
 relay_config_t *relay_config_acquire(relay_config_t *);
+/** Drop a reference; the last one frees it. NULL is ignored. */
 void relay_config_release(relay_config_t *);
 
-/** Add a route, whose reference is taken over, also on failure. */
+/** Add a route, and take over the caller's reference, also on failure.
+ * @return false with the error set: another route has the same host and prefix,
+ * or out of memory */
 bool relay_config_add_route(relay_config_t *, relay_route_t *, err_t *);
 /** Add a service with default limits, which the caller may change.
  * @return NULL: out of memory */
 relay_service_t *
 relay_config_add_service(relay_config_t *, const char *name, err_t *);
+/** Add an organisation.
+ * @param priority see relay_organisation_t
+ * @return NULL: out of memory */
 relay_organisation_t *
-relay_config_add_organisation(relay_config_t *, const char *name, int rank);
+relay_config_add_organisation(relay_config_t *, const char *name, int priority);
+/** Add a key of an organisation.
+ * @return false with the error set: another key has the same text, or out of
+ * memory */
 bool relay_config_add_key(
     relay_config_t *, const char *text, relay_organisation_t *, err_t *);
 
-/** Give a route back; the last one frees it. */
+/** Drop a reference to a route; the last one frees it. */
 void relay_route_release(relay_route_t *);
 
 /** The hash of a text. */
 text_hash_t text_hash_compute(const char *text, size_t len);
 bool text_hash_equal(text_hash_t, text_hash_t);
-/** A route that was made from this text, shared, or NULL. */
+/** A new reference to the route that was decoded from the text with this hash,
+ * or NULL. */
 relay_route_t *relay_config_acquire_route(const relay_config_t *, text_hash_t);
 
-/** The route with the longest prefix of @p target, or NULL.
- * @param host as the caller named it, with or without a port */
+/** The route of the host with the longest prefix of @p target, or NULL.
+ * @param host as the caller sent it, with or without a port
+ * @param target path of the request; its query is ignored */
 const relay_route_t *relay_config_find_route(
     const relay_config_t *, const char *host, const char *target);
 
 /** Collect the regions of all routes of a host in an empty list.
- * @return false, with @p out empty: there is no such route, a route is not
- * restricted, or there are too many regions */
+ * @return false, with @p out empty: the host has no route, a route is not
+ * restricted, there are more than REGION_LIST_MAX regions, or out of memory */
 bool relay_config_collect_host_regions(
     const relay_config_t *, const char *host, region_list_t *out);
 
-/** The organisation that holds the key, or NULL. */
+/** The organisation that the key belongs to, or NULL. */
 const relay_organisation_t *
 relay_config_find_organisation(const relay_config_t *, const char *text);
 
+/** The service of that name, or NULL. */
 const relay_service_t *
 relay_config_find_service(const relay_config_t *, const char *name);
 
--- a/moortack/relay/caller_targets.c
+++ b/moortack/relay/caller_targets.c
@@ -6,8 +6,8 @@
 
 #define HASH_RANGE 18446744073709551616.0
 
-/* A place in this daemon's own order, as in weighted rendezvous hashing: who
- * goes or comes changes nobody else's. */
+/* Sort key of a daemon in this daemon's own order, by weighted rendezvous
+ * hashing: a daemon that is added or removed changes the order of no others. */
 static double
 sort_key_compute(const membership_t *members, const char *name, double strength)
 {
@@ -19,8 +19,8 @@
 	    (strength > 0 ? strength : 1);
 }
 
-/* Keep the first in the order.
- * @return how many there are now */
+/* Inserts the target into the sorted array, which keeps the first targets_max.
+ * @return the new length */
 static size_t
 target_insert(caller_target_t *targets, size_t len, size_t targets_max,
     const caller_target_t *target)
--- a/moortack/relay/relay_config.c
+++ b/moortack/relay/relay_config.c
@@ -230,7 +230,7 @@
 	return true;
 }
 
-/* The host without its port. */
+/* Length of the host without its port. */
 static size_t
 host_name_len(const char *host)
 {
@@ -252,7 +252,7 @@
 		return NULL;
 	memcpy(text, host, name_len);
 	memcpy(text + name_len, target, path_len);
-	/* Each prefix ends with a slash: try them from the longest on. */
+	/* Each prefix ends with a slash: the longest is tried first. */
 	for (size_t end = name_len + path_len; end > name_len; end--) {
 		if (text[end - 1] != '/')
 			continue;
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -7,58 +7,64 @@
 
 #define TICK_MS 200
 #define US_PER_MS 1000
-/* How long an answer may take beyond the time for which the question is held:
- * others follow this daemon, and have to hear within the bounds for changes
- * and for leaving endpoints that the store no longer answers it. */
+/* Time limits for responses of the store, in addition to the time for which it
+ * may hold a poll. The followers of this daemon have to learn that the store no
+ * longer responds to it within the time limits for configuration changes and
+ * for leaving endpoints. */
 #define OPERATOR_TIMEOUT_MS 400
 #define ENDPOINTS_TIMEOUT_MS 500
 #define SYSTEM_TIMEOUT_MS 900
 #define STORE_RETRY_MS 250
 #define STORE_RETRY_MAX_MS 1000
-/* At the very first start the table of daemons is empty, and each daemon
- * waits for a random part of this time, so that all but the first ones find
- * a running daemon to follow. Without the spread, 295 daemons make eight
- * calls to the store each; with it 257 of them make one or two (their own
- * counters). */
+/* At the very first start of a fleet the table of daemons is empty. Each daemon
+ * waits for a random part of this time, so that all but the first ones find a
+ * running daemon to follow. Without the jitter, 295 daemons make eight calls to
+ * the store each; with it 257 of them make one or two, by their own counters.
+ */
 #define BOOTSTRAP_JITTER_MS 1500
 #define OPERATOR_PAUSE_MS 20
 #define CALLS_LOG_INTERVAL_MS 2000
 #define SESSIONS_KEY_SIZE (sizeof(ROLLOUT_SESSIONS_PREFIX) + MEMBER_NAME_SIZE)
-/* Rows of the daemons: how often they are read, and written by one of which
- * nobody hears. */
+/* The system's table: the pause between polls, and the age at which its rows
+ * are outdated. */
 #define SYSTEM_PAUSE_MS 1500
 #define SYSTEM_MAX_AGE_MS 6000
-#define ROW_HEARTBEAT_MS 2000
-/* Whom nobody asks takes all others for silent after this time: they may follow
- * somebody else, whom this daemon does not reach. */
-#define AUTHORITY_TIMEOUT_MS 12000
-/* While it is not known which daemons are alive, their rows are read this
- * often: those that nobody hears of write theirs. */
+/* The pause while it is not known which daemons are alive: those that no other
+ * daemon hears of otherwise show it only by writing their rows. */
 #define SYSTEM_PAUSE_LIVENESS_MS 500
-/* Until the fleet's key is known, the rows of the daemons are read this often:
- * nobody can be followed before. */
+/* The pause until the fleet's key is known: without it no daemon can be
+ * followed. */
 #define SYSTEM_PAUSE_NO_KEY_MS 400
-/* Parts of the time for which a daemon that is off may be named. A daemon asks
- * twice a second, and is heard of through one in between within 1.1 s; whoever
- * loses the one it follows finds another within 1.9 s. What is left of the
- * whole is for the way. */
+/* The pause while a roll-out is in progress, and the least time between two
+ * reports: all daemons have to know the counts of a roll-out well within the
+ * time limit for stopping it. */
+#define SYSTEM_PAUSE_ROLLOUT_MS 1000
+#define REPORT_INTERVAL_MS 700
+/* A daemon that no other daemon hears of otherwise writes its own row as a
+ * heartbeat this often. */
+#define ROW_HEARTBEAT_MS 2000
+/* A daemon that gets no requests from others takes all of them for silent after
+ * this time: they may follow another daemon, which this one does not reach. */
+#define AUTHORITY_TIMEOUT_MS 12000
+/* Parts of the time for which callers may still be sent to a daemon that is
+ * down. A daemon sends its parent a request twice a second; through one daemon
+ * in between, the root learns of it within 1.1 s. A daemon that loses its
+ * parent finds another within 1.9 s. The rest of the time remains for passing
+ * on the summary of which daemons are alive. */
 #define SILENCE_TIMEOUT_PART 0.35
 #define SUMMARY_TTL_PART 0.50
-/* A store that is back is noticed within 1.4 s: with this, daemons that went in
- * the outage are named for 2.9 s after it. */
+/* That the store is available again is noticed within 1.4 s: with this grace
+ * time, callers are still sent for 2.9 s after an outage to daemons that went
+ * down in it. */
 #define GRACE_PART 0.25
-/* The same while a roll-out is under way: its counts have to be known to all
- * well within the bound for stopping it. */
-#define SYSTEM_PAUSE_ROLLOUT_MS 1000
-#define REPORT_INTERVAL_MS 700
-/* Parts of the time for leaving: until then streams are still taken, idle
- * connections kept, and answers waited for. */
+/* Parts of the grace time of a shutdown: until then new streams are accepted,
+ * idle connections of callers kept open, and responses waited for. */
 #define SHUTDOWN_REFUSE_STREAMS_PART 0.25
 #define SHUTDOWN_STOP_ACCEPTING_PART 0.42
 #define SHUTDOWN_MAX_PART 0.96
 
-/* While nobody is followed and this daemon is not the first, its report goes
- * into its row. */
+/* Sets the poll pause of the system's table, and writes the report on roll-outs
+ * to the own row while no other daemon hears of this one otherwise. */
 static void
 report_send(relay_node_t *node)
 {
@@ -82,8 +88,7 @@
 		    &node->members, rollouts_report(&node->rollouts));
 }
 
-/* While sessions stay where they are, whoever reads the store passes on which
- * ones. */
+/* Sends followers the sessions that a roll-out in progress does not move. */
 static void
 sessions_publish(relay_node_t *node)
 {
@@ -102,7 +107,8 @@
 	free(text);
 }
 
-/* What the one that reads the store passed on holds until it changes. */
+/* Applies the sessions that the daemon that reads the store has sent. They hold
+ * until its row changes, so they are applied again at each tick. */
 static void
 sessions_apply(relay_node_t *node)
 {
@@ -134,7 +140,8 @@
 		sessions_publish(node);
 }
 
-/* What the store was asked for so far, every so often. */
+/* Logs the numbers of calls to the store so far, at intervals, if there were
+ * new ones. */
 static void
 calls_log(relay_node_t *node)
 {
@@ -171,7 +178,7 @@
 	following = node->row_sync.following;
 	if (membership_step(&node->members, following))
 		feed_server_respond_all(&node->row_sync.server);
-	/* What was written is told to others once it is read back. */
+	/* Rows that were written are sent to others once they are read back. */
 	if (node->members.written && !following)
 		row_watch_poll_now(
 		    &node->row_sync.watches[ROW_TABLE_SYSTEM].watch);
@@ -256,7 +263,7 @@
 	if (table == ROW_TABLE_SYSTEM &&
 	    strncmp(key, MEMBER_PREFIX, strlen(MEMBER_PREFIX)) == 0)
 		return membership_same(a, a_len, b, b_len);
-	/* An order that is given again with the same words is another one. */
+	/* An order that is written again with the same text is a new one. */
 	return table != ROW_TABLE_OPERATOR && a_len == b_len &&
 	    memcmp(a, b, a_len) == 0;
 }
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -5,9 +5,9 @@
 #include "moortack/replication/era_version.h"
 #include "relay_node_priv.h"
 
-/* An endpoint's entry goes after three beats of silence, over three seconds
- * with the users' beats: in a shorter time without the store none goes by
- * itself. */
+/* An endpoint's entry is removed after three missed heartbeats, which takes
+ * over three seconds with the heartbeats of the deployments: a shorter outage
+ * of the store removes none. */
 #define OUTAGE_MIN_MS 2500
 
 static bool
@@ -16,7 +16,6 @@
 	return strncmp(row->key, prefix, strlen(prefix)) == 0;
 }
 
-/* Whether the store came back from an older copy since the row was known. */
 bool
 relay_row_has_later_era(const cached_row_t *known, const row_t *row)
 {
@@ -24,7 +23,8 @@
 	    era_version_era(row->version) > era_version_era(known->version);
 }
 
-/* What is known holds on, at the place in the order that the older row has. */
+/* Stores the known value under the version of the older row, so that followers
+ * are sent it. */
 void
 relay_row_keep_known(relay_node_t *node, row_table_t table,
     const cached_row_t *known, const row_t *row)
@@ -46,7 +46,8 @@
 	node->rows_kept++;
 }
 
-/* A configuration says by its own version which one is later. */
+/* Whether the row is an older configuration, or none, from a restored copy of
+ * the store. The version inside a configuration says which one is newer. */
 static bool
 config_is_older(const relay_node_t *node, const cached_row_t *known,
     const row_t *row, const relay_config_t *config)
@@ -76,7 +77,7 @@
 	if (config != NULL)
 		relay_configure(&node->relay, config);
 	else if (!row->deleted)
-		/* The last good one stays in force. */
+		/* The last valid configuration stays in force. */
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_CONFIG, row, &err);
 }
@@ -126,7 +127,7 @@
 	return valid;
 }
 
-/* What names no daemon is none. */
+/* A row that doesn't decode to a daemon counts as its removal. */
 static void
 on_member_row(relay_node_t *node, const row_t *row)
 {
@@ -198,8 +199,8 @@
 {
 	relay_node_t *node = arg;
 
-	/* A question that was out for long brings rows that are older than what
-	 * another daemon told meanwhile. */
+	/* The response to a request that was in flight for long has older rows
+	 * than those that another daemon has sent meanwhile. */
 	if (row_cache_has_newer(&node->row_sync.cache, table, row))
 		return;
 	switch (table) {
@@ -217,8 +218,8 @@
 	}
 }
 
-/* The store came back from an older copy: entries of endpoints that are not in
- * it may be written again, as after an outage. */
+/* If the store was restored from an older copy, entries of endpoints that are
+ * missing in it may be written again, as after an outage. */
 static void
 on_full_read_begin(void *arg, row_table_t table)
 {
@@ -256,8 +257,9 @@
 	relay_warmup_tick(&node->relay, !node->member_rows_read);
 	node->member_rows_read = true;
 	daemons = membership_count(&node->members);
-	/* Bounds that daemons share are cut by the most ever seen: too many
-	 * costs little, too few breaks them. */
+	/* Fleet-wide limits are divided by the largest number of daemons seen:
+	 * one that is too large costs little, one that is too small exceeds the
+	 * limits. */
 	if (daemons > node->relay.daemons_max_seen)
 		node->relay.daemons_max_seen = daemons;
 }
@@ -274,8 +276,8 @@
 	    "table=%s age_ms=%" PRId64, names[table], row_watch_age_ms(watch));
 	if (table != ROW_TABLE_ENDPOINTS || !available)
 		return;
-	/* The first answer of all ends no outage that this daemon saw, nor does
-	 * one after a time in which others told what the store has. */
+	/* The first response of all ends no outage that this daemon observed,
+	 * nor does one after a time in which other daemons sent the rows. */
 	if (!watch->synced_once || row_watch_age_ms(watch) < OUTAGE_MIN_MS)
 		return;
 	node->keep_lapsed = true;
