--- a/test/platform/standin_drop.lua
+++ b/test/platform/standin_drop.lua
@@ -1,6 +1,7 @@
--- The replica's stand-in ended by a segmentation fault in 1 of 6 soak runs: a
--- control call got no answer. It breaks a stream off by freeing the connection a
--- millisecond later, and freed it twice where the caller had closed it meanwhile.
+-- The replica's stand-in crashed with a segmentation fault in 1 of 6 soak runs,
+-- and a control call got no response. It truncates a stream by freeing the
+-- connection a millisecond later, and freed it twice if the caller had closed it
+-- meanwhile.
 package.path = script_dir .. "/?.lua;" .. package.path
 local words = require("words")
 local lib = words.lib
@@ -15,10 +16,10 @@
     sockets[i] = run.connect(at)
     run.write(sockets[i], words.bare_request("/stream/1", "drop" .. i))
   end
-  -- About when it breaks them off.
+  -- About when it truncates them.
   run.sleep(4 + round % 4)
   for i = 1, CALLERS do run.hang_up(sockets[i]) end
 end
-lib.equal(run.reap(w.replicas[1].pid), nil, "the end of the stand-in")
-lib.check(#w:runs(1) > 0, "the stand-in ran nothing")
+lib.equal(run.reap(w.replicas[1].pid), nil, "exit status of the stand-in")
+lib.check(#w:runs(1) > 0, "the stand-in executed no request")
 lib.say("ok")
--- a/test/support/node_fixture.h
+++ b/test/support/node_fixture.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * A relay node that gets its rows from the test.
+ * A relay node whose rows the test applies.
  */
 #ifndef TEST_SUPPORT_NODE_FIXTURE_H
 #define TEST_SUPPORT_NODE_FIXTURE_H
@@ -37,13 +37,14 @@
 	event_base_free(fixture->base);
 }
 
+/** Advance the clock. */
 static inline void
 node_fixture_advance(node_fixture_t *fixture, int64_t ms)
 {
 	fixture->clock.now = timespec_after_ms(fixture->clock.now, ms);
 }
 
-/** @param text NULL: the row is removed */
+/** Apply a row. @param text NULL: the row is removed */
 static inline void
 node_fixture_apply_row(node_fixture_t *fixture, row_table_t table,
     const char *key, const char *text, uint64_t version)
--- a/test/support/node_settings.h
+++ b/test/support/node_settings.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * A relay node whose store and dialects are the test's.
+ * Settings and start of a relay node with the test's store and dialects.
  */
 #ifndef TEST_SUPPORT_NODE_SETTINGS_H
 #define TEST_SUPPORT_NODE_SETTINGS_H
@@ -18,7 +18,7 @@
     .grace_ms = 1000,
     .log_lines_per_s = 1};
 
-/** Start it. @return false: it did not */
+/** @return false: it could not be started */
 static inline bool
 test_node_start(relay_node_t *node, struct event_base *base,
     const clock_source_t *clock, rng_t *rng, row_store_t *store)
--- a/test/support/silent_store.h
+++ b/test/support/silent_store.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A store that never answers, and entries of endpoints in words of the tests'
- * own: whoever uses it tells the rows itself.
+ * A store that never responds, and a row dialect for tests that apply rows
+ * themselves.
  */
 #ifndef TEST_SUPPORT_SILENT_STORE_H
 #define TEST_SUPPORT_SILENT_STORE_H
@@ -49,8 +49,8 @@
 static const row_store_ops_t silent_store_ops = {
     silent_store_read, silent_store_poll, silent_store_write};
 
-/* An entry's text is "leaving" or the endpoint's version, and after an @ the
- * time of its start, where there is one; "?" is no entry. */
+/* An entry is "leaving" or the endpoint's version, optionally followed by an @
+ * and the start time in milliseconds; "?" is invalid. */
 static inline bool
 test_endpoint_decode(const char *id, const char *text, size_t len,
     endpoint_info_t *info, err_t *err)
--- a/test/unit/caller_targets_test.c
+++ b/test/unit/caller_targets_test.c
@@ -1,8 +1,9 @@
 /**
  * @file
- * Callers of a large fleet: an answer holds 64 addresses, and all daemons gave
- * the 64 that they had learned of first, the same ones nearly everywhere, so
- * that the other 27 of 91 VMs got no caller, and of 810 nine in ten.
+ * The daemons that callers of a large fleet are sent to. A response holds 64
+ * addresses. When all daemons listed the 64 that they had learned of first,
+ * nearly the same ones everywhere, the other 27 of 91 VMs, or nine in ten of
+ * 810, got no callers.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -68,7 +69,7 @@
 	membership_rows_read(self);
 }
 
-/* How often each daemon is told, over the answers of all. */
+/* How often each daemon is listed, over the responses of all. */
 static void
 selections_count(fixture_t *fixture, int selected[DAEMONS])
 {
@@ -118,7 +119,7 @@
 	membership_finish(&self);
 }
 
-/* Callers give up connections to who is told no longer. */
+/* Callers close their connections to daemons that are no longer listed. */
 static void
 a_removed_daemon_changes_no_other_selection(void **state)
 {
--- a/test/unit/lapse_test.c
+++ b/test/unit/lapse_test.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Entries of endpoints that go in an outage of the store: they are kept for a
- * while, and nobody who relies on this daemon's rows misses their end. Rows
- * that are older than what is known change nothing.
+ * Entries of endpoints that are removed in an outage of the store: the
+ * endpoints are kept for a while, and followers of this daemon do not miss
+ * their removal. Rows that are older than the known ones change nothing.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -29,7 +29,7 @@
 	node_fixture_apply_row(fixture, ROW_TABLE_ENDPOINTS, id, text, version);
 }
 
-/* The store has answered: its entries are known up to the version. */
+/* The store has responded: its entries are known up to the version. */
 static void
 store_synced(node_fixture_t *fixture, uint64_t version)
 {
@@ -61,7 +61,7 @@
 	return endpoint_set_find(&fixture->node.endpoints, id);
 }
 
-/* An entry that is known, an outage, and the entry's end just after it. */
+/* A known entry, an outage, and the entry's removal just after it. */
 static void
 entry_lapse(node_fixture_t *fixture)
 {
@@ -92,7 +92,8 @@
 	node_fixture_finish(&fixture);
 }
 
-/* Whoever goes on from the version that it was told hears of the end. */
+/* A follower that continues from the version that it was sent is sent the
+ * removal. */
 static void
 no_version_beyond_a_kept_entry_is_published(void **state)
 {
@@ -135,7 +136,7 @@
 	node_fixture_finish(&fixture);
 }
 
-/* Whoever comes back with another start is not the one that lapsed. */
+/* An endpoint that comes back with another start time is not the lapsed one. */
 static void
 an_entry_with_another_start_time_is_another_endpoint(void **state)
 {
@@ -159,8 +160,8 @@
 	node_fixture_finish(&fixture);
 }
 
-/* A moment without the store soon after an outage does not keep for good what
- * the outage left behind. */
+/* A short loss of the store soon after an outage does not keep the entries that
+ * lapsed in the outage for ever. */
 static void
 a_second_short_outage_keeps_no_lapsed_entry(void **state)
 {
@@ -178,8 +179,8 @@
 	node_fixture_finish(&fixture);
 }
 
-/* Whoever begins to follow another while it keeps entries asks it for all, and
- * forgets none of them until it was told. */
+/* A daemon that starts to follow another one while it keeps lapsed entries
+ * requests all rows from it, until it has been sent their removals. */
 static void
 a_daemon_that_starts_to_follow_misses_no_removal(void **state)
 {
@@ -218,7 +219,8 @@
 	node_fixture_finish(&fixture);
 }
 
-/* What another writer put in an entry's place names no endpoint, to nobody. */
+/* A row that another program overwrote names no endpoint, neither here nor at
+ * followers. */
 static void
 an_unreadable_entry_removes_the_endpoint(void **state)
 {
@@ -247,8 +249,8 @@
 	node_fixture_finish(&fixture);
 }
 
-/* Endpoints of a version that nobody ordered yet do not become the ones to use,
- * however many they are. */
+/* A version that no order names yet does not become the base version, however
+ * many endpoints have it. */
 static void
 the_base_version_is_learned_at_the_first_sync(void **state)
 {
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * A node over a store that the test plays: what it passes on of endpoints that
- * went, so that whoever comes from another daemon hears of it.
+ * A node with a scripted store: the version with which it publishes the removal
+ * of an endpoint. A daemon that followed another one before, and states the
+ * version that it has, has to be sent the removal, too.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,17 +20,18 @@
 #define VERSION_FIRST 40
 #define VERSION_REMOVED 77
 
-/** A store that knows one endpoint, and then its end. */
+/** A store that has one endpoint, and then its removal. */
 typedef struct scripted_store {
 	row_store_t store;
 	struct event_base *base;
-	bool compacted;	  /**< the end shows as a row that is missing */
-	bool refuse_once; /**< one question before it is turned away */
+	bool compacted; /**< the removal shows only in a full read, as a missing
+			   row */
+	bool refuse_once; /**< refuses one poll before it */
 	int reads;
 	int polls;
 } scripted_store_t;
 
-/** An answer on its way. */
+/** A response that is delivered later. */
 typedef struct pending {
 	row_done_t done;
 	void *arg;
@@ -126,7 +128,7 @@
 static const row_store_ops_t scripted_ops = {
     scripted_read, scripted_poll, scripted_write};
 
-/* The version with which the endpoint's end is passed on. */
+/* The version with which the endpoint's removal is published. */
 static uint64_t
 removal_version(bool compacted, bool refuse_once)
 {
@@ -176,7 +178,7 @@
 	assert_true(removal_version(true, false) >= VERSION_REMOVED);
 }
 
-/* Only in an outage that is longer do entries of living endpoints go. */
+/* Only a longer outage removes entries of endpoints that are alive. */
 static void
 a_short_loss_of_the_store_is_no_outage(void **state)
 {
