--- a/include/moortack/relay/caller_targets.h
+++ b/include/moortack/relay/caller_targets.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Selects the daemons that callers are told to connect to. If there are more
+ * Selects the daemons to which callers are sent. If there are more
  * than a response holds, each daemon selects different ones: strong daemons
  * with a higher probability, and the same ones each time, since callers close
  * their connections to daemons that are no longer listed.
--- a/test/unit/lapse_test.c
+++ b/test/unit/lapse_test.c
@@ -15,7 +15,7 @@
 
 #include "../support/node_fixture.h"
 
-#define LAPSE_MS (test_node_settings.lapsed_keep_ms)
+#define LAPSED_KEEP_MS (test_node_settings.lapsed_keep_ms)
 #define OUTAGE_MS 4000
 #define VERSION_ENTRY 40
 #define VERSION_BEFORE 60
@@ -83,7 +83,7 @@
 	(void)state;
 	entry_lapse(&fixture);
 	assert_non_null(endpoint_of(&fixture, "e1"));
-	node_fixture_advance(&fixture, LAPSE_MS - 1);
+	node_fixture_advance(&fixture, LAPSED_KEEP_MS - 1);
 	relay_endpoints_remove_lapsed(&fixture.node);
 	assert_non_null(endpoint_of(&fixture, "e1"));
 	node_fixture_advance(&fixture, 1);
@@ -97,23 +97,23 @@
 static void
 no_version_beyond_a_kept_entry_is_published(void **state)
 {
-	const row_sync_t *source;
+	const row_sync_t *row_sync;
 	static node_fixture_t fixture;
 
 	(void)state;
 	entry_lapse(&fixture);
-	source = &fixture.node.row_sync;
-	assert_true(row_sync_published_version(source, ROW_TABLE_ENDPOINTS) <
+	row_sync = &fixture.node.row_sync;
+	assert_true(row_sync_published_version(row_sync, ROW_TABLE_ENDPOINTS) <
 	    VERSION_REMOVED);
 	assert_int_equal(
-	    row_sync_requested_version(source, ROW_TABLE_ENDPOINTS), 0);
-	node_fixture_advance(&fixture, LAPSE_MS);
+	    row_sync_requested_version(row_sync, ROW_TABLE_ENDPOINTS), 0);
+	node_fixture_advance(&fixture, LAPSED_KEEP_MS);
 	relay_endpoints_remove_lapsed(&fixture.node);
 	assert_int_equal(
-	    row_sync_published_version(source, ROW_TABLE_ENDPOINTS),
+	    row_sync_published_version(row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
 	assert_int_equal(
-	    row_sync_requested_version(source, ROW_TABLE_ENDPOINTS),
+	    row_sync_requested_version(row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER);
 	node_fixture_finish(&fixture);
 }
@@ -130,7 +130,7 @@
 	assert_int_equal(row_sync_published_version(
 			     &fixture.node.row_sync, ROW_TABLE_ENDPOINTS),
 	    VERSION_AFTER + 1);
-	node_fixture_advance(&fixture, LAPSE_MS);
+	node_fixture_advance(&fixture, LAPSED_KEEP_MS);
 	relay_endpoints_remove_lapsed(&fixture.node);
 	assert_non_null(endpoint_of(&fixture, "e1"));
 	node_fixture_finish(&fixture);
@@ -169,11 +169,11 @@
 
 	(void)state;
 	entry_lapse(&fixture);
-	node_fixture_advance(&fixture, LAPSE_MS / 2);
+	node_fixture_advance(&fixture, LAPSED_KEEP_MS / 2);
 	store_unavailable(&fixture);
-	node_fixture_advance(&fixture, LAPSE_MS / 4);
+	node_fixture_advance(&fixture, LAPSED_KEEP_MS / 4);
 	store_available(&fixture, VERSION_AFTER);
-	node_fixture_advance(&fixture, LAPSE_MS);
+	node_fixture_advance(&fixture, LAPSED_KEEP_MS);
 	relay_endpoints_remove_lapsed(&fixture.node);
 	assert_null(endpoint_of(&fixture, "e1"));
 	node_fixture_finish(&fixture);
