--- a/moortack/relay/relay_config.c
+++ b/moortack/relay/relay_config.c
@@ -5,7 +5,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define LOOKUP_SIZE 2048 /* bytes: longer hosts and prefixes match nothing */
+/* Bytes; a longer host and path match no route. */
+#define LOOKUP_KEY_SIZE 2048
 #define CONNECTIONS_MAX_DEFAULT 100
 #define HEAD_MAX_DEFAULT 65536
 #define BODY_MAX_DEFAULT (8U << 20)
@@ -20,51 +21,51 @@
 	if (config == NULL)
 		return NULL;
 	config->version = version;
-	config->shared = 1;
+	config->refs = 1;
 	config->head_max = HEAD_MAX_DEFAULT;
 	config->body_max = BODY_MAX_DEFAULT;
-	config->read_ms = READ_MS_DEFAULT;
-	config->idle_ms = IDLE_MS_DEFAULT;
+	config->read_timeout_ms = READ_MS_DEFAULT;
+	config->idle_timeout_ms = IDLE_MS_DEFAULT;
 	return config;
 }
 
 relay_config_t *
-relay_config_share(relay_config_t *config)
+relay_config_acquire(relay_config_t *config)
 {
 	if (config != NULL)
-		config->shared++;
+		config->refs++;
 	return config;
 }
 
-text_mark_t
-text_mark(const char *text, size_t len)
+text_hash_t
+text_hash_compute(const char *text, size_t len)
 {
 	XXH128_hash_t hash = XXH3_128bits(text, len);
 
-	return (text_mark_t){hash.low64, hash.high64};
+	return (text_hash_t){hash.low64, hash.high64};
 }
 
 bool
-text_mark_same(text_mark_t one, text_mark_t two)
+text_hash_equal(text_hash_t a, text_hash_t b)
 {
-	return one.low == two.low && one.high == two.high;
+	return a.low == b.low && a.high == b.high;
 }
 
 static bool
-mark_known(text_mark_t mark)
+text_hash_known(text_hash_t hash)
 {
-	return mark.low != 0 || mark.high != 0;
+	return hash.low != 0 || hash.high != 0;
 }
 
 void
 relay_route_release(relay_route_t *route)
 {
-	if (--route->shared > 0)
+	if (--route->refs > 0)
 		return;
 	free(route->name);
 	free(route->host);
 	free(route->prefix);
-	free(route->key);
+	free(route->lookup_key);
 	for (size_t i = 0; i < route->pools_len; i++)
 		free(route->pools[i].service);
 	for (size_t i = 0; i < route->models_len; i++)
@@ -76,24 +77,24 @@
 static void
 config_free(relay_config_t *config)
 {
-	relay_route_entry_t *entry, *next_entry;
-	relay_service_t *service, *next_service;
-	relay_key_t *key, *next_key;
+	relay_route_entry_t *entry, *entry_next;
+	relay_service_t *service, *service_next;
+	relay_key_t *key, *key_next;
 
 	HASH_CLEAR(hh_text, config->routes_by_text);
-	HASH_ITER(hh, config->routes, entry, next_entry)
+	HASH_ITER(hh, config->routes, entry, entry_next)
 	{
 		HASH_DEL(config->routes, entry);
 		relay_route_release(entry->route);
 		free(entry);
 	}
-	HASH_ITER(hh, config->services, service, next_service)
+	HASH_ITER(hh, config->services, service, service_next)
 	{
 		HASH_DEL(config->services, service);
 		free(service->name);
 		free(service);
 	}
-	HASH_ITER(hh, config->keys, key, next_key)
+	HASH_ITER(hh, config->keys, key, key_next)
 	{
 		HASH_DEL(config->keys, key);
 		free(key->text);
@@ -111,31 +112,32 @@
 void
 relay_config_release(relay_config_t *config)
 {
-	if (config != NULL && --config->shared == 0)
+	if (config != NULL && --config->refs == 0)
 		config_free(config);
 }
 
 static bool
-route_key_make(relay_route_t *route)
+route_lookup_key_make(relay_route_t *route)
 {
 	size_t size = strlen(route->host) + strlen(route->prefix) + 1;
 
-	if (route->key != NULL)
+	if (route->lookup_key != NULL)
 		return true;
-	route->key = malloc(size);
-	if (route->key != NULL)
-		snprintf(route->key, size, "%s%s", route->host, route->prefix);
-	return route->key != NULL;
+	route->lookup_key = malloc(size);
+	if (route->lookup_key != NULL)
+		snprintf(route->lookup_key, size, "%s%s", route->host,
+		    route->prefix);
+	return route->lookup_key != NULL;
 }
 
 static bool
-route_enter(relay_config_t *config, relay_route_t *route, err_t *err)
+route_insert(relay_config_t *config, relay_route_t *route, err_t *err)
 {
 	relay_route_entry_t *entry;
 
-	if (!route_key_make(route))
+	if (!route_lookup_key_make(route))
 		return err_set(err, ERR_MEMORY, "out of memory");
-	HASH_FIND_STR(config->routes, route->key, entry);
+	HASH_FIND_STR(config->routes, route->lookup_key, entry);
 	if (entry != NULL)
 		return err_set(
 		    err, ERR_BAD_REQUEST, "two routes have the same prefix");
@@ -143,32 +145,32 @@
 	if (entry == NULL)
 		return err_set(err, ERR_MEMORY, "out of memory");
 	entry->route = route;
-	HASH_ADD_KEYPTR(
-	    hh, config->routes, route->key, strlen(route->key), entry);
-	if (mark_known(route->text))
-		HASH_ADD_KEYPTR(hh_text, config->routes_by_text, &route->text,
-		    sizeof(route->text), entry);
+	HASH_ADD_KEYPTR(hh, config->routes, route->lookup_key,
+	    strlen(route->lookup_key), entry);
+	if (text_hash_known(route->text_hash))
+		HASH_ADD_KEYPTR(hh_text, config->routes_by_text,
+		    &route->text_hash, sizeof(route->text_hash), entry);
 	return true;
 }
 
 bool
 relay_config_add_route(relay_config_t *config, relay_route_t *route, err_t *err)
 {
-	if (route_enter(config, route, err))
+	if (route_insert(config, route, err))
 		return true;
 	relay_route_release(route);
 	return false;
 }
 
 relay_route_t *
-relay_config_share_route(const relay_config_t *config, text_mark_t text)
+relay_config_acquire_route(const relay_config_t *config, text_hash_t hash)
 {
 	relay_route_entry_t *entry;
 
-	HASH_FIND(hh_text, config->routes_by_text, &text, sizeof(text), entry);
+	HASH_FIND(hh_text, config->routes_by_text, &hash, sizeof(hash), entry);
 	if (entry == NULL)
 		return NULL;
-	entry->route->shared++;
+	entry->route->refs++;
 	return entry->route;
 }
 
@@ -190,7 +192,7 @@
 
 relay_organisation_t *
 relay_config_add_organisation(
-    relay_config_t *config, const char *name, int rank)
+    relay_config_t *config, const char *name, int priority)
 {
 	relay_organisation_t *organisation = calloc(1, sizeof(*organisation));
 	relay_organisation_t **grown = realloc(config->organisations,
@@ -203,7 +205,7 @@
 		free(organisation);
 		return NULL;
 	}
-	organisation->rank = rank;
+	organisation->priority = priority;
 	config->organisations[config->organisations_len++] = organisation;
 	return organisation;
 }
@@ -228,9 +230,9 @@
 	return true;
 }
 
-/* The host without its port. */
+/* Length of the host without its port. */
 static size_t
-host_len(const char *host)
+host_name_len(const char *host)
 {
 	const char *colon = strrchr(host, ':');
 
@@ -238,20 +240,20 @@
 }
 
 const relay_route_t *
-relay_config_route(
+relay_config_find_route(
     const relay_config_t *config, const char *host, const char *target)
 {
-	char text[LOOKUP_SIZE];
-	size_t host_part = host_len(host);
-	size_t path = strcspn(target, "?#");
+	char text[LOOKUP_KEY_SIZE];
+	size_t name_len = host_name_len(host);
+	size_t path_len = strcspn(target, "?#");
 	relay_route_entry_t *entry;
 
-	if (host_part + path >= sizeof(text))
+	if (name_len + path_len >= sizeof(text))
 		return NULL;
-	memcpy(text, host, host_part);
-	memcpy(text + host_part, target, path);
-	/* Each prefix ends with a slash: try them from the longest on. */
-	for (size_t end = host_part + path; end > host_part; end--) {
+	memcpy(text, host, name_len);
+	memcpy(text + name_len, target, path_len);
+	/* Each prefix ends with a slash: the longest is tried first. */
+	for (size_t end = name_len + path_len; end > name_len; end--) {
 		if (text[end - 1] != '/')
 			continue;
 		HASH_FIND(hh, config->routes, text, end, entry);
@@ -275,7 +277,7 @@
 }
 
 bool
-relay_config_host_regions(
+relay_config_collect_host_regions(
     const relay_config_t *config, const char *host, region_list_t *out)
 {
 	for (const relay_route_entry_t *entry = config->routes; entry != NULL;
@@ -294,7 +296,7 @@
 }
 
 const relay_organisation_t *
-relay_config_key(const relay_config_t *config, const char *text)
+relay_config_find_organisation(const relay_config_t *config, const char *text)
 {
 	relay_key_t *key;
 
@@ -303,7 +305,7 @@
 }
 
 const relay_service_t *
-relay_config_service(const relay_config_t *config, const char *name)
+relay_config_find_service(const relay_config_t *config, const char *name)
 {
 	relay_service_t *service;
 
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -7,84 +7,90 @@
 
 #define TICK_MS 200
 #define US_PER_MS 1000
-/* How long an answer may take beyond the time for which the question is held:
- * others follow this daemon, and have to hear within the bounds for changes
- * and for leaving endpoints that the store no longer answers it. */
-#define ORDERS_TIMEOUT_MS 400
+/* Time limits for responses of the store, in addition to the time for which it
+ * may hold a poll. The followers of this daemon have to learn that the store no
+ * longer responds to it within the time limits for configuration changes and
+ * for leaving endpoints. */
+#define OPERATOR_TIMEOUT_MS 400
 #define ENDPOINTS_TIMEOUT_MS 500
-#define OWN_TIMEOUT_MS 900
+#define SYSTEM_TIMEOUT_MS 900
 #define STORE_RETRY_MS 250
-#define STORE_RETRY_MOST_MS 1000
-/* At the very first start the table of daemons is empty, and each daemon
- * waits for a random part of this time, so that all but the first ones find
- * a running daemon to follow. Without the spread, 295 daemons make eight
- * calls to the store each; with it 257 of them make one or two (their own
- * counters). */
-#define FIRST_START_WITHIN_MS 1500
-#define CONFIG_PAUSE_MS 20
-#define CALLS_TOLD_MS 2000
+#define STORE_RETRY_MAX_MS 1000
+/* At the very first start of a fleet the table of daemons is empty. Each daemon
+ * waits for a random part of this time, so that all but the first ones find a
+ * running daemon to follow. Without the jitter, 295 daemons make eight calls to
+ * the store each; with it 257 of them make one or two, by their own counters.
+ */
+#define BOOTSTRAP_JITTER_MS 1500
+#define OPERATOR_PAUSE_MS 20
+#define CALLS_LOG_INTERVAL_MS 2000
 #define SESSIONS_KEY_SIZE (sizeof(ROLLOUT_SESSIONS_PREFIX) + MEMBER_NAME_SIZE)
-/* Rows of the daemons: how often they are read, and written by one of which
- * nobody hears. */
-#define OWN_PAUSE_MS 1500
-#define OWN_OLD_MS 6000
-#define BEAT_ALONE_MS 2000
-/* Whom nobody asks takes all others for silent after this time: they may follow
- * somebody else, whom this daemon does not reach. */
-#define LONE_MS 12000
-/* While it is not known which daemons are alive, their rows are read this
- * often: those that nobody hears of write theirs. */
-#define OWN_PAUSE_DOUBT_MS 500
-/* Until the fleet's key is known, the rows of the daemons are read this often:
- * nobody can be followed before. */
-#define OWN_PAUSE_KEY_MS 400
-/* Parts of the time for which a daemon that is off may be named. A daemon asks
- * twice a second, and is heard of through one in between within 1.1 s; whoever
- * loses the one it follows finds another within 1.9 s. What is left of the
- * whole is for the way. */
-#define SILENT_PART 0.35
-#define VOUCH_PART 0.50
-/* A store that is back is noticed within 1.4 s: with this, daemons that went in
- * the outage are named for 2.9 s after it. */
-#define GRANT_PART 0.25
-/* The same while a roll-out is under way: its counts have to be known to all
- * well within the bound for stopping it. */
-#define OWN_PAUSE_BUSY_MS 1000
-#define REPORT_BUSY_MS 700
-/* Parts of the time for leaving: until then streams are still taken, idle
- * connections kept, and answers waited for. */
-#define LEAVE_STREAMS_PART 0.25
-#define LEAVE_LISTEN_PART 0.42
-#define LEAVE_MAX_PART 0.96
-
-/* While nobody is followed and this daemon is not the first, its report goes
- * into its row. */
+/* The system's table: the pause between polls, and the age at which its rows
+ * are outdated. */
+#define SYSTEM_PAUSE_MS 1500
+#define SYSTEM_MAX_AGE_MS 6000
+/* The pause while it is not known which daemons are alive: those that no other
+ * daemon hears of otherwise show it only by writing their rows. */
+#define SYSTEM_PAUSE_LIVENESS_MS 500
+/* The pause until the fleet's key is known: without it no daemon can be
+ * followed. */
+#define SYSTEM_PAUSE_NO_KEY_MS 400
+/* The pause while a roll-out is in progress, and the least time between two
+ * reports: all daemons have to know the counts of a roll-out well within the
+ * time limit for stopping it. */
+#define SYSTEM_PAUSE_ROLLOUT_MS 1000
+#define REPORT_INTERVAL_MS 700
+/* A daemon that no other daemon hears of otherwise writes its own row as a
+ * heartbeat this often. */
+#define ROW_HEARTBEAT_MS 2000
+/* A daemon that gets no requests from others takes all of them for silent after
+ * this time: they may follow another daemon, which this one does not reach. */
+#define AUTHORITY_TIMEOUT_MS 12000
+/* Parts of the time for which callers may still be sent to a daemon that is
+ * down. A daemon sends its parent a request twice a second; through one daemon
+ * in between, the root learns of it within 1.1 s. A daemon that loses its
+ * parent finds another within 1.9 s. The rest of the time remains for passing
+ * on the summary of which daemons are alive. */
+#define SILENCE_TIMEOUT_PART 0.35
+#define SUMMARY_TTL_PART 0.50
+/* That the store is available again is noticed within 1.4 s: with this grace
+ * time, callers are still sent for 2.9 s after an outage to daemons that went
+ * down in it. */
+#define GRACE_PART 0.25
+/* Parts of the grace time of a shutdown: until then new streams are accepted,
+ * idle connections of callers kept open, and responses waited for. */
+#define SHUTDOWN_REFUSE_STREAMS_PART 0.25
+#define SHUTDOWN_STOP_ACCEPTING_PART 0.42
+#define SHUTDOWN_MAX_PART 0.96
+
+/* Sets the poll pause of the system's table, and writes the report on roll-outs
+ * to the own row while no other daemon hears of this one otherwise. */
 static void
 report_send(relay_node_t *node)
 {
 	struct timespec now = clock_boottime(node->ports.clock);
 	bool active = rollouts_any_active(&node->rollouts);
-	row_watch_t *own = &node->source.watches[ROW_TABLE_SYSTEM].watch;
+	row_watch_t *system = &node->row_sync.watches[ROW_TABLE_SYSTEM].watch;
 
-	own->timing.pause_ms = active ? OWN_PAUSE_BUSY_MS : OWN_PAUSE_MS;
+	system->timing.pause_ms =
+	    active ? SYSTEM_PAUSE_ROLLOUT_MS : SYSTEM_PAUSE_MS;
 	if (!node->members.view.settled)
-		own->timing.pause_ms = OWN_PAUSE_DOUBT_MS;
-	if (!node->source.has_key)
-		own->timing.pause_ms = OWN_PAUSE_KEY_MS;
-	if (timespec_ms_between(node->reported, now) < REPORT_BUSY_MS)
+		system->timing.pause_ms = SYSTEM_PAUSE_LIVENESS_MS;
+	if (!node->row_sync.has_key)
+		system->timing.pause_ms = SYSTEM_PAUSE_NO_KEY_MS;
+	if (timespec_ms_between(node->report_sent_at, now) < REPORT_INTERVAL_MS)
 		return;
-	node->reported = now;
-	if (active && !own->suspended)
-		row_watch_poll_now(own);
+	node->report_sent_at = now;
+	if (active && !system->suspended)
+		row_watch_poll_now(system);
 	if (node->members.alone && (active || node->members.report != NULL))
 		membership_report(
 		    &node->members, rollouts_report(&node->rollouts));
 }
 
-/* While sessions stay where they are, whoever reads the store passes on which
- * ones. */
+/* Sends followers the sessions that a roll-out in progress does not move. */
 static void
-sessions_send(relay_node_t *node)
+sessions_publish(relay_node_t *node)
 {
 	char *text = rollouts_encode_sessions(&node->rollouts);
 	char key[SESSIONS_KEY_SIZE];
@@ -97,15 +103,16 @@
 	row.value_len = strlen(text);
 	row.version = (uint64_t)(node->members.store_offset_ms +
 	    timespec_to_ms(clock_boottime(node->ports.clock)));
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, &row);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, &row);
 	free(text);
 }
 
-/* What the one that reads the store passed on holds until it changes. */
+/* Applies the sessions that the daemon that reads the store has sent. They hold
+ * until its row changes, so they are applied again at each tick. */
 static void
-sessions_take(relay_node_t *node)
+sessions_apply(relay_node_t *node)
 {
-	const char *reader = row_sync_reader(&node->source);
+	const char *reader = row_sync_reader(&node->row_sync);
 	char key[SESSIONS_KEY_SIZE];
 	const cached_row_t *known;
 	row_t row = {.key = key};
@@ -113,7 +120,7 @@
 	if (reader == NULL)
 		return;
 	snprintf(key, sizeof(key), "%s%.95s", ROLLOUT_SESSIONS_PREFIX, reader);
-	known = row_cache_find(&node->source.cache, ROW_TABLE_SYSTEM, key);
+	known = row_cache_find(&node->row_sync.cache, ROW_TABLE_SYSTEM, key);
 	if (known == NULL || known->value == NULL)
 		return;
 	row.value = known->value;
@@ -122,38 +129,40 @@
 }
 
 static void
-sessions_step(relay_node_t *node)
+sessions_sync(relay_node_t *node)
 {
 	if (!rollouts_any_active(&node->rollouts))
 		return;
 	relay_sessions_record(&node->relay);
-	if (node->source.following)
-		sessions_take(node);
+	if (node->row_sync.following)
+		sessions_apply(node);
 	else
-		sessions_send(node);
+		sessions_publish(node);
 }
 
-/* What the store was asked for so far, every so often. */
+/* Logs the numbers of calls to the store so far, at intervals, if there were
+ * new ones. */
 static void
-calls_tell(relay_node_t *node)
+calls_log(relay_node_t *node)
 {
 	const uint64_t *calls = node->ports.store->calls;
 	struct timespec now = clock_boottime(node->ports.clock);
-	uint64_t all = 0;
+	uint64_t total = 0;
 
 	for (int i = 0; i < ROW_PURPOSES; i++)
-		all += calls[i];
-	if (all == node->calls_told ||
-	    timespec_ms_between(node->calls_told_at, now) < CALLS_TOLD_MS)
+		total += calls[i];
+	if (total == node->calls_logged ||
+	    timespec_ms_between(node->calls_logged_at, now) <
+		CALLS_LOG_INTERVAL_MS)
 		return;
-	node->calls_told = all;
-	node->calls_told_at = now;
+	node->calls_logged = total;
+	node->calls_logged_at = now;
 	event_log_write(&node->log, "store_calls",
 	    "all=%" PRIu64 " read=%" PRIu64 " reread=%" PRIu64
 	    " changes=%" PRIu64 " beside=%" PRIu64 " member=%" PRIu64
 	    " clearing=%" PRIu64 " state=%" PRIu64 " key=%" PRIu64
 	    " quarantine=%" PRIu64,
-	    all, calls[ROW_PURPOSE_FIRST_READ], calls[ROW_PURPOSE_REREAD],
+	    total, calls[ROW_PURPOSE_FIRST_READ], calls[ROW_PURPOSE_REREAD],
 	    calls[ROW_PURPOSE_POLL], calls[ROW_PURPOSE_FOLLOWER_POLL],
 	    calls[ROW_PURPOSE_MEMBER], calls[ROW_PURPOSE_MEMBER_CLEANUP],
 	    calls[ROW_PURPOSE_ROLLOUT_STATE], calls[ROW_PURPOSE_FLEET_KEY],
@@ -161,47 +170,47 @@
 }
 
 static void
-members_step(relay_node_t *node)
+members_tick(relay_node_t *node)
 {
 	bool following;
 
-	row_sync_tick(&node->source);
-	following = node->source.following;
+	row_sync_tick(&node->row_sync);
+	following = node->row_sync.following;
 	if (membership_step(&node->members, following))
-		feed_server_respond_all(&node->source.server);
-	/* What was written is told to others once it is read back. */
+		feed_server_respond_all(&node->row_sync.server);
+	/* Rows that were written are sent to others once they are read back. */
 	if (node->members.written && !following)
 		row_watch_poll_now(
-		    &node->source.watches[ROW_TABLE_SYSTEM].watch);
+		    &node->row_sync.watches[ROW_TABLE_SYSTEM].watch);
 	node->members.written = false;
 	if (following)
-		relay_rows_lapses_drop(node);
+		relay_endpoints_stop_keeping_lapsed(node);
 }
 
 static void
-leave_step(relay_node_t *node)
+shutdown_step(relay_node_t *node)
 {
 	struct timespec now = clock_boottime(node->ports.clock);
 	double part = (double)timespec_ms_between(node->leaving_since, now) /
 	    (double)node->settings.grace_ms;
 
-	if (part >= LEAVE_STREAMS_PART)
+	if (part >= SHUTDOWN_REFUSE_STREAMS_PART)
 		node->relay.refusing_streams = true;
-	if (part >= LEAVE_LISTEN_PART)
+	if (part >= SHUTDOWN_STOP_ACCEPTING_PART)
 		http_inbound_stop_accepting(node->relay.server);
-	if (part < LEAVE_MAX_PART &&
-	    (part < LEAVE_LISTEN_PART || node->relay.in_flight > 0 ||
+	if (part < SHUTDOWN_MAX_PART &&
+	    (part < SHUTDOWN_STOP_ACCEPTING_PART || node->relay.in_flight > 0 ||
 		node->members.writing))
 		return;
 	event_log_write(&node->log, "stop", "under_way=%u part=%.2f",
 	    node->relay.in_flight, part);
-	if (node->gone != NULL)
-		node->gone(node->gone_arg);
-	node->gone = NULL;
+	if (node->on_stopped != NULL)
+		node->on_stopped(node->on_stopped_arg);
+	node->on_stopped = NULL;
 }
 
 static void
-woken(relay_node_t *node, int64_t suspended_ms)
+vm_resumed(relay_node_t *node, int64_t suspended_ms)
 {
 	node->suspensions++;
 	event_log_write(&node->log, "suspended",
@@ -215,149 +224,151 @@
 {
 	relay_node_t *node = arg;
 	int64_t suspended_ms =
-	    suspend_watch_poll(&node->suspended, node->ports.clock);
+	    suspend_watch_poll(&node->suspend_watch, node->ports.clock);
 
 	(void)fd;
 	(void)what;
 	if (suspended_ms > 0)
-		woken(node, suspended_ms);
+		vm_resumed(node, suspended_ms);
 	event_log_tick(&node->log);
 	relay_accept_when_ready(&node->relay);
-	relay_rows_lapsed_end(node);
-	relay_rows_earlier_take(node);
+	relay_endpoints_remove_lapsed(node);
+	relay_endpoints_accept_earlier(node);
 	relay_evacuations_expire(node);
 	relay_warmup_tick(&node->relay, false);
 	endpoint_set_sample_in_flight(&node->endpoints);
-	members_step(node);
+	members_tick(node);
 	gossip_tick(&node->gossip);
-	sessions_step(node);
+	sessions_sync(node);
 	relay_quarantine_tick(&node->relay.quarantine);
 	if (rollouts_any_active(&node->rollouts))
 		relay_canary_check_overdue(&node->relay);
 	report_send(node);
-	calls_tell(node);
+	calls_log(node);
 	if (node->leaving)
-		leave_step(node);
+		shutdown_step(node);
 	else
 		membership_set_state(&node->members,
 		    relay_node_ready(node) ? MEMBER_READY : MEMBER_STARTING);
 }
 
 static bool
-rows_same(const void *arg, row_table_t table, const char *key, const char *a,
-    size_t a_len, const char *b, size_t b_len)
+row_unchanged(const void *arg, row_table_t table, const char *key,
+    const char *a, size_t a_len, const char *b, size_t b_len)
 {
-	const source_dialect_t *sources = arg;
+	const row_dialect_t *row_dialect = arg;
 
 	if (table == ROW_TABLE_ENDPOINTS)
-		return sources->endpoint_same(a, a_len, b, b_len);
+		return row_dialect->endpoint_unchanged(a, a_len, b, b_len);
 	if (table == ROW_TABLE_SYSTEM &&
 	    strncmp(key, MEMBER_PREFIX, strlen(MEMBER_PREFIX)) == 0)
 		return membership_same(a, a_len, b, b_len);
-	/* An order that is given again with the same words is another one. */
+	/* An order that is written again with the same text is a new one. */
 	return table != ROW_TABLE_OPERATOR && a_len == b_len &&
 	    memcmp(a, b, a_len) == 0;
 }
 
 static bool
-source_init(relay_node_t *node)
+node_row_sync_init(relay_node_t *node)
 {
 	const relay_ports_t *ports = &node->ports;
 	const relay_node_settings_t *settings = &node->settings;
 
-	node->source = (row_sync_t){
-	    .settings = {.tables = {ports->sources->orders_table,
-			     ports->sources->endpoints_table, MEMBER_TABLE},
-		.timings = {{settings->config_wait_ms, CONFIG_PAUSE_MS,
-				STORE_RETRY_MS, STORE_RETRY_MOST_MS,
-				ORDERS_TIMEOUT_MS},
-		    {0, settings->endpoints_pause_ms, STORE_RETRY_MS,
-			STORE_RETRY_MOST_MS, ENDPOINTS_TIMEOUT_MS},
-		    {0, OWN_PAUSE_KEY_MS, STORE_RETRY_MS, STORE_RETRY_MOST_MS,
-			OWN_TIMEOUT_MS}},
-		.hold_ms = settings->config_wait_ms,
+	node->row_sync = (row_sync_t){
+	    .settings = {.tables = {ports->row_dialect->operator_table,
+			     ports->row_dialect->endpoints_table, MEMBER_TABLE},
+		.timings = {{settings->operator_poll_wait_ms, OPERATOR_PAUSE_MS,
+				STORE_RETRY_MS, STORE_RETRY_MAX_MS,
+				OPERATOR_TIMEOUT_MS},
+		    {0, settings->endpoints_poll_pause_ms, STORE_RETRY_MS,
+			STORE_RETRY_MAX_MS, ENDPOINTS_TIMEOUT_MS},
+		    {0, SYSTEM_PAUSE_NO_KEY_MS, STORE_RETRY_MS,
+			STORE_RETRY_MAX_MS, SYSTEM_TIMEOUT_MS}},
+		.hold_ms = settings->operator_poll_wait_ms,
 		.start_jitter_ms =
-		    settings->first_start ? FIRST_START_WITHIN_MS : 0,
-		.max_age_ms = {settings->old_ms, settings->endpoints_old_ms,
-		    OWN_OLD_MS}},
+		    settings->bootstrap ? BOOTSTRAP_JITTER_MS : 0,
+		.max_age_ms = {settings->operator_rows_max_age_ms,
+		    settings->endpoint_rows_max_age_ms, SYSTEM_MAX_AGE_MS}},
 	    .base = ports->base,
 	    .store = ports->store,
 	    .clock = ports->clock,
 	    .rng = ports->rng,
 	    .log = &node->log,
 	    .members = &node->members};
-	strcpy(node->source.settings.peer_address, settings->peer);
-	row_cache_init(
-	    &node->source.cache, ports->clock, rows_same, ports->sources);
-	return row_sync_init(&node->source, &relay_rows_ops, node);
+	strcpy(node->row_sync.settings.peer_address, settings->peer_address);
+	row_cache_init(&node->row_sync.cache, ports->clock, row_unchanged,
+	    ports->row_dialect);
+	return row_sync_init(&node->row_sync, &relay_rows_ops, node);
 }
 
 static life_bounds_t
-life_bounds(const relay_node_settings_t *settings)
+liveness_settings(const relay_node_settings_t *settings)
 {
-	double named_ms = (double)settings->off_named_ms;
+	double listed_ms = (double)settings->down_listed_max_ms;
 
-	return (life_bounds_t){.silent_ms = (int64_t)(named_ms * SILENT_PART),
-	    .vouch_ms = (int64_t)(named_ms * VOUCH_PART),
-	    .grant_ms = (int64_t)(named_ms * GRANT_PART),
-	    .lone_ms = LONE_MS};
+	return (life_bounds_t){
+	    .silent_ms = (int64_t)(listed_ms * SILENCE_TIMEOUT_PART),
+	    .vouch_ms = (int64_t)(listed_ms * SUMMARY_TTL_PART),
+	    .grant_ms = (int64_t)(listed_ms * GRACE_PART),
+	    .lone_ms = AUTHORITY_TIMEOUT_MS};
 }
 
 static bool
-zone_regions_set(relay_node_t *node, const relay_node_settings_t *settings)
+zone_regions_apply(relay_node_t *node, const relay_node_settings_t *settings)
 {
-	for (size_t i = 0; i < settings->zones_len; i++) {
+	for (size_t i = 0; i < settings->zone_regions_len; i++) {
 		if (!zone_table_set_region(&node->endpoints.zones,
-			settings->zones[i].zone, settings->zones[i].region))
+			settings->zone_regions[i].zone,
+			settings->zone_regions[i].region))
 			return false;
 	}
 	return true;
 }
 
 static bool
-parts_init(relay_node_t *node, err_t *err)
+components_init(relay_node_t *node, err_t *err)
 {
 	const relay_ports_t *ports = &node->ports;
-	membership_settings_t member = {.beat_alone_ms = BEAT_ALONE_MS,
+	membership_settings_t member = {.beat_alone_ms = ROW_HEARTBEAT_MS,
 	    .strength = node->settings.strength,
-	    .life = life_bounds(&node->settings)};
+	    .life = liveness_settings(&node->settings)};
 	const row_watch_t *orders =
-	    row_sync_watch(&node->source, ROW_TABLE_OPERATOR);
+	    row_sync_watch(&node->row_sync, ROW_TABLE_OPERATOR);
 
 	snprintf(member.name, sizeof(member.name), "%s", node->settings.name);
 	snprintf(member.zone, sizeof(member.zone), "%s", node->settings.zone);
-	strcpy(member.peer, node->settings.peer);
+	strcpy(member.peer, node->settings.peer_address);
 	endpoint_set_init(&node->endpoints, ports->clock);
-	if (!zone_regions_set(node, &node->settings))
+	if (!zone_regions_apply(node, &node->settings))
 		return err_set(
 		    err, ERR_SETTING, "cannot set the region of a zone");
 	node->rollouts = (rollouts_t){.store = ports->store,
 	    .clock = ports->clock,
-	    .status_encoder = ports->rollouts,
+	    .status_encoder = ports->rollout_status_encoder,
 	    .members = &node->members,
 	    .orders_watch = orders,
-	    .states_watch = &node->source.watches[ROW_TABLE_SYSTEM].watch,
+	    .states_watch = &node->row_sync.watches[ROW_TABLE_SYSTEM].watch,
 	    .log = &node->log,
 	    .old_in_flight = relay_old_version_in_flight,
 	    .group_base_version = relay_group_base_version,
 	    .relay = &node->relay};
 	recent_sessions_init(
-	    &node->rollouts.local_sessions, node->settings.session_ms);
+	    &node->rollouts.local_sessions, node->settings.session_window_ms);
 	recent_sessions_init(
-	    &node->rollouts.peer_sessions, node->settings.session_ms);
+	    &node->rollouts.peer_sessions, node->settings.session_window_ms);
 	node->relay = (relay_t){.base = ports->base,
 	    .clock = ports->clock,
 	    .rng = ports->rng,
 	    .log = &node->log,
-	    .caller_dialect = ports->callers,
-	    .endpoint_dialect = ports->endpoints,
+	    .caller_dialect = ports->caller_dialect,
+	    .endpoint_dialect = ports->endpoint_dialect,
 	    .endpoints = &node->endpoints,
 	    .members = &node->members,
 	    .gossip = &node->gossip,
 	    .rollouts = &node->rollouts,
 	    .config_watch = orders,
 	    .endpoint_watch =
-		row_sync_watch(&node->source, ROW_TABLE_ENDPOINTS),
+		row_sync_watch(&node->row_sync, ROW_TABLE_ENDPOINTS),
 	    .bounds = node->settings.bounds};
 	warmup_daemons_init(&node->relay.warmup_daemons, node->settings.name);
 	snprintf(node->relay.zone, sizeof(node->relay.zone), "%s",
@@ -366,12 +377,13 @@
 	    !relay_quarantine_init(
 		&node->relay.quarantine, &node->relay, ports->store) ||
 	    !gossip_init(&node->gossip, ports->base, ports->clock,
-		&node->members, node->settings.peer, &relay_gossip_ops,
+		&node->members, node->settings.peer_address, &relay_gossip_ops,
 		&node->relay, err))
 		return false;
 	membership_init(
 	    &node->members, ports->store, ports->clock, &node->log, &member);
-	if (rollouts_init(&node->rollouts, ports->base) && source_init(node))
+	if (rollouts_init(&node->rollouts, ports->base) &&
+	    node_row_sync_init(node))
 		return true;
 	return err_set(err, ERR_MEMORY, "out of memory");
 }
@@ -385,15 +397,16 @@
 	memset(node, 0, sizeof(*node));
 	node->ports = *ports;
 	node->settings = *settings;
-	event_log_init(&node->log, ports->clock, settings->log_per_s);
+	event_log_init(&node->log, ports->clock, settings->log_lines_per_s);
 	node->refusals =
 	    (row_refusals_t){.clock = ports->clock, .log = &node->log};
-	if (!parts_init(node, err))
+	if (!components_init(node, err))
 		return false;
-	node->settings.zones = NULL;
-	node->settings.zones_len = 0;
-	node->tick = event_new(ports->base, -1, EV_PERSIST, on_tick, node);
-	if (node->tick == NULL || event_add(node->tick, &tick) != 0)
+	node->settings.zone_regions = NULL;
+	node->settings.zone_regions_len = 0;
+	node->tick_timer =
+	    event_new(ports->base, -1, EV_PERSIST, on_tick, node);
+	if (node->tick_timer == NULL || event_add(node->tick_timer, &tick) != 0)
 		return err_set(err, ERR_MEMORY, "out of memory");
 	event_log_write(&node->log, "start", "name=%s zone=%s", settings->name,
 	    settings->zone);
@@ -403,10 +416,10 @@
 void
 relay_node_finish(relay_node_t *node)
 {
-	event_free(node->tick);
+	event_free(node->tick_timer);
 	relay_finish(&node->relay);
 	relay_quarantine_finish(&node->relay.quarantine);
-	row_sync_finish(&node->source);
+	row_sync_finish(&node->row_sync);
 	gossip_finish(&node->gossip);
 	rollouts_finish(&node->rollouts);
 	membership_finish(&node->members);
@@ -418,34 +431,35 @@
 {
 	node->settings.bounds = settings->bounds;
 	node->settings.grace_ms = settings->grace_ms;
-	node->settings.endpoints_pause_ms = settings->endpoints_pause_ms;
-	node->source.settings.max_age_ms[ROW_TABLE_ENDPOINTS] =
-	    settings->endpoints_old_ms;
-	node->settings.off_named_ms = settings->off_named_ms;
-	node->members.settings.life = life_bounds(settings);
+	node->settings.endpoints_poll_pause_ms =
+	    settings->endpoints_poll_pause_ms;
+	node->row_sync.settings.max_age_ms[ROW_TABLE_ENDPOINTS] =
+	    settings->endpoint_rows_max_age_ms;
+	node->settings.down_listed_max_ms = settings->down_listed_max_ms;
+	node->members.settings.life = liveness_settings(settings);
 	node->members.view.bounds = node->members.settings.life;
 	node->relay.bounds = settings->bounds;
-	zone_regions_set(node, settings);
-	node->source.watches[ROW_TABLE_ENDPOINTS].watch.timing.pause_ms =
-	    settings->endpoints_pause_ms;
+	zone_regions_apply(node, settings);
+	node->row_sync.watches[ROW_TABLE_ENDPOINTS].watch.timing.pause_ms =
+	    settings->endpoints_poll_pause_ms;
 	event_log_write(&node->log, "reload",
 	    "key_fresh_ms=%" PRId64 " grace_ms=%" PRId64,
 	    settings->bounds.key_max_age_ms, settings->grace_ms);
 }
 
 void
-relay_node_leave(relay_node_t *node, void (*gone)(void *), void *arg)
+relay_node_shut_down(relay_node_t *node, void (*on_stopped)(void *), void *arg)
 {
 	if (node->leaving)
 		return;
 	node->leaving = true;
 	node->leaving_since = clock_boottime(node->ports.clock);
-	node->gone = gone;
-	node->gone_arg = arg;
+	node->on_stopped = on_stopped;
+	node->on_stopped_arg = arg;
 	event_log_write(
 	    &node->log, "leave", "under_way=%u", node->relay.in_flight);
 	membership_set_state(&node->members, MEMBER_LEAVING);
-	row_sync_stop_serving(&node->source);
+	row_sync_stop_serving(&node->row_sync);
 	relay_drain(&node->relay);
 }
 
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -5,9 +5,9 @@
 #include "moortack/replication/era_version.h"
 #include "relay_node_priv.h"
 
-/* An endpoint's entry goes after three beats of silence, over three seconds
- * with the users' beats: in a shorter time without the store none goes by
- * itself. */
+/* An endpoint's entry is removed after three missed heartbeats, which takes
+ * over three seconds with the heartbeats of the deployments: a shorter outage
+ * of the store removes none. */
 #define OUTAGE_MIN_MS 2500
 
 static bool
@@ -16,17 +16,17 @@
 	return strncmp(row->key, prefix, strlen(prefix)) == 0;
 }
 
-/* Whether the store came back from an older copy since the row was known. */
 bool
-relay_rows_of_later_era(const cached_row_t *known, const row_t *row)
+relay_row_has_later_era(const cached_row_t *known, const row_t *row)
 {
 	return known != NULL &&
 	    era_version_era(row->version) > era_version_era(known->version);
 }
 
-/* What is known holds on, at the place in the order that the older row has. */
+/* Stores the known value under the version of the older row, so that followers
+ * are sent it. */
 void
-relay_rows_keep(relay_node_t *node, row_table_t table,
+relay_row_keep_known(relay_node_t *node, row_table_t table,
     const cached_row_t *known, const row_t *row)
 {
 	row_t kept = {.key = row->key,
@@ -41,17 +41,18 @@
 		memcpy(value, known->value, known->value_len);
 	value[known->value_len] = '\0';
 	kept.value = kept.deleted ? NULL : value;
-	row_sync_put(&node->source, table, &kept);
+	row_sync_put(&node->row_sync, table, &kept);
 	free(value);
 	node->rows_kept++;
 }
 
-/* A configuration says by its own version which one is later. */
+/* Whether the row is an older configuration, or none, from a restored copy of
+ * the store. The version inside a configuration says which one is newer. */
 static bool
-config_steps_back(const relay_node_t *node, const cached_row_t *known,
+config_is_older(const relay_node_t *node, const cached_row_t *known,
     const row_t *row, const relay_config_t *config)
 {
-	return relay_rows_of_later_era(known, row) && known->value != NULL &&
+	return relay_row_has_later_era(known, row) && known->value != NULL &&
 	    node->relay.config != NULL &&
 	    (row->deleted ||
 		(config != NULL &&
@@ -62,34 +63,34 @@
 on_config_row(relay_node_t *node, const row_t *row)
 {
 	const cached_row_t *known =
-	    row_cache_find(&node->source.cache, ROW_TABLE_OPERATOR, row->key);
+	    row_cache_find(&node->row_sync.cache, ROW_TABLE_OPERATOR, row->key);
 	relay_config_t *config = NULL;
 	err_t err;
 
 	if (!row->deleted)
-		config = node->ports.sources->config(
+		config = node->ports.row_dialect->decode_config(
 		    row->value, row->value_len, node->relay.config, &err);
-	if (config_steps_back(node, known, row, config))
-		relay_rows_keep(node, ROW_TABLE_OPERATOR, known, row);
+	if (config_is_older(node, known, row, config))
+		relay_row_keep_known(node, ROW_TABLE_OPERATOR, known, row);
 	else
-		row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
+		row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, row);
 	if (config != NULL)
 		relay_configure(&node->relay, config);
 	else if (!row->deleted)
-		/* The last good one stays in force. */
+		/* The last valid configuration stays in force. */
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_CONFIG, row, &err);
 }
 
 static void
-order_row(relay_node_t *node, const row_t *row)
+rollout_order_apply(relay_node_t *node, const row_t *row)
 {
 	rollout_order_t order;
 	err_t err;
 
 	if (row->deleted)
 		return;
-	if (node->ports.sources->order(
+	if (node->ports.row_dialect->decode_rollout_order(
 		row->value, row->value_len, row->version, &order, &err))
 		rollouts_apply_order(&node->rollouts, &order);
 	else
@@ -98,97 +99,97 @@
 }
 
 static void
-on_order_row(relay_node_t *node, const row_t *row)
+on_operator_row(relay_node_t *node, const row_t *row)
 {
-	const source_dialect_t *sources = node->ports.sources;
+	const row_dialect_t *dialect = node->ports.row_dialect;
 
-	if (strcmp(row->key, sources->config_key) == 0) {
+	if (strcmp(row->key, dialect->config_key) == 0) {
 		on_config_row(node, row);
 		return;
 	}
-	if (has_prefix(row, sources->evacuation_prefix)) {
-		relay_evacuation_row(node, row);
+	if (has_prefix(row, dialect->evacuation_prefix)) {
+		relay_evacuation_apply_row(node, row);
 		return;
 	}
-	row_sync_put(&node->source, ROW_TABLE_OPERATOR, row);
-	if (has_prefix(row, sources->rollout_prefix))
-		order_row(node, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_OPERATOR, row);
+	if (has_prefix(row, dialect->rollout_prefix))
+		rollout_order_apply(node, row);
 }
 
 static bool
-names_member(const row_t *row, err_t *err)
+member_row_valid(const row_t *row, err_t *err)
 {
 	member_facts_t facts;
-	bool good = member_row_decode(row, &facts, err) &&
+	bool valid = member_row_decode(row, &facts, err) &&
 	    member_facts_check(&facts, err);
 
 	member_facts_finish(&facts);
-	return good;
+	return valid;
 }
 
-/* What names no daemon is none. */
+/* A row that doesn't decode to a daemon counts as its removal. */
 static void
 on_member_row(relay_node_t *node, const row_t *row)
 {
-	row_t taken = *row;
+	row_t applied = *row;
 	err_t err;
 
-	if (!row->deleted && !names_member(row, &err)) {
+	if (!row->deleted && !member_row_valid(row, &err)) {
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_MEMBER, row, &err);
-		taken = (row_t){
+		applied = (row_t){
 		    .key = row->key, .version = row->version, .deleted = true};
 	}
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, &taken);
-	membership_row(&node->members, &taken);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, &applied);
+	membership_row(&node->members, &applied);
 }
 
 static void
-on_state_row(relay_node_t *node, const row_t *row)
+on_rollout_state_row(relay_node_t *node, const row_t *row)
 {
 	err_t err;
 
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 	if (!rollouts_apply_state_row(&node->rollouts, row, &err))
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_ROLLOUT_STATE, row, &err);
 }
 
 static void
-on_key_row(relay_node_t *node, const row_t *row)
+on_fleet_key_row(relay_node_t *node, const row_t *row)
 {
 	err_t err;
 
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 	if (!row->deleted && !fleet_key_check(row->value, &err))
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_FLEET_KEY, row, &err);
 }
 
 static void
-on_verdict_row(relay_node_t *node, const row_t *row)
+on_quarantine_row(relay_node_t *node, const row_t *row)
 {
 	err_t err;
 
-	row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
+	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 	if (!relay_quarantine_apply_row(&node->relay.quarantine, row, &err))
 		row_refusals_record(
 		    &node->refusals, ROW_KIND_QUARANTINE, row, &err);
 }
 
 static void
-on_own_row(relay_node_t *node, const row_t *row)
+on_system_row(relay_node_t *node, const row_t *row)
 {
 	if (has_prefix(row, MEMBER_PREFIX)) {
 		on_member_row(node, row);
 	} else if (has_prefix(row, ROLLOUT_PREFIX)) {
-		on_state_row(node, row);
+		on_rollout_state_row(node, row);
 	} else if (has_prefix(row, QUARANTINE_PREFIX)) {
-		on_verdict_row(node, row);
+		on_quarantine_row(node, row);
 	} else if (strcmp(row->key, FLEET_KEY_ROW) == 0) {
-		on_key_row(node, row);
+		on_fleet_key_row(node, row);
 	} else if (has_prefix(row, ROLLOUT_SESSIONS_PREFIX)) {
-		row_sync_put(&node->source, ROW_TABLE_SYSTEM, row);
+		row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, row);
 		rollouts_apply_sessions_row(&node->rollouts, row);
 	}
 }
@@ -198,88 +199,89 @@
 {
 	relay_node_t *node = arg;
 
-	/* A question that was out for long brings rows that are older than what
-	 * another daemon told meanwhile. */
-	if (row_cache_has_newer(&node->source.cache, table, row))
+	/* The response to a request that was in flight for long has older rows
+	 * than those that another daemon has sent meanwhile. */
+	if (row_cache_has_newer(&node->row_sync.cache, table, row))
 		return;
 	switch (table) {
 	case ROW_TABLE_OPERATOR:
-		on_order_row(node, row);
+		on_operator_row(node, row);
 		break;
 	case ROW_TABLE_ENDPOINTS:
-		relay_endpoint_row(node, row);
+		relay_endpoint_apply_row(node, row);
 		break;
 	case ROW_TABLE_SYSTEM:
-		on_own_row(node, row);
+		on_system_row(node, row);
 		break;
 	case ROW_TABLES:
 		break;
 	}
 }
 
-/* The store came back from an older copy: entries of endpoints that are not in
- * it may be written again, as after an outage. */
+/* If the store was restored from an older copy, entries of endpoints that are
+ * missing in it may be written again, as after an outage. */
 static void
-on_restart(void *arg, row_table_t table)
+on_full_read_begin(void *arg, row_table_t table)
 {
 	relay_node_t *node = arg;
 	uint64_t era = node->ports.store->era;
 
 	(void)table;
-	if (era <= node->era)
+	if (era <= node->store_era)
 		return;
 	if (node->relay.config != NULL) {
-		node->lapses = true;
-		node->store_back = clock_boottime(node->ports.clock);
+		node->keep_lapsed = true;
+		node->store_available_at = clock_boottime(node->ports.clock);
 	}
 	event_log_write(&node->log, "store_era",
 	    "era=%" PRIu64 " before=%" PRIu64 " config=%" PRIu64, era,
-	    node->era,
+	    node->store_era,
 	    node->relay.config != NULL ? node->relay.config->version : 0);
-	node->era = era;
+	node->store_era = era;
 }
 
 static void
-on_settled(void *arg, row_table_t table, bool whole)
+on_synced(void *arg, row_table_t table, bool full_read)
 {
 	relay_node_t *node = arg;
 	uint32_t daemons;
 
-	(void)whole;
+	(void)full_read;
 	if (table == ROW_TABLE_ENDPOINTS)
 		endpoint_set_learn_base_versions(&node->endpoints);
 	relay_accept_when_ready(&node->relay);
 	if (table != ROW_TABLE_SYSTEM)
 		return;
-	if (!node->members_read)
+	if (!node->member_rows_read)
 		membership_rows_read(&node->members);
-	relay_warmup_tick(&node->relay, !node->members_read);
-	node->members_read = true;
+	relay_warmup_tick(&node->relay, !node->member_rows_read);
+	node->member_rows_read = true;
 	daemons = membership_count(&node->members);
-	/* Bounds that daemons share are cut by the most ever seen: too many
-	 * costs little, too few breaks them. */
+	/* Fleet-wide limits are divided by the largest number of daemons seen:
+	 * one that is too large costs little, one that is too small exceeds the
+	 * limits. */
 	if (daemons > node->relay.daemons_max_seen)
 		node->relay.daemons_max_seen = daemons;
 }
 
 static void
-on_reachable(void *arg, row_table_t table, bool now)
+on_reachable(void *arg, row_table_t table, bool available)
 {
 	static const char *const names[ROW_TABLES] = {
 	    "orders", "endpoints", "own"};
 	relay_node_t *node = arg;
-	const row_watch_t *watch = row_sync_watch(&node->source, table);
+	const row_watch_t *watch = row_sync_watch(&node->row_sync, table);
 
-	event_log_write(&node->log, now ? "store_back" : "store_lost",
+	event_log_write(&node->log, available ? "store_back" : "store_lost",
 	    "table=%s age_ms=%" PRId64, names[table], row_watch_age_ms(watch));
-	if (table != ROW_TABLE_ENDPOINTS || !now)
+	if (table != ROW_TABLE_ENDPOINTS || !available)
 		return;
-	/* The first answer of all ends no outage that this daemon saw, nor does
-	 * one after a time in which others told what the store has. */
+	/* The first response of all ends no outage that this daemon observed,
+	 * nor does one after a time in which other daemons sent the rows. */
 	if (!watch->synced_once || row_watch_age_ms(watch) < OUTAGE_MIN_MS)
 		return;
-	node->lapses = true;
-	node->store_back = clock_boottime(node->ports.clock);
+	node->keep_lapsed = true;
+	node->store_available_at = clock_boottime(node->ports.clock);
 }
 
 static void
@@ -299,13 +301,13 @@
 }
 
 static void
-on_secret(void *arg, const char *secret)
+on_fleet_key(void *arg, const char *key)
 {
 	relay_node_t *node = arg;
 
-	gossip_set_secret(&node->gossip, secret);
-	relay_quarantine_set_secret(&node->relay.quarantine, secret);
+	gossip_set_secret(&node->gossip, key);
+	relay_quarantine_set_secret(&node->relay.quarantine, key);
 }
 
-const row_sync_ops_t relay_rows_ops = {on_row, on_restart, on_settled,
-    on_reachable, on_store_clock, on_secret, on_report};
+const row_sync_ops_t relay_rows_ops = {on_row, on_full_read_begin, on_synced,
+    on_reachable, on_store_clock, on_fleet_key, on_report};
--- a/test/platform/decoders_test.c
+++ b/test/platform/decoders_test.c
@@ -46,22 +46,24 @@
 	(void)state;
 	assert_non_null(decoded);
 	assert_int_equal(decoded->version, 7);
-	route = relay_config_route(decoded, "a.example:80", "/x/y/z?q=/x/");
+	route =
+	    relay_config_find_route(decoded, "a.example:80", "/x/y/z?q=/x/");
 	assert_string_equal(route->name, "r2");
 	assert_int_equal(route->pools_len, 2);
 	assert_true(route->anonymous);
-	route = relay_config_route(decoded, "a.example", "/x/z");
+	route = relay_config_find_route(decoded, "a.example", "/x/z");
 	assert_string_equal(route->name, "r1");
 	assert_int_equal(route->kind, ROUTE_STREAM);
 	assert_int_equal(route->models_len, 2);
 	assert_true(route->models[1].cost > 0.17);
-	assert_null(relay_config_route(decoded, "a.example", "/x"));
-	assert_null(relay_config_route(decoded, "b.example", "/x/"));
-	assert_string_equal(relay_config_key(decoded, "k2")->name, "t1");
-	assert_null(relay_config_key(decoded, "k3"));
+	assert_null(relay_config_find_route(decoded, "a.example", "/x"));
+	assert_null(relay_config_find_route(decoded, "b.example", "/x/"));
+	assert_string_equal(
+	    relay_config_find_organisation(decoded, "k2")->name, "t1");
+	assert_null(relay_config_find_organisation(decoded, "k3"));
 	assert_int_equal(
-	    relay_config_service(decoded, "s1")->connections_max, 370);
-	assert_int_equal(decoded->idle_ms, 15000);
+	    relay_config_find_service(decoded, "s1")->connections_max, 370);
+	assert_int_equal(decoded->idle_timeout_ms, 15000);
 	relay_config_release(decoded);
 }
 
@@ -102,13 +104,14 @@
 
 	(void)state;
 	assert_non_null(before);
-	route = relay_config_route(before, "a.example", "/x/");
-	assert_ptr_equal(relay_config_route(after, "a.example", "/x/"), route);
+	route = relay_config_find_route(before, "a.example", "/x/");
+	assert_ptr_equal(
+	    relay_config_find_route(after, "a.example", "/x/"), route);
 	relay_config_release(before);
 	assert_string_equal(route->name, "r1");
 	assert_true(route->models[1].cost > 0.17);
-	route = relay_config_route(after, "a.example", "/x/y/");
-	assert_int_equal(route->attempts, 2);
+	route = relay_config_find_route(after, "a.example", "/x/y/");
+	assert_int_equal(route->attempts_max, 2);
 	relay_config_release(after);
 }
 
@@ -123,8 +126,8 @@
 	const relay_route_t *first, *second;
 
 	(void)state;
-	first = relay_config_route(before, "a.example", "/x/");
-	second = relay_config_route(after, "a.example", "/x/");
+	first = relay_config_find_route(before, "a.example", "/x/");
+	second = relay_config_find_route(after, "a.example", "/x/");
 	assert_ptr_not_equal(first, second);
 	assert_true(first->models[1].cost < 0.19);
 	assert_true(second->models[1].cost > 0.35);
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -40,16 +40,16 @@
 
 static world_t world;
 
-static const source_dialect_t sources = {.orders_table = ROWS_OPERATOR_TABLE,
+static const row_dialect_t sources = {.operator_table = ROWS_OPERATOR_TABLE,
     .config_key = ROWS_CONFIG_KEY,
     .rollout_prefix = ROWS_ROLLOUT_PREFIX,
     .evacuation_prefix = ROWS_EVACUATION_PREFIX,
-    .evacuation_check = evacuation_zone_check,
+    .check_evacuation_zone = evacuation_zone_check,
     .endpoints_table = ROWS_ENDPOINTS_TABLE,
-    .config = config_row_decode,
-    .endpoint = endpoint_row_decode,
-    .order = rollout_order_row_decode,
-    .endpoint_same = endpoint_row_unchanged};
+    .decode_config = config_row_decode,
+    .decode_endpoint = endpoint_row_decode,
+    .decode_rollout_order = rollout_order_row_decode,
+    .endpoint_unchanged = endpoint_row_unchanged};
 
 static void
 daemon_start(daemon_t *daemon)
@@ -60,11 +60,11 @@
 	relay_node_settings_t settings = {.listen = {"127.0.0.1", 0},
 	    .name = "10.0.0.99:80",
 	    .zone = "a",
-	    .endpoints_pause_ms = 600,
-	    .config_wait_ms = 500,
-	    .lapse_ms = 2000,
+	    .endpoints_poll_pause_ms = 600,
+	    .operator_poll_wait_ms = 500,
+	    .lapsed_keep_ms = 2000,
 	    .grace_ms = 1000,
-	    .log_per_s = 1e-9};
+	    .log_lines_per_s = 1e-9};
 	relay_ports_t ports = {world.base, &world.clock.source, &world.rng,
 	    &world.store, &sources, &callers, &endpoints, &rollouts};
 	err_t err;
@@ -292,7 +292,7 @@
 static void
 response_apply(daemon_t *daemon, row_table_t table, bool complete)
 {
-	row_watch_t *watch = &daemon->node.source.watches[table].watch;
+	row_watch_t *watch = &daemon->node.row_sync.watches[table].watch;
 	row_reply_t reply = {
 	    .result = ROW_OK, .version = world.version, .now_ms = 1};
 	char *text = json_dumps(daemon->response, JSON_COMPACT);
@@ -422,13 +422,13 @@
 	endpoints_compare(a, b);
 	members_compare(a, b);
 	rollouts_compare(a, b);
-	cached_rows_compare(&a->source.cache, &b->source.cache);
+	cached_rows_compare(&a->row_sync.cache, &b->row_sync.cache);
 	FUZZ_CHECK((a->relay.config == NULL) == (b->relay.config == NULL));
 	FUZZ_CHECK(a->relay.config == NULL ||
 	    a->relay.config->version == b->relay.config->version);
 	for (int i = 0; i < ROW_TABLES; i++)
-		FUZZ_CHECK(a->source.watches[i].watch.synced_once ==
-		    b->source.watches[i].watch.synced_once);
+		FUZZ_CHECK(a->row_sync.watches[i].watch.synced_once ==
+		    b->row_sync.watches[i].watch.synced_once);
 }
 
 int
@@ -439,7 +439,7 @@
 	memset(&world, 0, sizeof(world));
 	world.clock = (manual_clock_t){{&manual_clock_ops}, {1000, 0}};
 	world.base = event_base_new();
-	world.store = (row_store_t){.ops = &silent_ops};
+	world.store = (row_store_t){.ops = &silent_store_ops};
 	world.version = 10;
 	rng_system_init(&world.rng);
 	daemon_start(&world.clean);
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * A node over a store that the test plays: what it passes on of endpoints that
- * went, so that whoever comes from another daemon hears of it.
+ * A node with a scripted store: the version with which it publishes the removal
+ * of an endpoint. A daemon that followed another one before, and states the
+ * version that it has, has to be sent the removal, too.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,30 +18,31 @@
 #include "../support/node_settings.h"
 
 #define VERSION_FIRST 40
-#define VERSION_GONE 77
+#define VERSION_REMOVED 77
 
-/** A store that knows one endpoint, and then its end. */
-typedef struct played_store {
+/** A store that has one endpoint, and then its removal. */
+typedef struct scripted_store {
 	row_store_t store;
 	struct event_base *base;
-	bool whole_read; /**< the end shows as a row that is missing */
-	bool refused;	 /**< one question before it is turned away */
+	bool compacted; /**< the removal shows only in a full read, as a missing
+			   row */
+	bool refuse_once; /**< refuses one poll before it */
 	int reads;
-	int feeds;
-} played_store_t;
+	int polls;
+} scripted_store_t;
 
-/** An answer on its way. */
+/** A response that is delivered later. */
 typedef struct pending {
 	row_done_t done;
 	void *arg;
 	row_t row;
 	row_reply_t reply;
-} pending_t;
+} pending_reply_t;
 
 static void
-pending_tell(evutil_socket_t fd, short what, void *arg)
+pending_deliver(evutil_socket_t fd, short what, void *arg)
 {
-	pending_t *pending = arg;
+	pending_reply_t *pending = arg;
 
 	(void)fd;
 	(void)what;
@@ -50,11 +52,11 @@
 }
 
 static bool
-answer(played_store_t *store, const row_t *row, uint64_t version,
+respond(scripted_store_t *store, const row_t *row, uint64_t version,
     row_result_t result, row_done_t done, void *arg)
 {
 	static const struct timeval soon = {0, 1000};
-	pending_t *pending = calloc(1, sizeof(*pending));
+	pending_reply_t *pending = calloc(1, sizeof(*pending));
 
 	pending->done = done;
 	pending->arg = arg;
@@ -64,52 +66,53 @@
 	    .rows_len = row != NULL,
 	    .version = version,
 	    .now_ms = 1};
-	return event_base_once(store->base, -1, EV_TIMEOUT, pending_tell,
+	return event_base_once(store->base, -1, EV_TIMEOUT, pending_deliver,
 		   pending, &soon) == 0;
 }
 
 static bool
-played_read(row_store_t *self, const char *table, const char *from,
+scripted_read(row_store_t *self, const char *table, const char *page,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
-	played_store_t *store = (played_store_t *)self;
+	scripted_store_t *store = (scripted_store_t *)self;
 	row_t row = {.key = "e1",
 	    .value = "x",
 	    .value_len = 1,
 	    .version = VERSION_FIRST};
 
-	(void)from;
+	(void)page;
 	(void)timeout_ms;
 	if (strcmp(table, "endpoints") != 0)
-		return answer(store, NULL, VERSION_FIRST, ROW_OK, done, arg);
+		return respond(store, NULL, VERSION_FIRST, ROW_OK, done, arg);
 	if (store->reads++ == 0)
-		return answer(store, &row, VERSION_FIRST, ROW_OK, done, arg);
-	return answer(store, NULL, VERSION_GONE, ROW_OK, done, arg);
+		return respond(store, &row, VERSION_FIRST, ROW_OK, done, arg);
+	return respond(store, NULL, VERSION_REMOVED, ROW_OK, done, arg);
 }
 
 static bool
-played_feed(row_store_t *self, const char *table, uint64_t after,
+scripted_poll(row_store_t *self, const char *table, uint64_t after,
     int64_t wait_ms, int64_t timeout_ms, row_done_t done, void *arg)
 {
-	played_store_t *store = (played_store_t *)self;
-	row_t end = {.key = "e1", .version = VERSION_GONE, .deleted = true};
+	scripted_store_t *store = (scripted_store_t *)self;
+	row_t removal = {
+	    .key = "e1", .version = VERSION_REMOVED, .deleted = true};
 
 	(void)wait_ms;
 	(void)timeout_ms;
-	if (strcmp(table, "endpoints") != 0 || store->feeds > 0)
-		return answer(store, NULL, after, ROW_OK, done, arg);
-	if (store->refused) {
-		store->refused = false;
-		return answer(store, NULL, 0, ROW_REFUSED, done, arg);
+	if (strcmp(table, "endpoints") != 0 || store->polls > 0)
+		return respond(store, NULL, after, ROW_OK, done, arg);
+	if (store->refuse_once) {
+		store->refuse_once = false;
+		return respond(store, NULL, 0, ROW_REFUSED, done, arg);
 	}
-	store->feeds++;
-	if (store->whole_read)
-		return answer(store, NULL, 0, ROW_COMPACTED, done, arg);
-	return answer(store, &end, VERSION_GONE, ROW_OK, done, arg);
+	store->polls++;
+	if (store->compacted)
+		return respond(store, NULL, 0, ROW_COMPACTED, done, arg);
+	return respond(store, &removal, VERSION_REMOVED, ROW_OK, done, arg);
 }
 
 static bool
-played_write(row_store_t *self, const row_change_t *expected,
+scripted_write(row_store_t *self, const row_change_t *expected,
     size_t expected_len, const row_change_t *changes, size_t changes_len,
     int64_t timeout_ms, row_done_t done, void *arg)
 {
@@ -118,16 +121,16 @@
 	(void)changes;
 	(void)changes_len;
 	(void)timeout_ms;
-	return answer(
-	    (played_store_t *)self, NULL, VERSION_FIRST, ROW_OK, done, arg);
+	return respond(
+	    (scripted_store_t *)self, NULL, VERSION_FIRST, ROW_OK, done, arg);
 }
 
-static const row_store_ops_t played_ops = {
-    played_read, played_feed, played_write};
+static const row_store_ops_t scripted_ops = {
+    scripted_read, scripted_poll, scripted_write};
 
-/* The version with which the endpoint's end is passed on. */
+/* The version with which the endpoint's removal is published. */
 static uint64_t
-end_version(bool whole_read, bool refused)
+removal_version(bool compacted, bool refuse_once)
 {
 	static relay_node_t node;
 	static const caller_dialect_t callers;
@@ -136,23 +139,23 @@
 	struct timeval limit = {1, 0};
 	clock_source_t clock;
 	rng_t rng;
-	played_store_t store = {
-	    {.ops = &played_ops}, event_base_new(), whole_read, refused, 0, 0};
+	scripted_store_t store = {{.ops = &scripted_ops}, event_base_new(),
+	    compacted, refuse_once, 0, 0};
 	const relay_ports_t ports = {store.base, &clock, &rng, &store.store,
-	    &told_sources, &callers, &endpoints, &rollouts};
-	relay_node_settings_t settings = node_settings;
+	    &test_row_dialect, &callers, &endpoints, &rollouts};
+	relay_node_settings_t settings = test_node_settings;
 	const cached_row_t *row;
 	uint64_t version;
 	err_t err;
 
-	settings.endpoints_pause_ms = 20;
-	settings.config_wait_ms = 20;
+	settings.endpoints_poll_pause_ms = 20;
+	settings.operator_poll_wait_ms = 20;
 	clock_system_init(&clock);
 	rng_system_init(&rng);
 	assert_true(relay_node_init(&node, &ports, &settings, &err));
 	event_base_loopexit(store.base, &limit);
 	event_base_dispatch(store.base);
-	row = row_cache_find(&node.source.cache, ROW_TABLE_ENDPOINTS, "e1");
+	row = row_cache_find(&node.row_sync.cache, ROW_TABLE_ENDPOINTS, "e1");
 	assert_non_null(row);
 	assert_null(row->value);
 	version = row->version;
@@ -162,34 +165,34 @@
 }
 
 static void
-an_end_is_passed_on_as_new_as_it_is(void **state)
+a_removal_is_published_with_its_version(void **state)
 {
 	(void)state;
-	assert_int_equal(end_version(false, false), VERSION_GONE);
+	assert_int_equal(removal_version(false, false), VERSION_REMOVED);
 }
 
 static void
-a_missing_row_ended_by_the_time_of_the_read(void **state)
+a_missing_row_was_removed_by_the_time_of_the_read(void **state)
 {
 	(void)state;
-	assert_true(end_version(true, false) >= VERSION_GONE);
+	assert_true(removal_version(true, false) >= VERSION_REMOVED);
 }
 
-/* Only in an outage that is longer do entries of living endpoints go. */
+/* Only a longer outage removes entries of endpoints that are alive. */
 static void
-a_moment_without_the_store_is_no_outage(void **state)
+a_short_loss_of_the_store_is_no_outage(void **state)
 {
 	(void)state;
-	assert_int_equal(end_version(false, true), VERSION_GONE);
+	assert_int_equal(removal_version(false, true), VERSION_REMOVED);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(an_end_is_passed_on_as_new_as_it_is),
-	    cmocka_unit_test(a_moment_without_the_store_is_no_outage),
-	    cmocka_unit_test(a_missing_row_ended_by_the_time_of_the_read),
+	    cmocka_unit_test(a_removal_is_published_with_its_version),
+	    cmocka_unit_test(a_short_loss_of_the_store_is_no_outage),
+	    cmocka_unit_test(a_missing_row_was_removed_by_the_time_of_the_read),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
