--- a/include/moortack/replication/feed_wire.h
+++ b/include/moortack/replication/feed_wire.h
@@ -32,7 +32,7 @@
 	feed_position_t position;  /**< of the requester */
 	json_t *report;		   /**< of the requester; may be NULL */
 	json_t *subtree;     /**< daemons that the requester heard from; see
-				membership_below(); may be NULL */
+				membership_subtree(); may be NULL */
 	json_t *row_request; /**< row that the requester wants to have in the
 				store; may be NULL */
 } feed_request_t;
--- a/moortack/relay/caller_targets.c
+++ b/moortack/relay/caller_targets.c
@@ -60,7 +60,7 @@
 
 	for (const member_t *one = members->members; one != NULL;
 	     one = one->hh.next) {
-		if (!membership_named(members, one) ||
+		if (!member_is_available(members, one) ||
 		    !region_matches(filter, one->zone))
 			continue;
 		target = (caller_target_t){one->name, one->zone,
@@ -77,6 +77,6 @@
 
 	for (const member_t *one = members->members; one != NULL;
 	     one = one->hh.next)
-		count += membership_named(members, one);
+		count += member_is_available(members, one);
 	return count;
 }
--- a/moortack/relay/gossip.c
+++ b/moortack/relay/gossip.c
@@ -200,7 +200,7 @@
 gossip_tick(gossip_t *self)
 {
 	const member_t *peers[GOSSIP_PEERS_MAX];
-	uint32_t daemons = membership_count(self->members);
+	uint32_t daemons = membership_alive_count(self->members);
 	bool enabled = self->fd >= 0 && self->has_key;
 	size_t count;
 
@@ -211,7 +211,7 @@
 	self->peers_len = 0;
 	for (size_t i = 0; i < count; i++) {
 		if (address_parse(
-			peers[i]->peer, &self->peers[self->peers_len]))
+			peers[i]->peer_address, &self->peers[self->peers_len]))
 			self->peers_len++;
 	}
 	self->unheard_share =
@@ -226,7 +226,7 @@
 	const member_t *owner =
 	    endpoint_owner_find(self->members, zone, endpoint);
 
-	return owner != NULL && address_parse(owner->peer, out);
+	return owner != NULL && address_parse(owner->peer_address, out);
 }
 
 static void
@@ -292,7 +292,7 @@
 	for (const member_t *member = self->members->members; member != NULL;
 	     member = member->hh.next) {
 		if (gossip_peer_available(self->members, member) &&
-		    address_parse(member->peer, &to))
+		    address_parse(member->peer_address, &to))
 			datagram_send(self, &to, bytes, len);
 	}
 }
--- a/moortack/relay/gossip_peers.c
+++ b/moortack/relay/gossip_peers.c
@@ -3,7 +3,8 @@
 bool
 gossip_peer_available(const membership_t *members, const member_t *member)
 {
-	return member->peer[0] != '\0' && membership_named(members, member);
+	return member->peer_address[0] != '\0' &&
+	    member_is_available(members, member);
 }
 
 size_t
--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -24,7 +24,7 @@
 value_encode(const relay_quarantine_t *self, const suspect_t *suspect)
 {
 	int64_t at_ms = timespec_ms(suspect->last_crash_at) +
-	    self->relay->members->store_offset_ms;
+	    self->relay->members->store_clock_offset_ms;
 	json_t *crashes = json_array();
 	json_t *body;
 	char *text;
@@ -48,7 +48,7 @@
 	bool done = reply->result == ROW_OK;
 
 	self->write_pending = false;
-	self->relay->members->written |= done;
+	self->relay->members->read_back_pending |= done;
 	if (!done)
 		self->write_after = timespec_after_ms(
 		    clock_elapsed(self->relay->clock), WRITE_RETRY_MS);
@@ -101,7 +101,7 @@
 		if (values[len] == NULL)
 			break;
 		key_format(keys[len], suspect->digest);
-		expected[len] = (row_change_t){.table = MEMBER_TABLE,
+		expected[len] = (row_change_t){.table = SYSTEM_TABLE,
 		    .key = keys[len],
 		    .expected = suspect->stored_version};
 		changes[len] = expected[len];
@@ -120,10 +120,10 @@
 quarantine_row_remove(relay_quarantine_t *self, const suspect_t *suspect)
 {
 	char key[KEY_SIZE];
-	row_change_t expected = {.table = MEMBER_TABLE,
+	row_change_t expected = {.table = SYSTEM_TABLE,
 	    .key = key,
 	    .expected = suspect->stored_version};
-	row_change_t change = {.table = MEMBER_TABLE, .key = key};
+	row_change_t change = {.table = SYSTEM_TABLE, .key = key};
 
 	if (suspect->stored_version == 0 || !write_possible(self))
 		return;
@@ -170,7 +170,7 @@
 
 	if (members->store_clock_known)
 		age_ms = timespec_ms(clock_elapsed(self->relay->clock)) +
-		    members->store_offset_ms -
+		    members->store_clock_offset_ms -
 		    json_integer_value(json_object_get(body, "crashed_ms"));
 	self->source = "store";
 	return quarantine_merge(&self->table, digest, crashes, len,
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -67,7 +67,7 @@
 	row_watch_t *own = &node->source.watches[ROW_TABLE_SYSTEM].watch;
 
 	own->timing.pause_ms = active ? OWN_PAUSE_BUSY_MS : OWN_PAUSE_MS;
-	if (!node->members.view.settled)
+	if (!node->members.liveness.authoritative)
 		own->timing.pause_ms = OWN_PAUSE_DOUBT_MS;
 	if (!node->source.has_key)
 		own->timing.pause_ms = OWN_PAUSE_KEY_MS;
@@ -76,8 +76,8 @@
 	node->reported = now;
 	if (active && !own->suspended)
 		row_watch_poll_now(own);
-	if (node->members.alone && (active || node->members.report != NULL))
-		membership_report(
+	if (node->members.isolated && (active || node->members.report != NULL))
+		membership_set_report(
 		    &node->members, rollouts_report(&node->rollouts));
 }
 
@@ -95,7 +95,7 @@
 	snprintf(key, sizeof(key), "%s%s", ROLLOUT_SESSIONS_PREFIX,
 	    node->settings.name);
 	row.value_len = strlen(text);
-	row.version = (uint64_t)(node->members.store_offset_ms +
+	row.version = (uint64_t)(node->members.store_clock_offset_ms +
 	    timespec_ms(clock_elapsed(node->ports.clock)));
 	row_sync_put(&node->source, ROW_TABLE_SYSTEM, &row);
 	free(text);
@@ -167,13 +167,13 @@
 
 	row_sync_tick(&node->source);
 	following = node->source.following;
-	if (membership_step(&node->members, following))
+	if (membership_tick(&node->members, following))
 		feed_server_respond_all(&node->source.server);
 	/* What was written is told to others once it is read back. */
-	if (node->members.written && !following)
+	if (node->members.read_back_pending && !following)
 		row_watch_poll_now(
 		    &node->source.watches[ROW_TABLE_SYSTEM].watch);
-	node->members.written = false;
+	node->members.read_back_pending = false;
 	if (following)
 		relay_rows_lapses_drop(node);
 }
@@ -191,7 +191,7 @@
 		http_inbound_refuse(node->relay.server);
 	if (part < LEAVE_MAX_PART &&
 	    (part < LEAVE_LISTEN_PART || node->relay.under_way > 0 ||
-		node->members.writing))
+		node->members.write_pending))
 		return;
 	event_line(&node->log, "stop", "under_way=%u part=%.2f",
 	    node->relay.under_way, part);
@@ -253,7 +253,7 @@
 		return sources->endpoint_same(a, a_len, b, b_len);
 	if (table == ROW_TABLE_SYSTEM &&
 	    strncmp(key, MEMBER_PREFIX, strlen(MEMBER_PREFIX)) == 0)
-		return membership_same(a, a_len, b, b_len);
+		return member_row_unchanged(a, a_len, b, b_len);
 	/* An order that is given again with the same words is another one. */
 	return table != ROW_TABLE_OPERATOR && a_len == b_len &&
 	    memcmp(a, b, a_len) == 0;
@@ -267,7 +267,7 @@
 
 	node->source = (row_sync_t){
 	    .settings = {.tables = {ports->sources->orders_table,
-			     ports->sources->endpoints_table, MEMBER_TABLE},
+			     ports->sources->endpoints_table, SYSTEM_TABLE},
 		.timings = {{settings->config_wait_ms, CONFIG_PAUSE_MS,
 				STORE_RETRY_MS, STORE_RETRY_MOST_MS,
 				ORDERS_TIMEOUT_MS},
@@ -292,15 +292,16 @@
 	return row_sync_init(&node->source, &relay_rows_ops, node);
 }
 
-static life_bounds_t
-life_bounds(const relay_node_settings_t *settings)
+static liveness_timeouts_t
+liveness_timeouts(const relay_node_settings_t *settings)
 {
 	double named_ms = (double)settings->off_named_ms;
 
-	return (life_bounds_t){.silent_ms = (int64_t)(named_ms * SILENT_PART),
-	    .vouch_ms = (int64_t)(named_ms * VOUCH_PART),
-	    .grant_ms = (int64_t)(named_ms * GRANT_PART),
-	    .lone_ms = LONE_MS};
+	return (liveness_timeouts_t){
+	    .silence_timeout_ms = (int64_t)(named_ms * SILENT_PART),
+	    .summary_ttl_ms = (int64_t)(named_ms * VOUCH_PART),
+	    .grace_ms = (int64_t)(named_ms * GRANT_PART),
+	    .authority_timeout_ms = LONE_MS};
 }
 
 static bool
@@ -318,15 +319,15 @@
 parts_init(relay_node_t *node, err_t *err)
 {
 	const relay_ports_t *ports = &node->ports;
-	membership_settings_t member = {.beat_alone_ms = BEAT_ALONE_MS,
+	membership_settings_t member = {.row_heartbeat_ms = BEAT_ALONE_MS,
 	    .strength = node->settings.strength,
-	    .life = life_bounds(&node->settings)};
+	    .liveness = liveness_timeouts(&node->settings)};
 	const row_watch_t *orders =
 	    row_sync_watch(&node->source, ROW_TABLE_OPERATOR);
 
 	snprintf(member.name, sizeof(member.name), "%s", node->settings.name);
 	snprintf(member.zone, sizeof(member.zone), "%s", node->settings.zone);
-	strcpy(member.peer, node->settings.peer);
+	strcpy(member.peer_address, node->settings.peer);
 	endpoint_set_init(&node->endpoints, ports->clock);
 	if (!zone_regions_set(node, &node->settings))
 		return err_set(
@@ -422,8 +423,8 @@
 	node->source.settings.max_age_ms[ROW_TABLE_ENDPOINTS] =
 	    settings->endpoints_old_ms;
 	node->settings.off_named_ms = settings->off_named_ms;
-	node->members.settings.life = life_bounds(settings);
-	node->members.view.bounds = node->members.settings.life;
+	node->members.settings.liveness = liveness_timeouts(settings);
+	node->members.liveness.timeouts = node->members.settings.liveness;
 	node->relay.bounds = settings->bounds;
 	zone_regions_set(node, settings);
 	node->source.watches[ROW_TABLE_ENDPOINTS].watch.timing.pause_ms =
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -118,11 +118,11 @@
 static bool
 names_member(const row_t *row, err_t *err)
 {
-	member_facts_t facts;
+	member_record_t facts;
 	bool good = member_row_decode(row, &facts, err) &&
-	    member_facts_check(&facts, err);
+	    member_record_check_addresses(&facts, err);
 
-	member_facts_finish(&facts);
+	member_record_finish(&facts);
 	return good;
 }
 
@@ -140,7 +140,7 @@
 		    .key = row->key, .version = row->version, .deleted = true};
 	}
 	row_sync_put(&node->source, ROW_TABLE_SYSTEM, &taken);
-	membership_row(&node->members, &taken);
+	membership_apply_row(&node->members, &taken);
 }
 
 static void
@@ -252,10 +252,10 @@
 	if (table != ROW_TABLE_SYSTEM)
 		return;
 	if (!node->members_read)
-		membership_rows_read(&node->members);
+		membership_set_rows_read(&node->members);
 	relay_warmup_tick(&node->relay, !node->members_read);
 	node->members_read = true;
-	daemons = membership_count(&node->members);
+	daemons = membership_alive_count(&node->members);
 	/* Bounds that daemons share are cut by the most ever seen: too many
 	 * costs little, too few breaks them. */
 	if (daemons > node->relay.daemons_most)
@@ -287,7 +287,7 @@
 {
 	relay_node_t *node = arg;
 
-	membership_store_clock(&node->members, now_ms);
+	membership_set_store_clock(&node->members, now_ms);
 	rollouts_set_store_clock(&node->rollouts, now_ms);
 }
 
--- a/moortack/relay/relay_warmup.c
+++ b/moortack/relay/relay_warmup.c
@@ -22,7 +22,7 @@
 	    !members->store_clock_known || members_stale(relay))
 		return -1;
 	return timespec_ms(clock_elapsed(relay->clock)) +
-	    members->store_offset_ms;
+	    members->store_clock_offset_ms;
 }
 
 static void
@@ -179,5 +179,5 @@
 		    &relay->warmup_daemons, member->name, now);
 	warmup_daemons_expire(&relay->warmup_daemons, now);
 	warmup_daemons_update_own(&relay->warmup_daemons,
-	    relay->members->stored.body != NULL, first_read, now);
+	    relay->members->stored_record.body != NULL, first_read, now);
 }
--- a/moortack/relay/rollout_report.c
+++ b/moortack/relay/rollout_report.c
@@ -65,7 +65,7 @@
 		size_t i;
 		json_t *row;
 
-		if (!membership_alive(members, member))
+		if (!member_is_alive(members, member))
 			continue;
 		json_array_foreach(rows, i, row)
 		{
@@ -137,7 +137,7 @@
 		const json_t *report = member_rollout_report(
 		    member, rollout->order.service, rollout->order.number);
 
-		if (!membership_alive(members, member))
+		if (!member_is_alive(members, member))
 			continue;
 		if (json_number_value(json_object_get(report, "share")) < 1.0 ||
 		    json_integer_value(json_object_get(report, "old")) > 0)
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -374,7 +374,7 @@
 	char key[sizeof(ROLLOUT_PREFIX) + ENDPOINT_NAME_SIZE];
 	char *status_table = NULL, *status_key = NULL, *status = NULL;
 	char *value = rollout_state_encode(rollout, state);
-	row_change_t expected = {.table = MEMBER_TABLE,
+	row_change_t expected = {.table = SYSTEM_TABLE,
 	    .key = key,
 	    .expected = rollout->stored_version};
 	row_change_t changes[2];
@@ -385,7 +385,7 @@
 	    self->status_encoder->encode(
 		&rollout->order, state, &status_table, &status_key, &status)) {
 		changes[0] = (row_change_t){
-		    .table = MEMBER_TABLE, .key = key, .value = value};
+		    .table = SYSTEM_TABLE, .key = key, .value = value};
 		changes[1] = (row_change_t){
 		    .table = status_table, .key = status_key, .value = status};
 		rollout->write_state = state;
--- a/moortack/replication/member_life.c
+++ b/moortack/replication/member_life.c
@@ -31,104 +31,109 @@
 }
 
 static void
-begin(life_view_t *view, struct timespec now)
+begin(liveness_view_t *view, struct timespec now)
 {
-	view->began = now;
-	view->asked_since = (struct timespec){0};
+	view->observing_since = now;
+	view->requests_since = (struct timespec){0};
 }
 
 static void
-hold(life_view_t *view, struct timespec now, bool held)
+hold(liveness_view_t *view, struct timespec now, bool held)
 {
-	if (held && !view->held)
-		view->held_at = now;
-	if (!held && view->held) {
+	if (held && !view->frozen)
+		view->frozen_at = now;
+	if (!held && view->frozen) {
 		begin(view, now);
 		if (!view->following)
-			life_view_grant(view, now);
+			liveness_view_start_grace(view, now);
 	}
-	view->held = held;
+	view->frozen = held;
 }
 
 /* Whether all had the time to ask this daemon, and it knows who they are: one
  * that has read no rows knows of nobody that is silent. */
 static bool
-is_settled(
-    const life_view_t *view, struct timespec now, const life_step_t *step)
+is_settled(const liveness_view_t *view, struct timespec now,
+    const liveness_inputs_t *step)
 {
-	if (view->following || view->held || !step->all_known)
+	if (view->following || view->frozen || !step->rows_read)
 		return false;
-	if (is_set(view->asked_since) &&
-	    within(view->asked, now, view->bounds.silent_ms) &&
-	    (view->settled || step->all_fresh ||
-		!within(view->asked_since, now, SETTLE_MS)))
+	if (is_set(view->requests_since) &&
+	    within(view->last_request_at, now,
+		view->timeouts.silence_timeout_ms) &&
+	    (view->authoritative || step->all_fresh ||
+		!within(view->requests_since, now, SETTLE_MS)))
 		return true;
-	return !within(view->began, now, view->bounds.lone_ms);
+	return !within(
+	    view->observing_since, now, view->timeouts.authority_timeout_ms);
 }
 
 void
-life_view_step(life_view_t *view, struct timespec now, const life_step_t *step)
+liveness_view_update(
+    liveness_view_t *view, struct timespec now, const liveness_inputs_t *step)
 {
-	if (!within(view->stepped, now, STALL_MS) ||
+	if (!within(view->updated_at, now, STALL_MS) ||
 	    view->following != step->following)
 		begin(view, now);
-	view->stepped = now;
+	view->updated_at = now;
 	view->following = step->following;
-	hold(view, now, step->held);
-	view->settled = is_settled(view, now, step);
-	if (view->settled)
-		view->vouched = now;
+	hold(view, now, step->frozen);
+	view->authoritative = is_settled(view, now, step);
+	if (view->authoritative)
+		view->summary_at = now;
 }
 
 void
-life_view_grant(life_view_t *view, struct timespec now)
+liveness_view_start_grace(liveness_view_t *view, struct timespec now)
 {
-	view->granted = now;
+	view->grace_started_at = now;
 }
 
 void
-life_view_asked(life_view_t *view, struct timespec now)
+liveness_view_record_request(liveness_view_t *view, struct timespec now)
 {
-	if (!is_set(view->asked_since) ||
-	    !within(view->asked, now, view->bounds.silent_ms))
-		view->asked_since = now;
-	view->asked = now;
+	if (!is_set(view->requests_since) ||
+	    !within(
+		view->last_request_at, now, view->timeouts.silence_timeout_ms))
+		view->requests_since = now;
+	view->last_request_at = now;
 }
 
 bool
-life_view_asked_within(const life_view_t *view, struct timespec now, int64_t ms)
+liveness_view_requested_within(
+    const liveness_view_t *view, struct timespec now, int64_t ms)
 {
-	return within(view->asked, now, ms);
+	return within(view->last_request_at, now, ms);
 }
 
 bool
-life_view_take(life_view_t *view, struct timespec at)
+liveness_view_apply_summary(liveness_view_t *view, struct timespec at)
 {
-	if (!later(at, view->vouched))
+	if (!later(at, view->summary_at))
 		return false;
-	view->vouched = at;
+	view->summary_at = at;
 	return true;
 }
 
 void
-life_seen(member_life_t *life, struct timespec at)
+liveness_record_heartbeat(member_liveness_t *life, struct timespec at)
 {
-	if (later(at, life->seen))
-		life->seen = at;
+	if (later(at, life->last_seen_at))
+		life->last_seen_at = at;
 }
 
 bool
-life_heard(member_life_t *life, struct timespec at)
+liveness_record_request(member_liveness_t *life, struct timespec at)
 {
-	life_seen(life, at);
-	if (!later(at, life->heard))
+	liveness_record_heartbeat(life, at);
+	if (!later(at, life->last_request_at))
 		return false;
-	life->heard = at;
+	life->last_request_at = at;
 	return true;
 }
 
 bool
-life_set_silent(member_life_t *life, bool silent, struct timespec now)
+liveness_set_silent(member_liveness_t *life, bool silent, struct timespec now)
 {
 	if (life->silent == silent)
 		return false;
@@ -138,54 +143,56 @@
 }
 
 void
-life_no_answer(member_life_t *life, struct timespec now)
+liveness_record_no_response(member_liveness_t *life, struct timespec now)
 {
-	life->unanswered = now;
-	life_set_silent(life, true, now);
+	life->no_response_at = now;
+	liveness_set_silent(life, true, now);
 }
 
 /* While nothing is heard at all, the moment at which that began. */
 static struct timespec
-now_of(const life_view_t *view, struct timespec now)
+now_of(const liveness_view_t *view, struct timespec now)
 {
-	return view->held ? view->held_at : now;
+	return view->frozen ? view->frozen_at : now;
 }
 
 bool
-life_fresh(
-    const life_view_t *view, const member_life_t *life, struct timespec now)
+liveness_is_fresh(const liveness_view_t *view, const member_liveness_t *life,
+    struct timespec now)
 {
-	return later(life->seen, life->unanswered) &&
-	    within(life->seen, now_of(view, now), view->bounds.silent_ms);
+	return later(life->last_seen_at, life->no_response_at) &&
+	    within(life->last_seen_at, now_of(view, now),
+		view->timeouts.silence_timeout_ms);
 }
 
 bool
-life_named(
-    const life_view_t *view, const member_life_t *life, struct timespec now)
+liveness_is_available(const liveness_view_t *view,
+    const member_liveness_t *life, struct timespec now)
 {
 	struct timespec then = now_of(view, now);
 
-	if (life_fresh(view, life, now))
+	if (liveness_is_fresh(view, life, now))
 		return true;
 	return !life->silent &&
-	    (within(view->vouched, then, view->bounds.vouch_ms) ||
-		within(view->granted, then, view->bounds.grant_ms));
+	    (within(view->summary_at, then, view->timeouts.summary_ttl_ms) ||
+		within(view->grace_started_at, then, view->timeouts.grace_ms));
 }
 
 bool
-life_answers(
-    const life_view_t *view, const member_life_t *life, struct timespec now)
+liveness_is_responsive(const liveness_view_t *view,
+    const member_liveness_t *life, struct timespec now)
 {
-	return !life->silent || life_fresh(view, life, now);
+	return !life->silent || liveness_is_fresh(view, life, now);
 }
 
 bool
-life_gone(
-    const life_view_t *view, const member_life_t *life, struct timespec now)
+liveness_is_down(const liveness_view_t *view, const member_liveness_t *life,
+    struct timespec now)
 {
 	/* Nor is anybody gone at once for who could hear nothing until just
 	 * now: a row that is cleared by mistake makes two that read the store
 	 * miss each other for seconds. */
 	return life->silent && !within(life->silent_since, now, GONE_MS) &&
-	    !within(view->began, now, GONE_MS) && !life_fresh(view, life, now);
+	    !within(view->observing_since, now, GONE_MS) &&
+	    !liveness_is_fresh(view, life, now);
 }
--- a/moortack/replication/member_row.c
+++ b/moortack/replication/member_row.c
@@ -35,12 +35,12 @@
 }
 
 static bool
-facts_take(const json_t *body, member_facts_t *facts, err_t *err)
+facts_take(const json_t *body, member_record_t *facts, err_t *err)
 {
 	const json_t *strength = json_object_get(body, "strength");
 
 	if (!text_take(body, "place", facts->zone, err) ||
-	    !text_take(body, "peer", facts->peer, err))
+	    !text_take(body, "peer", facts->peer_address, err))
 		return false;
 	facts->strength = json_number_value(strength);
 	if (!json_is_number(strength) || facts->strength < 0 ||
@@ -51,38 +51,39 @@
 		&facts->state))
 		return err_set(
 		    err, ERR_BAD_REQUEST, "state is missing or unknown");
-	facts->at_ms = json_integer_value(json_object_get(body, "at_ms"));
-	if (facts->at_ms < 0)
+	facts->written_at_ms =
+	    json_integer_value(json_object_get(body, "at_ms"));
+	if (facts->written_at_ms < 0)
 		return err_set(err, ERR_BAD_REQUEST, "at_ms is negative");
 	facts->report = json_object_get(body, "report");
 	return true;
 }
 
 bool
-member_facts_read(
-    const char *name, json_t *body, member_facts_t *facts, err_t *err)
+member_record_decode(
+    const char *name, json_t *body, member_record_t *facts, err_t *err)
 {
-	*facts = (member_facts_t){.body = body};
+	*facts = (member_record_t){.body = body};
 	if (name[0] == '\0' || strlen(name) >= sizeof(facts->name)) {
-		member_facts_finish(facts);
+		member_record_finish(facts);
 		return err_set(err, ERR_NAME, "the name is empty or too long");
 	}
 	strcpy(facts->name, name);
 	if (!json_is_object(body)) {
-		member_facts_finish(facts);
+		member_record_finish(facts);
 		return err_set(
 		    err, ERR_UNREADABLE, "the row is no JSON object");
 	}
 	if (facts_take(body, facts, err))
 		return true;
-	member_facts_finish(facts);
+	member_record_finish(facts);
 	return false;
 }
 
 bool
-member_row_decode(const row_t *row, member_facts_t *facts, err_t *err)
+member_row_decode(const row_t *row, member_record_t *facts, err_t *err)
 {
-	return member_facts_read(row->key + strlen(MEMBER_PREFIX),
+	return member_record_decode(row->key + strlen(MEMBER_PREFIX),
 	    json_loadb(row->value, row->value_len, 0, NULL), facts, err);
 }
 
@@ -96,17 +97,17 @@
 }
 
 bool
-member_facts_check(const member_facts_t *facts, err_t *err)
+member_record_check_addresses(const member_record_t *facts, err_t *err)
 {
 	if (!is_address(facts->name))
 		return err_set(err, ERR_NAME, "the name is no IP:PORT");
-	if (facts->peer[0] != '\0' && !is_address(facts->peer))
+	if (facts->peer_address[0] != '\0' && !is_address(facts->peer_address))
 		return err_set(err, ERR_BAD_REQUEST, "peer is no IP:PORT");
 	return true;
 }
 
 void
-member_facts_finish(member_facts_t *facts)
+member_record_finish(member_record_t *facts)
 {
 	json_decref(facts->body);
 	facts->body = NULL;
--- a/moortack/replication/member_row_requests.c
+++ b/moortack/replication/member_row_requests.c
@@ -37,33 +37,36 @@
 own_row(membership_t *self)
 {
 	json_t *row = json_pack("{s:s, s:s, s:s, s:f, s:I, s:I}", "place",
-	    self->settings.zone, "peer", self->settings.peer, "state",
+	    self->settings.zone, "peer", self->settings.peer_address, "state",
 	    member_state_names[self->state], "strength",
-	    self->settings.strength, "beat", (json_int_t)++self->beat, "at_ms",
+	    self->settings.strength, "beat",
+	    (json_int_t)++self->heartbeat_sequence, "at_ms",
 	    (json_int_t)member_store_now_ms(self));
 
-	if (row != NULL && self->report != NULL && self->alone)
+	if (row != NULL && self->report != NULL && self->isolated)
 		json_object_set(row, "report", self->report);
 	return row;
 }
 
 /* Whether two rows agree in everything but their time and their report. */
 static bool
-facts_same(const member_facts_t *a, const member_facts_t *b)
+facts_same(const member_record_t *a, const member_record_t *b)
 {
 	return a->state == b->state && a->strength == b->strength &&
-	    strcmp(a->zone, b->zone) == 0 && strcmp(a->peer, b->peer) == 0;
+	    strcmp(a->zone, b->zone) == 0 &&
+	    strcmp(a->peer_address, b->peer_address) == 0;
 }
 
 static bool
 own_row_stored(const membership_t *self)
 {
-	member_facts_t wanted = {
+	member_record_t wanted = {
 	    .state = self->state, .strength = self->settings.strength};
 
 	strcpy(wanted.zone, self->settings.zone);
-	strcpy(wanted.peer, self->settings.peer);
-	return self->stored.body != NULL && facts_same(&wanted, &self->stored);
+	strcpy(wanted.peer_address, self->settings.peer_address);
+	return self->stored_record.body != NULL &&
+	    facts_same(&wanted, &self->stored_record);
 }
 
 /* A starting daemon needs no row: the one of its last run is still stored, or
@@ -83,21 +86,21 @@
 wanted_note(membership_t *self, struct timespec now)
 {
 	if (!own_row_wanted(self))
-		self->wanted = (struct timespec){0};
-	else if (!is_set(self->wanted))
-		self->wanted = now;
+		self->row_wanted_since = (struct timespec){0};
+	else if (!is_set(self->row_wanted_since))
+		self->row_wanted_since = now;
 }
 
 json_t *
-membership_row_request(membership_t *self)
+membership_own_row_request(membership_t *self)
 {
-	return is_set(self->wanted) ? own_row(self) : NULL;
+	return is_set(self->row_wanted_since) ? own_row(self) : NULL;
 }
 
 static void
 row_request_free(membership_t *self, member_row_request_t *request)
 {
-	HASH_DEL(self->requests, request);
+	HASH_DEL(self->row_requests, request);
 	json_decref(request->row);
 	free(request);
 }
@@ -107,7 +110,7 @@
 {
 	member_row_request_t *request, *next;
 
-	HASH_ITER(hh, self->requests, request, next)
+	HASH_ITER(hh, self->row_requests, request, next)
 	row_request_free(self, request);
 }
 
@@ -116,14 +119,14 @@
 {
 	member_row_request_t *request;
 
-	HASH_FIND_STR(self->requests, name, request);
+	HASH_FIND_STR(self->row_requests, name, request);
 	if (request != NULL)
 		return request;
 	request = calloc(1, sizeof(*request));
 	if (request == NULL)
 		return NULL;
 	strcpy(request->name, name);
-	HASH_ADD_STR(self->requests, name, request);
+	HASH_ADD_STR(self->row_requests, name, request);
 	return request;
 }
 
@@ -138,24 +141,24 @@
 }
 
 void
-membership_row_requested(
+membership_add_row_request(
     membership_t *self, const char *name, const json_t *row)
 {
-	member_facts_t facts;
+	member_record_t facts;
 	member_row_request_t *request;
 
 	if (row == NULL ||
-	    !member_facts_read(
+	    !member_record_decode(
 		name, json_incref((json_t *)(uintptr_t)row), &facts, NULL))
 		return;
 	request = request_of(self, name);
-	if (request != NULL && facts.at_ms > request->at_ms) {
+	if (request != NULL && facts.written_at_ms > request->requested_at_ms) {
 		json_decref(request->row);
 		request->row = json_incref(facts.body);
-		request->at_ms = facts.at_ms;
-		request->at = wanted_at(self, facts.at_ms);
+		request->requested_at_ms = facts.written_at_ms;
+		request->requested_at = wanted_at(self, facts.written_at_ms);
 	}
-	member_facts_finish(&facts);
+	member_record_finish(&facts);
 }
 
 /* Whether the stored row, as last read, is the one that is wanted. */
@@ -163,20 +166,20 @@
 request_stored(const membership_t *self, const member_row_request_t *request)
 {
 	const member_t *member;
-	member_facts_t wanted, known;
+	member_record_t wanted, known;
 	bool same;
 
 	HASH_FIND_STR(self->members, request->name, member);
 	if (member == NULL ||
-	    !member_facts_read(
+	    !member_record_decode(
 		request->name, json_incref(request->row), &wanted, NULL))
 		return false;
-	known = (member_facts_t){
+	known = (member_record_t){
 	    .state = member->state, .strength = member->strength};
 	strcpy(known.zone, member->zone);
-	strcpy(known.peer, member->peer);
+	strcpy(known.peer_address, member->peer_address);
 	same = facts_same(&wanted, &known);
-	member_facts_finish(&wanted);
+	member_record_finish(&wanted);
 	return same;
 }
 
@@ -186,11 +189,11 @@
 {
 	member_row_request_t *request, *next;
 
-	HASH_ITER(hh, self->requests, request, next)
+	HASH_ITER(hh, self->row_requests, request, next)
 	{
 		if (request_stored(self, request) ||
-		    timespec_ms_between(request->at, now) >=
-			self->settings.life.silent_ms)
+		    timespec_ms_between(request->requested_at, now) >=
+			self->settings.liveness.silence_timeout_ms)
 			row_request_free(self, request);
 	}
 }
@@ -206,7 +209,7 @@
 	snprintf(key, sizeof(batch->keys[0]), "%s%s", MEMBER_PREFIX, name);
 	batch->values[batch->len] = value;
 	batch->changes[batch->len++] =
-	    (row_change_t){.table = MEMBER_TABLE, .key = key, .value = value};
+	    (row_change_t){.table = SYSTEM_TABLE, .key = key, .value = value};
 }
 
 static void
@@ -223,7 +226,7 @@
 {
 	membership_t *self = arg;
 
-	self->writing = false;
+	self->write_pending = false;
 	if (reply->result == ROW_OK)
 		self->retry_ms = 0;
 	else
@@ -231,17 +234,17 @@
 		    self->retry_ms == 0 ? RETRY_MS : 2 * self->retry_ms;
 	if (self->retry_ms > RETRY_MOST_MS)
 		self->retry_ms = RETRY_MOST_MS;
-	self->write_at = timespec_after_ms(clock_elapsed(self->clock),
+	self->next_write_at = timespec_after_ms(clock_elapsed(self->clock),
 	    self->retry_ms > 0 ? self->retry_ms : RETRY_MS);
-	self->written = true;
+	self->read_back_pending = true;
 }
 
 static void
 batch_write(membership_t *self, row_batch_t *batch)
 {
 	if (batch->len > 0)
-		self->writing = row_store_write(self->store, ROW_PURPOSE_MEMBER,
-		    NULL, 0, batch->changes, batch->len,
+		self->write_pending = row_store_write(self->store,
+		    ROW_PURPOSE_MEMBER, NULL, 0, batch->changes, batch->len,
 		    MEMBER_WRITE_TIMEOUT_MS, write_done, self);
 	for (size_t i = 0; i < batch->len; i++)
 		free(batch->values[i]);
@@ -252,12 +255,12 @@
 static bool
 tells_by_row(const membership_t *self, struct timespec now)
 {
-	return self->alone && self->rows_read &&
+	return self->isolated && self->rows_read &&
 	    self->state != MEMBER_STARTING &&
-	    timespec_ms_between(self->alone_since, now) >= ALONE_MS &&
-	    (!is_set(self->told_at) ||
-		timespec_ms_between(self->told_at, now) >=
-		    self->settings.beat_alone_ms);
+	    timespec_ms_between(self->isolated_since, now) >= ALONE_MS &&
+	    (!is_set(self->row_heartbeat_at) ||
+		timespec_ms_between(self->row_heartbeat_at, now) >=
+		    self->settings.row_heartbeat_ms);
 }
 
 static bool
@@ -265,27 +268,27 @@
 {
 	if (tells_by_row(self, now))
 		return true;
-	return is_set(self->wanted) &&
-	    (!self->view.following ||
-		timespec_ms_between(self->wanted, now) >= WANTED_MS);
+	return is_set(self->row_wanted_since) &&
+	    (!self->liveness.following ||
+		timespec_ms_between(self->row_wanted_since, now) >= WANTED_MS);
 }
 
 void
-member_rows_step(membership_t *self, struct timespec now)
+member_rows_tick(membership_t *self, struct timespec now)
 {
 	row_batch_t batch = {.len = 0};
 
 	wanted_note(self, now);
 	requests_trim(self, now);
-	if (self->writing || self->view.held ||
-	    timespec_ms_between(self->write_at, now) < 0)
+	if (self->write_pending || self->liveness.frozen ||
+	    timespec_ms_between(self->next_write_at, now) < 0)
 		return;
 	if (own_due(self, now)) {
 		own_add(self, &batch);
-		self->told_at = now;
+		self->row_heartbeat_at = now;
 	}
-	for (const member_row_request_t *request = self->requests;
-	     request != NULL && !self->view.following &&
+	for (const member_row_request_t *request = self->row_requests;
+	     request != NULL && !self->liveness.following &&
 	     batch.len < BATCH_ROWS_MAX;
 	     request = request->hh.next)
 		batch_add(&batch, request->name, request->row);
--- a/moortack/replication/member_tree.c
+++ b/moortack/replication/member_tree.c
@@ -11,17 +11,18 @@
 static bool
 may_ask(const membership_t *self, const member_t *member)
 {
-	return member->state != MEMBER_LEAVING && member->peer[0] != '\0' &&
-	    timespec_ms_between(clock_elapsed(self->clock), member->shunned) <=
-	    0;
+	return member->state != MEMBER_LEAVING &&
+	    member->peer_address[0] != '\0' &&
+	    timespec_ms_between(
+		clock_elapsed(self->clock), member->backoff_until) <= 0;
 }
 
 static bool
 may_follow(const membership_t *self, const member_t *member)
 {
 	return may_ask(self, member) &&
-	    life_answers(
-		&self->view, &member->life, clock_elapsed(self->clock));
+	    liveness_is_responsive(
+		&self->liveness, &member->liveness, clock_elapsed(self->clock));
 }
 
 /* Whether the member stands before this daemon; before one that leaves, all do.
@@ -29,7 +30,8 @@
 static bool
 stands_before(const membership_t *self, const member_t *member)
 {
-	return member->order < self->order || self->state == MEMBER_LEAVING;
+	return member->sort_key < self->sort_key ||
+	    self->state == MEMBER_LEAVING;
 }
 
 static int
@@ -38,8 +40,8 @@
 	const member_t *const *one = a;
 	const member_t *const *two = b;
 
-	return ((*one)->order > (*two)->order) -
-	    ((*one)->order < (*two)->order);
+	return ((*one)->sort_key > (*two)->sort_key) -
+	    ((*one)->sort_key < (*two)->sort_key);
 }
 
 static bool
@@ -47,13 +49,13 @@
 {
 	const member_t **grown;
 
-	if (count <= self->ordered_cap)
+	if (count <= self->parent_candidates_cap)
 		return true;
-	grown = realloc(self->ordered, 2 * count * sizeof(*grown));
+	grown = realloc(self->parent_candidates, 2 * count * sizeof(*grown));
 	if (grown == NULL)
 		return false;
-	self->ordered = grown;
-	self->ordered_cap = 2 * count;
+	self->parent_candidates = grown;
+	self->parent_candidates_cap = 2 * count;
 	return true;
 }
 
@@ -68,11 +70,11 @@
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
 		if (stands_before(self, member) && may_follow(self, member))
-			self->ordered[len++] = member;
+			self->parent_candidates[len++] = member;
 	}
 	if (len > 1)
-		qsort(
-		    self->ordered, len, sizeof(*self->ordered), order_compare);
+		qsort(self->parent_candidates, len,
+		    sizeof(*self->parent_candidates), order_compare);
 	return len;
 }
 
@@ -103,7 +105,7 @@
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
 		if (stands_before(self, member) && may_ask(self, member) &&
-		    (first == NULL || member->order < first->order))
+		    (first == NULL || member->sort_key < first->sort_key))
 			first = member;
 	}
 	return first;
@@ -139,10 +141,10 @@
 near_at(const membership_t *self, size_t before, size_t rank)
 {
 	for (size_t i = 1; i < before; i++) {
-		if (is_near(self, self->ordered[i]) && rank-- == 0)
-			return self->ordered[i];
+		if (is_near(self, self->parent_candidates[i]) && rank-- == 0)
+			return self->parent_candidates[i];
 	}
-	return self->ordered[0];
+	return self->parent_candidates[0];
 }
 
 static size_t
@@ -151,7 +153,7 @@
 	size_t count = 0;
 
 	for (size_t i = 1; i < before; i++)
-		count += is_near(self, self->ordered[i]);
+		count += is_near(self, self->parent_candidates[i]);
 	return count;
 }
 
@@ -162,33 +164,33 @@
 membership_parent(membership_t *self)
 {
 	size_t before = ordered_fill(self);
-	size_t breadth = breadth_of(membership_count(self));
+	size_t breadth = breadth_of(membership_alive_count(self));
 	size_t zones, near, tellers;
 
 	if (before == 0)
 		return silent_first(self);
 	if (before <= BREADTH_MIN)
-		return self->ordered[0];
+		return self->parent_candidates[0];
 	zones = zones_count(self);
 	tellers = (breadth + zones - 1) / zones;
 	near = near_count(self, before);
-	return near < tellers ? self->ordered[0]
+	return near < tellers ? self->parent_candidates[0]
 			      : near_at(self, before, near % tellers);
 }
 
 bool
-membership_follows_first(membership_t *self)
+membership_near_root(membership_t *self)
 {
 	const member_t *parent;
 
 	if (ordered_fill(self) <= BREADTH_MIN)
 		return true;
 	parent = membership_parent(self);
-	return parent == self->ordered[0];
+	return parent == self->parent_candidates[0];
 }
 
 const member_t *
-membership_next(const membership_t *self)
+membership_next_member(const membership_t *self)
 {
 	const member_t *best = NULL;
 
@@ -196,7 +198,7 @@
 	     member = member->hh.next) {
 		if (stands_before(self, member) || !may_follow(self, member))
 			continue;
-		if (best == NULL || member->order < best->order)
+		if (best == NULL || member->sort_key < best->sort_key)
 			best = member;
 	}
 	return best;
--- a/moortack/replication/membership.c
+++ b/moortack/replication/membership.c
@@ -24,7 +24,8 @@
 member_store_now_ms(const membership_t *self)
 {
 	return self->store_clock_known
-	    ? timespec_ms(clock_elapsed(self->clock)) + self->store_offset_ms
+	    ? timespec_ms(clock_elapsed(self->clock)) +
+		self->store_clock_offset_ms
 	    : 0;
 }
 
@@ -52,10 +53,10 @@
 	self->settings = *settings;
 	self->store = store;
 	self->clock = clock;
-	self->alone = true;
-	self->alone_since = clock_elapsed(clock);
-	self->order = member_order(settings->name, settings->strength);
-	self->view.bounds = settings->life;
+	self->isolated = true;
+	self->isolated_since = clock_elapsed(clock);
+	self->sort_key = member_order(settings->name, settings->strength);
+	self->liveness.timeouts = settings->liveness;
 }
 
 static void
@@ -75,8 +76,8 @@
 	member_free(self, member);
 	member_row_requests_finish(self);
 	json_decref(self->report);
-	free(self->ordered);
-	member_facts_finish(&self->stored);
+	free(self->parent_candidates);
+	member_record_finish(&self->stored_record);
 }
 
 static member_t *
@@ -96,26 +97,26 @@
 }
 
 void
-membership_row_missing(membership_t *self)
+membership_own_row_missing(membership_t *self)
 {
-	member_facts_finish(&self->stored);
+	member_record_finish(&self->stored_record);
 }
 
 static void
 own_row_take(membership_t *self, const row_t *row)
 {
-	membership_row_missing(self);
+	membership_own_row_missing(self);
 	if (!row->deleted)
-		member_facts_read(self->settings.name,
+		member_record_decode(self->settings.name,
 		    json_loadb(row->value, row->value_len, 0, NULL),
-		    &self->stored, NULL);
+		    &self->stored_record, NULL);
 }
 
 static void
 shun_end(member_t *member)
 {
-	member->shuns = 0;
-	member->shunned = (struct timespec){0};
+	member->backoff_count = 0;
+	member->backoff_until = (struct timespec){0};
 }
 
 /* The row says when it was written. A row that is only read again, or told by
@@ -129,20 +130,20 @@
 
 	if (at_ms == 0 || !self->store_clock_known)
 		return;
-	life_seen(&member->life, at);
+	liveness_record_heartbeat(&member->liveness, at);
 	/* Whoever wrote it since it was left reaches the store. */
-	if (timespec_ms_between(member->shunned_at, at) > 0)
+	if (timespec_ms_between(member->backoff_started_at, at) > 0)
 		shun_end(member);
 }
 
 static void
-member_take(member_t *member, const member_facts_t *facts)
+member_take(member_t *member, const member_record_t *facts)
 {
 	member->state = facts->state;
 	member->strength = facts->strength;
-	member->order = member_order(facts->name, facts->strength);
+	member->sort_key = member_order(facts->name, facts->strength);
 	strcpy(member->zone, facts->zone);
-	strcpy(member->peer, facts->peer);
+	strcpy(member->peer_address, facts->peer_address);
 	if (facts->report == NULL)
 		return;
 	json_decref(member->report);
@@ -162,10 +163,10 @@
 }
 
 void
-membership_row(membership_t *self, const row_t *row)
+membership_apply_row(membership_t *self, const row_t *row)
 {
 	const char *name = row->key + strlen(MEMBER_PREFIX);
-	member_facts_t facts;
+	member_record_t facts;
 	member_t *member;
 
 	if (strcmp(name, self->settings.name) == 0) {
@@ -180,15 +181,15 @@
 		return;
 	member = member_of(self, name);
 	if (member != NULL) {
-		row_seen(self, member, facts.at_ms);
+		row_seen(self, member, facts.written_at_ms);
 		member->version = row->version;
 		member_take(member, &facts);
 	}
-	member_facts_finish(&facts);
+	member_record_finish(&facts);
 }
 
 bool
-membership_same(const char *a, size_t a_len, const char *b, size_t b_len)
+member_row_unchanged(const char *a, size_t a_len, const char *b, size_t b_len)
 {
 	json_t *one = json_loadb(a, a_len, 0, NULL);
 	json_t *two = json_loadb(b, b_len, 0, NULL);
@@ -214,35 +215,38 @@
 	HASH_FIND_STR(self->members, name, member);
 	if (member == NULL)
 		return NULL;
-	member->shunned_at = clock_elapsed(self->clock);
-	member->shunned = timespec_after_ms(member->shunned_at, ms);
+	member->backoff_started_at = clock_elapsed(self->clock);
+	member->backoff_until =
+	    timespec_after_ms(member->backoff_started_at, ms);
 	return member;
 }
 
 void
-membership_shun(membership_t *self, const char *name, int64_t ms)
+membership_back_off(membership_t *self, const char *name, int64_t ms)
 {
 	member_t *member = shun_begin(self, name, ms);
 
 	if (member == NULL)
 		return;
-	ms <<= member->shuns < SHUNS_MAX ? member->shuns : SHUNS_MAX;
-	member->shuns++;
+	ms <<= member->backoff_count < SHUNS_MAX ? member->backoff_count
+						 : SHUNS_MAX;
+	member->backoff_count++;
 	/* Nobody else looks whether it is back: others that follow it already
 	 * would not be known here. */
 	if (!membership_follows_another(self))
 		ms = SHUN_FIRST_MS;
-	member->shunned = timespec_after_ms(member->shunned_at, ms);
+	member->backoff_until =
+	    timespec_after_ms(member->backoff_started_at, ms);
 }
 
 void
-membership_pass_over(membership_t *self, const char *name, int64_t ms)
+membership_skip(membership_t *self, const char *name, int64_t ms)
 {
 	shun_begin(self, name, ms);
 }
 
 void
-membership_forgive(membership_t *self)
+membership_clear_backoffs(membership_t *self)
 {
 	for (member_t *member = self->members; member != NULL;
 	     member = member->hh.next)
@@ -250,38 +254,39 @@
 }
 
 void
-membership_hold(membership_t *self, bool hold)
+membership_set_frozen(membership_t *self, bool hold)
 {
-	self->hold = hold;
+	self->frozen = hold;
 }
 
 void
-membership_trust(membership_t *self, const char *name)
+membership_reset_backoff(membership_t *self, const char *name)
 {
 	member_t *member;
 
 	HASH_FIND_STR(self->members, name, member);
 	if (member != NULL)
-		member->shuns = 0;
+		member->backoff_count = 0;
 }
 
 void
-membership_store_clock(membership_t *self, int64_t now_ms)
+membership_set_store_clock(membership_t *self, int64_t now_ms)
 {
 	int64_t offset_ms = now_ms - timespec_ms(clock_elapsed(self->clock));
 
 	/* A delay of the answer lowers the offset: keep the highest one. */
-	if (!self->store_clock_known || offset_ms > self->store_offset_ms ||
-	    offset_ms < self->store_offset_ms - STORE_CLOCK_BACK_MS)
-		self->store_offset_ms = offset_ms;
+	if (!self->store_clock_known ||
+	    offset_ms > self->store_clock_offset_ms ||
+	    offset_ms < self->store_clock_offset_ms - STORE_CLOCK_BACK_MS)
+		self->store_clock_offset_ms = offset_ms;
 	self->store_clock_known = true;
 }
 
 void
-membership_rows_read(membership_t *self)
+membership_set_rows_read(membership_t *self)
 {
 	self->rows_read = true;
-	life_view_grant(&self->view, clock_elapsed(self->clock));
+	liveness_view_start_grace(&self->liveness, clock_elapsed(self->clock));
 }
 
 void
@@ -291,20 +296,20 @@
 }
 
 void
-membership_report(membership_t *self, json_t *report)
+membership_set_report(membership_t *self, json_t *report)
 {
 	json_decref(self->report);
 	self->report = report;
 }
 
 uint32_t
-membership_count(const membership_t *self)
+membership_alive_count(const membership_t *self)
 {
 	uint32_t count = 1;
 
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next)
-		count += membership_alive(self, member);
+		count += member_is_alive(self, member);
 	return count;
 }
 
@@ -316,8 +321,8 @@
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
 		if (member->state != MEMBER_LEAVING &&
-		    member->order < self->order &&
-		    membership_alive(self, member))
+		    member->sort_key < self->sort_key &&
+		    member_is_alive(self, member))
 			rank++;
 	}
 	return rank;
--- a/moortack/replication/member_signs.c
+++ b/moortack/replication/membership_liveness.c
@@ -29,24 +29,27 @@
 	event_line_throttled(self->log, event,
 	    "name=%s state=%s named=%d seen_ms=%" PRId64 " silent=%d"
 	    " vouched_ms=%" PRId64 " settled=%d held=%d alone=%d",
-	    member->name, member_state_names[member->state], member->named,
-	    ms_since(self, member->life.seen), member->life.silent,
-	    ms_since(self, self->view.vouched), self->view.settled,
-	    self->view.held, self->alone);
+	    member->name, member_state_names[member->state],
+	    member->logged_available,
+	    ms_since(self, member->liveness.last_seen_at),
+	    member->liveness.silent, ms_since(self, self->liveness.summary_at),
+	    self->liveness.authoritative, self->liveness.frozen,
+	    self->isolated);
 }
 
 bool
-membership_alive(const membership_t *self, const member_t *member)
+member_is_alive(const membership_t *self, const member_t *member)
 {
-	return !life_gone(
-	    &self->view, &member->life, clock_elapsed(self->clock));
+	return !liveness_is_down(
+	    &self->liveness, &member->liveness, clock_elapsed(self->clock));
 }
 
 bool
-membership_named(const membership_t *self, const member_t *member)
+member_is_available(const membership_t *self, const member_t *member)
 {
 	return member->state == MEMBER_READY &&
-	    life_named(&self->view, &member->life, clock_elapsed(self->clock));
+	    liveness_is_available(
+		&self->liveness, &member->liveness, clock_elapsed(self->clock));
 }
 
 /* The member was heard of then, with this report. */
@@ -57,23 +60,23 @@
 	member_t *member;
 
 	HASH_FIND_STR(self->members, name, member);
-	if (member == NULL || !life_heard(&member->life, at))
+	if (member == NULL || !liveness_record_request(&member->liveness, at))
 		return;
 	json_decref(member->report);
 	member->report = json_incref(report);
 }
 
 void
-membership_heard(membership_t *self, const char *name, json_t *report)
+membership_record_request(membership_t *self, const char *name, json_t *report)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
-	life_view_asked(&self->view, now);
+	liveness_view_record_request(&self->liveness, now);
 	member_heard(self, name, now, report);
 }
 
 void
-membership_heard_below(membership_t *self, const json_t *below)
+membership_apply_subtree(membership_t *self, const json_t *below)
 {
 	struct timespec now = clock_elapsed(self->clock);
 	const char *name;
@@ -88,7 +91,7 @@
 		member_heard(self, name,
 		    timespec_after_ms(now, age_ms > 0 ? -age_ms : 0),
 		    json_array_get(told, 1));
-		membership_row_requested(self, name, json_array_get(told, 2));
+		membership_add_row_request(self, name, json_array_get(told, 2));
 	}
 }
 
@@ -100,10 +103,11 @@
 
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		int64_t age_ms = timespec_ms_between(member->life.heard, now);
+		int64_t age_ms =
+		    timespec_ms_between(member->liveness.last_request_at, now);
 
-		if (member->life.heard.tv_sec != 0 &&
-		    age_ms < self->settings.life.silent_ms)
+		if (member->liveness.last_request_at.tv_sec != 0 &&
+		    age_ms < self->settings.liveness.silence_timeout_ms)
 			json_object_set_new(below, member->name,
 			    json_pack(
 				"[I, O?]", (json_int_t)age_ms, member->report));
@@ -116,13 +120,14 @@
 {
 	struct timespec now = clock_elapsed(self->clock);
 
-	for (const member_row_request_t *request = self->requests;
+	for (const member_row_request_t *request = self->row_requests;
 	     request != NULL; request = request->hh.next) {
 		json_t *told = json_object_get(below, request->name);
 
 		if (told == NULL) {
 			told = json_pack("[I, n]",
-			    (json_int_t)timespec_ms_between(request->at, now));
+			    (json_int_t)timespec_ms_between(
+				request->requested_at, now));
 			json_object_set_new(below, request->name, told);
 		}
 		json_array_append(told, request->row);
@@ -130,7 +135,7 @@
 }
 
 json_t *
-membership_below(const membership_t *self)
+membership_subtree(const membership_t *self)
 {
 	json_t *below = json_object();
 
@@ -143,23 +148,25 @@
 }
 
 void
-membership_answered(membership_t *self, const char *name, struct timespec asked)
+membership_record_response(
+    membership_t *self, const char *name, struct timespec asked)
 {
 	member_t *member;
 
 	HASH_FIND_STR(self->members, name, member);
 	if (member != NULL)
-		life_seen(&member->life, asked);
+		liveness_record_heartbeat(&member->liveness, asked);
 }
 
 void
-membership_no_answer(membership_t *self, const char *name)
+membership_record_no_response(membership_t *self, const char *name)
 {
 	member_t *member;
 
 	HASH_FIND_STR(self->members, name, member);
 	if (member != NULL)
-		life_no_answer(&member->life, clock_elapsed(self->clock));
+		liveness_record_no_response(
+		    &member->liveness, clock_elapsed(self->clock));
 }
 
 static bool
@@ -178,10 +185,10 @@
 }
 
 bool
-membership_vouched(
+membership_apply_liveness(
     membership_t *self, struct timespec spoken, const json_t *silent)
 {
-	bool newer = life_view_take(&self->view, spoken);
+	bool newer = liveness_view_apply_summary(&self->liveness, spoken);
 	bool news = false;
 
 	for (member_t *member = self->members; member != NULL;
@@ -190,26 +197,26 @@
 
 		/* An older word ends no silence. */
 		if (is_silent || newer)
-			news |= life_set_silent(
-			    &member->life, is_silent, self->view.vouched);
+			news |= liveness_set_silent(&member->liveness,
+			    is_silent, self->liveness.summary_at);
 	}
 	return news;
 }
 
 int64_t
-membership_vouch_age_ms(const membership_t *self)
+membership_liveness_age_ms(const membership_t *self)
 {
-	return ms_since(self, self->view.vouched);
+	return ms_since(self, self->liveness.summary_at);
 }
 
 json_t *
-membership_silent(const membership_t *self)
+membership_silent_names(const membership_t *self)
 {
 	json_t *silent = NULL;
 
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		if (!member->life.silent)
+		if (!member->liveness.silent)
 			continue;
 		if (silent == NULL)
 			silent = json_array();
@@ -225,9 +232,9 @@
 
 	(void)reply;
 	/* Whatever came of it, their rows tell when they are read again. */
-	self->clearing = false;
-	self->written = true;
-	self->clear_after =
+	self->cleanup_pending = false;
+	self->read_back_pending = true;
+	self->next_cleanup_at =
 	    timespec_after_ms(clock_elapsed(self->clock), CLEAR_RETRY_MS);
 }
 
@@ -238,7 +245,7 @@
 
 	for (const member_t *member = self->members;
 	     member != NULL && len < CLEAR_MAX; member = member->hh.next) {
-		if (member->version != 0 && !membership_alive(self, member))
+		if (member->version != 0 && !member_is_alive(self, member))
 			dead[len++] = member;
 	}
 	return len;
@@ -258,12 +265,12 @@
 		snprintf(keys[i], sizeof(keys[i]), "%s%s", MEMBER_PREFIX,
 		    dead[i]->name);
 		changes[i] =
-		    (row_change_t){.table = MEMBER_TABLE, .key = keys[i]};
+		    (row_change_t){.table = SYSTEM_TABLE, .key = keys[i]};
 		expected[i] = changes[i];
 		expected[i].expected = dead[i]->version;
 	}
 	if (len > 0)
-		self->clearing = row_store_write(self->store,
+		self->cleanup_pending = row_store_write(self->store,
 		    ROW_PURPOSE_MEMBER_CLEANUP, expected, len, changes, len,
 		    MEMBER_WRITE_TIMEOUT_MS, cleared, self);
 }
@@ -276,9 +283,10 @@
 
 	for (member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		bool fresh = life_fresh(&self->view, &member->life, now);
+		bool fresh =
+		    liveness_is_fresh(&self->liveness, &member->liveness, now);
 
-		news |= life_set_silent(&member->life, !fresh, now);
+		news |= liveness_set_silent(&member->liveness, !fresh, now);
 	}
 	return news;
 }
@@ -287,13 +295,13 @@
 static void
 alone_step(membership_t *self, struct timespec now)
 {
-	bool alone = !self->view.following &&
-	    !life_view_asked_within(&self->view, now, ASKED_MS);
+	bool alone = !self->liveness.following &&
+	    !liveness_view_requested_within(&self->liveness, now, ASKED_MS);
 
-	if (self->alone == alone)
+	if (self->isolated == alone)
 		return;
-	self->alone = alone;
-	self->alone_since = now;
+	self->isolated = alone;
+	self->isolated_since = now;
 }
 
 /* Whose naming has changed. */
@@ -302,11 +310,11 @@
 {
 	for (member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		bool named = membership_named(self, member);
+		bool named = member_is_available(self, member);
 
-		if (member->named == named)
+		if (member->logged_available == named)
 			continue;
-		member->named = named;
+		member->logged_available = named;
 		member_log(self, member, EVENT_THROTTLED_MEMBER);
 	}
 }
@@ -316,29 +324,29 @@
 {
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		if (!member->life.silent &&
-		    !life_fresh(&self->view, &member->life, now))
+		if (!member->liveness.silent &&
+		    !liveness_is_fresh(&self->liveness, &member->liveness, now))
 			return false;
 	}
 	return true;
 }
 
 bool
-membership_step(membership_t *self, bool following)
+membership_tick(membership_t *self, bool following)
 {
 	struct timespec now = clock_elapsed(self->clock);
-	bool was_settled = self->view.settled;
+	bool was_settled = self->liveness.authoritative;
 	bool news = false;
 
-	life_view_step(&self->view, now,
-	    &(life_step_t){
-		following, self->hold, self->rows_read, all_fresh(self, now)});
+	liveness_view_update(&self->liveness, now,
+	    &(liveness_inputs_t){following, self->frozen, self->rows_read,
+		all_fresh(self, now)});
 	alone_step(self, now);
-	member_rows_step(self, now);
-	if (self->view.settled) {
+	member_rows_tick(self, now);
+	if (self->liveness.authoritative) {
 		news = silent_judge(self, now) || !was_settled;
-		if (!self->clearing &&
-		    timespec_ms_between(self->clear_after, now) >= 0)
+		if (!self->cleanup_pending &&
+		    timespec_ms_between(self->next_cleanup_at, now) >= 0)
 			dead_clear(self);
 	}
 	naming_log(self);
--- a/moortack/replication/membership_priv.h
+++ b/moortack/replication/membership_priv.h
@@ -1,8 +1,8 @@
 /**
  * @file
  * What the files of the membership share: membership.c has the members,
- * member_row.c reads and writes their rows, member_signs.c has the signs of
- * life that daemons give, member_tree.c whom to follow.
+ * member_row.c reads and writes their rows, membership_liveness.c has the signs
+ * of life that daemons give, member_tree.c whom to follow.
  */
 #ifndef MOORTACK_REPLICATION_MEMBERSHIP_PRIV_H
 #define MOORTACK_REPLICATION_MEMBERSHIP_PRIV_H
@@ -17,14 +17,14 @@
 
 /** Read what a row says; false fills the error. The facts' texts and the report
  * are the body's, whose reference is taken. */
-bool
-member_facts_read(const char *name, json_t *body, member_facts_t *, err_t *);
+bool member_record_decode(
+    const char *name, json_t *body, member_record_t *, err_t *);
 
 /** The store's clock now; 0: not known yet. */
 int64_t member_store_now_ms(const membership_t *);
 
 /** Write what is wanted of the own row and of others', if it is time. */
-void member_rows_step(membership_t *, struct timespec now);
+void member_rows_tick(membership_t *, struct timespec now);
 /** Forget what others want. */
 void member_row_requests_finish(membership_t *);
 
--- a/moortack/replication/row_follow.c
+++ b/moortack/replication/row_follow.c
@@ -89,7 +89,7 @@
 static void
 read_from_store(row_sync_t *self, row_table_t table)
 {
-	if (row_sync_synced(self) && membership_follows_first(self->members))
+	if (row_sync_synced(self) && membership_near_root(self->members))
 		row_sync_resume_table(self, table);
 }
 
@@ -158,7 +158,7 @@
     row_sync_t *self, const feed_response_t *response, struct timespec sent)
 {
 	if (response->liveness_age_ms >= 0 &&
-	    membership_vouched(self->members,
+	    membership_apply_liveness(self->members,
 		timespec_after_ms(sent, -response->liveness_age_ms),
 		response->silent))
 		feed_server_respond_all(&self->server);
@@ -192,7 +192,7 @@
 row_follow_response(
     row_sync_t *self, feed_response_t *response, struct timespec sent)
 {
-	membership_answered(self->members, self->parent, sent);
+	membership_record_response(self->members, self->parent, sent);
 	self->parent_responded = true;
 	if (!feed_delta_resolve(response, &self->cache)) {
 		full_rows_request(self);
@@ -210,7 +210,7 @@
 	}
 	self->parent_stale = false;
 	self->ops->store_clock(self->arg, response->store_now_ms);
-	membership_trust(self->members, self->parent);
+	membership_reset_backoff(self->members, self->parent);
 	if (self->following) {
 		row_sync_suspend_reads(self, true);
 		return;
@@ -248,7 +248,7 @@
 {
 	row_sync_t *self = arg;
 
-	membership_no_answer(self->members, self->parent);
+	membership_record_no_response(self->members, self->parent);
 	row_parent_replace(self, "no_answer");
 }
 
@@ -271,8 +271,8 @@
 	    self->members->settings.name);
 	row_follow_position(self, &request->position);
 	request->report = self->ops->report(self->arg);
-	request->subtree = membership_below(self->members);
-	request->row_request = membership_row_request(self->members);
+	request->subtree = membership_subtree(self->members);
+	request->row_request = membership_own_row_request(self->members);
 }
 
 static const feed_client_ops_t client_ops = {
@@ -298,9 +298,9 @@
 		table->age_ms = age_ms == INT64_MAX ? -1 : age_ms;
 	}
 	response->store_now_ms =
-	    self->members->store_offset_ms + timespec_ms(now);
-	response->liveness_age_ms = membership_vouch_age_ms(self->members);
-	response->silent = membership_silent(self->members);
+	    self->members->store_clock_offset_ms + timespec_ms(now);
+	response->liveness_age_ms = membership_liveness_age_ms(self->members);
+	response->silent = membership_silent_names(self->members);
 	response->path = json_pack("[s]", self->members->settings.name);
 	if (self->following && self->parent_path != NULL)
 		json_array_extend(response->path, self->parent_path);
@@ -317,10 +317,11 @@
 {
 	row_sync_t *self = arg;
 
-	membership_heard(self->members, request->name, request->report);
-	membership_row_requested(
+	membership_record_request(
+	    self->members, request->name, request->report);
+	membership_add_row_request(
 	    self->members, request->name, request->row_request);
-	membership_heard_below(self->members, request->subtree);
+	membership_apply_subtree(self->members, request->subtree);
 }
 
 static const feed_server_ops_t server_ops = {on_fill_state, on_request};
--- a/moortack/replication/row_parent.c
+++ b/moortack/replication/row_parent.c
@@ -80,7 +80,7 @@
 void
 row_parent_replace(row_sync_t *self, const char *why)
 {
-	membership_shun(self->members, self->parent, SHUN_MS);
+	membership_back_off(self->members, self->parent, SHUN_MS);
 	parent_change(self, why);
 }
 
@@ -89,7 +89,7 @@
 void
 row_parent_break_cycle(row_sync_t *self)
 {
-	membership_shun(self->members, self->parent, SHUN_CYCLE_MS);
+	membership_back_off(self->members, self->parent, SHUN_CYCLE_MS);
 	parent_stop(self, "circle");
 }
 
@@ -119,7 +119,7 @@
 		return;
 	if (self->parent_changes < PARENT_CHANGES_MAX)
 		self->parent_changes++;
-	membership_pass_over(self->members, self->parent, SHUN_UNAVAILABLE_MS);
+	membership_skip(self->members, self->parent, SHUN_UNAVAILABLE_MS);
 	parent_change(self, "lost");
 }
 
@@ -154,8 +154,8 @@
 {
 	int64_t limit_ms =
 	    self->parent_responded ? FIRST_ROWS_MS : FIRST_RESPONSE_MS;
-	int64_t reads_ms =
-	    FULL_READS_PER_MEMBER_MS * (int64_t)membership_count(self->members);
+	int64_t reads_ms = FULL_READS_PER_MEMBER_MS *
+	    (int64_t)membership_alive_count(self->members);
 
 	if (row_sync_synced(self))
 		return FIRST_RESPONSE_MS;
@@ -193,7 +193,7 @@
 {
 	char address[MEMBER_NAME_SIZE + 8];
 
-	snprintf(address, sizeof(address), "tcp://%s", member->peer);
+	snprintf(address, sizeof(address), "tcp://%s", member->peer_address);
 	strcpy(self->parent, member->name);
 	self->parent_incarnation = 0;
 	self->parent_change = 0;
@@ -226,7 +226,7 @@
 static bool
 start_from_next_begin(row_sync_t *self)
 {
-	const member_t *next = membership_next(self->members);
+	const member_t *next = membership_next_member(self->members);
 
 	if (next == NULL || self->start_from_next_tried ||
 	    !self->watches[ROW_TABLE_SYSTEM].watch.synced_once ||
@@ -271,7 +271,7 @@
 	if (start_from_next_begin(self))
 		return;
 	row_sync_suspend_reads(self, false);
-	next = membership_next(self->members);
+	next = membership_next_member(self->members);
 	if (next == NULL || !row_sync_synced(self) ||
 	    !store_is_unavailable(self))
 		return;
@@ -286,7 +286,7 @@
 {
 	return !store_was_restored(self) &&
 	    FULL_READS_PER_MEMBER_MS *
-		(int64_t)membership_count(self->members) <
+		(int64_t)membership_alive_count(self->members) <
 	    FIRST_RESPONSE_MS;
 }
 
--- a/moortack/replication/row_sync.c
+++ b/moortack/replication/row_sync.c
@@ -125,7 +125,7 @@
 	if (self->settings.peer_address[0] == '\0')
 		return;
 	row_follow_update_status(self);
-	membership_hold(
+	membership_set_frozen(
 	    self->members, is_cut_off(self) && row_sync_synced(self));
 	if (!self->has_key && self->context == NULL)
 		fleet_key_find(self);
@@ -200,7 +200,7 @@
 	    self->members->settings.name);
 	own = row_cache_find(&self->cache, ROW_TABLE_SYSTEM, key);
 	if (own == NULL || own->value == NULL)
-		membership_row_missing(self->members);
+		membership_own_row_missing(self->members);
 }
 
 static void
@@ -236,7 +236,7 @@
 	if (watch->table == ROW_TABLE_PROBE) {
 		watches_update(self);
 		if (available)
-			membership_forgive(self->members);
+			membership_clear_backoffs(self->members);
 	}
 	self->ops->reachable(self->arg, watch->table, available);
 }
--- a/test/fuzz/lives_fuzz.c
+++ b/test/fuzz/lives_fuzz.c
@@ -200,21 +200,21 @@
 		row.value_len = strlen(value);
 	}
 	daemon->known[at] = *told;
-	membership_row(&daemon->members, &row);
+	membership_apply_row(&daemon->members, &row);
 }
 
 static void
 own_read(daemon_t *daemon)
 {
 	daemon->own_read_ms = now_ms();
-	membership_store_clock(&daemon->members, now_ms());
+	membership_set_store_clock(&daemon->members, now_ms());
 	for (int i = 0; i < DAEMONS; i++) {
 		if (world.rows[i].version != daemon->known[i].version)
 			row_tell(daemon, i, &world.rows[i]);
 	}
 	daemon->own_version = world.version;
 	if (!daemon->rows_read)
-		membership_rows_read(&daemon->members);
+		membership_set_rows_read(&daemon->members);
 	daemon->rows_read = true;
 }
 
@@ -236,12 +236,12 @@
 	daemon_t *daemon = &world.daemons[at];
 	membership_settings_t settings = {.zone = "a",
 	    .strength = 1,
-	    .beat_alone_ms = BEAT_ALONE_MS,
-	    .life = {SILENT_MS, VOUCH_MS, GRANT_MS, LONE_MS}};
+	    .row_heartbeat_ms = BEAT_ALONE_MS,
+	    .liveness = {SILENT_MS, VOUCH_MS, GRANT_MS, LONE_MS}};
 
 	memset(daemon, 0, sizeof(*daemon));
 	name_of(at, settings.name);
-	name_of(at, settings.peer);
+	name_of(at, settings.peer_address);
 	/* What is written is told to the daemon by its membership's address. */
 	FUZZ_CHECK(offsetof(daemon_t, members) == 0);
 	membership_init(&daemon->members, &world.store, &world.clock.source,
@@ -396,7 +396,7 @@
 	if (parent->own_version > child->own_version)
 		child->own_version = parent->own_version;
 	if (!parent->known[child - world.daemons].present)
-		membership_row_missing(&child->members);
+		membership_own_row_missing(&child->members);
 }
 
 static void
@@ -405,7 +405,7 @@
 	char name[MEMBER_NAME_SIZE];
 
 	name_of(child->followed, name);
-	membership_shun(&child->members, name, shun_ms);
+	membership_back_off(&child->members, name, shun_ms);
 	follow_none(child);
 }
 
@@ -422,7 +422,7 @@
 	if (now_ms() - child->lost_since_ms < LOST_MOVE_MS)
 		return;
 	name_of(child->followed, name);
-	membership_pass_over(&child->members, name, SHUN_LOST_MS);
+	membership_skip(&child->members, name, SHUN_LOST_MS);
 	follow_none(child);
 }
 
@@ -430,12 +430,12 @@
 answer_take(daemon_t *child, daemon_t *parent)
 {
 	struct timespec sent = world.clock.now;
-	int64_t age_ms = membership_vouch_age_ms(&parent->members);
-	json_t *silent = membership_silent(&parent->members);
+	int64_t age_ms = membership_liveness_age_ms(&parent->members);
+	json_t *silent = membership_silent_names(&parent->members);
 	char name[MEMBER_NAME_SIZE];
 
 	name_of(child->followed, name);
-	membership_answered(&child->members, name, sent);
+	membership_record_response(&child->members, name, sent);
 	child->asked_ms = -1;
 	child->first_question = false;
 	if (is_lost(parent)) {
@@ -443,17 +443,18 @@
 	} else if (through(child->followed, (int)(child - world.daemons))) {
 		followed_leave(child, SHUN_CIRCLE_MS);
 	} else {
-		membership_store_clock(&child->members, now_ms());
+		membership_set_store_clock(&child->members, now_ms());
 		rows_pass(parent, child);
 		if (parent->rows_read && !child->rows_read)
-			membership_rows_read(&child->members);
+			membership_set_rows_read(&child->members);
 		child->rows_read |= parent->rows_read;
 		child->following = true;
 		child->lost_since_ms = -1;
-		membership_trust(&child->members, name);
+		membership_reset_backoff(&child->members, name);
 		if (age_ms >= 0)
-			child->news |= membership_vouched(&child->members,
-			    timespec_after_ms(sent, -age_ms), silent);
+			child->news |=
+			    membership_apply_liveness(&child->members,
+				timespec_after_ms(sent, -age_ms), silent);
 	}
 	json_decref(silent);
 }
@@ -461,14 +462,14 @@
 static void
 question_take(daemon_t *child, daemon_t *parent)
 {
-	json_t *below = membership_below(&child->members);
-	json_t *row = membership_row_request(&child->members);
+	json_t *below = membership_subtree(&child->members);
+	json_t *row = membership_own_row_request(&child->members);
 	char name[MEMBER_NAME_SIZE];
 
 	name_of((int)(child - world.daemons), name);
-	membership_heard(&parent->members, name, NULL);
-	membership_row_requested(&parent->members, name, row);
-	membership_heard_below(&parent->members, below);
+	membership_record_request(&parent->members, name, NULL);
+	membership_add_row_request(&parent->members, name, row);
+	membership_apply_subtree(&parent->members, below);
 	json_decref(below);
 	json_decref(row);
 	child->question_taken = true;
@@ -499,7 +500,7 @@
 		answer_take(child, parent);
 	} else if (now_ms() - child->asked_ms >= LATE_MS) {
 		name_of(child->followed, name);
-		membership_no_answer(&child->members, name);
+		membership_record_no_response(&child->members, name);
 		followed_leave(child, SHUN_MS);
 	}
 }
@@ -512,24 +513,25 @@
 {
 	bool answers = store_answers(daemon);
 	int64_t since = now_ms() - daemon->store_changed_ms;
-	int64_t pause =
-	    daemon->members.view.settled ? OWN_READ_MS : OWN_READ_DOUBT_MS;
+	int64_t pause = daemon->members.liveness.authoritative
+	    ? OWN_READ_MS
+	    : OWN_READ_DOUBT_MS;
 
 	if (since >= (answers ? STORE_BACK_MS : STORE_NOTICE_MS) &&
 	    daemon->store_lost == answers) {
 		daemon->store_lost = !answers;
 		if (answers)
-			membership_forgive(&daemon->members);
+			membership_clear_backoffs(&daemon->members);
 	}
-	membership_hold(
+	membership_set_frozen(
 	    &daemon->members, daemon->store_lost && !daemon->following);
 	if (!answers || daemon->store_lost)
 		return;
 	if (!daemon->following &&
-	    (daemon->members.written ||
+	    (daemon->members.read_back_pending ||
 		now_ms() - daemon->own_read_ms >= pause))
 		own_read(daemon);
-	daemon->members.written = false;
+	daemon->members.read_back_pending = false;
 }
 
 static void
@@ -545,7 +547,7 @@
 		daemon->first_question = true;
 	}
 	store_step(daemon);
-	daemon->news |= membership_step(&daemon->members, daemon->following);
+	daemon->news |= membership_tick(&daemon->members, daemon->following);
 }
 
 static bool
@@ -572,7 +574,7 @@
 {
 	const member_t *member = known_member(daemon, at);
 
-	return member != NULL && membership_named(&daemon->members, member);
+	return member != NULL && member_is_available(&daemon->members, member);
 }
 
 /* One line a daemon, for whoever looks into a finding: FUZZ_TRACE=1. */
@@ -590,11 +592,11 @@
 		    "vouched_ms=%lld touch=%d names=",
 		    (long long)now_ms(), i, daemon->on, daemon->still,
 		    daemon->cut, daemon->store_lost, daemon->followed,
-		    daemon->following, daemon->members.view.settled,
-		    daemon->members.view.held, daemon->members.alone,
-		    daemon->on
-			? (long long)membership_vouch_age_ms(&daemon->members)
-			: -1,
+		    daemon->following, daemon->members.liveness.authoritative,
+		    daemon->members.liveness.frozen, daemon->members.isolated,
+		    daemon->on ? (long long)membership_liveness_age_ms(
+				     &daemon->members)
+			       : -1,
 		    in_touch(daemon));
 		for (int j = 0; daemon->on && j < DAEMONS; j++)
 			fputc(
--- a/test/fuzz/warmup_fuzz.c
+++ b/test/fuzz/warmup_fuzz.c
@@ -168,7 +168,7 @@
 	daemon->members.rows_read = true;
 	daemon->members.store_clock_known = true;
 	/* A delayed response makes the store's clock appear to be behind. */
-	daemon->members.store_offset_ms =
+	daemon->members.store_clock_offset_ms =
 	    500000 - daemon->clock_offset_ms - response_delay_ms;
 	daemon->relay = (relay_t){.clock = &daemon->clock.source,
 	    .endpoints = &daemon->endpoints,
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -206,7 +206,7 @@
 	char ended[VALUE_SIZE + 1];
 	endpoint_info_t endpoint;
 	rollout_order_t order;
-	member_facts_t member;
+	member_record_t member;
 	bool good;
 
 	memcpy(ended, value, len);
@@ -221,7 +221,7 @@
 		return order_row_decode(ended, len, 1, &order, NULL);
 	case 3:
 		good = member_row_decode(&row, &member, NULL);
-		member_facts_finish(&member);
+		member_record_finish(&member);
 		return good;
 	default:
 		return true;
--- a/test/support/many_members.h
+++ b/test/support/many_members.h
@@ -15,13 +15,13 @@
 
 /** Cores of the daemon of that number. */
 static inline double
-strength_of(int number)
+daemon_strength(int number)
 {
 	return number % 2 == 0 ? 0.5 : 0.125;
 }
 
 static inline void
-member_take(membership_t *self, int number, const char *state)
+membership_apply_member_row(membership_t *self, int number, const char *state)
 {
 	char key[64], value[160];
 	row_t row = {.key = key, .value = value};
@@ -30,31 +30,31 @@
 	snprintf(value, sizeof(value),
 	    "{\"place\":\"a\",\"peer\":\"10.0.0.%d:81\",\"state\":\"%s\","
 	    "\"strength\":%g,\"beat\":1}",
-	    number, state, strength_of(number));
+	    number, state, daemon_strength(number));
 	row.value_len = strlen(value);
 	row.version = 10 + (uint64_t)number;
-	membership_row(self, &row);
+	membership_apply_row(self, &row);
 }
 
 /** The membership of one of so many daemons that are ready. */
 static inline void
-membership_of(membership_t *self, row_store_t *store,
+membership_init_with_members(membership_t *self, row_store_t *store,
     const clock_source_t *clock, int own, int daemons)
 {
 	membership_settings_t settings = {.zone = "a",
-	    .strength = strength_of(own),
-	    .beat_alone_ms = 2000,
-	    .life = {.silent_ms = SILENT_MS,
-		.vouch_ms = 5000,
-		.grant_ms = 2500,
-		.lone_ms = 25000}};
+	    .strength = daemon_strength(own),
+	    .row_heartbeat_ms = 2000,
+	    .liveness = {.silence_timeout_ms = SILENT_MS,
+		.summary_ttl_ms = 5000,
+		.grace_ms = 2500,
+		.authority_timeout_ms = 25000}};
 
 	snprintf(settings.name, sizeof(settings.name), "10.0.0.%d:80", own);
 	membership_init(self, store, clock, NULL, &settings);
 	self->state = MEMBER_READY;
 	for (int i = 0; i < daemons; i++) {
 		if (i != own)
-			member_take(self, i, "ready");
+			membership_apply_member_row(self, i, "ready");
 	}
 }
 
--- a/test/unit/caller_targets_test.c
+++ b/test/unit/caller_targets_test.c
@@ -62,9 +62,9 @@
 static void
 daemon_begin(world_t *world, membership_t *self, int number, int daemons)
 {
-	membership_of(
+	membership_init_with_members(
 	    self, &world->store, &world->clock.source, number, daemons);
-	membership_rows_read(self);
+	membership_set_rows_read(self);
 }
 
 /* How often each daemon is told, over the answers of all. */
@@ -94,7 +94,7 @@
 	told_count(*state, told);
 	for (int i = 0; i < DAEMONS; i++) {
 		assert_in_range(told[i], 1, ANSWERS);
-		if (strength_of(i) > 0.25)
+		if (daemon_strength(i) > 0.25)
 			strong += told[i];
 		else
 			weak += told[i];
@@ -128,7 +128,7 @@
 	daemon_begin(*state, &self, 1, DAEMONS);
 	caller_targets_fill(&self, true, NULL, before, MOST);
 	gone = number_of(&before[MOST / 2]);
-	member_take(&self, gone, "leaving");
+	membership_apply_member_row(&self, gone, "leaving");
 	assert_int_equal(
 	    caller_targets_fill(&self, true, NULL, after, MOST), MOST);
 	for (int i = 0; i < MOST; i++) {
--- a/test/unit/gossip_test.c
+++ b/test/unit/gossip_test.c
@@ -104,16 +104,16 @@
 {
 	*members = (membership_t){.clock = &manual_clock.source,
 	    .state = MEMBER_READY,
-	    .view = {
-		.bounds = {.vouch_ms = 1000}, .vouched = manual_clock.now}};
+	    .liveness = {.timeouts = {.summary_ttl_ms = 1000},
+		.summary_at = manual_clock.now}};
 	for (size_t i = 0; i < len; i++) {
 		member_t *member = &all[i];
 
 		memset(member, 0, sizeof(*member));
 		snprintf(
 		    member->name, sizeof(member->name), "10.0.%zu.1:80", i);
-		snprintf(
-		    member->peer, sizeof(member->peer), "10.0.%zu.1:81", i);
+		snprintf(member->peer_address, sizeof(member->peer_address),
+		    "10.0.%zu.1:81", i);
 		snprintf(member->zone, sizeof(member->zone), "zone-%zu", i % 3);
 		member->state = MEMBER_READY;
 		if (i == self) {
--- a/test/unit/member_life_test.c
+++ b/test/unit/member_life_test.c
@@ -27,8 +27,8 @@
 
 /** A daemon's view, and one other that it judges. */
 typedef struct judged {
-	life_view_t view;
-	member_life_t other;
+	liveness_view_t view;
+	member_liveness_t other;
 	struct timespec now;
 	bool asked; /**< others ask this daemon twice a second */
 	bool following;
@@ -41,7 +41,7 @@
 judged_new(void)
 {
 	return (judged_t){
-	    .view = {.bounds = {SILENT_MS, VOUCH_MS, GRANT_MS, LONE_MS}},
+	    .view = {.timeouts = {SILENT_MS, VOUCH_MS, GRANT_MS, LONE_MS}},
 	    .now = {1000, 0}};
 }
 
@@ -49,16 +49,17 @@
 pass(judged_t *judged, int64_t ms)
 {
 	for (int64_t past = 0; past < ms; past += STEP_MS) {
-		life_step_t step = {judged->following, judged->held,
+		liveness_inputs_t step = {judged->following, judged->held,
 		    !judged->knows_nobody, judged->all_fresh};
 
 		judged->now = timespec_after_ms(judged->now, STEP_MS);
 		if (judged->asked)
-			life_view_asked(&judged->view, judged->now);
-		life_view_step(&judged->view, judged->now, &step);
-		if (judged->view.settled)
-			life_set_silent(&judged->other,
-			    !life_fresh(
+			liveness_view_record_request(
+			    &judged->view, judged->now);
+		liveness_view_update(&judged->view, judged->now, &step);
+		if (judged->view.authoritative)
+			liveness_set_silent(&judged->other,
+			    !liveness_is_fresh(
 				&judged->view, &judged->other, judged->now),
 			    judged->now);
 	}
@@ -67,7 +68,8 @@
 static bool
 named(const judged_t *judged)
 {
-	return life_named(&judged->view, &judged->other, judged->now);
+	return liveness_is_available(
+	    &judged->view, &judged->other, judged->now);
 }
 
 /* The daemon that all follow says that all live, and is lost itself. */
@@ -78,8 +80,8 @@
 
 	judged.following = true;
 	pass(&judged, 1000);
-	life_view_take(&judged.view, judged.now);
-	life_seen(&judged.other, judged.now);
+	liveness_view_apply_summary(&judged.view, judged.now);
+	liveness_record_heartbeat(&judged.other, judged.now);
 	pass(&judged, LATE_MS);
 	return judged;
 }
@@ -90,14 +92,14 @@
 	judged_t judged = reader_lost();
 
 	(void)state;
-	life_no_answer(&judged.other, judged.now);
+	liveness_record_no_response(&judged.other, judged.now);
 	judged.following = false;
 	assert_false(named(&judged));
 	judged.asked = true;
 	pass(&judged, NAMED_MS);
-	assert_true(judged.view.settled);
+	assert_true(judged.view.authoritative);
 	assert_false(named(&judged));
-	life_seen(&judged.other, judged.now);
+	liveness_record_heartbeat(&judged.other, judged.now);
 	assert_true(named(&judged));
 }
 
@@ -127,11 +129,13 @@
 
 	(void)state;
 	second.now = first.now;
-	assert_true(life_view_take(&second.view, first.view.vouched));
+	assert_true(
+	    liveness_view_apply_summary(&second.view, first.view.summary_at));
 	assert_true(named(&second));
 	pass(&second, VOUCH_MS - LATE_MS);
 	assert_false(named(&second));
-	assert_false(life_view_take(&second.view, first.view.vouched));
+	assert_false(
+	    liveness_view_apply_summary(&second.view, first.view.summary_at));
 }
 
 static void
@@ -143,15 +147,15 @@
 	judged.following = false;
 	judged.asked = true;
 	pass(&judged, 2 * STEP_MS);
-	assert_false(judged.view.settled);
+	assert_false(judged.view.authoritative);
 	/* All showed themselves: there is nobody to wait for. */
 	judged.all_fresh = true;
 	pass(&judged, STEP_MS);
-	assert_true(judged.view.settled);
+	assert_true(judged.view.authoritative);
 	/* It stays so while others ask, also when one falls silent. */
 	judged.all_fresh = false;
 	pass(&judged, STEP_MS);
-	assert_true(judged.view.settled);
+	assert_true(judged.view.authoritative);
 }
 
 /* A process that stood still has not read what others sent meanwhile. */
@@ -163,14 +167,14 @@
 	(void)state;
 	judged.asked = true;
 	judged.all_fresh = true;
-	life_seen(&judged.other, judged.now);
+	liveness_record_heartbeat(&judged.other, judged.now);
 	pass(&judged, 2 * STEP_MS);
-	assert_true(judged.view.settled);
+	assert_true(judged.view.authoritative);
 	judged.now = timespec_after_ms(judged.now, SILENT_MS + STEP_MS);
 	judged.all_fresh = false;
 	judged.asked = false;
 	pass(&judged, STEP_MS);
-	assert_false(judged.view.settled);
+	assert_false(judged.view.authoritative);
 	assert_false(judged.other.silent);
 }
 
@@ -201,9 +205,9 @@
 
 	(void)state;
 	pass(&judged, STEP_MS);
-	life_view_grant(&judged.view, judged.now);
+	liveness_view_start_grace(&judged.view, judged.now);
 	assert_true(named(&judged));
-	assert_int_equal(judged.view.vouched.tv_sec, 0);
+	assert_int_equal(judged.view.summary_at.tv_sec, 0);
 	pass(&judged, GRANT_MS);
 	assert_false(named(&judged));
 }
@@ -218,11 +222,11 @@
 	judged.all_fresh = true;
 	judged.knows_nobody = true;
 	pass(&judged, 2 * LONE_MS);
-	assert_false(judged.view.settled);
-	assert_int_equal(judged.view.vouched.tv_sec, 0);
+	assert_false(judged.view.authoritative);
+	assert_int_equal(judged.view.summary_at.tv_sec, 0);
 	judged.knows_nobody = false;
 	pass(&judged, STEP_MS);
-	assert_true(judged.view.settled);
+	assert_true(judged.view.authoritative);
 }
 
 static void
@@ -232,9 +236,9 @@
 
 	(void)state;
 	pass(&judged, LONE_MS);
-	assert_false(judged.view.settled);
+	assert_false(judged.view.authoritative);
 	pass(&judged, STEP_MS);
-	assert_true(judged.view.settled);
+	assert_true(judged.view.authoritative);
 }
 
 static void
@@ -244,12 +248,12 @@
 
 	(void)state;
 	judged.asked = true;
-	life_seen(&judged.other, judged.now);
+	liveness_record_heartbeat(&judged.other, judged.now);
 	pass(&judged, SILENT_MS + STEP_MS);
 	assert_false(named(&judged));
-	assert_false(life_gone(&judged.view, &judged.other, judged.now));
+	assert_false(liveness_is_down(&judged.view, &judged.other, judged.now));
 	pass(&judged, 3000);
-	assert_true(life_gone(&judged.view, &judged.other, judged.now));
+	assert_true(liveness_is_down(&judged.view, &judged.other, judged.now));
 }
 
 /* One that gave no answer in an outage is not gone as soon as the store is
@@ -263,17 +267,17 @@
 	(void)state;
 	judged.following = false;
 	judged.held = true;
-	life_no_answer(&judged.other, judged.now);
+	liveness_record_no_response(&judged.other, judged.now);
 	pass(&judged, NAMED_MS);
 	judged.held = false;
 	judged.asked = true;
 	judged.all_fresh = true;
 	pass(&judged, 2 * STEP_MS);
-	assert_true(judged.view.settled);
+	assert_true(judged.view.authoritative);
 	assert_false(named(&judged));
-	assert_false(life_gone(&judged.view, &judged.other, judged.now));
+	assert_false(liveness_is_down(&judged.view, &judged.other, judged.now));
 	pass(&judged, 3000);
-	assert_true(life_gone(&judged.view, &judged.other, judged.now));
+	assert_true(liveness_is_down(&judged.view, &judged.other, judged.now));
 }
 
 static void
@@ -283,10 +287,11 @@
 	struct timespec later = timespec_after_ms(judged.now, 500);
 
 	(void)state;
-	assert_true(life_heard(&judged.other, later));
-	assert_false(life_heard(&judged.other, judged.now));
-	life_seen(&judged.other, judged.now);
-	assert_int_equal(timespec_ms_between(judged.other.seen, later), 0);
+	assert_true(liveness_record_request(&judged.other, later));
+	assert_false(liveness_record_request(&judged.other, judged.now));
+	liveness_record_heartbeat(&judged.other, judged.now);
+	assert_int_equal(
+	    timespec_ms_between(judged.other.last_seen_at, later), 0);
 }
 
 int
--- a/test/unit/member_row_requests_test.c
+++ b/test/unit/member_row_requests_test.c
@@ -81,10 +81,10 @@
 	memset(world, 0, sizeof(*world));
 	world->clock = (manual_clock_t){{&manual_ops}, {100, 0}};
 	world->store.base.ops = &taking_ops;
-	membership_of(
+	membership_init_with_members(
 	    &world->self, &world->store.base, &world->clock.source, 0, daemons);
-	membership_store_clock(&world->self, 100000);
-	membership_rows_read(&world->self);
+	membership_set_store_clock(&world->self, 100000);
+	membership_set_rows_read(&world->self);
 }
 
 /* @param asked whether others go on to ask this daemon */
@@ -94,8 +94,9 @@
 	for (int64_t at = 0; at < ms; at += STEP_MS) {
 		world->clock.now = timespec_after_ms(world->clock.now, STEP_MS);
 		if (asked)
-			membership_heard(&world->self, "10.0.0.1:80", NULL);
-		membership_step(&world->self, following);
+			membership_record_request(
+			    &world->self, "10.0.0.1:80", NULL);
+		membership_tick(&world->self, following);
 	}
 }
 
@@ -114,7 +115,7 @@
 	json_t *row = row_of(at_ms, state);
 
 	snprintf(name, sizeof(name), "10.0.1.%d:80", number);
-	membership_row_requested(&world->self, name, row);
+	membership_add_row_request(&world->self, name, row);
 	json_decref(row);
 }
 
@@ -122,7 +123,7 @@
 static void
 own_row_stored(world_t *world)
 {
-	json_t *row = membership_row_request(&world->self);
+	json_t *row = membership_own_row_request(&world->self);
 	char *text;
 	row_t told = {.key = MEMBER_PREFIX "10.0.0.0:80", .version = 5};
 
@@ -131,7 +132,7 @@
 	text = json_dumps(row, JSON_COMPACT);
 	told.value = text;
 	told.value_len = strlen(text);
-	membership_row(&world->self, &told);
+	membership_apply_row(&world->self, &told);
 	free(text);
 	json_decref(row);
 }
@@ -151,7 +152,7 @@
 		    .version = 9};
 
 		if (strcmp(row.key, MEMBER_PREFIX "10.0.0.0:80") != 0)
-			membership_row(&world->self, &row);
+			membership_apply_row(&world->self, &row);
 		else
 			own_row_stored(world);
 	}
@@ -191,18 +192,18 @@
 	request_of(&world, 7, 100000, "ready");
 	steps(&world, 2000, true, true);
 	assert_int_equal(world.store.calls, 0);
-	row = membership_row_request(&world.self);
+	row = membership_own_row_request(&world.self);
 	assert_non_null(row);
 	assert_string_equal(
 	    json_string_value(json_object_get(row, "state")), "ready");
 	json_decref(row);
-	row = membership_below(&world.self);
+	row = membership_subtree(&world.self);
 	assert_int_equal(
 	    json_array_size(json_object_get(row, "10.0.1.7:80")), 3);
 	json_decref(row);
 	own_row_stored(&world);
 	steps(&world, STEP_MS, true, true);
-	assert_null(membership_row_request(&world.self));
+	assert_null(membership_own_row_request(&world.self));
 	membership_finish(&world.self);
 }
 
@@ -266,8 +267,8 @@
 
 	(void)state;
 	world_init(&world, 2);
-	membership_row_requested(&world.self, "10.0.1.7:80", row);
-	membership_row_requested(&world.self, "10.0.1.8:80", NULL);
+	membership_add_row_request(&world.self, "10.0.1.7:80", row);
+	membership_add_row_request(&world.self, "10.0.1.8:80", NULL);
 	json_decref(row);
 	steps(&world, STEP_MS, false, true);
 	assert_int_equal(world.store.rows, 1);
--- a/test/unit/member_tree_test.c
+++ b/test/unit/member_tree_test.c
@@ -63,9 +63,10 @@
 	for (int i = 0; i < DAEMONS; i++) {
 		membership_t self;
 
-		membership_of(&self, &store, &clock.source, i, DAEMONS);
+		membership_init_with_members(
+		    &self, &store, &clock.source, i, DAEMONS);
 		parents[i] = parent_number(&self);
-		firsts += membership_follows_first(&self);
+		firsts += membership_near_root(&self);
 		membership_finish(&self);
 	}
 	/* The first, its followers, and nobody who follows these. */
@@ -85,7 +86,7 @@
 	for (int i = 0; i < DAEMONS; i++) {
 		assert_true(followers[i] <= 8);
 		/* What costs most is done by the strong ones. */
-		assert_true(followers[i] == 0 || strength_of(i) > 0.25);
+		assert_true(followers[i] == 0 || daemon_strength(i) > 0.25);
 	}
 	event_base_free(base);
 }
@@ -107,7 +108,8 @@
 		const member_t *parent;
 		int number;
 
-		membership_of(&self, &store, &clock.source, i, LARGE);
+		membership_init_with_members(
+		    &self, &store, &clock.source, i, LARGE);
 		zones_deal(&self, i);
 		parent = membership_parent(&self);
 		if (parent != NULL) {
@@ -134,10 +136,10 @@
 	const member_t *first, *second;
 
 	(void)state;
-	membership_of(&self, &store, &clock.source, 1, DAEMONS);
+	membership_init_with_members(&self, &store, &clock.source, 1, DAEMONS);
 	first = membership_parent(&self);
 	assert_non_null(first);
-	membership_shun(&self, first->name, 3000);
+	membership_back_off(&self, first->name, 3000);
 	second = membership_parent(&self);
 	assert_true(second != first);
 	clock.now.tv_sec += 4;
@@ -161,15 +163,16 @@
 		membership_t self;
 		const member_t *next;
 
-		membership_of(&self, &store, &clock.source, i, DAEMONS);
-		next = membership_next(&self);
+		membership_init_with_members(
+		    &self, &store, &clock.source, i, DAEMONS);
+		next = membership_next_member(&self);
 		if (membership_parent(&self) == NULL) {
 			firsts++;
 			assert_non_null(next);
-			membership_shun(&self, next->name, 3000);
-			assert_true(membership_next(&self) != next);
+			membership_back_off(&self, next->name, 3000);
+			assert_true(membership_next_member(&self) != next);
 		}
-		assert_true(next == NULL || next->order > self.order);
+		assert_true(next == NULL || next->sort_key > self.sort_key);
 		membership_finish(&self);
 	}
 	assert_int_equal(firsts, 1);
@@ -182,8 +185,8 @@
 {
 	for (int64_t past = 0; past < ms; past += STEP_MS) {
 		clock->now = timespec_after_ms(clock->now, STEP_MS);
-		membership_heard(self, "10.0.0.2:80", NULL);
-		membership_step(self, false);
+		membership_record_request(self, "10.0.0.2:80", NULL);
+		membership_tick(self, false);
 	}
 }
 
@@ -196,21 +199,21 @@
 	membership_t self;
 
 	(void)state;
-	membership_of(&self, &store, &clock.source, 1, DAEMONS);
-	membership_rows_read(&self);
-	assert_int_equal(membership_count(&self), DAEMONS);
-	membership_heard(&self, "10.0.0.3:80", NULL);
+	membership_init_with_members(&self, &store, &clock.source, 1, DAEMONS);
+	membership_set_rows_read(&self);
+	assert_int_equal(membership_alive_count(&self), DAEMONS);
+	membership_record_request(&self, "10.0.0.3:80", NULL);
 	/* Silent ones are not yet taken for dead. */
 	pass_asked(&self, &clock, 2000);
-	assert_int_equal(membership_count(&self), DAEMONS);
+	assert_int_equal(membership_alive_count(&self), DAEMONS);
 	pass_asked(&self, &clock, SILENT_MS - 2000);
-	assert_int_equal(membership_count(&self), 3);
+	assert_int_equal(membership_alive_count(&self), 3);
 	pass_asked(&self, &clock, 5000);
-	assert_int_equal(membership_count(&self), 2);
+	assert_int_equal(membership_alive_count(&self), 2);
 	/* Another daemon knows better. */
 	clock.now.tv_sec++;
-	assert_true(membership_vouched(&self, clock.now, NULL));
-	assert_int_equal(membership_count(&self), DAEMONS);
+	assert_true(membership_apply_liveness(&self, clock.now, NULL));
+	assert_int_equal(membership_alive_count(&self), DAEMONS);
 	membership_finish(&self);
 	event_base_free(base);
 }
@@ -228,25 +231,29 @@
 	json_t *below;
 
 	(void)state;
-	membership_of(&leaf_parent, &store, &clock.source, 3, DAEMONS);
-	membership_of(&between, &store, &clock.source, 2, DAEMONS);
-	membership_of(&first, &store, &clock.source, 1, DAEMONS);
-	membership_heard(&leaf_parent, "10.0.0.9:80", NULL);
+	membership_init_with_members(
+	    &leaf_parent, &store, &clock.source, 3, DAEMONS);
+	membership_init_with_members(
+	    &between, &store, &clock.source, 2, DAEMONS);
+	membership_init_with_members(&first, &store, &clock.source, 1, DAEMONS);
+	membership_record_request(&leaf_parent, "10.0.0.9:80", NULL);
 	clock.now.tv_sec += 2;
-	below = membership_below(&leaf_parent);
-	membership_heard_below(&between, below);
+	below = membership_subtree(&leaf_parent);
+	membership_apply_subtree(&between, below);
 	json_decref(below);
-	below = membership_below(&between);
-	membership_heard_below(&first, below);
+	below = membership_subtree(&between);
+	membership_apply_subtree(&first, below);
 	json_decref(below);
 	HASH_FIND_STR(first.members, "10.0.0.9:80", leaf);
 	assert_non_null(leaf);
-	assert_true(life_fresh(&first.view, &leaf->life, clock.now));
+	assert_true(
+	    liveness_is_fresh(&first.liveness, &leaf->liveness, clock.now));
 	clock.now.tv_sec += 3;
 	/* It was heard of 5 s ago, though only just told. */
-	below = membership_below(&between);
+	below = membership_subtree(&between);
 	assert_null(below);
-	assert_false(life_fresh(&first.view, &leaf->life, clock.now));
+	assert_false(
+	    liveness_is_fresh(&first.liveness, &leaf->liveness, clock.now));
 	membership_finish(&leaf_parent);
 	membership_finish(&between);
 	membership_finish(&first);
@@ -266,18 +273,18 @@
 	membership_t self;
 
 	(void)state;
-	membership_of(&self, &store, &clock.source, 0, 1);
+	membership_init_with_members(&self, &store, &clock.source, 0, 1);
 	for (int i = 0; i < 20; i++) {
 		clock.now = timespec_after_ms(clock.now, 200);
-		membership_heard(&self, "10.0.0.5:80", NULL);
-		membership_step(&self, false);
+		membership_record_request(&self, "10.0.0.5:80", NULL);
+		membership_tick(&self, false);
 	}
-	assert_int_equal(membership_vouch_age_ms(&self), -1);
-	membership_rows_read(&self);
+	assert_int_equal(membership_liveness_age_ms(&self), -1);
+	membership_set_rows_read(&self);
 	clock.now = timespec_after_ms(clock.now, 200);
-	membership_heard(&self, "10.0.0.5:80", NULL);
-	membership_step(&self, false);
-	assert_int_equal(membership_vouch_age_ms(&self), 0);
+	membership_record_request(&self, "10.0.0.5:80", NULL);
+	membership_tick(&self, false);
+	assert_int_equal(membership_liveness_age_ms(&self), 0);
 	membership_finish(&self);
 	event_base_free(base);
 }
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -359,7 +359,7 @@
 	reporting_daemon(&member, &fixture.members);
 	assert_true(rollout_new_version_is_bad(rollout));
 	assert_false(rollout_is_drained(rollout));
-	life_set_silent(&member.life, true, fixture.clock.now);
+	liveness_set_silent(&member.liveness, true, fixture.clock.now);
 	assert_true(rollout_new_version_is_bad(rollout));
 	fixture.clock.now = timespec_after_ms(fixture.clock.now, DOWN_MS);
 	assert_false(rollout_new_version_is_bad(rollout));
--- a/test/unit/row_source_test.c
+++ b/test/unit/row_source_test.c
@@ -245,12 +245,13 @@
 	    .version = 3};
 
 	(void)state;
-	membership_of(&members, &store, &clock.source, 1, DAEMONS);
+	membership_init_with_members(
+	    &members, &store, &clock.source, 1, DAEMONS);
 	row_cache_init(&sync.cache, &clock.source, bytes_equal, NULL);
 	row_cache_put(&sync.cache, ROW_TABLE_SYSTEM, &key);
 	strcpy(sync.fleet_key, key.value);
 	strcpy(sync.settings.peer_address, "10.0.0.1:81");
-	members.order = -1; /* it is the first in the order */
+	members.sort_key = -1; /* it is the first in the order */
 	for (int i = 0; i < ROW_TABLES; i++)
 		sync.watches[i].watch = (row_watch_t){.clock = &clock.source,
 		    .reachable = true,
