--- a/moortack/replication/fleet_key.c
+++ b/moortack/replication/fleet_key.c
@@ -5,10 +5,11 @@
 
 #define KEY_TIMEOUT_MS 1500
 #define KEY_RETRY_MS 1500
-/* Not all daemons that find the key gone write it again at once: each looks for
- * it again, and for who else is there, before it does. */
-#define KEY_LOOK_MS 600
-#define KEY_SPREAD_MS 300
+/* A daemon that finds the key missing waits for this time and a random part of
+ * the spread before it writes the key, so that not all write it at once: by
+ * then it has read the key of another daemon, or knows the other daemons. */
+#define KEY_WRITE_DELAY_MS 600
+#define KEY_WRITE_JITTER_MS 300
 
 static void
 key_written(void *arg, const row_reply_t *reply)
@@ -16,7 +17,7 @@
 	row_sync_t *self = arg;
 
 	(void)reply;
-	/* Whoever was first, the key is in the table now. */
+	/* Whichever daemon wrote it first, the key is in the table now. */
 	self->key_write_pending = false;
 	self->key_write_after =
 	    timespec_after_ms(clock_elapsed(self->clock), KEY_RETRY_MS);
@@ -30,7 +31,8 @@
 
 	if (strlen(text) != FLEET_KEY_SIZE - 1 ||
 	    zmq_z85_decode(bytes, text) == NULL)
-		return err_set(err, ERR_UNREADABLE, "the key is no key");
+		return err_set(err, ERR_UNREADABLE,
+		    "not a Z85-encoded key of 40 characters");
 	return true;
 }
 
@@ -40,7 +42,7 @@
 	return row_cache_find(&self->cache, ROW_TABLE_SYSTEM, FLEET_KEY_ROW);
 }
 
-/* The key that the store has; NULL: none, or what is no key. */
+/* The key in the store; NULL: none, or an invalid one. */
 static const char *
 key_stored(const row_sync_t *self)
 {
@@ -52,8 +54,8 @@
 	    : NULL;
 }
 
-/* Whether it is this daemon's turn to write the key, and it waited for others
- * to do so. */
+/* Whether it is this daemon's turn to write the key, and it has waited for
+ * others to do so. */
 static bool
 key_due(row_sync_t *self)
 {
@@ -61,12 +63,13 @@
 
 	if (self->key_write_after.tv_sec == 0)
 		self->key_write_after = timespec_after_ms(now,
-		    KEY_LOOK_MS + (int64_t)rng_below(self->rng, KEY_SPREAD_MS));
+		    KEY_WRITE_DELAY_MS +
+			(int64_t)rng_below(self->rng, KEY_WRITE_JITTER_MS));
 	return timespec_ms_between(self->key_write_after, now) >= 0 &&
 	    !self->key_write_pending && membership_rank(self->members) == 0;
 }
 
-/* Unless somebody else has written it since. */
+/* Writes the key, unless another daemon has changed it since it was read. */
 static void
 key_write(row_sync_t *self, const char *secret)
 {
@@ -84,8 +87,8 @@
 		&change, 1, KEY_TIMEOUT_MS, key_written, self);
 }
 
-/* Whoever finds no key makes one; of several the store takes the first, and all
- * read it. */
+/* Makes a key if the store has none. If several daemons do, the store accepts
+ * the first key, and all of them read that one. */
 static void
 key_make(row_sync_t *self)
 {
