--- a/moortack/replication/member_life.c
+++ b/moortack/replication/member_life.c
@@ -1,16 +1,17 @@
 #include "moortack/replication/member_life.h"
 
-/* Whoever takes over waits this long for the questions of all others before it
- * speaks for itself. Those who follow one daemon find out within half a second
- * of each other that it is gone, and who reads the store beside one that stands
- * before it asks that one each second. */
-#define SETTLE_MS 1500
-/* Two steps are this far apart only if the process stood still: what others
+/* A daemon that receives requests waits this long for those of all others
+ * before it becomes authoritative. The followers of one daemon detect within
+ * half a second of each other that it is down, and a daemon that reads the
+ * store although another is before it in the order sends that one a request
+ * each second. */
+#define AUTHORITY_DELAY_MS 1500
+/* Two updates are this far apart only if the process was paused: what others
  * sent meanwhile is not read yet. */
 #define STALL_MS 1000
-/* A daemon that freezes comes back within a few seconds more often than not:
- * what it reported counts for so much longer than callers are sent to it. */
-#define GONE_MS 2500
+/* A process that is paused continues within a few seconds more often than not:
+ * what it reported counts this much longer than callers are sent to it. */
+#define DOWN_DELAY_MS 2500
 
 static bool
 is_set(struct timespec at)
@@ -25,44 +26,44 @@
 }
 
 static bool
-later(struct timespec at, struct timespec known)
+is_later(struct timespec at, struct timespec known)
 {
 	return !is_set(known) || timespec_ms_between(known, at) > 0;
 }
 
 static void
-begin(liveness_view_t *view, struct timespec now)
+observation_restart(liveness_view_t *view, struct timespec now)
 {
 	view->observing_since = now;
 	view->requests_since = (struct timespec){0};
 }
 
 static void
-hold(liveness_view_t *view, struct timespec now, bool held)
+view_set_frozen(liveness_view_t *view, struct timespec now, bool frozen)
 {
-	if (held && !view->frozen)
+	if (frozen && !view->frozen)
 		view->frozen_at = now;
-	if (!held && view->frozen) {
-		begin(view, now);
+	if (!frozen && view->frozen) {
+		observation_restart(view, now);
 		if (!view->following)
 			liveness_view_start_grace(view, now);
 	}
-	view->frozen = held;
+	view->frozen = frozen;
 }
 
-/* Whether all had the time to ask this daemon, and it knows who they are: one
- * that has read no rows knows of nobody that is silent. */
+/* Whether all other daemons had the time to send this one a request, and it
+ * knows which there are: one that has read no rows knows of no silent one. */
 static bool
-is_settled(const liveness_view_t *view, struct timespec now,
-    const liveness_inputs_t *step)
+has_authority(const liveness_view_t *view, struct timespec now,
+    const liveness_inputs_t *inputs)
 {
-	if (view->following || view->frozen || !step->rows_read)
+	if (view->following || view->frozen || !inputs->rows_read)
 		return false;
 	if (is_set(view->requests_since) &&
 	    within(view->last_request_at, now,
 		view->timeouts.silence_timeout_ms) &&
-	    (view->authoritative || step->all_fresh ||
-		!within(view->requests_since, now, SETTLE_MS)))
+	    (view->authoritative || inputs->all_fresh ||
+		!within(view->requests_since, now, AUTHORITY_DELAY_MS)))
 		return true;
 	return !within(
 	    view->observing_since, now, view->timeouts.authority_timeout_ms);
@@ -70,15 +71,15 @@
 
 void
 liveness_view_update(
-    liveness_view_t *view, struct timespec now, const liveness_inputs_t *step)
+    liveness_view_t *view, struct timespec now, const liveness_inputs_t *inputs)
 {
 	if (!within(view->updated_at, now, STALL_MS) ||
-	    view->following != step->following)
-		begin(view, now);
+	    view->following != inputs->following)
+		observation_restart(view, now);
 	view->updated_at = now;
-	view->following = step->following;
-	hold(view, now, step->frozen);
-	view->authoritative = is_settled(view, now, step);
+	view->following = inputs->following;
+	view_set_frozen(view, now, inputs->frozen);
+	view->authoritative = has_authority(view, now, inputs);
 	if (view->authoritative)
 		view->summary_at = now;
 }
@@ -109,7 +110,7 @@
 bool
 liveness_view_apply_summary(liveness_view_t *view, struct timespec at)
 {
-	if (!later(at, view->summary_at))
+	if (!is_later(at, view->summary_at))
 		return false;
 	view->summary_at = at;
 	return true;
@@ -118,7 +119,7 @@
 void
 liveness_record_heartbeat(member_liveness_t *life, struct timespec at)
 {
-	if (later(at, life->last_seen_at))
+	if (is_later(at, life->last_seen_at))
 		life->last_seen_at = at;
 }
 
@@ -126,7 +127,7 @@
 liveness_record_request(member_liveness_t *life, struct timespec at)
 {
 	liveness_record_heartbeat(life, at);
-	if (!later(at, life->last_request_at))
+	if (!is_later(at, life->last_request_at))
 		return false;
 	life->last_request_at = at;
 	return true;
@@ -149,9 +150,9 @@
 	liveness_set_silent(life, true, now);
 }
 
-/* While nothing is heard at all, the moment at which that began. */
+/* The time as of which members are judged: while frozen, when that began. */
 static struct timespec
-now_of(const liveness_view_t *view, struct timespec now)
+evaluation_time(const liveness_view_t *view, struct timespec now)
 {
 	return view->frozen ? view->frozen_at : now;
 }
@@ -160,8 +161,8 @@
 liveness_is_fresh(const liveness_view_t *view, const member_liveness_t *life,
     struct timespec now)
 {
-	return later(life->last_seen_at, life->no_response_at) &&
-	    within(life->last_seen_at, now_of(view, now),
+	return is_later(life->last_seen_at, life->no_response_at) &&
+	    within(life->last_seen_at, evaluation_time(view, now),
 		view->timeouts.silence_timeout_ms);
 }
 
@@ -169,13 +170,13 @@
 liveness_is_available(const liveness_view_t *view,
     const member_liveness_t *life, struct timespec now)
 {
-	struct timespec then = now_of(view, now);
+	struct timespec at = evaluation_time(view, now);
 
 	if (liveness_is_fresh(view, life, now))
 		return true;
 	return !life->silent &&
-	    (within(view->summary_at, then, view->timeouts.summary_ttl_ms) ||
-		within(view->grace_started_at, then, view->timeouts.grace_ms));
+	    (within(view->summary_at, at, view->timeouts.summary_ttl_ms) ||
+		within(view->grace_started_at, at, view->timeouts.grace_ms));
 }
 
 bool
@@ -189,10 +190,11 @@
 liveness_is_down(const liveness_view_t *view, const member_liveness_t *life,
     struct timespec now)
 {
-	/* Nor is anybody gone at once for who could hear nothing until just
-	 * now: a row that is cleared by mistake makes two that read the store
-	 * miss each other for seconds. */
-	return life->silent && !within(life->silent_since, now, GONE_MS) &&
-	    !within(view->observing_since, now, GONE_MS) &&
+	/* Nor is a member down as soon as this daemon can receive signs of life
+	 * again: if its row were deleted by mistake, two daemons that read the
+	 * store would not know of each other for seconds. */
+	return life->silent &&
+	    !within(life->silent_since, now, DOWN_DELAY_MS) &&
+	    !within(view->observing_since, now, DOWN_DELAY_MS) &&
 	    !liveness_is_fresh(view, life, now);
 }
--- a/moortack/replication/member_row.c
+++ b/moortack/replication/member_row.c
@@ -4,13 +4,13 @@
 
 #include "membership_priv.h"
 
-/* More cores than any VM has. */
+/* Cores; more than any VM has. */
 #define STRENGTH_MAX 4096
 
 const char *const member_state_names[] = {"starting", "ready", "leaving"};
 
 static bool
-state_named(const char *name, member_state_t *state)
+state_parse(const char *name, member_state_t *state)
 {
 	for (size_t i = 0; name != NULL && i < 3; i++) {
 		if (strcmp(member_state_names[i], name) != 0)
@@ -23,72 +23,72 @@
 
 /* @param out MEMBER_NAME_SIZE bytes */
 static bool
-text_take(const json_t *body, const char *field, char *out, err_t *err)
+string_decode(const json_t *body, const char *field, char *out, err_t *err)
 {
 	const char *text = json_string_value(json_object_get(body, field));
 
 	if (text == NULL || strlen(text) >= MEMBER_NAME_SIZE)
 		return err_set(err, ERR_BAD_REQUEST,
-		    "%s is missing, no text or too long", field);
+		    "%s is missing, not a string or too long", field);
 	strcpy(out, text);
 	return true;
 }
 
 static bool
-facts_take(const json_t *body, member_record_t *facts, err_t *err)
+record_decode(const json_t *body, member_record_t *record, err_t *err)
 {
 	const json_t *strength = json_object_get(body, "strength");
 
-	if (!text_take(body, "place", facts->zone, err) ||
-	    !text_take(body, "peer", facts->peer_address, err))
+	if (!string_decode(body, "place", record->zone, err) ||
+	    !string_decode(body, "peer", record->peer_address, err))
 		return false;
-	facts->strength = json_number_value(strength);
-	if (!json_is_number(strength) || facts->strength < 0 ||
-	    facts->strength > STRENGTH_MAX)
+	record->strength = json_number_value(strength);
+	if (!json_is_number(strength) || record->strength < 0 ||
+	    record->strength > STRENGTH_MAX)
 		return err_set(err, ERR_BAD_REQUEST,
 		    "strength is missing or out of range");
-	if (!state_named(json_string_value(json_object_get(body, "state")),
-		&facts->state))
+	if (!state_parse(json_string_value(json_object_get(body, "state")),
+		&record->state))
 		return err_set(
 		    err, ERR_BAD_REQUEST, "state is missing or unknown");
-	facts->written_at_ms =
+	record->written_at_ms =
 	    json_integer_value(json_object_get(body, "at_ms"));
-	if (facts->written_at_ms < 0)
+	if (record->written_at_ms < 0)
 		return err_set(err, ERR_BAD_REQUEST, "at_ms is negative");
-	facts->report = json_object_get(body, "report");
+	record->report = json_object_get(body, "report");
 	return true;
 }
 
 bool
 member_record_decode(
-    const char *name, json_t *body, member_record_t *facts, err_t *err)
+    const char *name, json_t *body, member_record_t *record, err_t *err)
 {
-	*facts = (member_record_t){.body = body};
-	if (name[0] == '\0' || strlen(name) >= sizeof(facts->name)) {
-		member_record_finish(facts);
+	*record = (member_record_t){.body = body};
+	if (name[0] == '\0' || strlen(name) >= sizeof(record->name)) {
+		member_record_finish(record);
 		return err_set(err, ERR_NAME, "the name is empty or too long");
 	}
-	strcpy(facts->name, name);
+	strcpy(record->name, name);
 	if (!json_is_object(body)) {
-		member_record_finish(facts);
+		member_record_finish(record);
 		return err_set(
-		    err, ERR_UNREADABLE, "the row is no JSON object");
+		    err, ERR_UNREADABLE, "the row is not a JSON object");
 	}
-	if (facts_take(body, facts, err))
+	if (record_decode(body, record, err))
 		return true;
-	member_record_finish(facts);
+	member_record_finish(record);
 	return false;
 }
 
 bool
-member_row_decode(const row_t *row, member_record_t *facts, err_t *err)
+member_row_decode(const row_t *row, member_record_t *record, err_t *err)
 {
 	return member_record_decode(row->key + strlen(MEMBER_PREFIX),
-	    json_loadb(row->value, row->value_len, 0, NULL), facts, err);
+	    json_loadb(row->value, row->value_len, 0, NULL), record, err);
 }
 
 static bool
-is_address(const char *text)
+is_ip_address(const char *text)
 {
 	http_address_t address;
 
@@ -97,19 +97,22 @@
 }
 
 bool
-member_record_check_addresses(const member_record_t *facts, err_t *err)
+member_record_check_addresses(const member_record_t *record, err_t *err)
 {
-	if (!is_address(facts->name))
-		return err_set(err, ERR_NAME, "the name is no IP:PORT");
-	if (facts->peer_address[0] != '\0' && !is_address(facts->peer_address))
-		return err_set(err, ERR_BAD_REQUEST, "peer is no IP:PORT");
+	if (!is_ip_address(record->name))
+		return err_set(
+		    err, ERR_NAME, "the name is not an IP:PORT address");
+	if (record->peer_address[0] != '\0' &&
+	    !is_ip_address(record->peer_address))
+		return err_set(
+		    err, ERR_BAD_REQUEST, "peer is not an IP:PORT address");
 	return true;
 }
 
 void
-member_record_finish(member_record_t *facts)
+member_record_finish(member_record_t *record)
 {
-	json_decref(facts->body);
-	facts->body = NULL;
-	facts->report = NULL;
+	json_decref(record->body);
+	record->body = NULL;
+	record->report = NULL;
 }
--- a/moortack/replication/member_row_requests.c
+++ b/moortack/replication/member_row_requests.c
@@ -8,15 +8,15 @@
  * headroom for expectations. With 50, a fleet of 295 daemons that starts needs
  * 6 calls instead of 295. */
 #define BATCH_ROWS_MAX 50
-/* A daemon writes its own row if the reader of the store has not done so after
- * this time. A request reaches the reader within 1.1 s (two levels of questions
- * that are held for 0.5 s), and the row is replicated back within 2 s. */
-#define WANTED_MS 4000
-/* A serving daemon that no other daemon has heard of for this long announces
- * itself through its own row. Most find a daemon to follow sooner. */
-#define ALONE_MS 500
+/* A daemon writes its own row if the tree's root has not done so after this
+ * time. A request reaches the root within 1.1 s (on two levels of the tree, a
+ * request is held for 0.5 s), and the row is replicated back within 2 s. */
+#define ROOT_WRITE_TIMEOUT_MS 4000
+/* A serving daemon that has been isolated for this long announces itself by its
+ * own row. Most find a daemon to follow sooner. */
+#define ISOLATED_DELAY_MS 500
 #define RETRY_MS 400
-#define RETRY_MOST_MS 2000
+#define RETRY_MAX_MS 2000
 
 /** The rows of one transaction, and the memory behind them. */
 typedef struct row_batch {
@@ -32,7 +32,7 @@
 	return at.tv_sec != 0 || at.tv_nsec != 0;
 }
 
-/* The own row as it ought to be now. */
+/* The own row as it should be stored now. */
 static json_t *
 own_row(membership_t *self)
 {
@@ -48,9 +48,9 @@
 	return row;
 }
 
-/* Whether two rows agree in everything but their time and their report. */
+/* Whether two rows are equal except for their times and reports. */
 static bool
-facts_same(const member_record_t *a, const member_record_t *b)
+records_equal(const member_record_t *a, const member_record_t *b)
 {
 	return a->state == b->state && a->strength == b->strength &&
 	    strcmp(a->zone, b->zone) == 0 &&
@@ -66,12 +66,12 @@
 	strcpy(wanted.zone, self->settings.zone);
 	strcpy(wanted.peer_address, self->settings.peer_address);
 	return self->stored_record.body != NULL &&
-	    facts_same(&wanted, &self->stored_record);
+	    records_equal(&wanted, &self->stored_record);
 }
 
 /* A starting daemon needs no row: the one of its last run is still stored, or
- * a new one is written once it serves. The exception is the first daemon of
- * all, which the others can find only by its row. */
+ * a new one is written once it serves. The exception is a daemon that knows of
+ * no others, which these can find only by its row. */
 static bool
 own_row_wanted(const membership_t *self)
 {
@@ -83,7 +83,7 @@
 }
 
 static void
-wanted_note(membership_t *self, struct timespec now)
+update_row_wanted(membership_t *self, struct timespec now)
 {
 	if (!own_row_wanted(self))
 		self->row_wanted_since = (struct timespec){0};
@@ -115,7 +115,7 @@
 }
 
 static member_row_request_t *
-request_of(membership_t *self, const char *name)
+row_request_add(membership_t *self, const char *name)
 {
 	member_row_request_t *request;
 
@@ -132,7 +132,7 @@
 
 /* Converts the time of a request from the store's clock to this daemon's. */
 static struct timespec
-wanted_at(const membership_t *self, int64_t at_ms)
+request_time(const membership_t *self, int64_t at_ms)
 {
 	struct timespec now = clock_elapsed(self->clock);
 	int64_t age_ms = member_store_now_ms(self) - at_ms;
@@ -144,29 +144,32 @@
 membership_add_row_request(
     membership_t *self, const char *name, const json_t *row)
 {
-	member_record_t facts;
+	member_record_t record;
 	member_row_request_t *request;
 
 	if (row == NULL ||
 	    !member_record_decode(
-		name, json_incref((json_t *)(uintptr_t)row), &facts, NULL))
+		name, json_incref((json_t *)(uintptr_t)row), &record, NULL))
 		return;
-	request = request_of(self, name);
-	if (request != NULL && facts.written_at_ms > request->requested_at_ms) {
+	request = row_request_add(self, name);
+	if (request != NULL &&
+	    record.written_at_ms > request->requested_at_ms) {
 		json_decref(request->row);
-		request->row = json_incref(facts.body);
-		request->requested_at_ms = facts.written_at_ms;
-		request->requested_at = wanted_at(self, facts.written_at_ms);
+		request->row = json_incref(record.body);
+		request->requested_at_ms = record.written_at_ms;
+		request->requested_at =
+		    request_time(self, record.written_at_ms);
 	}
-	member_record_finish(&facts);
+	member_record_finish(&record);
 }
 
 /* Whether the stored row, as last read, is the one that is wanted. */
 static bool
-request_stored(const membership_t *self, const member_row_request_t *request)
+row_request_fulfilled(
+    const membership_t *self, const member_row_request_t *request)
 {
 	const member_t *member;
-	member_record_t wanted, known;
+	member_record_t wanted, stored;
 	bool same;
 
 	HASH_FIND_STR(self->members, request->name, member);
@@ -174,24 +177,25 @@
 	    !member_record_decode(
 		request->name, json_incref(request->row), &wanted, NULL))
 		return false;
-	known = (member_record_t){
+	stored = (member_record_t){
 	    .state = member->state, .strength = member->strength};
-	strcpy(known.zone, member->zone);
-	strcpy(known.peer_address, member->peer_address);
-	same = facts_same(&wanted, &known);
+	strcpy(stored.zone, member->zone);
+	strcpy(stored.peer_address, member->peer_address);
+	same = records_equal(&wanted, &stored);
 	member_record_finish(&wanted);
 	return same;
 }
 
-/* Drop requests that are fulfilled, and those not repeated for silent_ms. */
+/* Drops requests that are fulfilled, and those not repeated for
+ * silence_timeout_ms. */
 static void
-requests_trim(membership_t *self, struct timespec now)
+row_requests_trim(membership_t *self, struct timespec now)
 {
 	member_row_request_t *request, *next;
 
 	HASH_ITER(hh, self->row_requests, request, next)
 	{
-		if (request_stored(self, request) ||
+		if (row_request_fulfilled(self, request) ||
 		    timespec_ms_between(request->requested_at, now) >=
 			self->settings.liveness.silence_timeout_ms)
 			row_request_free(self, request);
@@ -199,7 +203,7 @@
 }
 
 static void
-batch_add(row_batch_t *batch, const char *name, json_t *row)
+batch_add_row(row_batch_t *batch, const char *name, json_t *row)
 {
 	char *key = batch->keys[batch->len];
 	char *value = json_dumps(row, JSON_COMPACT);
@@ -213,11 +217,11 @@
 }
 
 static void
-own_add(membership_t *self, row_batch_t *batch)
+batch_add_own_row(membership_t *self, row_batch_t *batch)
 {
 	json_t *row = own_row(self);
 
-	batch_add(batch, self->settings.name, row);
+	batch_add_row(batch, self->settings.name, row);
 	json_decref(row);
 }
 
@@ -232,8 +236,8 @@
 	else
 		self->retry_ms =
 		    self->retry_ms == 0 ? RETRY_MS : 2 * self->retry_ms;
-	if (self->retry_ms > RETRY_MOST_MS)
-		self->retry_ms = RETRY_MOST_MS;
+	if (self->retry_ms > RETRY_MAX_MS)
+		self->retry_ms = RETRY_MAX_MS;
 	self->next_write_at = timespec_after_ms(clock_elapsed(self->clock),
 	    self->retry_ms > 0 ? self->retry_ms : RETRY_MS);
 	self->read_back_pending = true;
@@ -250,27 +254,29 @@
 		free(batch->values[i]);
 }
 
-/* Whether the own row is due as a heartbeat, because no daemon asks this
- * one. */
+/* Whether the own row is due as a heartbeat, because this daemon is
+ * isolated. */
 static bool
-tells_by_row(const membership_t *self, struct timespec now)
+row_heartbeat_due(const membership_t *self, struct timespec now)
 {
 	return self->isolated && self->rows_read &&
 	    self->state != MEMBER_STARTING &&
-	    timespec_ms_between(self->isolated_since, now) >= ALONE_MS &&
+	    timespec_ms_between(self->isolated_since, now) >=
+	    ISOLATED_DELAY_MS &&
 	    (!is_set(self->row_heartbeat_at) ||
 		timespec_ms_between(self->row_heartbeat_at, now) >=
 		    self->settings.row_heartbeat_ms);
 }
 
 static bool
-own_due(const membership_t *self, struct timespec now)
+own_row_due(const membership_t *self, struct timespec now)
 {
-	if (tells_by_row(self, now))
+	if (row_heartbeat_due(self, now))
 		return true;
 	return is_set(self->row_wanted_since) &&
 	    (!self->liveness.following ||
-		timespec_ms_between(self->row_wanted_since, now) >= WANTED_MS);
+		timespec_ms_between(self->row_wanted_since, now) >=
+		    ROOT_WRITE_TIMEOUT_MS);
 }
 
 void
@@ -278,19 +284,19 @@
 {
 	row_batch_t batch = {.len = 0};
 
-	wanted_note(self, now);
-	requests_trim(self, now);
+	update_row_wanted(self, now);
+	row_requests_trim(self, now);
 	if (self->write_pending || self->liveness.frozen ||
 	    timespec_ms_between(self->next_write_at, now) < 0)
 		return;
-	if (own_due(self, now)) {
-		own_add(self, &batch);
+	if (own_row_due(self, now)) {
+		batch_add_own_row(self, &batch);
 		self->row_heartbeat_at = now;
 	}
 	for (const member_row_request_t *request = self->row_requests;
 	     request != NULL && !self->liveness.following &&
 	     batch.len < BATCH_ROWS_MAX;
 	     request = request->hh.next)
-		batch_add(&batch, request->name, request->row);
+		batch_add_row(&batch, request->name, request->row);
 	batch_write(self, &batch);
 }
--- a/moortack/replication/member_tree.c
+++ b/moortack/replication/member_tree.c
@@ -3,13 +3,14 @@
 
 #include "membership_priv.h"
 
-/* Followers of one daemon, at least, before the tree gets a second level. */
-#define BREADTH_MIN 8
-/* Zones that are told apart; more count as so many. */
+/* The tree gets a second level only if one daemon would have more followers
+ * than this. */
+#define FOLLOWERS_MIN 8
+/* Zones that are counted; further ones are ignored. */
 #define ZONES_MAX 16
 
 static bool
-may_ask(const membership_t *self, const member_t *member)
+may_request(const membership_t *self, const member_t *member)
 {
 	return member->state != MEMBER_LEAVING &&
 	    member->peer_address[0] != '\0' &&
@@ -20,15 +21,15 @@
 static bool
 may_follow(const membership_t *self, const member_t *member)
 {
-	return may_ask(self, member) &&
+	return may_request(self, member) &&
 	    liveness_is_responsive(
 		&self->liveness, &member->liveness, clock_elapsed(self->clock));
 }
 
-/* Whether the member stands before this daemon; before one that leaves, all do.
- */
+/* Whether the member is before this daemon in the order; all are before one
+ * that is leaving. */
 static bool
-stands_before(const membership_t *self, const member_t *member)
+is_before(const membership_t *self, const member_t *member)
 {
 	return member->sort_key < self->sort_key ||
 	    self->state == MEMBER_LEAVING;
@@ -37,15 +38,15 @@
 static int
 order_compare(const void *a, const void *b)
 {
-	const member_t *const *one = a;
-	const member_t *const *two = b;
+	const member_t *const *first = a;
+	const member_t *const *second = b;
 
-	return ((*one)->sort_key > (*two)->sort_key) -
-	    ((*one)->sort_key < (*two)->sort_key);
+	return ((*first)->sort_key > (*second)->sort_key) -
+	    ((*first)->sort_key < (*second)->sort_key);
 }
 
 static bool
-ordered_reserve(membership_t *self, size_t count)
+candidates_reserve(membership_t *self, size_t count)
 {
 	const member_t **grown;
 
@@ -59,17 +60,17 @@
 	return true;
 }
 
-/* Who may be followed and stands before this daemon, in order. */
+/* Collects the members before this daemon that may be followed, in order. */
 static size_t
-ordered_fill(membership_t *self)
+candidates_collect(membership_t *self)
 {
 	size_t len = 0;
 
-	if (!ordered_reserve(self, HASH_COUNT(self->members)))
+	if (!candidates_reserve(self, HASH_COUNT(self->members)))
 		return 0;
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		if (stands_before(self, member) && may_follow(self, member))
+		if (is_before(self, member) && may_follow(self, member))
 			self->parent_candidates[len++] = member;
 	}
 	if (len > 1)
@@ -78,33 +79,34 @@
 	return len;
 }
 
-/* Followers of one daemon: as many as make a tree of two levels. */
+/* The number of followers per daemon that makes a tree of two levels. */
 static size_t
-breadth_of(size_t daemons)
+followers_per_parent(size_t daemons)
 {
-	size_t breadth = BREADTH_MIN;
+	size_t followers = FOLLOWERS_MIN;
 
-	while (breadth * breadth < daemons)
-		breadth++;
-	return breadth;
+	while (followers * followers < daemons)
+		followers++;
+	return followers;
 }
 
 bool
 membership_follows_another(membership_t *self)
 {
-	return ordered_fill(self) > 0;
+	return candidates_collect(self) > 0;
 }
 
-/* The first of those that stand before this daemon and are silent. They ask
- * nobody who stands after them: only a question tells that one is back. */
+/* The first of the members before this daemon, when all are silent. They send
+ * no requests to daemons after them, so only a request of this one shows that
+ * one of them responds again. */
 static const member_t *
-silent_first(const membership_t *self)
+first_silent(const membership_t *self)
 {
 	const member_t *first = NULL;
 
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		if (stands_before(self, member) && may_ask(self, member) &&
+		if (is_before(self, member) && may_request(self, member) &&
 		    (first == NULL || member->sort_key < first->sort_key))
 			first = member;
 	}
@@ -112,12 +114,12 @@
 }
 
 static bool
-is_near(const membership_t *self, const member_t *member)
+in_same_zone(const membership_t *self, const member_t *member)
 {
 	return strcmp(member->zone, self->settings.zone) == 0;
 }
 
-/* Zones in which daemons stand. */
+/* The number of zones that have daemons. */
 static size_t
 zones_count(const membership_t *self)
 {
@@ -126,56 +128,59 @@
 
 	for (const member_t *member = self->members;
 	     member != NULL && len < ZONES_MAX; member = member->hh.next) {
-		size_t at = 0;
+		size_t i = 0;
 
-		while (at < len && strcmp(zones[at], member->zone) != 0)
-			at++;
-		if (at == len)
+		while (i < len && strcmp(zones[i], member->zone) != 0)
+			i++;
+		if (i == len)
 			zones[len++] = member->zone;
 	}
 	return len;
 }
 
-/* The near one at this place in the order, but for the first of all. */
+/* The parent candidate with this number among those in the same zone, leaving
+ * out the first of all. */
 static const member_t *
-near_at(const membership_t *self, size_t before, size_t rank)
+same_zone_candidate(const membership_t *self, size_t before, size_t rank)
 {
 	for (size_t i = 1; i < before; i++) {
-		if (is_near(self, self->parent_candidates[i]) && rank-- == 0)
+		if (in_same_zone(self, self->parent_candidates[i]) &&
+		    rank-- == 0)
 			return self->parent_candidates[i];
 	}
 	return self->parent_candidates[0];
 }
 
 static size_t
-near_count(const membership_t *self, size_t before)
+same_zone_count(const membership_t *self, size_t before)
 {
 	size_t count = 0;
 
 	for (size_t i = 1; i < before; i++)
-		count += is_near(self, self->parent_candidates[i]);
+		count += in_same_zone(self, self->parent_candidates[i]);
 	return count;
 }
 
-/* The first ones of each zone follow the first of all, and the others one of
- * these in their own zone: what is told all crosses between zones a few
- * times, not once for each daemon. */
+/* The first daemons of each zone follow the first of all, and the others follow
+ * one of these in their own zone: what is sent to all daemons crosses between
+ * zones a few times, not once for each daemon. */
 const member_t *
 membership_parent(membership_t *self)
 {
-	size_t before = ordered_fill(self);
-	size_t breadth = breadth_of(membership_alive_count(self));
-	size_t zones, near, tellers;
+	size_t before = candidates_collect(self);
+	size_t followers = followers_per_parent(membership_alive_count(self));
+	size_t zones, same_zone, relays_per_zone;
 
 	if (before == 0)
-		return silent_first(self);
-	if (before <= BREADTH_MIN)
+		return first_silent(self);
+	if (before <= FOLLOWERS_MIN)
 		return self->parent_candidates[0];
 	zones = zones_count(self);
-	tellers = (breadth + zones - 1) / zones;
-	near = near_count(self, before);
-	return near < tellers ? self->parent_candidates[0]
-			      : near_at(self, before, near % tellers);
+	relays_per_zone = (followers + zones - 1) / zones;
+	same_zone = same_zone_count(self, before);
+	return same_zone < relays_per_zone
+	    ? self->parent_candidates[0]
+	    : same_zone_candidate(self, before, same_zone % relays_per_zone);
 }
 
 bool
@@ -183,7 +188,7 @@
 {
 	const member_t *parent;
 
-	if (ordered_fill(self) <= BREADTH_MIN)
+	if (candidates_collect(self) <= FOLLOWERS_MIN)
 		return true;
 	parent = membership_parent(self);
 	return parent == self->parent_candidates[0];
@@ -192,14 +197,14 @@
 const member_t *
 membership_next_member(const membership_t *self)
 {
-	const member_t *best = NULL;
+	const member_t *next = NULL;
 
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		if (stands_before(self, member) || !may_follow(self, member))
+		if (is_before(self, member) || !may_follow(self, member))
 			continue;
-		if (best == NULL || member->sort_key < best->sort_key)
-			best = member;
+		if (next == NULL || member->sort_key < next->sort_key)
+			next = member;
 	}
-	return best;
+	return next;
 }
--- a/moortack/replication/membership.c
+++ b/moortack/replication/membership.c
@@ -6,19 +6,20 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* How long a member is shunned by a daemon that has nobody else to follow. */
-#define SHUN_FIRST_MS 1000
-/* Times that the time for which a member is shunned is doubled. */
-#define SHUNS_MAX 3
-/* VMs whose cores differ by a hundredth or more never change places by their
- * hash. */
-#define STRENGTH_ORDER 100.0
-/* A larger step back is a reset of the store's clock, not a delayed answer. */
-#define STORE_CLOCK_BACK_MS 5000
+/* How long a daemon that has no other one to follow backs off from a member. */
+#define BACKOFF_ONLY_PARENT_MS 1000
+/* How often the time of a back-off is doubled. */
+#define BACKOFF_DOUBLINGS_MAX 3
+/* With this weight, VMs whose cores differ by a hundredth or more are never
+ * ordered by their hash. */
+#define STRENGTH_WEIGHT 100.0
+/* A larger step back is a reset of the store's clock, not a delayed
+ * response. */
+#define STORE_CLOCK_RESET_MS 5000
 #define HASH_RANGE 18446744073709551616.0
 
-/* What only tells that the row was written again. */
-static const char *const own_fields[] = {"beat", "at_ms"};
+/* Fields that differ each time that the row is written. */
+static const char *const heartbeat_fields[] = {"beat", "at_ms"};
 
 int64_t
 member_store_now_ms(const membership_t *self)
@@ -29,18 +30,19 @@
 	    : 0;
 }
 
-/* A place in the order of all, that each daemon computes alike: the strong ones
- * stand first, each kind in the order of a hash. The first reads all that
- * endpoints write, and the next ones pass it on. With strong ones only likelier
- * first, the worth of the users' three large sheets was 0.013, 0.002 and 0.010
- * less (15 days each). */
+/* The place of a daemon in the order of all, lowest first, which each daemon
+ * computes alike: the strong ones come first, and daemons of the same strength
+ * are in the order of a hash. The first one reads all that endpoints write, and
+ * the next ones pass it on, so these should be strong: where strong ones were
+ * only likelier to come first, the benchmark score of the three large
+ * deployments was lower by 0.013, 0.002 and 0.010 (15 days each). */
 static double
-member_order(const char *name, double strength)
+member_sort_key(const char *name, double strength)
 {
-	double unit =
+	double hash =
 	    ((double)XXH3_64bits(name, strlen(name)) + 1) / HASH_RANGE;
 
-	return unit - STRENGTH_ORDER * strength;
+	return hash - STRENGTH_WEIGHT * strength;
 }
 
 void
@@ -55,7 +57,7 @@
 	self->clock = clock;
 	self->isolated = true;
 	self->isolated_since = clock_elapsed(clock);
-	self->sort_key = member_order(settings->name, settings->strength);
+	self->sort_key = member_sort_key(settings->name, settings->strength);
 	self->liveness.timeouts = settings->liveness;
 }
 
@@ -81,7 +83,7 @@
 }
 
 static member_t *
-member_of(membership_t *self, const char *name)
+member_add(membership_t *self, const char *name)
 {
 	member_t *member;
 
@@ -103,7 +105,7 @@
 }
 
 static void
-own_row_take(membership_t *self, const row_t *row)
+own_row_apply(membership_t *self, const row_t *row)
 {
 	membership_own_row_missing(self);
 	if (!row->deleted)
@@ -113,16 +115,16 @@
 }
 
 static void
-shun_end(member_t *member)
+backoff_clear(member_t *member)
 {
 	member->backoff_count = 0;
 	member->backoff_until = (struct timespec){0};
 }
 
-/* The row says when it was written. A row that is only read again, or told by
- * another daemon, is no sign of life of that moment. */
+/* A row is a sign of life as of the time at which it was written, not as of
+ * that at which it is read or received from another daemon. */
 static void
-row_seen(const membership_t *self, member_t *member, int64_t at_ms)
+record_row_heartbeat(const membership_t *self, member_t *member, int64_t at_ms)
 {
 	int64_t age_ms = member_store_now_ms(self) - at_ms;
 	struct timespec at = timespec_after_ms(
@@ -131,27 +133,28 @@
 	if (at_ms == 0 || !self->store_clock_known)
 		return;
 	liveness_record_heartbeat(&member->liveness, at);
-	/* Whoever wrote it since it was left reaches the store. */
+	/* It wrote the row after the back-off began, so it reaches the
+	 * store. */
 	if (timespec_ms_between(member->backoff_started_at, at) > 0)
-		shun_end(member);
+		backoff_clear(member);
 }
 
 static void
-member_take(member_t *member, const member_record_t *facts)
+member_update(member_t *member, const member_record_t *record)
 {
-	member->state = facts->state;
-	member->strength = facts->strength;
-	member->sort_key = member_order(facts->name, facts->strength);
-	strcpy(member->zone, facts->zone);
-	strcpy(member->peer_address, facts->peer_address);
-	if (facts->report == NULL)
+	member->state = record->state;
+	member->strength = record->strength;
+	member->sort_key = member_sort_key(record->name, record->strength);
+	strcpy(member->zone, record->zone);
+	strcpy(member->peer_address, record->peer_address);
+	if (record->report == NULL)
 		return;
 	json_decref(member->report);
-	member->report = json_incref(facts->report);
+	member->report = json_incref(record->report);
 }
 
 static void
-member_ended(membership_t *self, const char *name)
+member_remove(membership_t *self, const char *name)
 {
 	member_t *member;
 
@@ -166,26 +169,26 @@
 membership_apply_row(membership_t *self, const row_t *row)
 {
 	const char *name = row->key + strlen(MEMBER_PREFIX);
-	member_record_t facts;
+	member_record_t record;
 	member_t *member;
 
 	if (strcmp(name, self->settings.name) == 0) {
-		own_row_take(self, row);
+		own_row_apply(self, row);
 		return;
 	}
 	if (row->deleted) {
-		member_ended(self, name);
+		member_remove(self, name);
 		return;
 	}
-	if (!member_row_decode(row, &facts, NULL))
+	if (!member_row_decode(row, &record, NULL))
 		return;
-	member = member_of(self, name);
+	member = member_add(self, name);
 	if (member != NULL) {
-		row_seen(self, member, facts.written_at_ms);
+		record_row_heartbeat(self, member, record.written_at_ms);
 		member->version = row->version;
-		member_take(member, &facts);
+		member_update(member, &record);
 	}
-	member_record_finish(&facts);
+	member_record_finish(&record);
 }
 
 bool
@@ -195,10 +198,10 @@
 	json_t *two = json_loadb(b, b_len, 0, NULL);
 	bool same;
 
-	for (size_t i = 0; i < sizeof(own_fields) / sizeof(own_fields[0]);
-	     i++) {
-		json_object_del(one, own_fields[i]);
-		json_object_del(two, own_fields[i]);
+	for (size_t i = 0;
+	     i < sizeof(heartbeat_fields) / sizeof(heartbeat_fields[0]); i++) {
+		json_object_del(one, heartbeat_fields[i]);
+		json_object_del(two, heartbeat_fields[i]);
 	}
 	same = one != NULL && json_equal(one, two);
 	json_decref(one);
@@ -206,9 +209,9 @@
 	return same;
 }
 
-/* @return NULL: there is no such member */
+/* @return NULL if there is no such member */
 static member_t *
-shun_begin(membership_t *self, const char *name, int64_t ms)
+backoff_begin(membership_t *self, const char *name, int64_t ms)
 {
 	member_t *member;
 
@@ -224,17 +227,19 @@
 void
 membership_back_off(membership_t *self, const char *name, int64_t ms)
 {
-	member_t *member = shun_begin(self, name, ms);
+	member_t *member = backoff_begin(self, name, ms);
 
 	if (member == NULL)
 		return;
-	ms <<= member->backoff_count < SHUNS_MAX ? member->backoff_count
-						 : SHUNS_MAX;
+	ms <<= member->backoff_count < BACKOFF_DOUBLINGS_MAX
+	    ? member->backoff_count
+	    : BACKOFF_DOUBLINGS_MAX;
 	member->backoff_count++;
-	/* Nobody else looks whether it is back: others that follow it already
-	 * would not be known here. */
+	/* With no other daemon to follow, this one has to try it again soon: if
+	 * others follow the member already, this daemon does not learn it in
+	 * any other way. */
 	if (!membership_follows_another(self))
-		ms = SHUN_FIRST_MS;
+		ms = BACKOFF_ONLY_PARENT_MS;
 	member->backoff_until =
 	    timespec_after_ms(member->backoff_started_at, ms);
 }
@@ -242,7 +247,7 @@
 void
 membership_skip(membership_t *self, const char *name, int64_t ms)
 {
-	shun_begin(self, name, ms);
+	backoff_begin(self, name, ms);
 }
 
 void
@@ -250,13 +255,13 @@
 {
 	for (member_t *member = self->members; member != NULL;
 	     member = member->hh.next)
-		shun_end(member);
+		backoff_clear(member);
 }
 
 void
-membership_set_frozen(membership_t *self, bool hold)
+membership_set_frozen(membership_t *self, bool frozen)
 {
-	self->frozen = hold;
+	self->frozen = frozen;
 }
 
 void
@@ -274,10 +279,11 @@
 {
 	int64_t offset_ms = now_ms - timespec_ms(clock_elapsed(self->clock));
 
-	/* A delay of the answer lowers the offset: keep the highest one. */
+	/* A delayed response lowers the offset: the highest one is the best
+	 * estimate. */
 	if (!self->store_clock_known ||
 	    offset_ms > self->store_clock_offset_ms ||
-	    offset_ms < self->store_clock_offset_ms - STORE_CLOCK_BACK_MS)
+	    offset_ms < self->store_clock_offset_ms - STORE_CLOCK_RESET_MS)
 		self->store_clock_offset_ms = offset_ms;
 	self->store_clock_known = true;
 }
--- a/moortack/replication/membership_liveness.c
+++ b/moortack/replication/membership_liveness.c
@@ -4,14 +4,15 @@
 
 #include "membership_priv.h"
 
-/* Whom nobody has asked for this long, and who follows nobody, is heard of by
- * its row alone: each follower asks twice a second. */
-#define ASKED_MS 1200
-/* Rows of the dead that are taken out of the store with one call. */
-#define CLEAR_MAX 16
-#define CLEAR_RETRY_MS 1500
-
-/* Milliseconds since then; -1: never. */
+/* A daemon that follows none and has received no request for this long is
+ * isolated: each follower sends a request twice a second. */
+#define ISOLATED_AFTER_MS 1200
+/* Rows of daemons that are down that are deleted from the store with one
+ * call. */
+#define CLEANUP_BATCH_MAX 16
+#define CLEANUP_INTERVAL_MS 1500
+
+/* Milliseconds since a time; -1 if it is not set. */
 static int64_t
 ms_since(const membership_t *self, struct timespec then)
 {
@@ -52,9 +53,9 @@
 		&self->liveness, &member->liveness, clock_elapsed(self->clock));
 }
 
-/* The member was heard of then, with this report. */
+/* The member sent a request at this time, with this report. */
 static void
-member_heard(
+member_record_request(
     membership_t *self, const char *name, struct timespec at, json_t *report)
 {
 	member_t *member;
@@ -72,32 +73,33 @@
 	struct timespec now = clock_elapsed(self->clock);
 
 	liveness_view_record_request(&self->liveness, now);
-	member_heard(self, name, now, report);
+	member_record_request(self, name, now, report);
 }
 
 void
-membership_apply_subtree(membership_t *self, const json_t *below)
+membership_apply_subtree(membership_t *self, const json_t *subtree)
 {
 	struct timespec now = clock_elapsed(self->clock);
 	const char *name;
-	json_t *told;
+	json_t *entry;
 
-	json_object_foreach((json_t *)(uintptr_t)below, name, told)
+	json_object_foreach((json_t *)(uintptr_t)subtree, name, entry)
 	{
-		int64_t age_ms = json_integer_value(json_array_get(told, 0));
+		int64_t age_ms = json_integer_value(json_array_get(entry, 0));
 
-		if (json_array_size(told) < 2)
+		if (json_array_size(entry) < 2)
 			continue;
-		member_heard(self, name,
+		member_record_request(self, name,
 		    timespec_after_ms(now, age_ms > 0 ? -age_ms : 0),
-		    json_array_get(told, 1));
-		membership_add_row_request(self, name, json_array_get(told, 2));
+		    json_array_get(entry, 1));
+		membership_add_row_request(
+		    self, name, json_array_get(entry, 2));
 	}
 }
 
-/* @param below filled as far as there is something to tell */
+/* Adds the members that sent a request lately. */
 static void
-heard_tell(const membership_t *self, json_t *below)
+subtree_add_members(const membership_t *self, json_t *subtree)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
@@ -108,54 +110,55 @@
 
 		if (member->liveness.last_request_at.tv_sec != 0 &&
 		    age_ms < self->settings.liveness.silence_timeout_ms)
-			json_object_set_new(below, member->name,
+			json_object_set_new(subtree, member->name,
 			    json_pack(
 				"[I, O?]", (json_int_t)age_ms, member->report));
 	}
 }
 
-/* Who wants a row may be known by nothing else. */
+/* Adds the rows that other daemons want. Such a daemon may not be a member
+ * yet. */
 static void
-row_requests_tell(const membership_t *self, json_t *below)
+subtree_add_row_requests(const membership_t *self, json_t *subtree)
 {
 	struct timespec now = clock_elapsed(self->clock);
 
 	for (const member_row_request_t *request = self->row_requests;
 	     request != NULL; request = request->hh.next) {
-		json_t *told = json_object_get(below, request->name);
+		json_t *entry = json_object_get(subtree, request->name);
 
-		if (told == NULL) {
-			told = json_pack("[I, n]",
+		if (entry == NULL) {
+			entry = json_pack("[I, n]",
 			    (json_int_t)timespec_ms_between(
 				request->requested_at, now));
-			json_object_set_new(below, request->name, told);
+			json_object_set_new(subtree, request->name, entry);
 		}
-		json_array_append(told, request->row);
+		json_array_append(entry, request->row);
 	}
 }
 
 json_t *
 membership_subtree(const membership_t *self)
 {
-	json_t *below = json_object();
+	json_t *subtree = json_object();
 
-	heard_tell(self, below);
-	row_requests_tell(self, below);
-	if (json_object_size(below) > 0)
-		return below;
-	json_decref(below);
+	subtree_add_members(self, subtree);
+	subtree_add_row_requests(self, subtree);
+	if (json_object_size(subtree) > 0)
+		return subtree;
+	json_decref(subtree);
 	return NULL;
 }
 
 void
 membership_record_response(
-    membership_t *self, const char *name, struct timespec asked)
+    membership_t *self, const char *name, struct timespec sent)
 {
 	member_t *member;
 
 	HASH_FIND_STR(self->members, name, member);
 	if (member != NULL)
-		liveness_record_heartbeat(&member->liveness, asked);
+		liveness_record_heartbeat(&member->liveness, sent);
 }
 
 void
@@ -170,15 +173,15 @@
 }
 
 static bool
-listed(const json_t *silent, const char *name)
+name_is_listed(const json_t *silent, const char *name)
 {
-	const json_t *one;
+	const json_t *element;
 	size_t i;
 
-	json_array_foreach(silent, i, one)
+	json_array_foreach(silent, i, element)
 	{
-		if (json_is_string(one) &&
-		    strcmp(json_string_value(one), name) == 0)
+		if (json_is_string(element) &&
+		    strcmp(json_string_value(element), name) == 0)
 			return true;
 	}
 	return false;
@@ -186,21 +189,21 @@
 
 bool
 membership_apply_liveness(
-    membership_t *self, struct timespec spoken, const json_t *silent)
+    membership_t *self, struct timespec made_at, const json_t *silent)
 {
-	bool newer = liveness_view_apply_summary(&self->liveness, spoken);
-	bool news = false;
+	bool newer = liveness_view_apply_summary(&self->liveness, made_at);
+	bool changed = false;
 
 	for (member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		bool is_silent = listed(silent, member->name);
+		bool is_silent = name_is_listed(silent, member->name);
 
-		/* An older word ends no silence. */
+		/* An older summary can't end a silence. */
 		if (is_silent || newer)
-			news |= liveness_set_silent(&member->liveness,
+			changed |= liveness_set_silent(&member->liveness,
 			    is_silent, self->liveness.summary_at);
 	}
-	return news;
+	return changed;
 }
 
 int64_t
@@ -226,101 +229,107 @@
 }
 
 static void
-cleared(void *arg, const row_reply_t *reply)
+on_cleanup_done(void *arg, const row_reply_t *reply)
 {
 	membership_t *self = arg;
 
 	(void)reply;
-	/* Whatever came of it, their rows tell when they are read again. */
+	/* Whatever the result, reading the rows again shows which are left. */
 	self->cleanup_pending = false;
 	self->read_back_pending = true;
 	self->next_cleanup_at =
-	    timespec_after_ms(clock_elapsed(self->clock), CLEAR_RETRY_MS);
+	    timespec_after_ms(clock_elapsed(self->clock), CLEANUP_INTERVAL_MS);
 }
 
 static size_t
-dead_find(const membership_t *self, const member_t *dead[CLEAR_MAX])
+down_members_collect(
+    const membership_t *self, const member_t *down[CLEANUP_BATCH_MAX])
 {
 	size_t len = 0;
 
 	for (const member_t *member = self->members;
-	     member != NULL && len < CLEAR_MAX; member = member->hh.next) {
+	     member != NULL && len < CLEANUP_BATCH_MAX;
+	     member = member->hh.next) {
 		if (member->version != 0 && !member_is_alive(self, member))
-			dead[len++] = member;
+			down[len++] = member;
 	}
 	return len;
 }
 
-/* Take the rows of the dead out, unless they were written again meanwhile: what
- * is no row any more is named by nobody, and newcomers don't learn of it. */
+/* Deletes the rows of members that are down, unless they were written again
+ * meanwhile: without a row, no daemon offers them to callers, and starting
+ * daemons don't learn of them. */
 static void
-dead_clear(membership_t *self)
+down_members_delete(membership_t *self)
 {
-	char keys[CLEAR_MAX][sizeof(MEMBER_PREFIX) + MEMBER_NAME_SIZE];
-	row_change_t expected[CLEAR_MAX], changes[CLEAR_MAX];
-	const member_t *dead[CLEAR_MAX];
-	size_t len = dead_find(self, dead);
+	char keys[CLEANUP_BATCH_MAX][sizeof(MEMBER_PREFIX) + MEMBER_NAME_SIZE];
+	row_change_t expected[CLEANUP_BATCH_MAX], changes[CLEANUP_BATCH_MAX];
+	const member_t *down[CLEANUP_BATCH_MAX];
+	size_t len = down_members_collect(self, down);
 
 	for (size_t i = 0; i < len; i++) {
 		snprintf(keys[i], sizeof(keys[i]), "%s%s", MEMBER_PREFIX,
-		    dead[i]->name);
+		    down[i]->name);
 		changes[i] =
 		    (row_change_t){.table = SYSTEM_TABLE, .key = keys[i]};
 		expected[i] = changes[i];
-		expected[i].expected = dead[i]->version;
+		expected[i].expected = down[i]->version;
 	}
 	if (len > 0)
 		self->cleanup_pending = row_store_write(self->store,
 		    ROW_PURPOSE_MEMBER_CLEANUP, expected, len, changes, len,
-		    MEMBER_WRITE_TIMEOUT_MS, cleared, self);
+		    MEMBER_WRITE_TIMEOUT_MS, on_cleanup_done, self);
 }
 
-/* Who relies on its own word judges by the signs that it has. */
+/* The authoritative daemon detects silent members by the signs of life that it
+ * has received. */
 static bool
-silent_judge(membership_t *self, struct timespec now)
+silent_members_detect(membership_t *self, struct timespec now)
 {
-	bool news = false;
+	bool changed = false;
 
 	for (member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
 		bool fresh =
 		    liveness_is_fresh(&self->liveness, &member->liveness, now);
 
-		news |= liveness_set_silent(&member->liveness, !fresh, now);
+		changed |= liveness_set_silent(&member->liveness, !fresh, now);
 	}
-	return news;
+	return changed;
 }
 
-/* Nobody that follows this daemon, or that it follows, tells others of it. */
+/* An isolated daemon has no parent and no follower by which others learn that
+ * it is alive. */
 static void
-alone_step(membership_t *self, struct timespec now)
+isolation_update(membership_t *self, struct timespec now)
 {
-	bool alone = !self->liveness.following &&
-	    !liveness_view_requested_within(&self->liveness, now, ASKED_MS);
+	bool isolated = !self->liveness.following &&
+	    !liveness_view_requested_within(
+		&self->liveness, now, ISOLATED_AFTER_MS);
 
-	if (self->isolated == alone)
+	if (self->isolated == isolated)
 		return;
-	self->isolated = alone;
+	self->isolated = isolated;
 	self->isolated_since = now;
 }
 
-/* Whose naming has changed. */
+/* Logs the members whose availability has changed. */
 static void
-naming_log(membership_t *self)
+availability_log(membership_t *self)
 {
 	for (member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
-		bool named = member_is_available(self, member);
+		bool available = member_is_available(self, member);
 
-		if (member->logged_available == named)
+		if (member->logged_available == available)
 			continue;
-		member->logged_available = named;
+		member->logged_available = available;
 		member_log(self, member, EVENT_THROTTLED_MEMBER);
 	}
 }
 
 static bool
-all_fresh(const membership_t *self, struct timespec now)
+all_are_fresh(const membership_t *self, struct timespec now)
 {
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
@@ -335,20 +344,21 @@
 membership_tick(membership_t *self, bool following)
 {
 	struct timespec now = clock_elapsed(self->clock);
-	bool was_settled = self->liveness.authoritative;
-	bool news = false;
+	bool was_authoritative = self->liveness.authoritative;
+	bool changed = false;
 
 	liveness_view_update(&self->liveness, now,
 	    &(liveness_inputs_t){following, self->frozen, self->rows_read,
-		all_fresh(self, now)});
-	alone_step(self, now);
+		all_are_fresh(self, now)});
+	isolation_update(self, now);
 	member_rows_tick(self, now);
 	if (self->liveness.authoritative) {
-		news = silent_judge(self, now) || !was_settled;
+		changed =
+		    silent_members_detect(self, now) || !was_authoritative;
 		if (!self->cleanup_pending &&
 		    timespec_ms_between(self->next_cleanup_at, now) >= 0)
-			dead_clear(self);
+			down_members_delete(self);
 	}
-	naming_log(self);
-	return news;
+	availability_log(self);
+	return changed;
 }
