--- a/test/fuzz/lives_fuzz.c
+++ b/test/fuzz/lives_fuzz.c
@@ -1,14 +1,15 @@
 /**
  * @file
- * Which daemons are named to callers, while daemons lose power, stand still and
- * start again, links between two of them pass nothing, and the store is lost
- * for all or for one. The daemons' memberships are real; the wire and the store
- * between them are played here.
+ * Fuzzes failure detection: which daemons each daemon counts as available to
+ * callers, while daemons lose power, are paused and start again, links between
+ * two of them pass nothing, and the store becomes unavailable to all or to one.
+ * The daemons' memberships are real; the network and the store are simulated.
  *
- * The oracle knows who is off. Whoever is itself undisturbed, over an
- * undisturbed store, names nobody that has been off for longer than the users'
- * bound; where one daemon went off and nothing else happened, all that run are
- * named all the while; and once all is calm, all name all.
+ * The oracle knows which daemons are off. A daemon that is undisturbed itself,
+ * over an undisturbed store, doesn't count one as available that has been off
+ * for longer than the users' time limit. If one daemon went off and nothing
+ * else happened, all that run count as available the whole time. Once there are
+ * no disturbances, all daemons count each other as available.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -23,29 +24,29 @@
 #define STEPS_MAX 100
 #define STEP_MS 50
 #define TICK_MS 200
-#define TIME_STEPS 200 /* of STEP_MS, at most, between two events */
-/* As a daemon of the users' platform has them. */
-#define BOUND_MS 6000
+#define EVENT_GAP_STEPS_MAX 200 /* of STEP_MS, at most, between two events */
+/* Timing of a daemon on the users' platform. */
+#define AVAILABLE_MAX_MS 6000
 #define STABLE_MS 3000
-#define SILENT_MS 2100
-#define VOUCH_MS 3000
-#define GRANT_MS 1500
-#define LONE_MS 12000
-#define HOLD_MS 500
-#define LATE_MS 1300
-#define SHUN_MS 3000
-#define SHUN_LOST_MS 2000
-#define LOST_MOVE_MS 1500
-#define SHUN_CIRCLE_MS 500
-#define STORE_NOTICE_MS 900
-#define STORE_BACK_MS 1400
-#define OWN_READ_MS 1500
-#define OWN_READ_DOUBT_MS 500
-#define BEAT_ALONE_MS 2000
-/* Rows that are wanted, and those that are cleared. */
+#define SILENCE_TIMEOUT_MS 2100
+#define SUMMARY_TTL_MS 3000
+#define GRACE_MS 1500
+#define AUTHORITY_TIMEOUT_MS 12000
+#define REQUEST_HOLD_MS 500
+#define REQUEST_TIMEOUT_MS 1300
+#define BACKOFF_MS 3000
+#define BACKOFF_UNAVAILABLE_MS 2000
+#define PARENT_KEEP_MS 1500
+#define BACKOFF_CYCLE_MS 500
+#define STORE_DETECTION_MS 900
+#define STORE_RECOVERY_MS 1400
+#define READ_INTERVAL_MS 1500
+#define READ_INTERVAL_UNDECIDED_MS 500
+#define ROW_HEARTBEAT_MS 2000
+/* One write of wanted rows, and one cleanup. */
 #define WRITES_MAX 2
-/* All that is remembered of the last trouble is over by then. */
-#define CALM_MS 8000
+/* The effects of the last disturbance are over by then. */
+#define QUIET_MS 8000
 
 /** A daemon's row in the store. */
 typedef struct member_row {
@@ -57,29 +58,30 @@
 typedef struct daemon {
 	membership_t members;
 	bool on;
-	bool still;	      /**< it stands still */
-	bool cut;	      /**< the store does not answer it */
+	bool paused;	      /**< its process is paused */
+	bool store_cut;	      /**< the store is unavailable to it */
 	int64_t off_ms;	      /**< when it went off */
-	int64_t disturbed_ms; /**< last trouble of its own */
+	int64_t disturbed_ms; /**< its own last disturbance */
 	int64_t ticked_ms;
-	int64_t store_changed_ms; /**< the store went or came back for it */
-	bool store_lost;	  /**< as it has noticed */
-	int64_t own_read_ms;
+	int64_t store_changed_ms; /**< the store became unavailable to it, or
+				     available again */
+	bool store_unavailable;	  /**< as it has detected */
+	int64_t read_at_ms;
 	bool rows_read;
-	uint64_t own_version; /**< up to which it knows the rows */
-	int followed;	      /**< -1: nobody */
+	uint64_t read_version; /**< up to which it has the rows */
+	int parent;	       /**< number of its parent; -1: none */
 	bool following;
-	bool first_question;
-	int64_t asked_ms;      /**< of the question that is out; -1: none */
-	int64_t lost_since_ms; /**< the store does not answer whom it follows;
-				  -1: it does */
-	bool question_taken;
-	bool question_lost;	     /**< nobody will answer it */
-	bool news;		     /**< what it passes on has changed */
-	row_done_t done[WRITES_MAX]; /**< answers of the store on their way */
+	bool first_request;
+	int64_t requested_ms; /**< time of the request in flight; -1: none */
+	int64_t unavailable_since_ms; /**< since when the store is unavailable
+				  to its parent; -1: it is available */
+	bool request_received;
+	bool request_lost;	     /**< it will get no response */
+	bool changed;		     /**< it has changes to pass on */
+	row_done_t done[WRITES_MAX]; /**< for pending responses of the store */
 	row_result_t results[WRITES_MAX];
 	size_t done_len;
-	member_row_t known[DAEMONS]; /**< rows as it knows them */
+	member_row_t rows[DAEMONS]; /**< the rows that it has */
 } daemon_t;
 
 typedef struct world {
@@ -87,12 +89,13 @@
 	struct event_base *base;
 	row_store_t store;
 	bool store_down;
-	int64_t store_ms; /**< last trouble of the store */
+	int64_t store_disturbed_ms; /**< last disturbance of the store */
 	uint64_t version;
 	member_row_t rows[DAEMONS];
 	bool broken[DAEMONS][DAEMONS]; /**< links that pass nothing */
-	int64_t trouble_ms;	       /**< last trouble of any kind */
-	int64_t single_ms; /**< when one went off after a calm time; -1 */
+	int64_t disturbed_ms;	       /**< last disturbance of any kind */
+	int64_t single_failure_ms; /**< when one daemon went off after a time
+			      without disturbances; -1: not so */
 	daemon_t daemons[DAEMONS];
 } world_t;
 
@@ -105,13 +108,13 @@
 }
 
 static void
-name_of(int i, char name[MEMBER_NAME_SIZE])
+daemon_name(int i, char name[MEMBER_NAME_SIZE])
 {
 	snprintf(name, MEMBER_NAME_SIZE, "d%d", i);
 }
 
 static int
-number_of(const char *name)
+daemon_number(const char *name)
 {
 	return name[0] == 'd' ? name[1] - '0' : -1;
 }
@@ -119,23 +122,23 @@
 static bool
 runs(const daemon_t *daemon)
 {
-	return daemon->on && !daemon->still;
+	return daemon->on && !daemon->paused;
 }
 
 static bool
-store_answers(const daemon_t *daemon)
+store_available(const daemon_t *daemon)
 {
-	return !world.store_down && !daemon->cut;
+	return !world.store_down && !daemon->store_cut;
 }
 
 /* The store. ----------------------------------------------------------------
  */
 
 static bool
-expected_hold(const row_change_t *expected, size_t len)
+expected_match(const row_change_t *expected, size_t len)
 {
 	for (size_t i = 0; i < len; i++) {
-		int at = number_of(expected[i].key + strlen(MEMBER_PREFIX));
+		int at = daemon_number(expected[i].key + strlen(MEMBER_PREFIX));
 
 		if (!world.rows[at].present ||
 		    world.rows[at].version != expected[i].expected)
@@ -145,9 +148,9 @@
 }
 
 static void
-change_take(const row_change_t *change)
+change_apply(const row_change_t *change)
 {
-	int at = number_of(change->key + strlen(MEMBER_PREFIX));
+	int at = daemon_number(change->key + strlen(MEMBER_PREFIX));
 	member_row_t *row = &world.rows[at];
 	json_t *value;
 
@@ -167,15 +170,15 @@
 {
 	daemon_t *writer = arg;
 	bool good =
-	    store_answers(writer) && expected_hold(expected, expected_len);
+	    store_available(writer) && expected_match(expected, expected_len);
 
 	(void)store;
 	(void)timeout_ms;
 	for (size_t i = 0; good && i < changes_len; i++)
-		change_take(&changes[i]);
+		change_apply(&changes[i]);
 	FUZZ_CHECK(writer->done_len < WRITES_MAX);
 	writer->results[writer->done_len] =
-	    store_answers(writer) ? ROW_OK : ROW_NO_RESPONSE;
+	    store_available(writer) ? ROW_OK : ROW_NO_RESPONSE;
 	writer->done[writer->done_len++] = done;
 	return true;
 }
@@ -184,35 +187,35 @@
     silent_read, silent_feed, lives_write};
 
 static void
-row_tell(daemon_t *daemon, int at, const member_row_t *told)
+row_apply(daemon_t *daemon, int at, const member_row_t *sent_row)
 {
 	char key[64], value[160];
-	row_t row = {.key = key, .version = told->version};
+	row_t row = {.key = key, .version = sent_row->version};
 
 	snprintf(key, sizeof(key), MEMBER_PREFIX "d%d", at);
-	row.deleted = !told->present;
-	if (told->present) {
+	row.deleted = !sent_row->present;
+	if (sent_row->present) {
 		snprintf(value, sizeof(value),
 		    "{\"place\":\"a\",\"peer\":\"d%d\",\"state\":\"ready\","
 		    "\"strength\":1,\"at_ms\":%lld}",
-		    at, (long long)told->at_ms);
+		    at, (long long)sent_row->at_ms);
 		row.value = value;
 		row.value_len = strlen(value);
 	}
-	daemon->known[at] = *told;
+	daemon->rows[at] = *sent_row;
 	membership_apply_row(&daemon->members, &row);
 }
 
 static void
-own_read(daemon_t *daemon)
+store_rows_read(daemon_t *daemon)
 {
-	daemon->own_read_ms = now_ms();
+	daemon->read_at_ms = now_ms();
 	membership_set_store_clock(&daemon->members, now_ms());
 	for (int i = 0; i < DAEMONS; i++) {
-		if (world.rows[i].version != daemon->known[i].version)
-			row_tell(daemon, i, &world.rows[i]);
+		if (world.rows[i].version != daemon->rows[i].version)
+			row_apply(daemon, i, &world.rows[i]);
 	}
-	daemon->own_version = world.version;
+	daemon->read_version = world.version;
 	if (!daemon->rows_read)
 		membership_set_rows_read(&daemon->members);
 	daemon->rows_read = true;
@@ -222,12 +225,12 @@
  */
 
 static void
-follow_none(daemon_t *daemon)
+parent_clear(daemon_t *daemon)
 {
-	daemon->followed = -1;
+	daemon->parent = -1;
 	daemon->following = false;
-	daemon->asked_ms = -1;
-	daemon->lost_since_ms = -1;
+	daemon->requested_ms = -1;
+	daemon->unavailable_since_ms = -1;
 }
 
 static void
@@ -236,24 +239,26 @@
 	daemon_t *daemon = &world.daemons[at];
 	membership_settings_t settings = {.zone = "a",
 	    .strength = 1,
-	    .row_heartbeat_ms = BEAT_ALONE_MS,
-	    .liveness = {SILENT_MS, VOUCH_MS, GRANT_MS, LONE_MS}};
+	    .row_heartbeat_ms = ROW_HEARTBEAT_MS,
+	    .liveness = {SILENCE_TIMEOUT_MS, SUMMARY_TTL_MS, GRACE_MS,
+		AUTHORITY_TIMEOUT_MS}};
 
 	memset(daemon, 0, sizeof(*daemon));
-	name_of(at, settings.name);
-	name_of(at, settings.peer_address);
-	/* What is written is told to the daemon by its membership's address. */
+	daemon_name(at, settings.name);
+	daemon_name(at, settings.peer_address);
+	/* lives_write() gets the address of the membership as its argument, and
+	 * takes it for that of the daemon. */
 	FUZZ_CHECK(offsetof(daemon_t, members) == 0);
 	membership_init(&daemon->members, &world.store, &world.clock.source,
 	    NULL, &settings);
 	daemon->members.state = MEMBER_READY;
 	daemon->on = true;
 	daemon->disturbed_ms = now_ms();
-	daemon->store_changed_ms = now_ms() - STORE_BACK_MS;
+	daemon->store_changed_ms = now_ms() - STORE_RECOVERY_MS;
 	daemon->ticked_ms = now_ms() - at * 30;
-	follow_none(daemon);
-	if (store_answers(daemon))
-		own_read(daemon);
+	parent_clear(daemon);
+	if (store_available(daemon))
+		store_rows_read(daemon);
 }
 
 static void
@@ -263,28 +268,29 @@
 
 	membership_finish(&daemon->members);
 	daemon->on = false;
-	daemon->still = false;
+	daemon->paused = false;
 	daemon->off_ms = now_ms();
 	for (int i = 0; i < DAEMONS; i++) {
-		if (world.daemons[i].followed == at)
-			world.daemons[i].question_lost = true;
+		if (world.daemons[i].parent == at)
+			world.daemons[i].request_lost = true;
 	}
 }
 
 static void
-store_changes(daemon_t *daemon)
+store_change_record(daemon_t *daemon)
 {
 	daemon->store_changed_ms = now_ms();
 }
 
-/* Whether all run, and have for a time, over a whole network and store. */
+/* Whether all daemons have been running for a time without disturbances of
+ * the network and the store. */
 static bool
-all_calm(void)
+all_quiet(void)
 {
-	if (now_ms() - world.trouble_ms <= CALM_MS || world.store_down)
+	if (now_ms() - world.disturbed_ms <= QUIET_MS || world.store_down)
 		return false;
 	for (int i = 0; i < DAEMONS; i++) {
-		if (!runs(&world.daemons[i]) || world.daemons[i].cut)
+		if (!runs(&world.daemons[i]) || world.daemons[i].store_cut)
 			return false;
 		for (int j = 0; j < DAEMONS; j++) {
 			if (world.broken[i][j])
@@ -295,14 +301,14 @@
 }
 
 static void
-trouble(bool single)
+disturbance_record(bool single)
 {
-	world.single_ms = single && all_calm() ? now_ms() : -1;
-	world.trouble_ms = now_ms();
+	world.single_failure_ms = single && all_quiet() ? now_ms() : -1;
+	world.disturbed_ms = now_ms();
 }
 
 static void
-event(input_t *input)
+event_apply(input_t *input)
 {
 	int at = (int)input_below(input, DAEMONS);
 	int other = (int)input_below(input, DAEMONS);
@@ -311,7 +317,7 @@
 	switch (input_below(input, 8)) {
 	case 0:
 	case 1:
-		trouble(daemon->on && !daemon->still);
+		disturbance_record(daemon->on && !daemon->paused);
 		if (daemon->on)
 			daemon_off(at);
 		else
@@ -320,23 +326,23 @@
 	case 2:
 		if (!daemon->on)
 			return;
-		daemon->still = !daemon->still;
+		daemon->paused = !daemon->paused;
 		daemon->disturbed_ms = now_ms();
 		break;
 	case 3:
 		world.store_down = !world.store_down;
-		world.store_ms = now_ms();
+		world.store_disturbed_ms = now_ms();
 		for (int i = 0; i < DAEMONS; i++)
-			store_changes(&world.daemons[i]);
+			store_change_record(&world.daemons[i]);
 		break;
 	case 4:
-		daemon->cut = daemon->on && !daemon->cut;
+		daemon->store_cut = daemon->on && !daemon->store_cut;
 		daemon->disturbed_ms = now_ms();
-		store_changes(daemon);
+		store_change_record(daemon);
 		break;
 	case 5:
-		/* Connections that are open pass nothing; a new one does. */
-		daemon->question_lost = true;
+		/* The open connection passes nothing, but a new one does. */
+		daemon->request_lost = true;
 		daemon->disturbed_ms = now_ms();
 		break;
 	case 6:
@@ -351,10 +357,10 @@
 		world.broken[at][other] = false;
 		break;
 	}
-	trouble(false);
+	disturbance_record(false);
 }
 
-/* Questions between daemons.
+/* Requests between daemons.
  * --------------------------------------------------- */
 
 static bool
@@ -364,95 +370,95 @@
 }
 
 static bool
-is_lost(const daemon_t *daemon)
+is_cut_off(const daemon_t *daemon)
 {
-	return daemon->store_lost && !daemon->following;
+	return daemon->store_unavailable && !daemon->following;
 }
 
 static bool
-through(int parent, int child)
+follows(int parent, int child)
 {
 	for (int at = parent, hops = 0; at >= 0 && hops < DAEMONS; hops++) {
 		if (at == child)
 			return true;
-		at = world.daemons[at].following ? world.daemons[at].followed
-						 : -1;
+		at =
+		    world.daemons[at].following ? world.daemons[at].parent : -1;
 	}
 	return false;
 }
 
 static void
-rows_pass(const daemon_t *parent, daemon_t *child)
+rows_send(const daemon_t *parent, daemon_t *child)
 {
 	for (int i = 0; i < DAEMONS; i++) {
-		const member_row_t *told = &parent->known[i];
+		const member_row_t *sent_row = &parent->rows[i];
 
-		/* A row that means the same is not told again. */
-		if (told->present != child->known[i].present &&
-		    (told->version > child->known[i].version ||
-			parent->own_version >= child->known[i].version))
-			row_tell(child, i, told);
+		/* A row with the same meaning is not sent again. */
+		if (sent_row->present != child->rows[i].present &&
+		    (sent_row->version > child->rows[i].version ||
+			parent->read_version >= child->rows[i].version))
+			row_apply(child, i, sent_row);
 	}
-	if (parent->own_version > child->own_version)
-		child->own_version = parent->own_version;
-	if (!parent->known[child - world.daemons].present)
+	if (parent->read_version > child->read_version)
+		child->read_version = parent->read_version;
+	if (!parent->rows[child - world.daemons].present)
 		membership_own_row_missing(&child->members);
 }
 
 static void
-followed_leave(daemon_t *child, int64_t shun_ms)
+parent_back_off(daemon_t *child, int64_t backoff_ms)
 {
 	char name[MEMBER_NAME_SIZE];
 
-	name_of(child->followed, name);
-	membership_back_off(&child->members, name, shun_ms);
-	follow_none(child);
+	daemon_name(child->parent, name);
+	membership_back_off(&child->members, name, backoff_ms);
+	parent_clear(child);
 }
 
-/* Whoever learns nothing is kept to for a time: it has news as soon as anybody
- * before it has. */
+/* The store is unavailable to the parent. It is kept for a time: it gets recent
+ * rows as soon as any daemon before it in the order does. */
 static void
-parent_lost(daemon_t *child)
+parent_store_unavailable(daemon_t *child)
 {
 	char name[MEMBER_NAME_SIZE];
 
 	child->following = false;
-	if (child->lost_since_ms < 0)
-		child->lost_since_ms = now_ms();
-	if (now_ms() - child->lost_since_ms < LOST_MOVE_MS)
+	if (child->unavailable_since_ms < 0)
+		child->unavailable_since_ms = now_ms();
+	if (now_ms() - child->unavailable_since_ms < PARENT_KEEP_MS)
 		return;
-	name_of(child->followed, name);
-	membership_skip(&child->members, name, SHUN_LOST_MS);
-	follow_none(child);
+	daemon_name(child->parent, name);
+	membership_skip(&child->members, name, BACKOFF_UNAVAILABLE_MS);
+	parent_clear(child);
 }
 
 static void
-answer_take(daemon_t *child, daemon_t *parent)
+response_apply(daemon_t *child, daemon_t *parent)
 {
 	struct timespec sent = world.clock.now;
 	int64_t age_ms = membership_liveness_age_ms(&parent->members);
 	json_t *silent = membership_silent_names(&parent->members);
 	char name[MEMBER_NAME_SIZE];
 
-	name_of(child->followed, name);
+	daemon_name(child->parent, name);
 	membership_record_response(&child->members, name, sent);
-	child->asked_ms = -1;
-	child->first_question = false;
-	if (is_lost(parent)) {
-		parent_lost(child);
-	} else if (through(child->followed, (int)(child - world.daemons))) {
-		followed_leave(child, SHUN_CIRCLE_MS);
+	child->requested_ms = -1;
+	child->first_request = false;
+	if (is_cut_off(parent)) {
+		parent_store_unavailable(child);
+	} else if (follows(child->parent, (int)(child - world.daemons))) {
+		parent_back_off(child, BACKOFF_CYCLE_MS);
 	} else {
 		membership_set_store_clock(&child->members, now_ms());
-		rows_pass(parent, child);
+		rows_send(parent, child);
 		if (parent->rows_read && !child->rows_read)
 			membership_set_rows_read(&child->members);
 		child->rows_read |= parent->rows_read;
 		child->following = true;
-		child->lost_since_ms = -1;
+		child->unavailable_since_ms = -1;
 		membership_reset_backoff(&child->members, name);
 		if (age_ms >= 0)
-			child->news |=
+			child->changed |=
 			    membership_apply_liveness(&child->members,
 				timespec_after_ms(sent, -age_ms), silent);
 	}
@@ -460,48 +466,48 @@
 }
 
 static void
-question_take(daemon_t *child, daemon_t *parent)
+request_receive(daemon_t *child, daemon_t *parent)
 {
 	json_t *below = membership_subtree(&child->members);
 	json_t *row = membership_own_row_request(&child->members);
 	char name[MEMBER_NAME_SIZE];
 
-	name_of((int)(child - world.daemons), name);
+	daemon_name((int)(child - world.daemons), name);
 	membership_record_request(&parent->members, name, NULL);
 	membership_add_row_request(&parent->members, name, row);
 	membership_apply_subtree(&parent->members, below);
 	json_decref(below);
 	json_decref(row);
-	child->question_taken = true;
+	child->request_received = true;
 }
 
 static void
-question_step(daemon_t *child)
+request_step(daemon_t *child)
 {
 	daemon_t *parent;
 	bool reached;
 	char name[MEMBER_NAME_SIZE];
 
-	if (child->followed < 0)
+	if (child->parent < 0)
 		return;
-	if (child->asked_ms < 0) {
-		child->asked_ms = now_ms();
-		child->question_taken = false;
-		child->question_lost = false;
+	if (child->requested_ms < 0) {
+		child->requested_ms = now_ms();
+		child->request_received = false;
+		child->request_lost = false;
 	}
-	parent = &world.daemons[child->followed];
-	reached = runs(parent) && !child->question_lost &&
-	    passes((int)(child - world.daemons), child->followed);
-	if (reached && !child->question_taken)
-		question_take(child, parent);
+	parent = &world.daemons[child->parent];
+	reached = runs(parent) && !child->request_lost &&
+	    passes((int)(child - world.daemons), child->parent);
+	if (reached && !child->request_received)
+		request_receive(child, parent);
 	if (reached &&
-	    (child->first_question || parent->news ||
-		now_ms() - child->asked_ms >= HOLD_MS)) {
-		answer_take(child, parent);
-	} else if (now_ms() - child->asked_ms >= LATE_MS) {
-		name_of(child->followed, name);
+	    (child->first_request || parent->changed ||
+		now_ms() - child->requested_ms >= REQUEST_HOLD_MS)) {
+		response_apply(child, parent);
+	} else if (now_ms() - child->requested_ms >= REQUEST_TIMEOUT_MS) {
+		daemon_name(child->parent, name);
 		membership_record_no_response(&child->members, name);
-		followed_leave(child, SHUN_MS);
+		parent_back_off(child, BACKOFF_MS);
 	}
 }
 
@@ -511,26 +517,26 @@
 static void
 store_step(daemon_t *daemon)
 {
-	bool answers = store_answers(daemon);
+	bool answers = store_available(daemon);
 	int64_t since = now_ms() - daemon->store_changed_ms;
 	int64_t pause = daemon->members.liveness.authoritative
-	    ? OWN_READ_MS
-	    : OWN_READ_DOUBT_MS;
+	    ? READ_INTERVAL_MS
+	    : READ_INTERVAL_UNDECIDED_MS;
 
-	if (since >= (answers ? STORE_BACK_MS : STORE_NOTICE_MS) &&
-	    daemon->store_lost == answers) {
-		daemon->store_lost = !answers;
+	if (since >= (answers ? STORE_RECOVERY_MS : STORE_DETECTION_MS) &&
+	    daemon->store_unavailable == answers) {
+		daemon->store_unavailable = !answers;
 		if (answers)
 			membership_clear_backoffs(&daemon->members);
 	}
 	membership_set_frozen(
-	    &daemon->members, daemon->store_lost && !daemon->following);
-	if (!answers || daemon->store_lost)
+	    &daemon->members, daemon->store_unavailable && !daemon->following);
+	if (!answers || daemon->store_unavailable)
 		return;
 	if (!daemon->following &&
 	    (daemon->members.read_back_pending ||
-		now_ms() - daemon->own_read_ms >= pause))
-		own_read(daemon);
+		now_ms() - daemon->read_at_ms >= pause))
+		store_rows_read(daemon);
 	daemon->members.read_back_pending = false;
 }
 
@@ -538,46 +544,46 @@
 tick(daemon_t *daemon)
 {
 	const member_t *parent = membership_parent(&daemon->members);
-	int at = parent != NULL ? number_of(parent->name) : -1;
+	int at = parent != NULL ? daemon_number(parent->name) : -1;
 
 	daemon->ticked_ms = now_ms();
-	if (at != daemon->followed) {
-		follow_none(daemon);
-		daemon->followed = at;
-		daemon->first_question = true;
+	if (at != daemon->parent) {
+		parent_clear(daemon);
+		daemon->parent = at;
+		daemon->first_request = true;
 	}
 	store_step(daemon);
-	daemon->news |= membership_tick(&daemon->members, daemon->following);
+	daemon->changed |= membership_tick(&daemon->members, daemon->following);
 }
 
 static bool
-in_touch(const daemon_t *daemon)
+is_undisturbed(const daemon_t *daemon)
 {
-	return runs(daemon) && !daemon->cut &&
+	return runs(daemon) && !daemon->store_cut &&
 	    now_ms() - daemon->disturbed_ms > STABLE_MS && !world.store_down &&
-	    now_ms() - world.store_ms > STABLE_MS;
+	    now_ms() - world.store_disturbed_ms > STABLE_MS;
 }
 
 static const member_t *
-known_member(const daemon_t *daemon, int at)
+member_find(const daemon_t *daemon, int at)
 {
 	char name[MEMBER_NAME_SIZE];
 	const member_t *member;
 
-	name_of(at, name);
+	daemon_name(at, name);
 	HASH_FIND_STR(daemon->members.members, name, member);
 	return member;
 }
 
 static bool
-names(const daemon_t *daemon, int at)
+counts_as_available(const daemon_t *daemon, int at)
 {
-	const member_t *member = known_member(daemon, at);
+	const member_t *member = member_find(daemon, at);
 
 	return member != NULL && member_is_available(&daemon->members, member);
 }
 
-/* One line a daemon, for whoever looks into a finding: FUZZ_TRACE=1. */
+/* With FUZZ_TRACE=1, writes a line per daemon at each step, for debugging. */
 static void
 trace(void)
 {
@@ -590,29 +596,31 @@
 		    "%lld d%d on=%d still=%d cut=%d lost=%d "
 		    "follows=%d/%d settled=%d held=%d alone=%d "
 		    "vouched_ms=%lld touch=%d names=",
-		    (long long)now_ms(), i, daemon->on, daemon->still,
-		    daemon->cut, daemon->store_lost, daemon->followed,
-		    daemon->following, daemon->members.liveness.authoritative,
+		    (long long)now_ms(), i, daemon->on, daemon->paused,
+		    daemon->store_cut, daemon->store_unavailable,
+		    daemon->parent, daemon->following,
+		    daemon->members.liveness.authoritative,
 		    daemon->members.liveness.frozen, daemon->members.isolated,
 		    daemon->on ? (long long)membership_liveness_age_ms(
 				     &daemon->members)
 			       : -1,
-		    in_touch(daemon));
+		    is_undisturbed(daemon));
 		for (int j = 0; daemon->on && j < DAEMONS; j++)
-			fputc(
-			    i == j || names(daemon, j) ? '0' + j : '-', stderr);
+			fputc(i == j || counts_as_available(daemon, j) ? '0' + j
+								       : '-',
+			    stderr);
 		fputc('\n', stderr);
 	}
 }
 
 static void
-look(void)
+check(void)
 {
 	trace();
 	for (int i = 0; i < DAEMONS; i++) {
 		const daemon_t *daemon = &world.daemons[i];
 
-		if (!in_touch(daemon))
+		if (!is_undisturbed(daemon))
 			continue;
 		for (int j = 0; j < DAEMONS; j++) {
 			const daemon_t *other = &world.daemons[j];
@@ -620,16 +628,17 @@
 			if (i == j)
 				continue;
 			FUZZ_CHECK(other->on ||
-			    now_ms() - other->off_ms <= BOUND_MS ||
-			    !names(daemon, j));
-			FUZZ_CHECK(world.single_ms < 0 || !in_touch(other) ||
-			    names(daemon, j));
+			    now_ms() - other->off_ms <= AVAILABLE_MAX_MS ||
+			    !counts_as_available(daemon, j));
+			FUZZ_CHECK(world.single_failure_ms < 0 ||
+			    !is_undisturbed(other) ||
+			    counts_as_available(daemon, j));
 		}
 	}
 }
 
 static void
-writes_answer(daemon_t *daemon)
+writes_respond(daemon_t *daemon)
 {
 	for (size_t i = 0; i < daemon->done_len; i++) {
 		row_reply_t reply = {.result = daemon->results[i]};
@@ -640,7 +649,7 @@
 }
 
 static void
-pass(void)
+step(void)
 {
 	world.clock.now = timespec_after_ms(world.clock.now, STEP_MS);
 	for (int i = 0; i < DAEMONS; i++) {
@@ -648,37 +657,38 @@
 
 		if (!runs(daemon))
 			continue;
-		writes_answer(daemon);
-		question_step(daemon);
+		writes_respond(daemon);
+		request_step(daemon);
 		if (now_ms() - daemon->ticked_ms >= TICK_MS)
 			tick(daemon);
 	}
 	for (int i = 0; i < DAEMONS; i++)
-		world.daemons[i].news = false;
-	look();
+		world.daemons[i].changed = false;
+	check();
 }
 
 static void
-calm(void)
+quiet_period(void)
 {
-	world.single_ms = -1;
+	world.single_failure_ms = -1;
 	world.store_down = false;
-	world.store_ms = now_ms();
+	world.store_disturbed_ms = now_ms();
 	memset(world.broken, 0, sizeof(world.broken));
 	for (int i = 0; i < DAEMONS; i++) {
 		daemon_t *daemon = &world.daemons[i];
 
 		if (!daemon->on)
 			daemon_start(i);
-		daemon->still = false;
-		daemon->cut = false;
-		store_changes(daemon);
+		daemon->paused = false;
+		daemon->store_cut = false;
+		store_change_record(daemon);
 	}
-	for (int64_t past = 0; past < CALM_MS; past += STEP_MS)
-		pass();
+	for (int64_t elapsed = 0; elapsed < QUIET_MS; elapsed += STEP_MS)
+		step();
 	for (int i = 0; i < DAEMONS; i++) {
 		for (int j = 0; j < DAEMONS; j++)
-			FUZZ_CHECK(i == j || names(&world.daemons[i], j));
+			FUZZ_CHECK(i == j ||
+			    counts_as_available(&world.daemons[i], j));
 	}
 }
 
@@ -691,17 +701,18 @@
 	world.clock = (manual_clock_t){{&manual_ops}, {1000, 0}};
 	world.base = event_base_new();
 	world.store = (row_store_t){.ops = &lives_ops};
-	world.single_ms = -1;
+	world.single_failure_ms = -1;
 	for (int i = 0; i < DAEMONS; i++)
 		daemon_start(i);
-	calm();
+	quiet_period();
 	for (size_t i = 0; i < STEPS_MAX && !input_over(&input); i++) {
-		event(&input);
-		for (uint32_t past = input_below(&input, TIME_STEPS); past > 0;
-		     past--)
-			pass();
+		event_apply(&input);
+		for (uint32_t remaining =
+			 input_below(&input, EVENT_GAP_STEPS_MAX);
+		     remaining > 0; remaining--)
+			step();
 	}
-	calm();
+	quiet_period();
 	for (int i = 0; i < DAEMONS; i++)
 		membership_finish(&world.daemons[i].members);
 	event_base_free(world.base);
--- a/test/support/many_members.h
+++ b/test/support/many_members.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A daemon's membership that knows a number of others, the even ones of which
- * are strong.
+ * The membership of a daemon that knows a number of others. Those with even
+ * numbers are strong.
  */
 #ifndef TEST_SUPPORT_MANY_MEMBERS_H
 #define TEST_SUPPORT_MANY_MEMBERS_H
@@ -11,9 +11,9 @@
 
 #include "moortack/replication/membership.h"
 
-#define SILENT_MS 4500
+#define SILENCE_TIMEOUT_MS 4500
 
-/** Cores of the daemon of that number. */
+/** Cores of the daemon with this number. */
 static inline double
 daemon_strength(int number)
 {
@@ -36,7 +36,7 @@
 	membership_apply_row(self, &row);
 }
 
-/** The membership of one of so many daemons that are ready. */
+/** Makes the membership of daemon @p own of @p daemons, which are all ready. */
 static inline void
 membership_init_with_members(membership_t *self, row_store_t *store,
     const clock_source_t *clock, int own, int daemons)
@@ -44,7 +44,7 @@
 	membership_settings_t settings = {.zone = "a",
 	    .strength = daemon_strength(own),
 	    .row_heartbeat_ms = 2000,
-	    .liveness = {.silence_timeout_ms = SILENT_MS,
+	    .liveness = {.silence_timeout_ms = SILENCE_TIMEOUT_MS,
 		.summary_ttl_ms = 5000,
 		.grace_ms = 2500,
 		.authority_timeout_ms = 25000}};
--- a/test/unit/member_life_test.c
+++ b/test/unit/member_life_test.c
@@ -1,11 +1,12 @@
 /**
  * @file
- * Which daemons live, as one daemon can tell. A daemon that had lost its power
- * was named to callers for 13 s: the one that took over from it counted its
- * life from its own taking over. What is decided here is dated by who shows a
- * sign of life, and by when the word on all was spoken, whoever passes it on
- * and however late. Evidence: event=member named=0 heard_ms=-1
- * row_ms=12200, 12.2 s after event=unfollow why=no_answer of the same daemon.
+ * Failure detection: which daemons are alive, as one daemon can tell. Guards
+ * against a daemon that lost power but was offered to callers for 13 s, since
+ * its successor as the tree's root counted its silence only from its own
+ * succession: it logged event=member named=0 heard_ms=-1 row_ms=12200, 12.2 s
+ * after event=unfollow why=no_answer for the same daemon. Signs of life and
+ * liveness summaries have to keep the time at which they were given, through
+ * however many daemons and however late they arrive.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,301 +17,311 @@
 #include "common/clock_source.h"
 #include "moortack/replication/member_life.h"
 
-#define SILENT_MS 2100
-#define VOUCH_MS 3000
-#define GRANT_MS 1500
-#define LONE_MS 12000
-/* The users' bound. */
-#define NAMED_MS 6000
+#define SILENCE_TIMEOUT_MS 2100
+#define SUMMARY_TTL_MS 3000
+#define GRACE_MS 1500
+#define AUTHORITY_TIMEOUT_MS 12000
+/* How long callers may be sent to a daemon that is down, as users require. */
+#define AVAILABLE_MAX_MS 6000
 #define STEP_MS 200
-#define LATE_MS 1300
+#define DETECTION_MS 1300
 
-/** A daemon's view, and one other that it judges. */
-typedef struct judged {
+/** A daemon's view, and what it knows of one other daemon. */
+typedef struct observer {
 	liveness_view_t view;
 	member_liveness_t other;
 	struct timespec now;
-	bool asked; /**< others ask this daemon twice a second */
+	bool requested; /**< others send this daemon requests at each step */
 	bool following;
-	bool held;
-	bool knows_nobody;
+	bool frozen;
+	bool no_rows_read;
 	bool all_fresh;
-} judged_t;
+} observer_t;
 
-static judged_t
-judged_new(void)
+static observer_t
+observer_new(void)
 {
-	return (judged_t){
-	    .view = {.timeouts = {SILENT_MS, VOUCH_MS, GRANT_MS, LONE_MS}},
+	return (observer_t){
+	    .view = {.timeouts = {SILENCE_TIMEOUT_MS, SUMMARY_TTL_MS, GRACE_MS,
+			 AUTHORITY_TIMEOUT_MS}},
 	    .now = {1000, 0}};
 }
 
 static void
-pass(judged_t *judged, int64_t ms)
+observer_run(observer_t *observer, int64_t ms)
 {
-	for (int64_t past = 0; past < ms; past += STEP_MS) {
-		liveness_inputs_t step = {judged->following, judged->held,
-		    !judged->knows_nobody, judged->all_fresh};
+	for (int64_t elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += STEP_MS) {
+		liveness_inputs_t inputs = {observer->following,
+		    observer->frozen, !observer->no_rows_read,
+		    observer->all_fresh};
 
-		judged->now = timespec_after_ms(judged->now, STEP_MS);
-		if (judged->asked)
+		observer->now = timespec_after_ms(observer->now, STEP_MS);
+		if (observer->requested)
 			liveness_view_record_request(
-			    &judged->view, judged->now);
-		liveness_view_update(&judged->view, judged->now, &step);
-		if (judged->view.authoritative)
-			liveness_set_silent(&judged->other,
-			    !liveness_is_fresh(
-				&judged->view, &judged->other, judged->now),
-			    judged->now);
+			    &observer->view, observer->now);
+		liveness_view_update(&observer->view, observer->now, &inputs);
+		if (observer->view.authoritative)
+			liveness_set_silent(&observer->other,
+			    !liveness_is_fresh(&observer->view,
+				&observer->other, observer->now),
+			    observer->now);
 	}
 }
 
 static bool
-named(const judged_t *judged)
+other_is_available(const observer_t *observer)
 {
 	return liveness_is_available(
-	    &judged->view, &judged->other, judged->now);
+	    &observer->view, &observer->other, observer->now);
 }
 
-/* The daemon that all follow says that all live, and is lost itself. */
-static judged_t
-reader_lost(void)
+/* The parent reports all members as alive, and then goes down. */
+static observer_t
+after_parent_down(void)
 {
-	judged_t judged = judged_new();
-
-	judged.following = true;
-	pass(&judged, 1000);
-	liveness_view_apply_summary(&judged.view, judged.now);
-	liveness_record_heartbeat(&judged.other, judged.now);
-	pass(&judged, LATE_MS);
-	return judged;
+	observer_t observer = observer_new();
+
+	observer.following = true;
+	observer_run(&observer, 1000);
+	liveness_view_apply_summary(&observer.view, observer.now);
+	liveness_record_heartbeat(&observer.other, observer.now);
+	observer_run(&observer, DETECTION_MS);
+	return observer;
 }
 
 static void
-a_lost_reader_is_not_named_by_the_next_one(void **state)
+a_root_that_is_down_is_not_available_to_its_successor(void **state)
 {
-	judged_t judged = reader_lost();
+	observer_t observer = after_parent_down();
 
 	(void)state;
-	liveness_record_no_response(&judged.other, judged.now);
-	judged.following = false;
-	assert_false(named(&judged));
-	judged.asked = true;
-	pass(&judged, NAMED_MS);
-	assert_true(judged.view.authoritative);
-	assert_false(named(&judged));
-	liveness_record_heartbeat(&judged.other, judged.now);
-	assert_true(named(&judged));
+	liveness_record_no_response(&observer.other, observer.now);
+	observer.following = false;
+	assert_false(other_is_available(&observer));
+	observer.requested = true;
+	observer_run(&observer, AVAILABLE_MAX_MS);
+	assert_true(observer.view.authoritative);
+	assert_false(other_is_available(&observer));
+	liveness_record_heartbeat(&observer.other, observer.now);
+	assert_true(other_is_available(&observer));
 }
 
-/* One that follows another says nothing of its own: it may have gone shortly
- * before the reader did. */
+/* A daemon that follows another makes no summary itself: it may have gone down
+ * shortly before the root did. */
 static void
-one_that_went_with_the_reader_is_named_no_longer_than_its_word_counts(
+a_daemon_down_with_the_root_is_available_for_the_summary_ttl_at_most(
     void **state)
 {
-	judged_t judged = reader_lost();
+	observer_t observer = after_parent_down();
 
 	(void)state;
-	judged.following = false;
-	pass(&judged, VOUCH_MS - LATE_MS - 2 * STEP_MS);
-	assert_true(named(&judged));
-	pass(&judged, 2 * STEP_MS);
-	assert_false(named(&judged));
+	observer.following = false;
+	observer_run(&observer, SUMMARY_TTL_MS - DETECTION_MS - 2 * STEP_MS);
+	assert_true(other_is_available(&observer));
+	observer_run(&observer, 2 * STEP_MS);
+	assert_false(other_is_available(&observer));
 }
 
-/* However many take over in turn, each passes on the word of the last that
- * could tell. */
+/* However many daemons succeed each other, each passes on the summary of the
+ * last authoritative one, with its age. */
 static void
-a_word_that_is_passed_on_keeps_its_age(void **state)
+a_summary_that_is_passed_on_keeps_its_age(void **state)
 {
-	judged_t first = reader_lost();
-	judged_t second = judged_new();
+	observer_t first = after_parent_down();
+	observer_t second = observer_new();
 
 	(void)state;
 	second.now = first.now;
 	assert_true(
 	    liveness_view_apply_summary(&second.view, first.view.summary_at));
-	assert_true(named(&second));
-	pass(&second, VOUCH_MS - LATE_MS);
-	assert_false(named(&second));
+	assert_true(other_is_available(&second));
+	observer_run(&second, SUMMARY_TTL_MS - DETECTION_MS);
+	assert_false(other_is_available(&second));
 	assert_false(
 	    liveness_view_apply_summary(&second.view, first.view.summary_at));
 }
 
 static void
-who_takes_over_waits_for_the_questions_of_all(void **state)
+a_successor_waits_for_the_requests_of_all(void **state)
 {
-	judged_t judged = reader_lost();
+	observer_t observer = after_parent_down();
 
 	(void)state;
-	judged.following = false;
-	judged.asked = true;
-	pass(&judged, 2 * STEP_MS);
-	assert_false(judged.view.authoritative);
-	/* All showed themselves: there is nobody to wait for. */
-	judged.all_fresh = true;
-	pass(&judged, STEP_MS);
-	assert_true(judged.view.authoritative);
-	/* It stays so while others ask, also when one falls silent. */
-	judged.all_fresh = false;
-	pass(&judged, STEP_MS);
-	assert_true(judged.view.authoritative);
+	observer.following = false;
+	observer.requested = true;
+	observer_run(&observer, 2 * STEP_MS);
+	assert_false(observer.view.authoritative);
+	/* All members gave a sign of life: there is none to wait for. */
+	observer.all_fresh = true;
+	observer_run(&observer, STEP_MS);
+	assert_true(observer.view.authoritative);
+	/* It stays so while others send requests, also when one falls
+	 * silent. */
+	observer.all_fresh = false;
+	observer_run(&observer, STEP_MS);
+	assert_true(observer.view.authoritative);
 }
 
-/* A process that stood still has not read what others sent meanwhile. */
+/* A process that was paused has not read what others sent meanwhile. */
 static void
-who_stood_still_judges_nobody_at_once(void **state)
+a_paused_daemon_detects_no_silence_at_once(void **state)
 {
-	judged_t judged = judged_new();
+	observer_t observer = observer_new();
 
 	(void)state;
-	judged.asked = true;
-	judged.all_fresh = true;
-	liveness_record_heartbeat(&judged.other, judged.now);
-	pass(&judged, 2 * STEP_MS);
-	assert_true(judged.view.authoritative);
-	judged.now = timespec_after_ms(judged.now, SILENT_MS + STEP_MS);
-	judged.all_fresh = false;
-	judged.asked = false;
-	pass(&judged, STEP_MS);
-	assert_false(judged.view.authoritative);
-	assert_false(judged.other.silent);
+	observer.requested = true;
+	observer.all_fresh = true;
+	liveness_record_heartbeat(&observer.other, observer.now);
+	observer_run(&observer, 2 * STEP_MS);
+	assert_true(observer.view.authoritative);
+	observer.now =
+	    timespec_after_ms(observer.now, SILENCE_TIMEOUT_MS + STEP_MS);
+	observer.all_fresh = false;
+	observer.requested = false;
+	observer_run(&observer, STEP_MS);
+	assert_false(observer.view.authoritative);
+	assert_false(observer.other.silent);
 }
 
-/* While neither the store nor another daemon tells anything, all stays as it
- * was; when the store is back, those that went show in less time than callers
- * may be sent to them. */
+/* While neither the store nor another daemon sends anything, all members count
+ * as they did before. When the store is available again, those that are down
+ * are detected in less time than callers may be sent to them. */
 static void
-an_outage_judges_nobody_and_excuses_nobody(void **state)
+an_outage_freezes_liveness_until_it_ends(void **state)
 {
-	judged_t judged = reader_lost();
+	observer_t observer = after_parent_down();
 
 	(void)state;
-	judged.following = false;
-	judged.held = true;
-	pass(&judged, 4 * NAMED_MS);
-	assert_true(named(&judged));
-	judged.held = false;
-	pass(&judged, STEP_MS);
-	assert_true(named(&judged));
-	pass(&judged, GRANT_MS);
-	assert_false(named(&judged));
+	observer.following = false;
+	observer.frozen = true;
+	observer_run(&observer, 4 * AVAILABLE_MAX_MS);
+	assert_true(other_is_available(&observer));
+	observer.frozen = false;
+	observer_run(&observer, STEP_MS);
+	assert_true(other_is_available(&observer));
+	observer_run(&observer, GRACE_MS);
+	assert_false(other_is_available(&observer));
 }
 
 static void
-a_grace_is_no_word_for_others(void **state)
+a_grace_period_makes_no_summary(void **state)
 {
-	judged_t judged = judged_new();
+	observer_t observer = observer_new();
 
 	(void)state;
-	pass(&judged, STEP_MS);
-	liveness_view_start_grace(&judged.view, judged.now);
-	assert_true(named(&judged));
-	assert_int_equal(judged.view.summary_at.tv_sec, 0);
-	pass(&judged, GRANT_MS);
-	assert_false(named(&judged));
+	observer_run(&observer, STEP_MS);
+	liveness_view_start_grace(&observer.view, observer.now);
+	assert_true(other_is_available(&observer));
+	assert_int_equal(observer.view.summary_at.tv_sec, 0);
+	observer_run(&observer, GRACE_MS);
+	assert_false(other_is_available(&observer));
 }
 
 static void
-who_knows_nobody_gives_no_word(void **state)
+a_daemon_without_rows_makes_no_summary(void **state)
 {
-	judged_t judged = judged_new();
+	observer_t observer = observer_new();
 
 	(void)state;
-	judged.asked = true;
-	judged.all_fresh = true;
-	judged.knows_nobody = true;
-	pass(&judged, 2 * LONE_MS);
-	assert_false(judged.view.authoritative);
-	assert_int_equal(judged.view.summary_at.tv_sec, 0);
-	judged.knows_nobody = false;
-	pass(&judged, STEP_MS);
-	assert_true(judged.view.authoritative);
+	observer.requested = true;
+	observer.all_fresh = true;
+	observer.no_rows_read = true;
+	observer_run(&observer, 2 * AUTHORITY_TIMEOUT_MS);
+	assert_false(observer.view.authoritative);
+	assert_int_equal(observer.view.summary_at.tv_sec, 0);
+	observer.no_rows_read = false;
+	observer_run(&observer, STEP_MS);
+	assert_true(observer.view.authoritative);
 }
 
 static void
-whom_nobody_asks_judges_late(void **state)
+a_daemon_without_requests_becomes_authoritative_late(void **state)
 {
-	judged_t judged = judged_new();
+	observer_t observer = observer_new();
 
 	(void)state;
-	pass(&judged, LONE_MS);
-	assert_false(judged.view.authoritative);
-	pass(&judged, STEP_MS);
-	assert_true(judged.view.authoritative);
+	observer_run(&observer, AUTHORITY_TIMEOUT_MS);
+	assert_false(observer.view.authoritative);
+	observer_run(&observer, STEP_MS);
+	assert_true(observer.view.authoritative);
 }
 
 static void
-what_it_reported_counts_longer_than_it_is_named(void **state)
+a_silent_daemon_is_unavailable_before_it_is_down(void **state)
 {
-	judged_t judged = judged_new();
+	observer_t observer = observer_new();
 
 	(void)state;
-	judged.asked = true;
-	liveness_record_heartbeat(&judged.other, judged.now);
-	pass(&judged, SILENT_MS + STEP_MS);
-	assert_false(named(&judged));
-	assert_false(liveness_is_down(&judged.view, &judged.other, judged.now));
-	pass(&judged, 3000);
-	assert_true(liveness_is_down(&judged.view, &judged.other, judged.now));
+	observer.requested = true;
+	liveness_record_heartbeat(&observer.other, observer.now);
+	observer_run(&observer, SILENCE_TIMEOUT_MS + STEP_MS);
+	assert_false(other_is_available(&observer));
+	assert_false(
+	    liveness_is_down(&observer.view, &observer.other, observer.now));
+	observer_run(&observer, 3000);
+	assert_true(
+	    liveness_is_down(&observer.view, &observer.other, observer.now));
 }
 
-/* One that gave no answer in an outage is not gone as soon as the store is
- * back: its row was cleared at once, and it, which reads the store too, was
- * missed. */
+/* A daemon that did not respond during an outage doesn't count as down as soon
+ * as the store is available again: its row was deleted at once, and the daemon,
+ * which read the store too, was missing. */
 static void
-an_outage_that_ends_takes_nobody_for_gone(void **state)
+no_daemon_is_down_at_once_after_an_outage(void **state)
 {
-	judged_t judged = reader_lost();
+	observer_t observer = after_parent_down();
 
 	(void)state;
-	judged.following = false;
-	judged.held = true;
-	liveness_record_no_response(&judged.other, judged.now);
-	pass(&judged, NAMED_MS);
-	judged.held = false;
-	judged.asked = true;
-	judged.all_fresh = true;
-	pass(&judged, 2 * STEP_MS);
-	assert_true(judged.view.authoritative);
-	assert_false(named(&judged));
-	assert_false(liveness_is_down(&judged.view, &judged.other, judged.now));
-	pass(&judged, 3000);
-	assert_true(liveness_is_down(&judged.view, &judged.other, judged.now));
+	observer.following = false;
+	observer.frozen = true;
+	liveness_record_no_response(&observer.other, observer.now);
+	observer_run(&observer, AVAILABLE_MAX_MS);
+	observer.frozen = false;
+	observer.requested = true;
+	observer.all_fresh = true;
+	observer_run(&observer, 2 * STEP_MS);
+	assert_true(observer.view.authoritative);
+	assert_false(other_is_available(&observer));
+	assert_false(
+	    liveness_is_down(&observer.view, &observer.other, observer.now));
+	observer_run(&observer, 3000);
+	assert_true(
+	    liveness_is_down(&observer.view, &observer.other, observer.now));
 }
 
 static void
-a_later_sign_is_not_undone_by_an_earlier_one(void **state)
+an_earlier_sign_does_not_replace_a_later_one(void **state)
 {
-	judged_t judged = judged_new();
-	struct timespec later = timespec_after_ms(judged.now, 500);
+	observer_t observer = observer_new();
+	struct timespec later = timespec_after_ms(observer.now, 500);
 
 	(void)state;
-	assert_true(liveness_record_request(&judged.other, later));
-	assert_false(liveness_record_request(&judged.other, judged.now));
-	liveness_record_heartbeat(&judged.other, judged.now);
+	assert_true(liveness_record_request(&observer.other, later));
+	assert_false(liveness_record_request(&observer.other, observer.now));
+	liveness_record_heartbeat(&observer.other, observer.now);
 	assert_int_equal(
-	    timespec_ms_between(judged.other.last_seen_at, later), 0);
+	    timespec_ms_between(observer.other.last_seen_at, later), 0);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(a_lost_reader_is_not_named_by_the_next_one),
 	    cmocka_unit_test(
-		one_that_went_with_the_reader_is_named_no_longer_than_its_word_counts),
-	    cmocka_unit_test(a_word_that_is_passed_on_keeps_its_age),
-	    cmocka_unit_test(who_takes_over_waits_for_the_questions_of_all),
-	    cmocka_unit_test(who_stood_still_judges_nobody_at_once),
-	    cmocka_unit_test(an_outage_judges_nobody_and_excuses_nobody),
-	    cmocka_unit_test(a_grace_is_no_word_for_others),
-	    cmocka_unit_test(who_knows_nobody_gives_no_word),
-	    cmocka_unit_test(whom_nobody_asks_judges_late),
-	    cmocka_unit_test(what_it_reported_counts_longer_than_it_is_named),
-	    cmocka_unit_test(an_outage_that_ends_takes_nobody_for_gone),
-	    cmocka_unit_test(a_later_sign_is_not_undone_by_an_earlier_one),
+		a_root_that_is_down_is_not_available_to_its_successor),
+	    cmocka_unit_test(
+		a_daemon_down_with_the_root_is_available_for_the_summary_ttl_at_most),
+	    cmocka_unit_test(a_summary_that_is_passed_on_keeps_its_age),
+	    cmocka_unit_test(a_successor_waits_for_the_requests_of_all),
+	    cmocka_unit_test(a_paused_daemon_detects_no_silence_at_once),
+	    cmocka_unit_test(an_outage_freezes_liveness_until_it_ends),
+	    cmocka_unit_test(a_grace_period_makes_no_summary),
+	    cmocka_unit_test(a_daemon_without_rows_makes_no_summary),
+	    cmocka_unit_test(
+		a_daemon_without_requests_becomes_authoritative_late),
+	    cmocka_unit_test(a_silent_daemon_is_unavailable_before_it_is_down),
+	    cmocka_unit_test(no_daemon_is_down_at_once_after_an_outage),
+	    cmocka_unit_test(an_earlier_sign_does_not_replace_a_later_one),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/member_tree_test.c
+++ b/test/unit/member_tree_test.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Daemons as one of them knows the others: whom each follows, who counts as
- * silent, and who may say so.
+ * The membership of a daemon: which daemon each one follows, which count as
+ * silent or down, and which daemon makes the liveness summary.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,9 +21,9 @@
 #define DAEMONS 40
 #define STEP_MS 250
 
-/* Each third daemon stands in one zone. */
+/* Distributes the daemons over three zones by their numbers. */
 static void
-zones_deal(membership_t *self, int own)
+zones_assign(membership_t *self, int own)
 {
 	snprintf(self->settings.zone, sizeof(self->settings.zone), "zone-%d",
 	    own % 3);
@@ -57,7 +57,7 @@
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	int parents[DAEMONS], followers[DAEMONS] = {0}, roots = 0;
-	int firsts = 0;
+	int near_root = 0;
 
 	(void)state;
 	for (int i = 0; i < DAEMONS; i++) {
@@ -66,41 +66,41 @@
 		membership_init_with_members(
 		    &self, &store, &clock.source, i, DAEMONS);
 		parents[i] = parent_number(&self);
-		firsts += membership_near_root(&self);
+		near_root += membership_near_root(&self);
 		membership_finish(&self);
 	}
-	/* The first, its followers, and nobody who follows these. */
-	assert_in_range(firsts, 2, 1 + 2 * 8);
+	/* The root and its followers, but none of their followers. */
+	assert_in_range(near_root, 2, 1 + 2 * 8);
 	for (int i = 0; i < DAEMONS; i++) {
-		int at = i, steps = 0;
+		int ancestor = i, depth = 0;
 
 		roots += parents[i] < 0;
 		if (parents[i] >= 0)
 			followers[parents[i]]++;
-		while (parents[at] >= 0) {
-			at = parents[at];
-			assert_true(++steps <= 2);
+		while (parents[ancestor] >= 0) {
+			ancestor = parents[ancestor];
+			assert_true(++depth <= 2);
 		}
 	}
 	assert_int_equal(roots, 1);
 	for (int i = 0; i < DAEMONS; i++) {
 		assert_true(followers[i] <= 8);
-		/* What costs most is done by the strong ones. */
+		/* Followers cost most, so only strong daemons have any. */
 		assert_true(followers[i] == 0 || daemon_strength(i) > 0.25);
 	}
 	event_base_free(base);
 }
 
-/* With daemons in three zones, as many links as one level of the tree has
- * cross between zones, however many daemons there are. */
+/* With daemons in three zones, only about as many links cross between zones as
+ * the first level of the tree has, however many daemons there are. */
 static void
 few_links_of_the_tree_cross_between_zones(void **state)
 {
-	enum { LARGE = 90, FOLLOWERS_MOST = 16, FAR_MOST = 12 };
+	enum { LARGE = 90, FOLLOWERS_MAX = 16, CROSS_ZONE_MAX = 12 };
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
-	int followers[LARGE] = {0}, far = 0;
+	int followers[LARGE] = {0}, cross_zone = 0;
 
 	(void)state;
 	for (int i = 0; i < LARGE; i++) {
@@ -110,19 +110,20 @@
 
 		membership_init_with_members(
 		    &self, &store, &clock.source, i, LARGE);
-		zones_deal(&self, i);
+		zones_assign(&self, i);
 		parent = membership_parent(&self);
 		if (parent != NULL) {
 			assert_int_equal(
 			    sscanf(parent->name, "10.0.0.%d:", &number), 1);
 			followers[number]++;
-			far += strcmp(parent->zone, self.settings.zone) != 0;
+			cross_zone +=
+			    strcmp(parent->zone, self.settings.zone) != 0;
 		}
 		membership_finish(&self);
 	}
-	assert_true(far <= FAR_MOST);
+	assert_true(cross_zone <= CROSS_ZONE_MAX);
 	for (int i = 0; i < LARGE; i++)
-		assert_true(followers[i] <= FOLLOWERS_MOST);
+		assert_true(followers[i] <= FOLLOWERS_MAX);
 	event_base_free(base);
 }
 
@@ -148,15 +149,15 @@
 	event_base_free(base);
 }
 
-/* One that the store does not answer, and that stands first, follows the next;
- * nobody else follows downwards. */
+/* The first daemon in the order may follow the next one, while the store is
+ * unavailable to it; no other daemon follows one after it. */
 static void
-the_first_may_follow_the_second(void **state)
+the_first_daemon_may_follow_the_second(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
-	int firsts = 0;
+	int roots = 0;
 
 	(void)state;
 	for (int i = 0; i < DAEMONS; i++) {
@@ -167,7 +168,7 @@
 		    &self, &store, &clock.source, i, DAEMONS);
 		next = membership_next_member(&self);
 		if (membership_parent(&self) == NULL) {
-			firsts++;
+			roots++;
 			assert_non_null(next);
 			membership_back_off(&self, next->name, 3000);
 			assert_true(membership_next_member(&self) != next);
@@ -175,15 +176,16 @@
 		assert_true(next == NULL || next->sort_key > self.sort_key);
 		membership_finish(&self);
 	}
-	assert_int_equal(firsts, 1);
+	assert_int_equal(roots, 1);
 	event_base_free(base);
 }
 
-/* Time passes for a daemon that one other asks twice a second. */
+/* Lets time pass for a daemon to which another sends a request at each
+ * step. */
 static void
-pass_asked(membership_t *self, manual_clock_t *clock, int64_t ms)
+run_with_requests(membership_t *self, manual_clock_t *clock, int64_t ms)
 {
-	for (int64_t past = 0; past < ms; past += STEP_MS) {
+	for (int64_t elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += STEP_MS) {
 		clock->now = timespec_after_ms(clock->now, STEP_MS);
 		membership_record_request(self, "10.0.0.2:80", NULL);
 		membership_tick(self, false);
@@ -191,7 +193,7 @@
 }
 
 static void
-a_silent_member_counts_as_dead(void **state)
+a_silent_member_counts_as_down(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
@@ -203,14 +205,14 @@
 	membership_set_rows_read(&self);
 	assert_int_equal(membership_alive_count(&self), DAEMONS);
 	membership_record_request(&self, "10.0.0.3:80", NULL);
-	/* Silent ones are not yet taken for dead. */
-	pass_asked(&self, &clock, 2000);
+	/* Silent ones don't count as down yet. */
+	run_with_requests(&self, &clock, 2000);
 	assert_int_equal(membership_alive_count(&self), DAEMONS);
-	pass_asked(&self, &clock, SILENT_MS - 2000);
+	run_with_requests(&self, &clock, SILENCE_TIMEOUT_MS - 2000);
 	assert_int_equal(membership_alive_count(&self), 3);
-	pass_asked(&self, &clock, 5000);
+	run_with_requests(&self, &clock, 5000);
 	assert_int_equal(membership_alive_count(&self), 2);
-	/* Another daemon knows better. */
+	/* Another daemon's summary replaces this. */
 	clock.now.tv_sec++;
 	assert_true(membership_apply_liveness(&self, clock.now, NULL));
 	assert_int_equal(membership_alive_count(&self), DAEMONS);
@@ -218,17 +220,17 @@
 	event_base_free(base);
 }
 
-/* What a daemon hears of those below it says how long ago that was, over any
+/* Requests of daemons below in the tree are passed on with their age, over any
  * number of daemons in between. */
 static void
-those_below_are_heard_of_with_their_age(void **state)
+requests_in_a_subtree_keep_their_age(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
 	row_store_t store = {.ops = &silent_ops};
 	membership_t leaf_parent, between, first;
 	const member_t *leaf;
-	json_t *below;
+	json_t *subtree;
 
 	(void)state;
 	membership_init_with_members(
@@ -238,20 +240,20 @@
 	membership_init_with_members(&first, &store, &clock.source, 1, DAEMONS);
 	membership_record_request(&leaf_parent, "10.0.0.9:80", NULL);
 	clock.now.tv_sec += 2;
-	below = membership_subtree(&leaf_parent);
-	membership_apply_subtree(&between, below);
-	json_decref(below);
-	below = membership_subtree(&between);
-	membership_apply_subtree(&first, below);
-	json_decref(below);
+	subtree = membership_subtree(&leaf_parent);
+	membership_apply_subtree(&between, subtree);
+	json_decref(subtree);
+	subtree = membership_subtree(&between);
+	membership_apply_subtree(&first, subtree);
+	json_decref(subtree);
 	HASH_FIND_STR(first.members, "10.0.0.9:80", leaf);
 	assert_non_null(leaf);
 	assert_true(
 	    liveness_is_fresh(&first.liveness, &leaf->liveness, clock.now));
 	clock.now.tv_sec += 3;
-	/* It was heard of 5 s ago, though only just told. */
-	below = membership_subtree(&between);
-	assert_null(below);
+	/* Its request was 5 s ago, although it was passed on later. */
+	subtree = membership_subtree(&between);
+	assert_null(subtree);
 	assert_false(
 	    liveness_is_fresh(&first.liveness, &leaf->liveness, clock.now));
 	membership_finish(&leaf_parent);
@@ -260,12 +262,13 @@
 	event_base_free(base);
 }
 
-/* A daemon that started in an outage of the store had read no rows, and was
- * asked by others that had lost whom they followed: it knew nobody, so all that
- * it knew were fresh, and its word that all live named those that were off for
- * longer than the users' bound. Found by fuzz_lives (corpus/lives/found11). */
+/* A daemon that started in an outage of the store had read no rows, and got
+ * requests of others that had lost their parent. It knew of no members, so all
+ * of them were fresh, and its summary that all are alive kept daemons that were
+ * off available for longer than the users' time limit. Found by fuzz_lives
+ * (corpus/lives/found11). */
 static void
-who_knows_no_rows_speaks_for_nobody(void **state)
+a_daemon_without_rows_makes_no_summary(void **state)
 {
 	manual_clock_t clock = {{&manual_ops}, {100, 0}};
 	struct event_base *base = event_base_new();
@@ -296,10 +299,10 @@
 	    cmocka_unit_test(followers_form_a_tree),
 	    cmocka_unit_test(few_links_of_the_tree_cross_between_zones),
 	    cmocka_unit_test(a_daemon_that_failed_is_not_followed_for_a_time),
-	    cmocka_unit_test(the_first_may_follow_the_second),
-	    cmocka_unit_test(a_silent_member_counts_as_dead),
-	    cmocka_unit_test(those_below_are_heard_of_with_their_age),
-	    cmocka_unit_test(who_knows_no_rows_speaks_for_nobody),
+	    cmocka_unit_test(the_first_daemon_may_follow_the_second),
+	    cmocka_unit_test(a_silent_member_counts_as_down),
+	    cmocka_unit_test(requests_in_a_subtree_keep_their_age),
+	    cmocka_unit_test(a_daemon_without_rows_makes_no_summary),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
