--- a/include/moortack/replication/member_life.h
+++ b/include/moortack/replication/member_life.h
@@ -22,8 +22,8 @@
 #include "common/clock_source.h"
 
 typedef struct liveness_timeouts {
-	/** The authoritative daemon takes a member without a sign of life for
-	 * this long for silent. */
+	/** A member without a sign of life for this long is silent to the
+	 * authoritative daemon. */
 	int64_t silence_timeout_ms;
 	/** How long a liveness summary counts. */
 	int64_t summary_ttl_ms;
@@ -58,7 +58,8 @@
 	bool authoritative; /**< this daemon makes the liveness summary */
 	bool following;	    /**< another daemon sends it the rows */
 	bool frozen;	    /**< neither the store nor another daemon sends
-			       anything: all is judged as of frozen_at */
+			       anything: members are evaluated as of
+			       frozen_at */
 	struct timespec frozen_at;
 	struct timespec observing_since; /**< when it began or ceased to follow,
 					    was paused, or ceased to be
@@ -66,7 +67,8 @@
 	struct timespec updated_at;	 /**< last liveness_view_update() */
 	struct timespec last_request_at; /**< of another daemon; 0: none */
 	struct timespec requests_since;	 /**< first request since
-					    observing_since; 0: none */
+					    observing_since, or since a gap of
+					    silence_timeout_ms; 0: none */
 } liveness_view_t;
 
 /** What an update depends on. */
--- a/include/moortack/replication/membership.h
+++ b/include/moortack/replication/membership.h
@@ -212,8 +212,7 @@
 /** The next member after this daemon in the order: followed only while the
  * store is unavailable to this daemon and none is before it. Or NULL. */
 const member_t *membership_next_member(const membership_t *);
-/** Sets the state of this daemon, which membership_tick() has written to the
- * store. */
+/** Sets the state of this daemon; membership_tick() publishes it. */
 void membership_set_state(membership_t *, member_state_t);
 /** Replaces the report that goes into the own row while this daemon is
  * isolated; takes the reference. */
--- a/moortack/replication/member_life.c
+++ b/moortack/replication/member_life.c
@@ -117,40 +117,42 @@
 }
 
 void
-liveness_record_heartbeat(member_liveness_t *life, struct timespec at)
+liveness_record_heartbeat(member_liveness_t *liveness, struct timespec at)
 {
-	if (is_later(at, life->last_seen_at))
-		life->last_seen_at = at;
+	if (is_later(at, liveness->last_seen_at))
+		liveness->last_seen_at = at;
 }
 
 bool
-liveness_record_request(member_liveness_t *life, struct timespec at)
+liveness_record_request(member_liveness_t *liveness, struct timespec at)
 {
-	liveness_record_heartbeat(life, at);
-	if (!is_later(at, life->last_request_at))
+	liveness_record_heartbeat(liveness, at);
+	if (!is_later(at, liveness->last_request_at))
 		return false;
-	life->last_request_at = at;
+	liveness->last_request_at = at;
 	return true;
 }
 
 bool
-liveness_set_silent(member_liveness_t *life, bool silent, struct timespec now)
+liveness_set_silent(
+    member_liveness_t *liveness, bool silent, struct timespec now)
 {
-	if (life->silent == silent)
+	if (liveness->silent == silent)
 		return false;
-	life->silent = silent;
-	life->silent_since = now;
+	liveness->silent = silent;
+	liveness->silent_since = now;
 	return true;
 }
 
 void
-liveness_record_no_response(member_liveness_t *life, struct timespec now)
+liveness_record_no_response(member_liveness_t *liveness, struct timespec now)
 {
-	life->no_response_at = now;
-	liveness_set_silent(life, true, now);
+	liveness->no_response_at = now;
+	liveness_set_silent(liveness, true, now);
 }
 
-/* The time as of which members are judged: while frozen, when that began. */
+/* The time as of which members are evaluated: while frozen, the time at which
+ * that began. */
 static struct timespec
 evaluation_time(const liveness_view_t *view, struct timespec now)
 {
@@ -158,43 +160,43 @@
 }
 
 bool
-liveness_is_fresh(const liveness_view_t *view, const member_liveness_t *life,
-    struct timespec now)
+liveness_is_fresh(const liveness_view_t *view,
+    const member_liveness_t *liveness, struct timespec now)
 {
-	return is_later(life->last_seen_at, life->no_response_at) &&
-	    within(life->last_seen_at, evaluation_time(view, now),
+	return is_later(liveness->last_seen_at, liveness->no_response_at) &&
+	    within(liveness->last_seen_at, evaluation_time(view, now),
 		view->timeouts.silence_timeout_ms);
 }
 
 bool
 liveness_is_available(const liveness_view_t *view,
-    const member_liveness_t *life, struct timespec now)
+    const member_liveness_t *liveness, struct timespec now)
 {
 	struct timespec at = evaluation_time(view, now);
 
-	if (liveness_is_fresh(view, life, now))
+	if (liveness_is_fresh(view, liveness, now))
 		return true;
-	return !life->silent &&
+	return !liveness->silent &&
 	    (within(view->summary_at, at, view->timeouts.summary_ttl_ms) ||
 		within(view->grace_started_at, at, view->timeouts.grace_ms));
 }
 
 bool
 liveness_is_responsive(const liveness_view_t *view,
-    const member_liveness_t *life, struct timespec now)
+    const member_liveness_t *liveness, struct timespec now)
 {
-	return !life->silent || liveness_is_fresh(view, life, now);
+	return !liveness->silent || liveness_is_fresh(view, liveness, now);
 }
 
 bool
-liveness_is_down(const liveness_view_t *view, const member_liveness_t *life,
+liveness_is_down(const liveness_view_t *view, const member_liveness_t *liveness,
     struct timespec now)
 {
 	/* Nor is a member down as soon as this daemon can receive signs of life
 	 * again: if its row were deleted by mistake, two daemons that read the
 	 * store would not know of each other for seconds. */
-	return life->silent &&
-	    !within(life->silent_since, now, DOWN_DELAY_MS) &&
+	return liveness->silent &&
+	    !within(liveness->silent_since, now, DOWN_DELAY_MS) &&
 	    !within(view->observing_since, now, DOWN_DELAY_MS) &&
-	    !liveness_is_fresh(view, life, now);
+	    !liveness_is_fresh(view, liveness, now);
 }
