--- a/include/moortack/replication/member_life.h
+++ b/include/moortack/replication/member_life.h
@@ -1,15 +1,18 @@
 /**
  * @file
- * Which other daemons live, as one daemon can tell: pure decisions, without
- * network or clock.
+ * Failure detection: which other daemons are alive, as one daemon can tell.
+ * Pure decisions, without network or clock.
  *
  * A sign of life counts from the moment at which its daemon gave it, however
- * late and through however many others it is learned of. Two things are known:
- * the signs that this daemon has itself, and the word of the one whom all ask,
- * that each daemon but those that it lists as silent gave a sign within
- * silent_ms before it spoke. The word keeps its age when it is passed on, and
- * counts for vouch_ms. So nobody is named for longer than silent_ms + vouch_ms
- * after its last sign, whoever stops in between.
+ * late it arrives and through however many other daemons. A daemon knows two
+ * things: the signs of life that it received itself, and the latest liveness
+ * summary. A summary is made by an authoritative daemon, which all others send
+ * requests to, directly or through others. It says that all members but those
+ * that it lists as silent gave a sign of life within silence_timeout_ms before
+ * it was made. It keeps its age when it is passed on, and counts for
+ * summary_ttl_ms. So no daemon counts as available for longer than
+ * silence_timeout_ms + summary_ttl_ms after its last sign of life, whichever
+ * other daemons stop in between.
  */
 #ifndef MOORTACK_REPLICATION_MEMBER_LIFE_H
 #define MOORTACK_REPLICATION_MEMBER_LIFE_H
@@ -18,88 +21,103 @@
 
 #include "common/clock_source.h"
 
-typedef struct life_bounds {
-	/** Whoever is asked by all takes one that it did not hear of for this
-	 * long for silent. */
-	int64_t silent_ms;
-	/** How long its word counts. */
-	int64_t vouch_ms;
-	/** For how long nobody is judged after this daemon has started, or the
-	 * store is back: nobody has had the time to show itself. */
-	int64_t grant_ms;
-	/** Whom nobody asks speaks for itself after this time. */
-	int64_t lone_ms;
-} life_bounds_t;
+typedef struct liveness_timeouts {
+	/** A member without a sign of life for this long is silent to the
+	 * authoritative daemon. */
+	int64_t silence_timeout_ms;
+	/** How long a liveness summary counts. */
+	int64_t summary_ttl_ms;
+	/** How long all members count as available after this daemon has
+	 * started, or the store has become available again: they had no time
+	 * to give a sign of life. */
+	int64_t grace_ms;
+	/** A daemon that receives no requests becomes authoritative after this
+	 * time. */
+	int64_t authority_timeout_ms;
+} liveness_timeouts_t;
 
 /** What is known of one daemon. */
-typedef struct member_life {
-	struct timespec heard; /**< its last question to this daemon, or to one
-				  that asks this one; 0: none */
-	struct timespec seen;  /**< its last sign of any kind; 0: none */
+typedef struct member_liveness {
+	struct timespec last_request_at; /**< its last request to this daemon,
+					    or to one that sends this one
+					    requests; 0: none */
+	struct timespec last_seen_at;	 /**< last sign of any kind; 0: none */
 	struct timespec
-	    unanswered; /**< when it last gave no answer; 0: never */
-	bool silent;	/**< as the word goes, or found by this daemon */
+	    no_response_at; /**< when it last did not respond; 0: never */
+	bool silent; /**< by the liveness summary, or found by this daemon */
 	struct timespec silent_since; /**< when this was learned */
-} member_life_t;
+} member_liveness_t;
 
-/** What a daemon knows of all. */
-typedef struct life_view {
-	life_bounds_t bounds;
-	struct timespec vouched; /**< when the word was spoken; 0: never */
-	struct timespec granted; /**< see life_view_grant(); 0: never */
-	bool settled;		 /**< this daemon's word is its own */
-	bool following;		 /**< another daemon tells the rows */
-	bool held; /**< neither the store nor another daemon tells anything:
-		      all stays as it was then */
-	struct timespec held_at;
-	struct timespec began;	     /**< when it began to follow, or ended */
-	struct timespec stepped;     /**< last step */
-	struct timespec asked;	     /**< last question of another; 0: none */
-	struct timespec asked_since; /**< first one since it began; 0: none */
-} life_view_t;
+/** What a daemon knows of all members together. */
+typedef struct liveness_view {
+	liveness_timeouts_t timeouts;
+	struct timespec summary_at; /**< when the latest liveness summary was
+				       made; 0: there is none */
+	struct timespec grace_started_at; /**< see liveness_view_start_grace();
+					     0: never */
+	bool authoritative; /**< this daemon makes the liveness summary */
+	bool following;	    /**< another daemon sends it the rows */
+	bool frozen;	    /**< neither the store nor another daemon sends
+			       anything: members are evaluated as of
+			       frozen_at */
+	struct timespec frozen_at;
+	struct timespec observing_since; /**< when it began or ceased to follow,
+					    was paused, or ceased to be
+					    frozen */
+	struct timespec updated_at;	 /**< last liveness_view_update() */
+	struct timespec last_request_at; /**< of another daemon; 0: none */
+	struct timespec requests_since;	 /**< first request since
+					    observing_since, or since a gap of
+					    silence_timeout_ms; 0: none */
+} liveness_view_t;
 
-/** What a step depends on. */
-typedef struct life_step {
-	bool following; /**< see life_view_t */
-	bool held;
-	bool all_known; /**< the rows of all were read or told once */
-	bool all_fresh; /**< a heartbeat of all that are not silent is fresh */
-} life_step_t;
+/** What an update depends on. */
+typedef struct liveness_inputs {
+	bool following; /**< see liveness_view_t */
+	bool frozen;
+	bool rows_read; /**< the rows of all members were read or received
+			   once */
+	bool all_fresh; /**< see liveness_is_fresh(): all members that are not
+			   silent */
+} liveness_inputs_t;
 
-/** Move on; called a few times a second. */
-void life_view_step(life_view_t *, struct timespec now, const life_step_t *);
-/** Judge nobody for a time: the rows of all were read for the first time.
- * Others are told nothing of it, since it says nothing of anybody. */
-void life_view_grant(life_view_t *, struct timespec now);
-/** Another daemon asked this one. */
-void life_view_asked(life_view_t *, struct timespec now);
-/** Whether another daemon asked this one within this time. */
-bool
-life_view_asked_within(const life_view_t *, struct timespec now, int64_t ms);
-/** The word of another daemon, spoken at @p at.
- * @return whether it is newer than what is known: it replaces that */
-bool life_view_take(life_view_t *, struct timespec at);
+/** Updates the role of this daemon; called a few times a second. */
+void liveness_view_update(
+    liveness_view_t *, struct timespec now, const liveness_inputs_t *);
+/** Counts all members as available for grace_ms: their rows were read for the
+ * first time. Other daemons are not sent this, since it is no sign of life of
+ * any member. */
+void liveness_view_start_grace(liveness_view_t *, struct timespec now);
+/** Another daemon sent this one a request. */
+void liveness_view_record_request(liveness_view_t *, struct timespec now);
+/** Whether another daemon sent this one a request within this time. */
+bool liveness_view_requested_within(
+    const liveness_view_t *, struct timespec now, int64_t ms);
+/** Applies the time of a liveness summary of another daemon, made at @p at.
+ * @return whether it is newer than the latest one, and replaces it */
+bool liveness_view_apply_summary(liveness_view_t *, struct timespec at);
 
-/** A heartbeat of the daemon was sent at @p at. */
-void life_seen(member_life_t *, struct timespec at);
-/** The daemon asked at @p at; false if a later question is known. */
-bool life_heard(member_life_t *, struct timespec at);
-/** It is silent, or not. @return whether this is new */
-bool life_set_silent(member_life_t *, bool silent, struct timespec now);
+/** The daemon sent a heartbeat, or another sign of life, at @p at. */
+void liveness_record_heartbeat(member_liveness_t *, struct timespec at);
+/** The daemon sent a request at @p at. @return false if a later one is known */
+bool liveness_record_request(member_liveness_t *, struct timespec at);
+/** Sets whether it is silent. @return whether this is new */
+bool liveness_set_silent(member_liveness_t *, bool silent, struct timespec now);
 
-/** It gave no answer: what it showed before counts for nothing. */
-void life_no_answer(member_life_t *, struct timespec now);
+/** It did not respond: its earlier signs of life no longer count. */
+void liveness_record_no_response(member_liveness_t *, struct timespec now);
 
-/** Whether its last heartbeat is younger than silent_ms. */
-bool
-life_fresh(const life_view_t *, const member_life_t *, struct timespec now);
+/** Whether its last sign of life is younger than silence_timeout_ms. */
+bool liveness_is_fresh(
+    const liveness_view_t *, const member_liveness_t *, struct timespec now);
 /** Whether callers may be sent to it. */
-bool
-life_named(const life_view_t *, const member_life_t *, struct timespec now);
+bool liveness_is_available(
+    const liveness_view_t *, const member_liveness_t *, struct timespec now);
 /** Whether it may be followed: it is not known to be silent. */
-bool
-life_answers(const life_view_t *, const member_life_t *, struct timespec now);
-/** Whether it has been silent for so long that nothing of it goes on. */
-bool life_gone(const life_view_t *, const member_life_t *, struct timespec now);
+bool liveness_is_responsive(
+    const liveness_view_t *, const member_liveness_t *, struct timespec now);
+/** Whether it has been silent for so long that it has nothing in progress. */
+bool liveness_is_down(
+    const liveness_view_t *, const member_liveness_t *, struct timespec now);
 
 #endif
--- a/moortack/relay/caller_targets.c
+++ b/moortack/relay/caller_targets.c
@@ -61,7 +61,7 @@
 
 	for (const member_t *member = members->members; member != NULL;
 	     member = member->hh.next) {
-		if (!membership_named(members, member) ||
+		if (!member_is_available(members, member) ||
 		    !region_allowed(filter, member->zone))
 			continue;
 		target = (caller_target_t){member->name, member->zone,
@@ -78,6 +78,6 @@
 
 	for (const member_t *member = members->members; member != NULL;
 	     member = member->hh.next)
-		count += membership_named(members, member);
+		count += member_is_available(members, member);
 	return count;
 }
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -74,7 +74,7 @@
 
 	system->timing.pause_ms =
 	    active ? SYSTEM_PAUSE_ROLLOUT_MS : SYSTEM_PAUSE_MS;
-	if (!node->members.view.settled)
+	if (!node->members.liveness.authoritative)
 		system->timing.pause_ms = SYSTEM_PAUSE_LIVENESS_MS;
 	if (!node->row_sync.has_key)
 		system->timing.pause_ms = SYSTEM_PAUSE_NO_KEY_MS;
@@ -83,8 +83,8 @@
 	node->report_sent_at = now;
 	if (active && !system->suspended)
 		row_watch_poll_now(system);
-	if (node->members.alone && (active || node->members.report != NULL))
-		membership_report(
+	if (node->members.isolated && (active || node->members.report != NULL))
+		membership_set_report(
 		    &node->members, rollouts_report(&node->rollouts));
 }
 
@@ -101,7 +101,7 @@
 	snprintf(key, sizeof(key), "%s%s", ROLLOUT_SESSIONS_PREFIX,
 	    node->settings.name);
 	row.value_len = strlen(text);
-	row.version = (uint64_t)(node->members.store_offset_ms +
+	row.version = (uint64_t)(node->members.store_clock_offset_ms +
 	    timespec_to_ms(clock_boottime(node->ports.clock)));
 	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, &row);
 	free(text);
@@ -176,13 +176,13 @@
 
 	row_sync_tick(&node->row_sync);
 	following = node->row_sync.following;
-	if (membership_step(&node->members, following))
+	if (membership_tick(&node->members, following))
 		feed_server_respond_all(&node->row_sync.server);
 	/* Rows that were written are sent to others once they are read back. */
-	if (node->members.written && !following)
+	if (node->members.read_back_pending && !following)
 		row_watch_poll_now(
 		    &node->row_sync.watches[ROW_TABLE_SYSTEM].watch);
-	node->members.written = false;
+	node->members.read_back_pending = false;
 	if (following)
 		relay_endpoints_stop_keeping_lapsed(node);
 }
@@ -200,7 +200,7 @@
 		http_inbound_stop_accepting(node->relay.server);
 	if (part < SHUTDOWN_MAX_PART &&
 	    (part < SHUTDOWN_STOP_ACCEPTING_PART || node->relay.in_flight > 0 ||
-		node->members.writing))
+		node->members.write_pending))
 		return;
 	event_log_write(&node->log, "stop", "under_way=%u part=%.2f",
 	    node->relay.in_flight, part);
@@ -262,7 +262,7 @@
 		return row_dialect->endpoint_unchanged(a, a_len, b, b_len);
 	if (table == ROW_TABLE_SYSTEM &&
 	    strncmp(key, MEMBER_PREFIX, strlen(MEMBER_PREFIX)) == 0)
-		return membership_same(a, a_len, b, b_len);
+		return member_row_unchanged(a, a_len, b, b_len);
 	/* An order that is written again with the same text is a new one. */
 	return table != ROW_TABLE_OPERATOR && a_len == b_len &&
 	    memcmp(a, b, a_len) == 0;
@@ -276,7 +276,7 @@
 
 	node->row_sync = (row_sync_t){
 	    .settings = {.tables = {ports->row_dialect->operator_table,
-			     ports->row_dialect->endpoints_table, MEMBER_TABLE},
+			     ports->row_dialect->endpoints_table, SYSTEM_TABLE},
 		.timings = {{settings->operator_poll_wait_ms, OPERATOR_PAUSE_MS,
 				STORE_RETRY_MS, STORE_RETRY_MAX_MS,
 				OPERATOR_TIMEOUT_MS},
@@ -301,16 +301,16 @@
 	return row_sync_init(&node->row_sync, &relay_rows_ops, node);
 }
 
-static life_bounds_t
+static liveness_timeouts_t
 liveness_settings(const relay_node_settings_t *settings)
 {
 	double listed_ms = (double)settings->down_listed_max_ms;
 
-	return (life_bounds_t){
-	    .silent_ms = (int64_t)(listed_ms * SILENCE_TIMEOUT_PART),
-	    .vouch_ms = (int64_t)(listed_ms * SUMMARY_TTL_PART),
-	    .grant_ms = (int64_t)(listed_ms * GRACE_PART),
-	    .lone_ms = AUTHORITY_TIMEOUT_MS};
+	return (liveness_timeouts_t){
+	    .silence_timeout_ms = (int64_t)(listed_ms * SILENCE_TIMEOUT_PART),
+	    .summary_ttl_ms = (int64_t)(listed_ms * SUMMARY_TTL_PART),
+	    .grace_ms = (int64_t)(listed_ms * GRACE_PART),
+	    .authority_timeout_ms = AUTHORITY_TIMEOUT_MS};
 }
 
 static bool
@@ -329,15 +329,15 @@
 components_init(relay_node_t *node, err_t *err)
 {
 	const relay_ports_t *ports = &node->ports;
-	membership_settings_t member = {.beat_alone_ms = ROW_HEARTBEAT_MS,
+	membership_settings_t member = {.row_heartbeat_ms = ROW_HEARTBEAT_MS,
 	    .strength = node->settings.strength,
-	    .life = liveness_settings(&node->settings)};
+	    .liveness = liveness_settings(&node->settings)};
 	const row_watch_t *orders =
 	    row_sync_watch(&node->row_sync, ROW_TABLE_OPERATOR);
 
 	snprintf(member.name, sizeof(member.name), "%s", node->settings.name);
 	snprintf(member.zone, sizeof(member.zone), "%s", node->settings.zone);
-	strcpy(member.peer, node->settings.peer_address);
+	strcpy(member.peer_address, node->settings.peer_address);
 	endpoint_set_init(&node->endpoints, ports->clock);
 	if (!zone_regions_apply(node, &node->settings))
 		return err_set(
@@ -436,8 +436,8 @@
 	node->row_sync.settings.max_age_ms[ROW_TABLE_ENDPOINTS] =
 	    settings->endpoint_rows_max_age_ms;
 	node->settings.down_listed_max_ms = settings->down_listed_max_ms;
-	node->members.settings.life = liveness_settings(settings);
-	node->members.view.bounds = node->members.settings.life;
+	node->members.settings.liveness = liveness_settings(settings);
+	node->members.liveness.timeouts = node->members.settings.liveness;
 	node->relay.bounds = settings->bounds;
 	zone_regions_apply(node, settings);
 	node->row_sync.watches[ROW_TABLE_ENDPOINTS].watch.timing.pause_ms =
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -119,11 +119,11 @@
 static bool
 member_row_valid(const row_t *row, err_t *err)
 {
-	member_facts_t facts;
+	member_record_t facts;
 	bool valid = member_row_decode(row, &facts, err) &&
-	    member_facts_check(&facts, err);
+	    member_record_check_addresses(&facts, err);
 
-	member_facts_finish(&facts);
+	member_record_finish(&facts);
 	return valid;
 }
 
@@ -141,7 +141,7 @@
 		    .key = row->key, .version = row->version, .deleted = true};
 	}
 	row_sync_put(&node->row_sync, ROW_TABLE_SYSTEM, &applied);
-	membership_row(&node->members, &applied);
+	membership_apply_row(&node->members, &applied);
 }
 
 static void
@@ -253,10 +253,10 @@
 	if (table != ROW_TABLE_SYSTEM)
 		return;
 	if (!node->member_rows_read)
-		membership_rows_read(&node->members);
+		membership_set_rows_read(&node->members);
 	relay_warmup_tick(&node->relay, !node->member_rows_read);
 	node->member_rows_read = true;
-	daemons = membership_count(&node->members);
+	daemons = membership_alive_count(&node->members);
 	/* Fleet-wide limits are divided by the largest number of daemons seen:
 	 * one that is too large costs little, one that is too small exceeds the
 	 * limits. */
@@ -289,7 +289,7 @@
 {
 	relay_node_t *node = arg;
 
-	membership_store_clock(&node->members, now_ms);
+	membership_set_store_clock(&node->members, now_ms);
 	rollouts_set_store_clock(&node->rollouts, now_ms);
 }
 
--- a/moortack/replication/member_life.c
+++ b/moortack/replication/member_life.c
@@ -1,16 +1,17 @@
 #include "moortack/replication/member_life.h"
 
-/* Whoever takes over waits this long for the questions of all others before it
- * speaks for itself. Those who follow one daemon find out within half a second
- * of each other that it is gone, and who reads the store beside one that stands
- * before it asks that one each second. */
-#define SETTLE_MS 1500
-/* Two steps are this far apart only if the process stood still: what others
+/* A daemon that receives requests waits this long for those of all others
+ * before it becomes authoritative. The followers of one daemon detect within
+ * half a second of each other that it is down, and a daemon that reads the
+ * store although another is before it in the order sends that one a request
+ * each second. */
+#define AUTHORITY_DELAY_MS 1500
+/* Two updates are this far apart only if the process was paused: what others
  * sent meanwhile is not read yet. */
 #define STALL_MS 1000
-/* A daemon that freezes comes back within a few seconds more often than not:
- * what it reported counts for so much longer than callers are sent to it. */
-#define GONE_MS 2500
+/* A process that is paused continues within a few seconds more often than not:
+ * what it reported counts this much longer than callers are sent to it. */
+#define DOWN_DELAY_MS 2500
 
 static bool
 is_set(struct timespec at)
@@ -25,167 +26,177 @@
 }
 
 static bool
-later(struct timespec at, struct timespec known)
+is_later(struct timespec at, struct timespec known)
 {
 	return !is_set(known) || timespec_ms_between(known, at) > 0;
 }
 
 static void
-begin(life_view_t *view, struct timespec now)
+observation_restart(liveness_view_t *view, struct timespec now)
 {
-	view->began = now;
-	view->asked_since = (struct timespec){0};
+	view->observing_since = now;
+	view->requests_since = (struct timespec){0};
 }
 
 static void
-hold(life_view_t *view, struct timespec now, bool held)
+view_set_frozen(liveness_view_t *view, struct timespec now, bool frozen)
 {
-	if (held && !view->held)
-		view->held_at = now;
-	if (!held && view->held) {
-		begin(view, now);
+	if (frozen && !view->frozen)
+		view->frozen_at = now;
+	if (!frozen && view->frozen) {
+		observation_restart(view, now);
 		if (!view->following)
-			life_view_grant(view, now);
+			liveness_view_start_grace(view, now);
 	}
-	view->held = held;
+	view->frozen = frozen;
 }
 
-/* Whether all had the time to ask this daemon, and it knows who they are: one
- * that has read no rows knows of nobody that is silent. */
+/* Whether all other daemons had the time to send this one a request, and it
+ * knows which there are: one that has read no rows knows of no silent one. */
 static bool
-is_settled(
-    const life_view_t *view, struct timespec now, const life_step_t *step)
+has_authority(const liveness_view_t *view, struct timespec now,
+    const liveness_inputs_t *inputs)
 {
-	if (view->following || view->held || !step->all_known)
+	if (view->following || view->frozen || !inputs->rows_read)
 		return false;
-	if (is_set(view->asked_since) &&
-	    within(view->asked, now, view->bounds.silent_ms) &&
-	    (view->settled || step->all_fresh ||
-		!within(view->asked_since, now, SETTLE_MS)))
+	if (is_set(view->requests_since) &&
+	    within(view->last_request_at, now,
+		view->timeouts.silence_timeout_ms) &&
+	    (view->authoritative || inputs->all_fresh ||
+		!within(view->requests_since, now, AUTHORITY_DELAY_MS)))
 		return true;
-	return !within(view->began, now, view->bounds.lone_ms);
+	return !within(
+	    view->observing_since, now, view->timeouts.authority_timeout_ms);
 }
 
 void
-life_view_step(life_view_t *view, struct timespec now, const life_step_t *step)
+liveness_view_update(
+    liveness_view_t *view, struct timespec now, const liveness_inputs_t *inputs)
 {
-	if (!within(view->stepped, now, STALL_MS) ||
-	    view->following != step->following)
-		begin(view, now);
-	view->stepped = now;
-	view->following = step->following;
-	hold(view, now, step->held);
-	view->settled = is_settled(view, now, step);
-	if (view->settled)
-		view->vouched = now;
+	if (!within(view->updated_at, now, STALL_MS) ||
+	    view->following != inputs->following)
+		observation_restart(view, now);
+	view->updated_at = now;
+	view->following = inputs->following;
+	view_set_frozen(view, now, inputs->frozen);
+	view->authoritative = has_authority(view, now, inputs);
+	if (view->authoritative)
+		view->summary_at = now;
 }
 
 void
-life_view_grant(life_view_t *view, struct timespec now)
+liveness_view_start_grace(liveness_view_t *view, struct timespec now)
 {
-	view->granted = now;
+	view->grace_started_at = now;
 }
 
 void
-life_view_asked(life_view_t *view, struct timespec now)
+liveness_view_record_request(liveness_view_t *view, struct timespec now)
 {
-	if (!is_set(view->asked_since) ||
-	    !within(view->asked, now, view->bounds.silent_ms))
-		view->asked_since = now;
-	view->asked = now;
+	if (!is_set(view->requests_since) ||
+	    !within(
+		view->last_request_at, now, view->timeouts.silence_timeout_ms))
+		view->requests_since = now;
+	view->last_request_at = now;
 }
 
 bool
-life_view_asked_within(const life_view_t *view, struct timespec now, int64_t ms)
+liveness_view_requested_within(
+    const liveness_view_t *view, struct timespec now, int64_t ms)
 {
-	return within(view->asked, now, ms);
+	return within(view->last_request_at, now, ms);
 }
 
 bool
-life_view_take(life_view_t *view, struct timespec at)
+liveness_view_apply_summary(liveness_view_t *view, struct timespec at)
 {
-	if (!later(at, view->vouched))
+	if (!is_later(at, view->summary_at))
 		return false;
-	view->vouched = at;
+	view->summary_at = at;
 	return true;
 }
 
 void
-life_seen(member_life_t *life, struct timespec at)
+liveness_record_heartbeat(member_liveness_t *liveness, struct timespec at)
 {
-	if (later(at, life->seen))
-		life->seen = at;
+	if (is_later(at, liveness->last_seen_at))
+		liveness->last_seen_at = at;
 }
 
 bool
-life_heard(member_life_t *life, struct timespec at)
+liveness_record_request(member_liveness_t *liveness, struct timespec at)
 {
-	life_seen(life, at);
-	if (!later(at, life->heard))
+	liveness_record_heartbeat(liveness, at);
+	if (!is_later(at, liveness->last_request_at))
 		return false;
-	life->heard = at;
+	liveness->last_request_at = at;
 	return true;
 }
 
 bool
-life_set_silent(member_life_t *life, bool silent, struct timespec now)
+liveness_set_silent(
+    member_liveness_t *liveness, bool silent, struct timespec now)
 {
-	if (life->silent == silent)
+	if (liveness->silent == silent)
 		return false;
-	life->silent = silent;
-	life->silent_since = now;
+	liveness->silent = silent;
+	liveness->silent_since = now;
 	return true;
 }
 
 void
-life_no_answer(member_life_t *life, struct timespec now)
+liveness_record_no_response(member_liveness_t *liveness, struct timespec now)
 {
-	life->unanswered = now;
-	life_set_silent(life, true, now);
+	liveness->no_response_at = now;
+	liveness_set_silent(liveness, true, now);
 }
 
-/* While nothing is heard at all, the moment at which that began. */
+/* The time as of which members are evaluated: while frozen, the time at which
+ * that began. */
 static struct timespec
-now_of(const life_view_t *view, struct timespec now)
+evaluation_time(const liveness_view_t *view, struct timespec now)
 {
-	return view->held ? view->held_at : now;
+	return view->frozen ? view->frozen_at : now;
 }
 
 bool
-life_fresh(
-    const life_view_t *view, const member_life_t *life, struct timespec now)
+liveness_is_fresh(const liveness_view_t *view,
+    const member_liveness_t *liveness, struct timespec now)
 {
-	return later(life->seen, life->unanswered) &&
-	    within(life->seen, now_of(view, now), view->bounds.silent_ms);
+	return is_later(liveness->last_seen_at, liveness->no_response_at) &&
+	    within(liveness->last_seen_at, evaluation_time(view, now),
+		view->timeouts.silence_timeout_ms);
 }
 
 bool
-life_named(
-    const life_view_t *view, const member_life_t *life, struct timespec now)
+liveness_is_available(const liveness_view_t *view,
+    const member_liveness_t *liveness, struct timespec now)
 {
-	struct timespec then = now_of(view, now);
+	struct timespec at = evaluation_time(view, now);
 
-	if (life_fresh(view, life, now))
+	if (liveness_is_fresh(view, liveness, now))
 		return true;
-	return !life->silent &&
-	    (within(view->vouched, then, view->bounds.vouch_ms) ||
-		within(view->granted, then, view->bounds.grant_ms));
+	return !liveness->silent &&
+	    (within(view->summary_at, at, view->timeouts.summary_ttl_ms) ||
+		within(view->grace_started_at, at, view->timeouts.grace_ms));
 }
 
 bool
-life_answers(
-    const life_view_t *view, const member_life_t *life, struct timespec now)
+liveness_is_responsive(const liveness_view_t *view,
+    const member_liveness_t *liveness, struct timespec now)
 {
-	return !life->silent || life_fresh(view, life, now);
+	return !liveness->silent || liveness_is_fresh(view, liveness, now);
 }
 
 bool
-life_gone(
-    const life_view_t *view, const member_life_t *life, struct timespec now)
-{
-	/* Nor is anybody gone at once for who could hear nothing until just
-	 * now: a row that is cleared by mistake makes two that read the store
-	 * miss each other for seconds. */
-	return life->silent && !within(life->silent_since, now, GONE_MS) &&
-	    !within(view->began, now, GONE_MS) && !life_fresh(view, life, now);
+liveness_is_down(const liveness_view_t *view, const member_liveness_t *liveness,
+    struct timespec now)
+{
+	/* Nor is a member down as soon as this daemon can receive signs of life
+	 * again: if its row were deleted by mistake, two daemons that read the
+	 * store would not know of each other for seconds. */
+	return liveness->silent &&
+	    !within(liveness->silent_since, now, DOWN_DELAY_MS) &&
+	    !within(view->observing_since, now, DOWN_DELAY_MS) &&
+	    !liveness_is_fresh(view, liveness, now);
 }
--- a/moortack/replication/membership.c
+++ b/moortack/replication/membership.c
@@ -6,41 +6,43 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* How long a member is shunned by a daemon that has nobody else to follow. */
-#define SHUN_FIRST_MS 1000
-/* Times that the time for which a member is shunned is doubled. */
-#define SHUNS_MAX 3
-/* VMs whose cores differ by a hundredth or more never change places by their
- * hash. */
-#define STRENGTH_ORDER 100.0
-/* A larger step back is a reset of the store's clock, not a delayed answer. */
-#define STORE_CLOCK_BACK_MS 5000
+/* How long a daemon that has no other one to follow backs off from a member. */
+#define BACKOFF_ONLY_PARENT_MS 1000
+/* How often the time of a back-off is doubled. */
+#define BACKOFF_DOUBLINGS_MAX 3
+/* With this weight, VMs whose cores differ by a hundredth or more are never
+ * ordered by their hash. */
+#define STRENGTH_WEIGHT 100.0
+/* A larger step back is a reset of the store's clock, not a delayed
+ * response. */
+#define STORE_CLOCK_RESET_MS 5000
 #define HASH_RANGE 18446744073709551616.0
 
-/* What only tells that the row was written again. */
-static const char *const own_fields[] = {"beat", "at_ms"};
+/* Fields that differ each time that the row is written. */
+static const char *const heartbeat_fields[] = {"beat", "at_ms"};
 
 int64_t
 member_store_now_ms(const membership_t *self)
 {
 	return self->store_clock_known
 	    ? timespec_to_ms(clock_boottime(self->clock)) +
-		self->store_offset_ms
+		self->store_clock_offset_ms
 	    : 0;
 }
 
-/* A place in the order of all, that each daemon computes alike: the strong ones
- * stand first, each kind in the order of a hash. The first reads all that
- * endpoints write, and the next ones pass it on. With strong ones only likelier
- * first, the worth of the users' three large sheets was 0.013, 0.002 and 0.010
- * less (15 days each). */
+/* The place of a daemon in the order of all, lowest first, which each daemon
+ * computes alike: the strong ones come first, and daemons of the same strength
+ * are in the order of a hash. The first one reads all that endpoints write, and
+ * the next ones pass it on, so these should be strong: where strong ones were
+ * only likelier to come first, the benchmark score of the three large
+ * deployments was lower by 0.013, 0.002 and 0.010 (15 days each). */
 static double
-member_order(const char *name, double strength)
+member_sort_key(const char *name, double strength)
 {
-	double unit =
+	double hash =
 	    ((double)XXH3_64bits(name, strlen(name)) + 1) / HASH_RANGE;
 
-	return unit - STRENGTH_ORDER * strength;
+	return hash - STRENGTH_WEIGHT * strength;
 }
 
 void
@@ -53,10 +55,10 @@
 	self->settings = *settings;
 	self->store = store;
 	self->clock = clock;
-	self->alone = true;
-	self->alone_since = clock_boottime(clock);
-	self->order = member_order(settings->name, settings->strength);
-	self->view.bounds = settings->life;
+	self->isolated = true;
+	self->isolated_since = clock_boottime(clock);
+	self->sort_key = member_sort_key(settings->name, settings->strength);
+	self->liveness.timeouts = settings->liveness;
 }
 
 static void
@@ -76,12 +78,12 @@
 	member_free(self, member);
 	member_row_requests_finish(self);
 	json_decref(self->report);
-	free(self->ordered);
-	member_facts_finish(&self->stored);
+	free(self->parent_candidates);
+	member_record_finish(&self->stored_record);
 }
 
 static member_t *
-member_of(membership_t *self, const char *name)
+member_add(membership_t *self, const char *name)
 {
 	member_t *member;
 
@@ -97,32 +99,32 @@
 }
 
 void
-membership_row_missing(membership_t *self)
+membership_own_row_missing(membership_t *self)
 {
-	member_facts_finish(&self->stored);
+	member_record_finish(&self->stored_record);
 }
 
 static void
-own_row_take(membership_t *self, const row_t *row)
+own_row_apply(membership_t *self, const row_t *row)
 {
-	membership_row_missing(self);
+	membership_own_row_missing(self);
 	if (!row->deleted)
-		member_facts_read(self->settings.name,
+		member_record_decode(self->settings.name,
 		    json_loadb(row->value, row->value_len, 0, NULL),
-		    &self->stored, NULL);
+		    &self->stored_record, NULL);
 }
 
 static void
-shun_end(member_t *member)
+backoff_clear(member_t *member)
 {
-	member->shuns = 0;
-	member->shunned = (struct timespec){0};
+	member->backoff_count = 0;
+	member->backoff_until = (struct timespec){0};
 }
 
-/* The row says when it was written. A row that is only read again, or told by
- * another daemon, is no sign of life of that moment. */
+/* A row is a sign of life as of the time at which it was written, not as of
+ * that at which it is read or received from another daemon. */
 static void
-row_seen(const membership_t *self, member_t *member, int64_t at_ms)
+record_row_heartbeat(const membership_t *self, member_t *member, int64_t at_ms)
 {
 	int64_t age_ms = member_store_now_ms(self) - at_ms;
 	struct timespec at = timespec_add_ms(
@@ -130,28 +132,29 @@
 
 	if (at_ms == 0 || !self->store_clock_known)
 		return;
-	life_seen(&member->life, at);
-	/* Whoever wrote it since it was left reaches the store. */
-	if (timespec_ms_between(member->shunned_at, at) > 0)
-		shun_end(member);
+	liveness_record_heartbeat(&member->liveness, at);
+	/* It wrote the row after the back-off began, so it reaches the
+	 * store. */
+	if (timespec_ms_between(member->backoff_started_at, at) > 0)
+		backoff_clear(member);
 }
 
 static void
-member_take(member_t *member, const member_facts_t *facts)
+member_update(member_t *member, const member_record_t *record)
 {
-	member->state = facts->state;
-	member->strength = facts->strength;
-	member->order = member_order(facts->name, facts->strength);
-	strcpy(member->zone, facts->zone);
-	strcpy(member->peer, facts->peer);
-	if (facts->report == NULL)
+	member->state = record->state;
+	member->strength = record->strength;
+	member->sort_key = member_sort_key(record->name, record->strength);
+	strcpy(member->zone, record->zone);
+	strcpy(member->peer_address, record->peer_address);
+	if (record->report == NULL)
 		return;
 	json_decref(member->report);
-	member->report = json_incref(facts->report);
+	member->report = json_incref(record->report);
 }
 
 static void
-member_ended(membership_t *self, const char *name)
+member_remove(membership_t *self, const char *name)
 {
 	member_t *member;
 
@@ -163,42 +166,42 @@
 }
 
 void
-membership_row(membership_t *self, const row_t *row)
+membership_apply_row(membership_t *self, const row_t *row)
 {
 	const char *name = row->key + strlen(MEMBER_PREFIX);
-	member_facts_t facts;
+	member_record_t record;
 	member_t *member;
 
 	if (strcmp(name, self->settings.name) == 0) {
-		own_row_take(self, row);
+		own_row_apply(self, row);
 		return;
 	}
 	if (row->deleted) {
-		member_ended(self, name);
+		member_remove(self, name);
 		return;
 	}
-	if (!member_row_decode(row, &facts, NULL))
+	if (!member_row_decode(row, &record, NULL))
 		return;
-	member = member_of(self, name);
+	member = member_add(self, name);
 	if (member != NULL) {
-		row_seen(self, member, facts.at_ms);
+		record_row_heartbeat(self, member, record.written_at_ms);
 		member->version = row->version;
-		member_take(member, &facts);
+		member_update(member, &record);
 	}
-	member_facts_finish(&facts);
+	member_record_finish(&record);
 }
 
 bool
-membership_same(const char *a, size_t a_len, const char *b, size_t b_len)
+member_row_unchanged(const char *a, size_t a_len, const char *b, size_t b_len)
 {
 	json_t *one = json_loadb(a, a_len, 0, NULL);
 	json_t *two = json_loadb(b, b_len, 0, NULL);
 	bool same;
 
-	for (size_t i = 0; i < sizeof(own_fields) / sizeof(own_fields[0]);
-	     i++) {
-		json_object_del(one, own_fields[i]);
-		json_object_del(two, own_fields[i]);
+	for (size_t i = 0;
+	     i < sizeof(heartbeat_fields) / sizeof(heartbeat_fields[0]); i++) {
+		json_object_del(one, heartbeat_fields[i]);
+		json_object_del(two, heartbeat_fields[i]);
 	}
 	same = one != NULL && json_equal(one, two);
 	json_decref(one);
@@ -206,84 +209,89 @@
 	return same;
 }
 
-/* @return NULL: there is no such member */
+/* @return NULL if there is no such member */
 static member_t *
-shun_begin(membership_t *self, const char *name, int64_t ms)
+backoff_begin(membership_t *self, const char *name, int64_t ms)
 {
 	member_t *member;
 
 	HASH_FIND_STR(self->members, name, member);
 	if (member == NULL)
 		return NULL;
-	member->shunned_at = clock_boottime(self->clock);
-	member->shunned = timespec_add_ms(member->shunned_at, ms);
+	member->backoff_started_at = clock_boottime(self->clock);
+	member->backoff_until = timespec_add_ms(member->backoff_started_at, ms);
 	return member;
 }
 
 void
-membership_shun(membership_t *self, const char *name, int64_t ms)
+membership_back_off(membership_t *self, const char *name, int64_t ms)
 {
-	member_t *member = shun_begin(self, name, ms);
+	member_t *member = backoff_begin(self, name, ms);
 
 	if (member == NULL)
 		return;
-	ms <<= member->shuns < SHUNS_MAX ? member->shuns : SHUNS_MAX;
-	member->shuns++;
-	/* Nobody else looks whether it is back: others that follow it already
-	 * would not be known here. */
+	ms <<= member->backoff_count < BACKOFF_DOUBLINGS_MAX
+	    ? member->backoff_count
+	    : BACKOFF_DOUBLINGS_MAX;
+	member->backoff_count++;
+	/* With no other daemon to follow, this one has to try it again soon: if
+	 * others follow the member already, this daemon does not learn it in
+	 * any other way. */
 	if (!membership_follows_another(self))
-		ms = SHUN_FIRST_MS;
-	member->shunned = timespec_add_ms(member->shunned_at, ms);
+		ms = BACKOFF_ONLY_PARENT_MS;
+	member->backoff_until = timespec_add_ms(member->backoff_started_at, ms);
 }
 
 void
-membership_pass_over(membership_t *self, const char *name, int64_t ms)
+membership_skip(membership_t *self, const char *name, int64_t ms)
 {
-	shun_begin(self, name, ms);
+	backoff_begin(self, name, ms);
 }
 
 void
-membership_forgive(membership_t *self)
+membership_clear_backoffs(membership_t *self)
 {
 	for (member_t *member = self->members; member != NULL;
 	     member = member->hh.next)
-		shun_end(member);
+		backoff_clear(member);
 }
 
 void
-membership_hold(membership_t *self, bool hold)
+membership_set_frozen(membership_t *self, bool frozen)
 {
-	self->hold = hold;
+	self->frozen = frozen;
 }
 
 void
-membership_trust(membership_t *self, const char *name)
+membership_reset_backoff(membership_t *self, const char *name)
 {
 	member_t *member;
 
 	HASH_FIND_STR(self->members, name, member);
 	if (member != NULL)
-		member->shuns = 0;
+		member->backoff_count = 0;
 }
 
 void
-membership_store_clock(membership_t *self, int64_t now_ms)
+membership_set_store_clock(membership_t *self, int64_t now_ms)
 {
 	int64_t offset_ms =
 	    now_ms - timespec_to_ms(clock_boottime(self->clock));
 
-	/* A delay of the answer lowers the offset: keep the highest one. */
-	if (!self->store_clock_known || offset_ms > self->store_offset_ms ||
-	    offset_ms < self->store_offset_ms - STORE_CLOCK_BACK_MS)
-		self->store_offset_ms = offset_ms;
+	/* A delayed response lowers the offset: the highest one is the best
+	 * estimate. */
+	if (!self->store_clock_known ||
+	    offset_ms > self->store_clock_offset_ms ||
+	    offset_ms < self->store_clock_offset_ms - STORE_CLOCK_RESET_MS)
+		self->store_clock_offset_ms = offset_ms;
 	self->store_clock_known = true;
 }
 
 void
-membership_rows_read(membership_t *self)
+membership_set_rows_read(membership_t *self)
 {
 	self->rows_read = true;
-	life_view_grant(&self->view, clock_boottime(self->clock));
+	liveness_view_start_grace(&self->liveness, clock_boottime(self->clock));
 }
 
 void
@@ -293,20 +301,20 @@
 }
 
 void
-membership_report(membership_t *self, json_t *report)
+membership_set_report(membership_t *self, json_t *report)
 {
 	json_decref(self->report);
 	self->report = report;
 }
 
 uint32_t
-membership_count(const membership_t *self)
+membership_alive_count(const membership_t *self)
 {
 	uint32_t count = 1;
 
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next)
-		count += membership_alive(self, member);
+		count += member_is_alive(self, member);
 	return count;
 }
 
@@ -318,8 +326,8 @@
 	for (const member_t *member = self->members; member != NULL;
 	     member = member->hh.next) {
 		if (member->state != MEMBER_LEAVING &&
-		    member->order < self->order &&
-		    membership_alive(self, member))
+		    member->sort_key < self->sort_key &&
+		    member_is_alive(self, member))
 			rank++;
 	}
 	return rank;
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -207,7 +207,7 @@
 	char text[VALUE_SIZE + 1];
 	endpoint_info_t endpoint;
 	rollout_order_t order;
-	member_facts_t member;
+	member_record_t member;
 	bool valid;
 
 	memcpy(text, value, len);
@@ -222,7 +222,7 @@
 		return rollout_order_row_decode(text, len, 1, &order, NULL);
 	case 3:
 		valid = member_row_decode(&row, &member, NULL);
-		member_facts_finish(&member);
+		member_record_finish(&member);
 		return valid;
 	default:
 		return true;
--- a/test/unit/caller_targets_test.c
+++ b/test/unit/caller_targets_test.c
@@ -64,9 +64,9 @@
 membership_start(
     fixture_t *fixture, membership_t *self, int number, int daemons)
 {
-	membership_of(
+	membership_init_with_members(
 	    self, &fixture->store, &fixture->clock.source, number, daemons);
-	membership_rows_read(self);
+	membership_set_rows_read(self);
 }
 
 /* How often each daemon is listed, over the responses of all. */
@@ -96,7 +96,7 @@
 	selections_count(*state, selected);
 	for (int i = 0; i < DAEMONS; i++) {
 		assert_in_range(selected[i], 1, RESPONSES);
-		if (strength_of(i) > 0.25)
+		if (daemon_strength(i) > 0.25)
 			strong += selected[i];
 		else
 			weak += selected[i];
@@ -130,7 +130,7 @@
 	membership_start(*state, &self, 1, DAEMONS);
 	caller_targets_select(&self, true, NULL, before, TARGETS_MAX);
 	removed = daemon_number(&before[TARGETS_MAX / 2]);
-	member_take(&self, removed, "leaving");
+	membership_apply_member_row(&self, removed, "leaving");
 	assert_int_equal(
 	    caller_targets_select(&self, true, NULL, after, TARGETS_MAX),
 	    TARGETS_MAX);
