--- a/bench/admission.c
+++ b/bench/admission.c
@@ -65,7 +65,7 @@
 static void
 job_start(pool_t *pool, job_t *job)
 {
-	admission_leave(&pool->admission, &job->waiter);
+	admission_remove(&pool->admission, &job->waiter);
 	pool->running++;
 	des_add(&pool->des, gsl_ran_gamma(pool->rng.gsl, 4, SERVICE_MS / 4),
 	    (des_event_t){.kind = DONE, .a = job->class, .x = job->begun_ms});
@@ -119,7 +119,7 @@
 	if (overloaded(pool))
 		pool->result.offered[class]++;
 	if (pool->what->classes &&
-	    !admission_open(&pool->admission, (class_t) class, 1, now)) {
+	    !admission_allows(&pool->admission, (class_t) class, 1, now)) {
 		job_refuse(pool, class);
 		return;
 	}
@@ -130,10 +130,10 @@
 	job->begun_ms = pool->des.now_ms;
 	job->waiter = (waiter_t){
 	    .class = pool->what->classes ? (class_t) class : CLASS_CRITICAL,
-	    .since = now,
+	    .arrived_at = now,
 	    .deadline = timespec_after_ms(now, (int64_t)DEADLINE_MS)};
 	if (!processor_take(pool, SERVICE_MS / SLOTS * pool->what->entry) ||
-	    !admission_wait(&pool->admission, &job->waiter)) {
+	    !admission_enqueue(&pool->admission, &job->waiter)) {
 		job_refuse(pool, class);
 		free(job);
 		return;
@@ -151,12 +151,12 @@
 	    (waiter = admission_overdue(&pool->admission, now)) != NULL) {
 		job_t *job = (job_t *)waiter;
 
-		admission_leave(&pool->admission, waiter);
+		admission_remove(&pool->admission, waiter);
 		job_refuse(pool, job->class);
 		free(job);
 	}
 	if (pool->des.now_ms > LOAD_TO_MS && !pool->measured &&
-	    admission_age_ms(&pool->admission, now) < RECOVERED_MS) {
+	    admission_longest_wait_ms(&pool->admission, now) < RECOVERED_MS) {
 		pool->measured = true;
 		pool->result.recovery_ms = pool->des.now_ms - LOAD_TO_MS;
 	}
@@ -203,7 +203,7 @@
 			tick(&pool);
 	}
 	while ((waiter = admission_next(&pool.admission, NULL)) != NULL) {
-		admission_leave(&pool.admission, waiter);
+		admission_remove(&pool.admission, waiter);
 		free(waiter);
 	}
 	bench_rng_finish(&pool.rng);
--- a/bench/balance.c
+++ b/bench/balance.c
@@ -55,7 +55,7 @@
 	int daemon;
 	int session;
 	double begun_ms;
-	handle_t avoid[BALANCE_AVOID_MAX];
+	handle_t avoid[BALANCE_TRIED_MAX];
 	uint32_t avoid_count;
 } request_t;
 
@@ -75,7 +75,7 @@
 	bench_rng_t rng;
 	const balance_policy_t *policy;
 	fault_t fault;
-	fleet_t fleets[DAEMONS];
+	endpoint_table_t fleets[DAEMONS];
 	rng_t turns[DAEMONS]; /**< the turn of round robin */
 	handle_t hints[SESSIONS];
 	engine_t engines[ENGINES];
@@ -106,7 +106,7 @@
 fleets_init(sim_t *sim, const config_t *config)
 {
 	for (int d = 0; d < DAEMONS; d++) {
-		fleet_init(&sim->fleets[d]);
+		endpoint_table_init(&sim->fleets[d]);
 		for (int e = 0; e < ENGINES; e++) {
 			char address[32], place[8];
 			handle_t handle;
@@ -114,13 +114,13 @@
 
 			snprintf(address, sizeof(address), "10.0.0.%d:1", e);
 			snprintf(place, sizeof(place), "p%d", e % PLACES);
-			handle = fleet_list(&sim->fleets[d], address, place,
-			    false, timespec_of_ms(0));
-			endpoint = fleet_at(&sim->fleets[d], handle);
-			endpoint_serve(endpoint, "m@1");
+			handle = endpoint_table_update_entry(&sim->fleets[d],
+			    address, place, false, timespec_of_ms(0));
+			endpoint = endpoint_table_at(&sim->fleets[d], handle);
+			endpoint_add_version(endpoint, "m@1");
 			endpoint->slots = SLOTS;
 		}
-		fleet_resolve(&sim->fleets[d], config);
+		endpoint_table_resolve(&sim->fleets[d], config);
 	}
 }
 
@@ -174,9 +174,9 @@
 	request_t *request = &sim->requests[r];
 
 	sim->failures++;
-	endpoint_fail(
+	endpoint_attempt_failed(
 	    &sim->fleets[request->daemon], (handle_t)e, des_time(&sim->des));
-	if (request->avoid_count < BALANCE_AVOID_MAX) {
+	if (request->avoid_count < BALANCE_TRIED_MAX) {
 		request->avoid[request->avoid_count++] = (handle_t)e;
 		des_add(
 		    &sim->des, REMOTE_MS, (des_event_t){.kind = TRY, .a = r});
@@ -208,17 +208,18 @@
 	balance_query_t query = {.config = config,
 	    .organisation = 0,
 	    .version = 0,
-	    .place = (handle_t)(request->daemon % PLACES),
-	    .hint = sim->hints[request->session],
-	    .avoid_count = request->avoid_count,
+	    .preferred_place = (handle_t)(request->daemon % PLACES),
+	    .prefix_endpoint = sim->hints[request->session],
+	    .tried_count = request->avoid_count,
 	    .now = des_time(&sim->des)};
-	fleet_t *fleet = &sim->fleets[request->daemon];
+	endpoint_table_t *fleet = &sim->fleets[request->daemon];
 	rng_t *rng = sim->policy == &balance_round_robin
 	    ? &sim->turns[request->daemon]
 	    : &sim->rng.rng;
 	handle_t picked;
 
-	memcpy(query.avoid, request->avoid, sizeof(query.avoid));
+	memcpy(query.tried_endpoints, request->avoid,
+	    sizeof(query.tried_endpoints));
 	if (balance_pick(fleet, sim->policy, &query, rng, &picked) !=
 	    BALANCE_PICKED) {
 		if (sim->des.now_ms - request->begun_ms < GIVE_UP_MS)
@@ -228,7 +229,7 @@
 			sim->gave_up++;
 		return;
 	}
-	endpoint_start(fleet_at(fleet, picked));
+	endpoint_attempt_started(endpoint_table_at(fleet, picked));
 	sim->hints[request->session] = picked;
 	des_add(&sim->des, REMOTE_MS,
 	    (des_event_t){.kind = START, .a = r, .b = (int)picked});
@@ -240,7 +241,7 @@
 	for (int e = 0; e < ENGINES; e++) {
 		engine_t *engine = &sim->engines[e];
 		load_report_t report = {
-		    .answered = !engine->dead, .slots = SLOTS};
+		    .responded = !engine->dead, .slots = SLOTS};
 
 		snprintf(
 		    report.address, sizeof(report.address), "10.0.0.%d:1", e);
@@ -249,7 +250,8 @@
 			engine->load[i] = engine->load[i - 1];
 		engine->load[0] = engine->running + engine->tail - engine->head;
 		for (int d = 0; d < DAEMONS; d++)
-			fleet_report(&sim->fleets[d], &report, config);
+			endpoint_table_apply_report(
+			    &sim->fleets[d], &report, config);
 	}
 }
 
@@ -288,8 +290,9 @@
 		break;
 	case DONE:
 		sim->engines[event->b].running--;
-		endpoint_succeed(
-		    fleet_at(&sim->fleets[request->daemon], (handle_t)event->b),
+		endpoint_attempt_succeeded(
+		    endpoint_table_at(
+			&sim->fleets[request->daemon], (handle_t)event->b),
 		    event->x, des_time(&sim->des));
 		engine_start(sim, event->b);
 		break;
@@ -354,7 +357,7 @@
 	samples_add(
 	    &result->failed, 100.0 * (double)sim.gave_up / sim.request_count);
 	for (int d = 0; d < DAEMONS; d++)
-		fleet_finish(&sim.fleets[d]);
+		endpoint_table_finish(&sim.fleets[d]);
 	samples_finish(&sim.first);
 	bench_rng_finish(&sim.rng);
 	des_finish(&sim.des);
--- a/bench/cascade.c
+++ b/bench/cascade.c
@@ -83,14 +83,15 @@
 	gsl_rng_set(rng, seed);
 	cascade_init(&cascade, MODELS, priors, TARGET);
 	for (int m = 0; m < MODELS; m++)
-		cascade_cost(&cascade, m, costs[m]);
+		cascade_add_cost(&cascade, m, costs[m]);
 	for (int r = 0; r < REQUESTS; r++) {
 		int phase = r / (REQUESTS / PHASES);
 		double hardness = gsl_rng_uniform(rng);
 		bool explore = gsl_rng_uniform(rng) * 100 < EXPLORE_PERCENT;
 		int model = policy->fixed >= 0 ? policy->fixed
-		    : policy->threshold > 0    ? 0
-					    : cascade_first(&cascade, explore);
+		    : policy->threshold > 0
+		    ? 0
+		    : cascade_first_model(&cascade, explore);
 		double latency = 0;
 		answer_t answer;
 
@@ -113,7 +114,7 @@
 			ratings[rated++] = (rating_t){r + RATING_DELAY, model,
 			    answer.confidence, answer.good};
 		while (read < rated && ratings[read].due <= r) {
-			cascade_rate(&cascade, ratings[read].model,
+			cascade_add_rating(&cascade, ratings[read].model,
 			    ratings[read].confidence, ratings[read].good);
 			read++;
 		}
--- a/bench/exposure.c
+++ b/bench/exposure.c
@@ -83,8 +83,8 @@
 static bool
 scope_all(const guard_t *guard)
 {
-	for (handle_t h = 0; h < guard->rows.len; h++) {
-		const guard_row_t *row = table_at(&guard->rows, h);
+	for (handle_t h = 0; h < guard->versions.len; h++) {
+		const guard_version_t *row = table_at(&guard->versions, h);
 
 		if (row->stopped && *row->organisation == '\0')
 			return true;
@@ -100,7 +100,7 @@
 	guard_sample_t sample = {.model = "m",
 	    .version = new_version ? "m@2" : "m@1",
 	    .organisation = name,
-	    .baseline = !new_version,
+	    .is_baseline = !new_version,
 	    .signal = GUARD_ERROR,
 	    .bad = bad};
 
@@ -118,7 +118,7 @@
 {
 	guard_init(guard);
 	if (limit > 0)
-		guard->limit = limit;
+		guard->threshold = limit;
 }
 
 static rollout_t
--- a/bench/retry.c
+++ b/bench/retry.c
@@ -102,7 +102,7 @@
 	sim->asked++;
 	sim->window_asked++;
 	sim->asked_out += out_now(sim);
-	retry_budget_earn(&sim->budget);
+	retry_budget_add_request(&sim->budget);
 	attempt_send(sim, 0);
 }
 
@@ -134,7 +134,7 @@
 
 	if (attempt->answered || attempt->tries + 1 >= sim->policy->tries)
 		return;
-	if (sim->policy->percent >= 0 && !retry_budget_spend(&sim->budget))
+	if (sim->policy->percent >= 0 && !retry_budget_acquire(&sim->budget))
 		return;
 	attempt_send(sim, attempt->tries + 1);
 }
--- a/include/moortack/exchange/exchange.h
+++ b/include/moortack/exchange/exchange.h
@@ -19,7 +19,7 @@
 #include "moortack/route/guard.h"
 
 #define EXCHANGE_ID_SIZE 33
-#define EXCHANGE_ATTEMPTS_MAX BALANCE_AVOID_MAX
+#define EXCHANGE_ATTEMPTS_MAX BALANCE_TRIED_MAX
 #define EXCHANGE_PATH_SIZE 256
 
 typedef enum exchange_phase {
--- a/include/moortack/limit/admission.h
+++ b/include/moortack/limit/admission.h
@@ -12,15 +12,15 @@
 #include "common/clock_source.h"
 #include "moortack/config/config.h"
 
-#define ADMISSION_POOLS 64
+#define ADMISSION_POOL_COUNT 64
 
 /** One waiting request; the owner embeds it. */
 typedef struct waiter {
 	struct waiter *next;
 	struct waiter *prev;
 	class_t class;
-	uint32_t pool; /**< what it waits for, 0 to ADMISSION_POOLS - 1 */
-	struct timespec since;
+	uint32_t pool; /**< what it waits for, 0 to ADMISSION_POOL_COUNT - 1 */
+	struct timespec arrived_at;
 	struct timespec deadline;
 	bool queued;
 } waiter_t;
@@ -31,8 +31,8 @@
 		waiter_t *last;
 		uint32_t count;
 	} queues[CLASSES];
-	uint32_t max;		    /**< waiting in all */
-	uint32_t count;		    /**< waiting now */
+	uint32_t waiting_max;	    /**< waiting in all */
+	uint32_t waiting_count;	    /**< waiting now */
 	int64_t cutoff_ms[CLASSES]; /**< age of the oldest at which a class is
 				       refused */
 } admission_t;
@@ -42,24 +42,24 @@
 void admission_init(admission_t *, uint32_t max, int64_t cutoff_ms);
 
 /** Age of the request that waits longest, milliseconds; 0: none waits. */
-int64_t admission_age_ms(const admission_t *, struct timespec now);
+int64_t admission_longest_wait_ms(const admission_t *, struct timespec now);
 
 /**
  * Whether a new request of the class may come in now. Cheap: asked before
  * anything is parsed. One pool's queue closes no other pool.
  * @param pools bit n: it may go to pool n
  */
-bool admission_open(
+bool admission_allows(
     const admission_t *, class_t, uint64_t pools, struct timespec now);
 
 /** The pool of a model, by its name: the same in every revision. */
 uint32_t admission_pool(const char *model);
 
 /** Queue a request. @return false when no more may wait */
-bool admission_wait(admission_t *, waiter_t *);
+bool admission_enqueue(admission_t *, waiter_t *);
 
 /** Take a request out of its queue; nothing if it isn't in one. */
-void admission_leave(admission_t *, waiter_t *);
+void admission_remove(admission_t *, waiter_t *);
 
 /** The next request to try: the most important class first, oldest first.
  * @param after the one tried before, or NULL to begin */
--- a/include/moortack/limit/rate.h
+++ b/include/moortack/limit/rate.h
@@ -9,11 +9,11 @@
 
 #include "common/clock_source.h"
 
-typedef struct rate {
+typedef struct rate_limiter {
 	double tokens;
-	struct timespec at;
-	bool started;
-} rate_t;
+	struct timespec refilled_at;
+	bool initialized;
+} rate_limiter_t;
 
 /**
  * Take one token.
@@ -21,6 +21,7 @@
  * @param wait_ms receives how long until there is one again
  * @return false when there is none
  */
-bool rate_take(rate_t *, double per_s, struct timespec now, int64_t *wait_ms);
+bool rate_limiter_acquire(
+    rate_limiter_t *, double per_s, struct timespec now, int64_t *wait_ms);
 
 #endif
--- a/include/moortack/limit/retry_budget.h
+++ b/include/moortack/limit/retry_budget.h
@@ -11,17 +11,17 @@
 #include <stdint.h>
 
 typedef struct retry_budget {
-	double share;	/**< retries earned by a request */
-	double balance; /**< retries that may be spent now */
+	double retries_per_request; /**< retries earned by a request */
+	double balance;		    /**< retries that may be spent now */
 } retry_budget_t;
 
 /** @param percent retries as a share of requests */
 void retry_budget_init(retry_budget_t *, int64_t percent);
 
 /** A request came in. */
-void retry_budget_earn(retry_budget_t *);
+void retry_budget_add_request(retry_budget_t *);
 
 /** Spend one retry. @return false when there is none */
-bool retry_budget_spend(retry_budget_t *);
+bool retry_budget_acquire(retry_budget_t *);
 
 #endif
--- a/include/moortack/route/fleet.h
+++ b/include/moortack/route/fleet.h
@@ -17,7 +17,7 @@
 typedef enum endpoint_state {
 	ENDPOINT_LIVE,
 	ENDPOINT_LEAVING, /**< finishes what it has; no new work */
-	ENDPOINT_GONE,	  /**< its row is free once nothing is in flight */
+	ENDPOINT_REMOVED, /**< its row is free once nothing is in flight */
 } endpoint_state_t;
 
 typedef struct endpoint {
@@ -27,7 +27,7 @@
 	uint32_t version_count;
 	endpoint_state_t state;
 	bool listed; /**< in the latest list of VMs */
-	bool reported_once;
+	bool load_reported;
 
 	/* In terms of the configuration in force. */
 	handle_t place;
@@ -35,10 +35,10 @@
 
 	/* Load. */
 	uint32_t slots;
-	uint32_t reported;	     /**< running and queued, from all */
-	uint32_t inflight_at_report; /**< of this daemon */
-	uint32_t inflight;	     /**< of this daemon, now */
-	double first_token_ms;	     /**< moving average; 0: no sample */
+	uint32_t reported_load;	      /**< running and queued, from all */
+	uint32_t in_flight_at_report; /**< of this daemon */
+	uint32_t in_flight;	      /**< of this daemon, now */
+	double first_token_ms;	      /**< moving average; 0: no sample */
 
 	/* Health. */
 	uint32_t failures;  /**< in a row */
@@ -46,19 +46,19 @@
 	bool ejected;
 	bool probing; /**< one request tries it out */
 	struct timespec ejected_until;
-	struct timespec since; /**< of its slow start */
+	struct timespec slow_start_at; /**< of its slow start */
 } endpoint_t;
 
-typedef struct fleet {
+typedef struct endpoint_table {
 	table_t endpoints; /**< endpoint_t */
-} fleet_t;
+} endpoint_table_t;
 
 /** What a load report said. */
 typedef struct load_report {
 	char address[ENDPOINT_ADDRESS_SIZE];
-	bool answered; /**< false: it could not be reached */
+	bool responded; /**< false: it could not be reached */
 	bool leaving;
-	bool lists_versions;
+	bool has_versions;
 	uint32_t running;
 	uint32_t queued;
 	uint32_t slots;
@@ -66,36 +66,37 @@
 	uint32_t version_count;
 } load_report_t;
 
-void fleet_init(fleet_t *);
-void fleet_finish(fleet_t *);
+void endpoint_table_init(endpoint_table_t *);
+void endpoint_table_finish(endpoint_table_t *);
 
-endpoint_t *fleet_at(const fleet_t *, handle_t);
+endpoint_t *endpoint_table_at(const endpoint_table_t *, handle_t);
 
 /** @return HANDLE_NONE when there is none at the address */
-handle_t fleet_find(const fleet_t *, const char *address);
+handle_t endpoint_table_find(const endpoint_table_t *, const char *address);
 
 /** Start taking over a list of VMs: all are unlisted until listed again. */
-void fleet_list_begin(fleet_t *);
+void endpoint_table_update_begin(endpoint_table_t *);
 
 /** One endpoint of the list.
  * @param versions names, shared; @return its handle or HANDLE_NONE */
-handle_t fleet_list(fleet_t *, const char *address, const char *place,
-    bool leaving, struct timespec now);
+handle_t endpoint_table_update_entry(endpoint_table_t *, const char *address,
+    const char *place, bool leaving, struct timespec now);
 
 /** Endpoints that were not listed are leaving, then gone. */
-void fleet_list_end(fleet_t *);
+void endpoint_table_update_end(endpoint_table_t *);
 
 /** Take over a load report. @return true when the endpoint starts to leave */
-bool fleet_report(fleet_t *, const load_report_t *, const config_t *);
+bool endpoint_table_apply_report(
+    endpoint_table_t *, const load_report_t *, const config_t *);
 
 /** Translate names into handles of a new configuration. */
-void fleet_resolve(fleet_t *, const config_t *);
+void endpoint_table_resolve(endpoint_table_t *, const config_t *);
 
 /** An endpoint leaves: no new work from here on. */
-void endpoint_leave(endpoint_t *);
+void endpoint_mark_leaving(endpoint_t *);
 
 /** Add a version that the endpoint serves, by its name. */
-void endpoint_serve(endpoint_t *, const char *version);
+void endpoint_add_version(endpoint_t *, const char *version);
 
 bool endpoint_serves(const endpoint_t *, handle_t version);
 
--- a/include/moortack/route/guard.h
+++ b/include/moortack/route/guard.h
@@ -18,7 +18,7 @@
 	GUARD_ERROR,   /**< the endpoint failed */
 	GUARD_LATENCY, /**< the first token came late */
 	GUARD_RATING,  /**< the answer was rated bad */
-	GUARD_SIGNALS
+	GUARD_SIGNAL_COUNT
 } guard_signal_t;
 
 /** One observation. */
@@ -26,33 +26,35 @@
 	const char *model;
 	const char *version;
 	const char *organisation;
-	bool baseline; /**< the version is live: it is what others must match */
+	bool is_baseline; /**< the version is live: it is what others must match
+			   */
 	guard_signal_t signal;
 	bool bad;
 	uint64_t revision; /**< held now */
 } guard_sample_t;
 
 /** How often the baseline is bad, with older samples fading. */
-typedef struct guard_base {
+typedef struct guard_baseline {
 	char model[CONFIG_NAME_SIZE];
-	double bad[GUARD_SIGNALS];
-	double seen[GUARD_SIGNALS];
-} guard_base_t;
+	double bad[GUARD_SIGNAL_COUNT];
+	double samples[GUARD_SIGNAL_COUNT];
+} guard_baseline_t;
 
 /** What is known of one version, for all or for one organisation. */
-typedef struct guard_row {
+typedef struct guard_version {
 	char version[CONFIG_NAME_SIZE];
 	char organisation[CONFIG_NAME_SIZE]; /**< "": for all */
-	double sums[GUARD_SIGNALS];
+	double sums[GUARD_SIGNAL_COUNT];
 	bool stopped;
-	uint64_t stopped_at; /**< revision at which it was stopped */
-	uint64_t changed_at; /**< revision at which a plan last changed it */
-} guard_row_t;
+	uint64_t stopped_revision; /**< revision at which it was stopped */
+	uint64_t
+	    changed_revision; /**< revision at which a plan last changed it */
+} guard_version_t;
 
 typedef struct guard {
-	table_t bases; /**< guard_base_t */
-	table_t rows;  /**< guard_row_t */
-	double limit;  /**< of a sum: higher is slower and surer */
+	table_t baselines; /**< guard_baseline_t */
+	table_t versions;  /**< guard_version_t */
+	double threshold;  /**< of a sum: higher is slower and surer */
 } guard_t;
 
 void guard_init(guard_t *);
@@ -69,10 +71,10 @@
 
 /** An operator's plan, revision @p revision, changed the version: what came
  * before it no longer counts. */
-void guard_forget(guard_t *, const char *version, uint64_t revision);
+void guard_reset_version(guard_t *, const char *version, uint64_t revision);
 
 /** The versions that are stopped for the organisation. */
-version_set_t
-guard_stopped(const guard_t *, const config_t *, const char *organisation);
+version_set_t guard_stopped_versions(
+    const guard_t *, const config_t *, const char *organisation);
 
 #endif
--- a/include/moortack/route/learn.h
+++ b/include/moortack/route/learn.h
@@ -9,51 +9,53 @@
 #include "moortack/route/cascade.h"
 #include "moortack/route/guard.h"
 
-#define LEARN_REQUEST_SIZE 33
-#define LEARN_RECENT 1024
+#define FEEDBACK_REQUEST_ID_SIZE 33
+#define FEEDBACK_RESPONSES_MAX 1024
 
 /** An organisation's cascade, over the models that it may use. */
-typedef struct learn_cascade {
+typedef struct organisation_cascade {
 	char organisation[CONFIG_NAME_SIZE];
-	uint64_t revision; /**< that the list of models was made from */
-	char models[CASCADE_MODELS][CONFIG_NAME_SIZE];
+	uint64_t models_revision; /**< that the list of models was made from */
+	char model_names[CASCADE_MODELS_MAX][CONFIG_NAME_SIZE];
 	cascade_t cascade;
-} learn_cascade_t;
+} organisation_cascade_t;
 
 /** An answer that may still be rated. */
-typedef struct learn_recent {
-	char request[LEARN_REQUEST_SIZE];
+typedef struct recent_response {
+	char request_id[FEEDBACK_REQUEST_ID_SIZE];
 	char organisation[CONFIG_NAME_SIZE];
 	char version[CONFIG_NAME_SIZE];
-	int model; /**< of its cascade; -1: not of one */
+	int model_index; /**< of its cascade; -1: not of one */
 	double confidence;
-} learn_recent_t;
+} recent_response_t;
 
-typedef struct learn {
+typedef struct feedback {
 	guard_t guard;
-	table_t cascades;		     /**< learn_cascade_t */
-	learn_recent_t recent[LEARN_RECENT]; /**< ring */
-	uint64_t recent_count;
-} learn_t;
+	table_t cascades; /**< organisation_cascade_t */
+	recent_response_t responses[FEEDBACK_RESPONSES_MAX]; /**< ring */
+	uint64_t response_count;
+} feedback_t;
 
-void learn_init(learn_t *);
-void learn_finish(learn_t *);
+void feedback_init(feedback_t *);
+void feedback_finish(feedback_t *);
 
 /** The organisation's cascade, made or made anew for this configuration; NULL
  * when it may use no engine's model, or memory is out. */
-learn_cascade_t *
-learn_cascade(learn_t *, const config_t *, handle_t organisation);
+organisation_cascade_t *
+feedback_get_cascade(feedback_t *, const config_t *, handle_t organisation);
 
 /** Remember an answer until its rating comes. */
-void learn_answer(learn_t *, const learn_recent_t *);
+void feedback_add_response(feedback_t *, const recent_response_t *);
 
 /** The answer that a rating is of, or NULL when it is long ago or a peer's. */
-const learn_recent_t *learn_recent(const learn_t *, const char *request);
+const recent_response_t *
+feedback_find_response(const feedback_t *, const char *request);
 
 /** Teach a cascade a rating. */
-void learn_rating(learn_t *, const learn_recent_t *, bool good);
+void feedback_add_rating(feedback_t *, const recent_response_t *, bool good);
 
 /** Begin anew with versions whose state or share differs between the two. */
-void learn_config(learn_t *, const config_t *before, const config_t *after);
+void feedback_config_changed(
+    feedback_t *, const config_t *before, const config_t *after);
 
 #endif
--- a/include/moortack/route/rollout.h
+++ b/include/moortack/route/rollout.h
@@ -14,7 +14,7 @@
  * @param stopped versions that the guard stopped here; they get no new session
  * @return HANDLE_NONE when the organisation has none that takes new sessions
  */
-handle_t rollout_choose(const config_t *, handle_t organisation, handle_t model,
-    uint64_t session, const version_set_t *stopped);
+handle_t rollout_select_version(const config_t *, handle_t organisation,
+    handle_t model, uint64_t session, const version_set_t *stopped);
 
 #endif
--- a/include/moortack/route/watch.h
+++ b/include/moortack/route/watch.h
@@ -10,17 +10,17 @@
 #include "moortack/options.h"
 #include "moortack/route/fleet.h"
 
-typedef struct watch_ports {
+typedef struct endpoint_poller_sink {
 	task_t *front;
-	int list;    /**< kind; body: a list of VMs, json_t */
-	int load;    /**< kind; body: load_report_t */
-	int ratings; /**< kind; body: a list of ratings, json_t */
-} watch_ports_t;
+	int list_kind;	  /**< kind; body: a list of VMs, json_t */
+	int load_kind;	  /**< kind; body: load_report_t */
+	int ratings_kind; /**< kind; body: a list of ratings, json_t */
+} endpoint_poller_sink_t;
 
-typedef struct watch watch_t;
+typedef struct endpoint_poller endpoint_poller_t;
 
-watch_t *watch_new(
-    const process_t *, const options_t *, const watch_ports_t *, err_t *err);
-void watch_free(watch_t *);
+endpoint_poller_t *endpoint_poller_new(const process_t *, const options_t *,
+    const endpoint_poller_sink_t *, err_t *err);
+void endpoint_poller_free(endpoint_poller_t *);
 
 #endif
--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -16,7 +16,7 @@
 	uint32_t entries = front->members->rows.len + 1;
 	int64_t wait_ms;
 
-	if (!admission_open(&front->admission, arrival->class, arrival->pools,
+	if (!admission_allows(&front->admission, arrival->class, arrival->pools,
 		arrival->now))
 		return err_set(err, ERR_OVERLOAD,
 		    "requests of class %s are refused for now",
@@ -24,7 +24,8 @@
 	if (front->room.count >= front->room.max)
 		return err_set(
 		    err, ERR_STORE, "as many bills wait for the store as may");
-	if (!rate_take(&front->rates[arrival->organisation % FRONT_RATES_MAX],
+	if (!rate_limiter_acquire(
+		&front->rates[arrival->organisation % FRONT_RATES_MAX],
 		(double)organisation->limit / entries, arrival->now, &wait_ms))
 		return err_set(err, ERR_LIMIT,
 		    "%s is over its limit of %u a second; next in %lld ms",
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -405,7 +405,7 @@
 	    (!exchange->idempotent || exchange->keyed ||
 		exchange->broken >= BROKEN_MAX))
 		return false;
-	return retry_budget_spend(&exchange->front->retries);
+	return retry_budget_acquire(&exchange->front->retries);
 }
 
 void
@@ -420,7 +420,8 @@
 	if (ran && health)
 		exchange_learn_failure(exchange);
 	if (health && exchange->endpoint != HANDLE_NONE) {
-		if (endpoint_fail(&front->fleet, exchange->endpoint, now)) {
+		if (endpoint_attempt_failed(
+			&front->fleet, exchange->endpoint, now)) {
 			counter_add(
 			    front->process.counters, COUNTER_EJECTIONS, 1);
 			timeline_add(front->process.timeline,
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -203,12 +203,12 @@
 		return NULL;
 	}
 	counter_add(front->process.counters, COUNTER_REQUESTS, 1);
-	retry_budget_earn(&front->retries);
+	retry_budget_add_request(&front->retries);
 	exchange->confidence = -1;
 	exchange->req = arrival->req;
 	exchange->begun = arrival->now;
 	exchange->waiter.class = arrival->class;
-	exchange->waiter.since = arrival->now;
+	exchange->waiter.arrived_at = arrival->now;
 	memcpy(exchange->organisation,
 	    config_organisation_at(front->config, arrival->organisation)->name,
 	    sizeof(exchange->organisation));
--- a/moortack/exchange/dispatch.c
+++ b/moortack/exchange/dispatch.c
@@ -14,14 +14,16 @@
 	    .organisation =
 		config_organisation(front->config, exchange->organisation),
 	    .version = config_version(front->config, exchange->version),
-	    .place = config_place(front->config, front->options->place),
-	    .hint = HANDLE_NONE,
-	    .avoid_count = exchange->attempts,
+	    .preferred_place =
+		config_place(front->config, front->options->place),
+	    .prefix_endpoint = HANDLE_NONE,
+	    .tried_count = exchange->attempts,
 	    .now = clock_elapsed(front->process.clock)};
 	if (*exchange->session.endpoint != '\0')
-		query->hint =
-		    fleet_find(&front->fleet, exchange->session.endpoint);
-	memcpy(query->avoid, exchange->tried, sizeof(query->avoid));
+		query->prefix_endpoint = endpoint_table_find(
+		    &front->fleet, exchange->session.endpoint);
+	memcpy(query->tried_endpoints, exchange->tried,
+	    sizeof(query->tried_endpoints));
 	return query->organisation != HANDLE_NONE &&
 	    query->version != HANDLE_NONE;
 }
@@ -32,16 +34,16 @@
 	static const version_set_t none = {0};
 	const front_t *front = exchange->front;
 	const config_t *config = front->config;
-	version_set_t stopped =
-	    guard_stopped(&front->learn.guard, config, exchange->organisation);
+	version_set_t stopped = guard_stopped_versions(
+	    &front->learn.guard, config, exchange->organisation);
 	handle_t model = config_model(config, exchange->model);
-	handle_t version = rollout_choose(
+	handle_t version = rollout_select_version(
 	    config, organisation, model, exchange->session.id, &stopped);
 
 	/* With nothing else to take its place, a stopped one is better than
 	 * none: the operators decide. */
 	if (version == HANDLE_NONE)
-		version = rollout_choose(
+		version = rollout_select_version(
 		    config, organisation, model, exchange->session.id, &none);
 	return version;
 }
@@ -76,7 +78,7 @@
 		return false;
 	if (!exchange->session_given && version->state == VERSION_DRAINING)
 		return true;
-	stopped = guard_stopped(&exchange->front->learn.guard,
+	stopped = guard_stopped_versions(&exchange->front->learn.guard,
 	    exchange->front->config, exchange->organisation);
 	return version_set_has(&stopped, handle);
 }
@@ -112,9 +114,10 @@
 static void
 endpoint_hold(exchange_t *exchange, handle_t handle)
 {
-	endpoint_t *endpoint = fleet_at(&exchange->front->fleet, handle);
+	endpoint_t *endpoint =
+	    endpoint_table_at(&exchange->front->fleet, handle);
 
-	endpoint_start(endpoint);
+	endpoint_attempt_started(endpoint);
 	exchange->endpoint = handle;
 	memcpy(exchange->endpoint_address, endpoint->address,
 	    sizeof(exchange->endpoint_address));
@@ -126,10 +129,10 @@
 exchange_endpoint_release(exchange_t *exchange)
 {
 	endpoint_t *endpoint =
-	    fleet_at(&exchange->front->fleet, exchange->endpoint);
+	    endpoint_table_at(&exchange->front->fleet, exchange->endpoint);
 
 	if (endpoint != NULL)
-		endpoint_end(endpoint);
+		endpoint_attempt_ended(endpoint);
 	exchange->endpoint = HANDLE_NONE;
 }
 
@@ -142,7 +145,7 @@
 	if (exchange->waiter.queued)
 		return;
 	exchange->waiter.pool = admission_pool(exchange->model);
-	if (!admission_wait(&front->admission, &exchange->waiter))
+	if (!admission_enqueue(&front->admission, &exchange->waiter))
 		exchange_fail(
 		    exchange, ERR_OVERLOAD, "as many requests wait as may");
 }
@@ -168,15 +171,15 @@
 	    front->process.rng, &picked)) {
 	case BALANCE_PICKED:
 		break;
-	case BALANCE_FULL:
+	case BALANCE_NO_CAPACITY:
 		exchange_queue(exchange);
 		return;
-	case BALANCE_NONE:
+	case BALANCE_NO_ENDPOINT:
 		exchange_fail(exchange, ERR_NO_ENDPOINT,
 		    "no endpoint that is allowed serves this version");
 		return;
 	}
-	admission_leave(&front->admission, &exchange->waiter);
+	admission_remove(&front->admission, &exchange->waiter);
 	endpoint_hold(exchange, picked);
 	if (exchange->keyed && !exchange->granted)
 		exchange_redeem(exchange);
@@ -191,7 +194,7 @@
 {
 	front_t *front = exchange->front;
 	const endpoint_t *endpoint =
-	    fleet_at(&front->fleet, exchange->endpoint);
+	    endpoint_table_at(&front->fleet, exchange->endpoint);
 	balance_query_t query;
 
 	if (!front_may_work(front, err))
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -43,10 +43,10 @@
 endpoint_done(exchange_t *exchange)
 {
 	endpoint_t *endpoint =
-	    fleet_at(&exchange->front->fleet, exchange->endpoint);
+	    endpoint_table_at(&exchange->front->fleet, exchange->endpoint);
 
 	if (endpoint != NULL)
-		endpoint_succeed(endpoint, (double)exchange->first_ms,
+		endpoint_attempt_succeeded(endpoint, (double)exchange->first_ms,
 		    clock_elapsed(exchange->front->process.clock));
 	exchange->endpoint = HANDLE_NONE;
 }
@@ -86,7 +86,7 @@
 	outcome_tell(exchange);
 	exchange->phase = PHASE_BILL;
 	billing_record(front->billing, &bill, exchange->tag);
-	if (front->admission.count > 0)
+	if (front->admission.waiting_count > 0)
 		front_dispatch(front);
 }
 
@@ -209,7 +209,7 @@
 	err_t err;
 
 	err_set(&err, code, "%s", detail);
-	admission_leave(&front->admission, &exchange->waiter);
+	admission_remove(&front->admission, &exchange->waiter);
 	exchange_upstream_cancel(exchange);
 	exchange_endpoint_release(exchange);
 	if (exchange->phase == PHASE_TICKET)
@@ -235,7 +235,7 @@
 {
 	front_t *front = exchange->front;
 
-	admission_leave(&front->admission, &exchange->waiter);
+	admission_remove(&front->admission, &exchange->waiter);
 	if (exchange->upstream_req != NULL) {
 		evhttp_cancel_request(exchange->upstream_req);
 		evhttp_connection_free(exchange->upstream->conn);
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -28,10 +28,10 @@
 	    row->state == VERSION_WITHDRAWN)
 		return;
 	sample.model = config_model_at(config, row->model)->name;
-	sample.baseline = row->state == VERSION_LIVE;
+	sample.is_baseline = row->state == VERSION_LIVE;
 	if (!guard_observe(&front->learn.guard, &sample))
 		return;
-	stopped = guard_stopped(&front->learn.guard, config, "");
+	stopped = guard_stopped_versions(&front->learn.guard, config, "");
 	front_guard_tell(front, version,
 	    version_set_has(&stopped, config_version(config, version))
 		? ""
@@ -85,16 +85,16 @@
 static void
 recent_note(exchange_t *exchange)
 {
-	learn_recent_t recent = {
-	    .model = exchange->open_model ? exchange->step : -1,
+	recent_response_t recent = {
+	    .model_index = exchange->open_model ? exchange->step : -1,
 	    .confidence = exchange->confidence >= 0 ? exchange->confidence
 						    : NO_CONFIDENCE};
 
-	memcpy(recent.request, exchange->id, sizeof(recent.request));
+	memcpy(recent.request_id, exchange->id, sizeof(recent.request_id));
 	memcpy(recent.organisation, exchange->organisation,
 	    sizeof(recent.organisation));
 	memcpy(recent.version, exchange->version, sizeof(recent.version));
-	learn_answer(&exchange->front->learn, &recent);
+	feedback_add_response(&exchange->front->learn, &recent);
 }
 
 void
@@ -116,23 +116,24 @@
 
 static bool
 model_set(exchange_t *exchange, handle_t organisation,
-    const learn_cascade_t *row, int step, err_t *err)
+    const organisation_cascade_t *row, int step, err_t *err)
 {
 	exchange->step = step;
-	memcpy(exchange->model, row->models[step], sizeof(exchange->model));
+	memcpy(
+	    exchange->model, row->model_names[step], sizeof(exchange->model));
 	return exchange_version_set(exchange, organisation, err);
 }
 
 /* A stream can't be taken back once it has begun, so its model is chosen by
  * what is known beforehand. */
 static int
-step_first(exchange_t *exchange, const learn_cascade_t *row)
+step_first(exchange_t *exchange, const organisation_cascade_t *row)
 {
 	rng_t *rng = exchange->front->process.rng;
 
 	if (exchange->stream)
-		return cascade_blind(&row->cascade);
-	return cascade_first(
+		return cascade_single_model(&row->cascade);
+	return cascade_first_model(
 	    &row->cascade, rng_below(rng, ALL_PERCENT) < EXPLORE_PERCENT);
 }
 
@@ -140,8 +141,8 @@
 exchange_cascade_begin(exchange_t *exchange, handle_t organisation, err_t *err)
 {
 	front_t *front = exchange->front;
-	const learn_cascade_t *row =
-	    learn_cascade(&front->learn, front->config, organisation);
+	const organisation_cascade_t *row =
+	    feedback_get_cascade(&front->learn, front->config, organisation);
 
 	if (row == NULL)
 		return err_set(err, ERR_NOT_ALLOWED,
@@ -172,18 +173,18 @@
 	front_t *front = exchange->front;
 	handle_t organisation =
 	    config_organisation(front->config, exchange->organisation);
-	learn_cascade_t *row;
+	organisation_cascade_t *row;
 	bill_line_t line;
 	err_t err;
 
 	if (!exchange->open_model || exchange->stream ||
 	    organisation == HANDLE_NONE || !exchange_wanted(exchange))
 		return false;
-	row = learn_cascade(&front->learn, front->config, organisation);
-	if (row == NULL || exchange->step >= row->cascade.models)
+	row = feedback_get_cascade(&front->learn, front->config, organisation);
+	if (row == NULL || exchange->step >= row->cascade.model_count)
 		return false;
 	exchange_line(exchange, &line);
-	cascade_cost(&row->cascade, exchange->step, (double)line.cost);
+	cascade_add_cost(&row->cascade, exchange->step, (double)line.cost);
 	if (exchange->line_count + 1 >= BILL_LINES_MAX ||
 	    exchange->confidence < 0 ||
 	    cascade_accepts(
--- a/moortack/front/admin.c
+++ b/moortack/front/admin.c
@@ -152,7 +152,7 @@
 	return json_pack("{s:s,s:s,s:s,s:b,s:i,s:i,s:i,s:f}", "address",
 	    endpoint->address, "place", endpoint->place_name, "state",
 	    states[endpoint->state], "ejected", endpoint->ejected, "inflight",
-	    (int)endpoint->inflight, "reported", (int)endpoint->reported,
+	    (int)endpoint->in_flight, "reported", (int)endpoint->reported_load,
 	    "slots", (int)endpoint->slots, "first_token_ms",
 	    endpoint->first_token_ms);
 }
@@ -167,7 +167,7 @@
 	(void)rest;
 	for (handle_t h = 0; h < front->fleet.endpoints.len; h++)
 		json_array_append_new(
-		    list, endpoint_json(fleet_at(&front->fleet, h)));
+		    list, endpoint_json(endpoint_table_at(&front->fleet, h)));
 	http_answer_json(req, 200, json_pack("{s:o}", "endpoints", list));
 }
 
@@ -251,7 +251,7 @@
 	    "# TYPE moortack_bills_unflushed gauge\n"
 	    "moortack_bills_unflushed %u\n"
 	    "# TYPE moortack_revision gauge\nmoortack_revision %llu\n",
-	    front->busy, front->admission.count, front->room.count,
+	    front->busy, front->admission.waiting_count, front->room.count,
 	    (unsigned long long)front->config->revision);
 	http_answer_header(req, "Content-Type", "text/plain; version=0.0.4");
 	evhttp_send_reply(req, 200, NULL, out);
--- a/moortack/front/front.c
+++ b/moortack/front/front.c
@@ -273,9 +273,9 @@
 	table_init(&front->operators, sizeof(operator_row_t));
 	table_init(&front->slots, sizeof(exchange_slot_t));
 	table_init(&front->admin_slots, sizeof(admin_slot_t));
-	fleet_init(&front->fleet);
-	learn_init(&front->learn);
-	front->learn.guard.limit = (double)front->options->guard_limit;
+	endpoint_table_init(&front->fleet);
+	feedback_init(&front->learn);
+	front->learn.guard.threshold = (double)front->options->guard_limit;
 	retry_budget_init(&front->retries, front->options->retry_percent);
 	admission_init(&front->admission, (uint32_t)front->options->waiting_max,
 	    front->options->cutoff_ms);
@@ -394,8 +394,8 @@
 	table_finish(&front->slots);
 	table_finish(&front->admin_slots);
 	table_finish(&front->operators);
-	fleet_finish(&front->fleet);
-	learn_finish(&front->learn);
+	endpoint_table_finish(&front->fleet);
+	feedback_finish(&front->learn);
 	members_release(front->members);
 	config_release(front->config);
 	free(front);
--- a/moortack/front/front_priv.h
+++ b/moortack/front/front_priv.h
@@ -66,11 +66,11 @@
 	members_t *members;
 	freshness_news_t fresh;
 	billing_room_t room;
-	fleet_t fleet;
+	endpoint_table_t fleet;
 	keyring_t keyring;
 	admission_t admission;
-	rate_t rates[FRONT_RATES_MAX]; /**< by organisation handle */
-	learn_t learn;
+	rate_limiter_t rates[FRONT_RATES_MAX]; /**< by organisation handle */
+	feedback_t learn;
 	retry_budget_t retries;
 	table_t operators; /**< operator_row_t */
 
--- a/moortack/front/messages.c
+++ b/moortack/front/messages.c
@@ -13,10 +13,10 @@
 static void
 config_take(front_t *front, config_t *config)
 {
-	learn_config(&front->learn, front->config, config);
+	feedback_config_changed(&front->learn, front->config, config);
 	config_release(front->config);
 	front->config = config_share(config);
-	fleet_resolve(&front->fleet, config);
+	endpoint_table_resolve(&front->fleet, config);
 	front_dispatch(front);
 }
 
@@ -75,13 +75,13 @@
 
 		if (!member->answers || (old != NULL && old->answers))
 			continue;
-		for (handle_t r = 0; r < front->learn.guard.rows.len; r++) {
-			const guard_row_t *row =
-			    table_at(&front->learn.guard.rows, r);
+		for (handle_t r = 0; r < front->learn.guard.versions.len; r++) {
+			const guard_version_t *row =
+			    table_at(&front->learn.guard.versions, r);
 
 			if (row->stopped)
 				guard_tell_one(front, to, row->version,
-				    row->organisation, row->stopped_at);
+				    row->organisation, row->stopped_revision);
 		}
 	}
 }
@@ -97,13 +97,13 @@
 	    json_string_value(json_object_get(rating, "organisation"));
 	bool good =
 	    json_number_value(json_object_get(rating, "score")) >= RATING_GOOD;
-	const learn_recent_t *recent;
+	const recent_response_t *recent;
 
 	if (request == NULL || version == NULL || organisation == NULL)
 		return;
-	recent = learn_recent(&front->learn, request);
+	recent = feedback_find_response(&front->learn, request);
 	if (recent != NULL)
-		learn_rating(&front->learn, recent, good);
+		feedback_add_rating(&front->learn, recent, good);
 	exchange_learn(front, organisation, version, GUARD_RATING, !good);
 }
 
@@ -142,17 +142,18 @@
 	if (address == NULL || place == NULL ||
 	    !http_address_parse(address, &checked))
 		return;
-	if (fleet_find(&front->fleet, address) == HANDLE_NONE)
+	if (endpoint_table_find(&front->fleet, address) == HANDLE_NONE)
 		timeline_add(front->process.timeline, EVENT_ENDPOINT_SEEN,
 		    address, "%s", place);
-	handle = fleet_list(&front->fleet, address, place, leaving,
-	    clock_elapsed(front->process.clock));
+	handle = endpoint_table_update_entry(&front->fleet, address, place,
+	    leaving, clock_elapsed(front->process.clock));
 	if (handle == HANDLE_NONE)
 		return;
 	json_array_foreach(json_object_get(vm, "versions"), i, version)
 	{
 		if (json_is_string(version))
-			endpoint_serve(fleet_at(&front->fleet, handle),
+			endpoint_add_version(
+			    endpoint_table_at(&front->fleet, handle),
 			    json_string_value(version));
 	}
 }
@@ -163,13 +164,13 @@
 	json_t *vm;
 	size_t i;
 
-	fleet_list_begin(&front->fleet);
+	endpoint_table_update_begin(&front->fleet);
 	json_array_foreach(vms, i, vm)
 	{
 		vm_take(front, vm);
 	}
-	fleet_list_end(&front->fleet);
-	fleet_resolve(&front->fleet, front->config);
+	endpoint_table_update_end(&front->fleet);
+	endpoint_table_resolve(&front->fleet, front->config);
 }
 
 /* The list lags: what one daemon hears of a leave, all hear. */
@@ -193,12 +194,12 @@
 leave_heard(front_t *front, const peer_question_t *question)
 {
 	const char *address = question->envelope->endpoint_left->address;
-	endpoint_t *endpoint =
-	    fleet_at(&front->fleet, fleet_find(&front->fleet, address));
+	endpoint_t *endpoint = endpoint_table_at(
+	    &front->fleet, endpoint_table_find(&front->fleet, address));
 
 	if (endpoint == NULL || endpoint->state != ENDPOINT_LIVE)
 		return;
-	endpoint_leave(endpoint);
+	endpoint_mark_leaving(endpoint);
 	timeline_add(front->process.timeline, EVENT_ENDPOINT_LEAVING, address,
 	    "%s", "a peer said so");
 }
@@ -206,9 +207,9 @@
 static void
 load_take(front_t *front, const load_report_t *report)
 {
-	if (fleet_report(&front->fleet, report, front->config))
+	if (endpoint_table_apply_report(&front->fleet, report, front->config))
 		leave_tell(front, report->address);
-	if (front->admission.count > 0)
+	if (front->admission.waiting_count > 0)
 		front_dispatch(front);
 }
 
--- a/moortack/front/orders.c
+++ b/moortack/front/orders.c
@@ -82,10 +82,11 @@
 		return;
 	front->ordered_at = now;
 	for (handle_t h = 0; h < front->fleet.endpoints.len; h++) {
-		const endpoint_t *endpoint = fleet_at(&front->fleet, h);
+		const endpoint_t *endpoint =
+		    endpoint_table_at(&front->fleet, h);
 		const char *version = withdrawn_version(front, endpoint);
 
-		if (version == NULL || endpoint->state == ENDPOINT_GONE ||
+		if (version == NULL || endpoint->state == ENDPOINT_REMOVED ||
 		    !is_engine(front, version))
 			continue;
 		if (!lease_usable(&front->orders_lease)) {
--- a/moortack/limit/admission.c
+++ b/moortack/limit/admission.c
@@ -9,20 +9,21 @@
 void
 admission_init(admission_t *admission, uint32_t max, int64_t cutoff_ms)
 {
-	*admission = (admission_t){.max = max};
+	*admission = (admission_t){.waiting_max = max};
 	for (int c = 0; c < CLASSES; c++)
 		admission->cutoff_ms[c] = cutoff_ms >> c;
 }
 
 int64_t
-admission_age_ms(const admission_t *admission, struct timespec now)
+admission_longest_wait_ms(const admission_t *admission, struct timespec now)
 {
 	int64_t oldest = 0;
 
 	for (int c = 0; c < CLASSES; c++) {
 		const waiter_t *first = admission->queues[c].first;
-		int64_t age =
-		    first != NULL ? timespec_ms_between(first->since, now) : 0;
+		int64_t age = first != NULL
+		    ? timespec_ms_between(first->arrived_at, now)
+		    : 0;
 
 		if (age > oldest)
 			oldest = age;
@@ -40,7 +41,7 @@
 	for (int c = 0; c <= (int)class; c++) {
 		for (const waiter_t *w = admission->queues[c].first;
 		     w != NULL &&
-		     timespec_ms_between(w->since, now) >=
+		     timespec_ms_between(w->arrived_at, now) >=
 			 admission->cutoff_ms[class];
 		     w = w->next)
 			closed |= UINT64_C(1) << w->pool;
@@ -49,23 +50,24 @@
 }
 
 bool
-admission_open(const admission_t *admission, class_t class, uint64_t pools,
+admission_allows(const admission_t *admission, class_t class, uint64_t pools,
     struct timespec now)
 {
-	return admission->count < admission->max &&
+	return admission->waiting_count < admission->waiting_max &&
 	    (pools & ~pools_closed(admission, class, now)) != 0;
 }
 
 uint32_t
 admission_pool(const char *model)
 {
-	return (uint32_t)(XXH3_64bits(model, strlen(model)) % ADMISSION_POOLS);
+	return (
+	    uint32_t)(XXH3_64bits(model, strlen(model)) % ADMISSION_POOL_COUNT);
 }
 
 bool
-admission_wait(admission_t *admission, waiter_t *waiter)
+admission_enqueue(admission_t *admission, waiter_t *waiter)
 {
-	if (admission->count >= admission->max)
+	if (admission->waiting_count >= admission->waiting_max)
 		return false;
 	waiter->next = NULL;
 	waiter->prev = admission->queues[waiter->class].last;
@@ -75,13 +77,13 @@
 		admission->queues[waiter->class].first = waiter;
 	admission->queues[waiter->class].last = waiter;
 	admission->queues[waiter->class].count++;
-	admission->count++;
+	admission->waiting_count++;
 	waiter->queued = true;
 	return true;
 }
 
 void
-admission_leave(admission_t *admission, waiter_t *waiter)
+admission_remove(admission_t *admission, waiter_t *waiter)
 {
 	if (!waiter->queued)
 		return;
@@ -94,7 +96,7 @@
 	else
 		admission->queues[waiter->class].last = waiter->prev;
 	admission->queues[waiter->class].count--;
-	admission->count--;
+	admission->waiting_count--;
 	waiter->queued = false;
 	waiter->next = waiter->prev = NULL;
 }
@@ -123,7 +125,7 @@
 		for (waiter_t *w = admission->queues[c].first; w != NULL;
 		     w = w->next) {
 			if (timespec_ms_between(w->deadline, now) >= 0 ||
-			    timespec_ms_between(w->since, now) >=
+			    timespec_ms_between(w->arrived_at, now) >=
 				admission->cutoff_ms[c])
 				return w;
 		}
@@ -135,7 +137,8 @@
 admission_retry_after_ms(
     const admission_t *admission, struct timespec now, uint32_t random)
 {
-	int64_t base = RETRY_AFTER_MIN_MS + admission_age_ms(admission, now);
+	int64_t base =
+	    RETRY_AFTER_MIN_MS + admission_longest_wait_ms(admission, now);
 
 	return base + random % (base * RETRY_AFTER_SPREAD);
 }
--- a/moortack/limit/rate.c
+++ b/moortack/limit/rate.c
@@ -4,21 +4,22 @@
 #define US_PER_SEC 1e6
 
 bool
-rate_take(rate_t *rate, double per_s, struct timespec now, int64_t *wait_ms)
+rate_limiter_acquire(
+    rate_limiter_t *rate, double per_s, struct timespec now, int64_t *wait_ms)
 {
 	double burst = per_s > 1 ? per_s : 1;
 
 	*wait_ms = 0;
 	if (per_s <= 0)
 		return true;
-	if (!rate->started) {
-		rate->started = true;
+	if (!rate->initialized) {
+		rate->initialized = true;
 		rate->tokens = burst;
-		rate->at = now;
+		rate->refilled_at = now;
 	}
-	rate->tokens +=
-	    (double)timespec_us_between(rate->at, now) / US_PER_SEC * per_s;
-	rate->at = now;
+	rate->tokens += (double)timespec_us_between(rate->refilled_at, now) /
+	    US_PER_SEC * per_s;
+	rate->refilled_at = now;
 	if (rate->tokens > burst)
 		rate->tokens = burst;
 	if (rate->tokens < 1) {
--- a/moortack/limit/retry_budget.c
+++ b/moortack/limit/retry_budget.c
@@ -7,20 +7,20 @@
 void
 retry_budget_init(retry_budget_t *budget, int64_t percent)
 {
-	budget->share = (double)percent / ALL_PERCENT;
+	budget->retries_per_request = (double)percent / ALL_PERCENT;
 	budget->balance = percent > 0 ? BALANCE_START : 0;
 }
 
 void
-retry_budget_earn(retry_budget_t *budget)
+retry_budget_add_request(retry_budget_t *budget)
 {
-	budget->balance += budget->share;
+	budget->balance += budget->retries_per_request;
 	if (budget->balance > BALANCE_MAX)
 		budget->balance = BALANCE_MAX;
 }
 
 bool
-retry_budget_spend(retry_budget_t *budget)
+retry_budget_acquire(retry_budget_t *budget)
 {
 	if (budget->balance < 1)
 		return false;
--- a/moortack/route/balance.c
+++ b/moortack/route/balance.c
@@ -36,11 +36,12 @@
 static uint32_t
 endpoint_load(const endpoint_t *endpoint)
 {
-	uint32_t others = endpoint->reported > endpoint->inflight_at_report
-	    ? endpoint->reported - endpoint->inflight_at_report
+	uint32_t others =
+	    endpoint->reported_load > endpoint->in_flight_at_report
+	    ? endpoint->reported_load - endpoint->in_flight_at_report
 	    : 0;
 
-	return others + endpoint->inflight;
+	return others + endpoint->in_flight;
 }
 
 static bool
@@ -62,8 +63,8 @@
 static bool
 avoided(const balance_query_t *query, handle_t handle)
 {
-	for (uint32_t i = 0; i < query->avoid_count; i++) {
-		if (query->avoid[i] == handle)
+	for (uint32_t i = 0; i < query->tried_count; i++) {
+		if (query->tried_endpoints[i] == handle)
 			return true;
 	}
 	return false;
@@ -72,7 +73,7 @@
 static double
 slow_start_factor(const endpoint_t *endpoint, struct timespec now)
 {
-	int64_t age = timespec_ms_between(endpoint->since, now);
+	int64_t age = timespec_ms_between(endpoint->slow_start_at, now);
 
 	if (age >= SLOW_START_MS || age < 0)
 		return 1.0;
@@ -85,33 +86,35 @@
  * What others have is left out: reports of it are as old as a request is long,
  * and all daemons would go by the same ones (docs/MEASUREMENTS.md, balance). */
 static double
-endpoint_cost(
-    const fleet_t *fleet, handle_t handle, const balance_query_t *query)
+endpoint_cost(const endpoint_table_t *fleet, handle_t handle,
+    const balance_query_t *query)
 {
-	const endpoint_t *endpoint = fleet_at(fleet, handle);
+	const endpoint_t *endpoint = endpoint_table_at(fleet, handle);
 	double first = endpoint->first_token_ms > 0 ? endpoint->first_token_ms
 						    : DEFAULT_FIRST_MS;
 	double cost =
-	    first * (endpoint->inflight + 1) / (double)endpoint->slots;
+	    first * (endpoint->in_flight + 1) / (double)endpoint->slots;
 
-	if (endpoint->place != query->place && query->place != HANDLE_NONE)
+	if (endpoint->place != query->preferred_place &&
+	    query->preferred_place != HANDLE_NONE)
 		cost *= REMOTE_FACTOR;
-	if (handle == query->hint)
+	if (handle == query->prefix_endpoint)
 		cost *= HINT_FACTOR;
 	return cost * slow_start_factor(endpoint, query->now);
 }
 
 static bool
-hint_usable(const fleet_t *fleet, const handle_t *candidates, uint32_t count,
-    const balance_query_t *query)
+hint_usable(const endpoint_table_t *fleet, const handle_t *candidates,
+    uint32_t count, const balance_query_t *query)
 {
-	const endpoint_t *endpoint = fleet_at(fleet, query->hint);
+	const endpoint_t *endpoint =
+	    endpoint_table_at(fleet, query->prefix_endpoint);
 
 	/* A hot endpoint sheds its sessions: the prefix isn't worth a queue. */
 	if (endpoint == NULL || endpoint_load(endpoint) >= endpoint->slots)
 		return false;
 	for (uint32_t i = 0; i < count; i++) {
-		if (candidates[i] == query->hint)
+		if (candidates[i] == query->prefix_endpoint)
 			return true;
 	}
 	return false;
@@ -120,8 +123,8 @@
 /* The endpoint with the prompt's prefix is a third choice, and no more: going
  * there whenever it isn't full doubled the 99th percentile. */
 static handle_t
-two_choices(const fleet_t *fleet, const handle_t *candidates, uint32_t count,
-    const balance_query_t *query, rng_t *rng)
+two_choices(const endpoint_table_t *fleet, const handle_t *candidates,
+    uint32_t count, const balance_query_t *query, rng_t *rng)
 {
 	handle_t best = candidates[rng_below(rng, count)];
 	handle_t other = candidates[rng_below(rng, count)];
@@ -130,15 +133,15 @@
 	    endpoint_cost(fleet, best, query))
 		best = other;
 	if (hint_usable(fleet, candidates, count, query) &&
-	    endpoint_cost(fleet, query->hint, query) <=
+	    endpoint_cost(fleet, query->prefix_endpoint, query) <=
 		endpoint_cost(fleet, best, query))
-		best = query->hint;
+		best = query->prefix_endpoint;
 	return best;
 }
 
 static handle_t
-random_choice(const fleet_t *fleet, const handle_t *candidates, uint32_t count,
-    const balance_query_t *query, rng_t *rng)
+random_choice(const endpoint_table_t *fleet, const handle_t *candidates,
+    uint32_t count, const balance_query_t *query, rng_t *rng)
 {
 	(void)fleet;
 	(void)query;
@@ -146,16 +149,16 @@
 }
 
 static handle_t
-least_reported(const fleet_t *fleet, const handle_t *candidates, uint32_t count,
-    const balance_query_t *query, rng_t *rng)
+least_reported(const endpoint_table_t *fleet, const handle_t *candidates,
+    uint32_t count, const balance_query_t *query, rng_t *rng)
 {
 	handle_t best = candidates[0];
 
 	(void)query;
 	(void)rng;
 	for (uint32_t i = 1; i < count; i++) {
-		if (fleet_at(fleet, candidates[i])->reported <
-		    fleet_at(fleet, best)->reported)
+		if (endpoint_table_at(fleet, candidates[i])->reported_load <
+		    endpoint_table_at(fleet, best)->reported_load)
 			best = candidates[i];
 	}
 	return best;
@@ -163,8 +166,8 @@
 
 /* The state of the turn is the caller's random stream's: see the bench. */
 static handle_t
-round_robin(const fleet_t *fleet, const handle_t *candidates, uint32_t count,
-    const balance_query_t *query, rng_t *rng)
+round_robin(const endpoint_table_t *fleet, const handle_t *candidates,
+    uint32_t count, const balance_query_t *query, rng_t *rng)
 {
 	(void)fleet;
 	(void)query;
@@ -180,14 +183,14 @@
 /* The allowed endpoints with room. @param any receives whether any is allowed
  * @param again also those that were tried */
 static uint32_t
-candidates_find(const fleet_t *fleet, const balance_query_t *query, bool again,
-    handle_t *candidates, bool *any)
+candidates_find(const endpoint_table_t *fleet, const balance_query_t *query,
+    bool again, handle_t *candidates, bool *any)
 {
 	uint32_t count = 0;
 
 	for (handle_t h = 0; h < fleet->endpoints.len && count < CANDIDATES_MAX;
 	     h++) {
-		const endpoint_t *endpoint = fleet_at(fleet, h);
+		const endpoint_t *endpoint = endpoint_table_at(fleet, h);
 
 		if (!balance_allows(endpoint, query) ||
 		    (!again && avoided(query, h)))
@@ -201,44 +204,44 @@
 }
 
 balance_result_t
-balance_pick(const fleet_t *fleet, const balance_policy_t *policy,
+balance_pick(const endpoint_table_t *fleet, const balance_policy_t *policy,
     const balance_query_t *query, rng_t *rng, handle_t *out)
 {
 	handle_t candidates[CANDIDATES_MAX];
 	bool any = false;
 	uint32_t count = candidates_find(fleet, query, false, candidates, &any);
 
-	if (!any && query->avoid_count > 0)
+	if (!any && query->tried_count > 0)
 		count = candidates_find(fleet, query, true, candidates, &any);
 	if (count == 0)
-		return any ? BALANCE_FULL : BALANCE_NONE;
+		return any ? BALANCE_NO_CAPACITY : BALANCE_NO_ENDPOINT;
 	*out = policy->choose(fleet, candidates, count, query, rng);
 	return BALANCE_PICKED;
 }
 
 void
-endpoint_start(endpoint_t *endpoint)
+endpoint_attempt_started(endpoint_t *endpoint)
 {
-	endpoint->inflight++;
+	endpoint->in_flight++;
 	if (endpoint->ejected)
 		endpoint->probing = true;
 }
 
 void
-endpoint_end(endpoint_t *endpoint)
+endpoint_attempt_ended(endpoint_t *endpoint)
 {
-	if (endpoint->inflight > 0)
-		endpoint->inflight--;
+	if (endpoint->in_flight > 0)
+		endpoint->in_flight--;
 	endpoint->probing = false;
 }
 
 void
-endpoint_succeed(
+endpoint_attempt_succeeded(
     endpoint_t *endpoint, double first_token_ms, struct timespec now)
 {
-	endpoint_end(endpoint);
+	endpoint_attempt_ended(endpoint);
 	if (endpoint->ejected)
-		endpoint->since = now;
+		endpoint->slow_start_at = now;
 	endpoint->ejected = false;
 	endpoint->failures = 0;
 	endpoint->ejections = 0;
@@ -252,13 +255,13 @@
 
 /* Whether another endpoint of the same versions may be out as well. */
 static bool
-pool_spares(const fleet_t *fleet, const endpoint_t *endpoint)
+pool_spares(const endpoint_table_t *fleet, const endpoint_t *endpoint)
 {
 	uint32_t pool = 0;
 	uint32_t out = 0;
 
 	for (handle_t h = 0; h < fleet->endpoints.len; h++) {
-		const endpoint_t *other = fleet_at(fleet, h);
+		const endpoint_t *other = endpoint_table_at(fleet, h);
 
 		if (other->state != ENDPOINT_LIVE ||
 		    memcmp(&other->versions, &endpoint->versions,
@@ -271,13 +274,14 @@
 }
 
 bool
-endpoint_fail(fleet_t *fleet, handle_t handle, struct timespec now)
+endpoint_attempt_failed(
+    endpoint_table_t *fleet, handle_t handle, struct timespec now)
 {
-	endpoint_t *endpoint = fleet_at(fleet, handle);
+	endpoint_t *endpoint = endpoint_table_at(fleet, handle);
 	bool was_out = endpoint->ejected;
 	int64_t ms;
 
-	endpoint_end(endpoint);
+	endpoint_attempt_ended(endpoint);
 	if (++endpoint->failures < EJECT_FAILURES)
 		return false;
 	if (!was_out && !pool_spares(fleet, endpoint))
--- a/moortack/route/cascade.c
+++ b/moortack/route/cascade.c
@@ -21,8 +21,8 @@
 cascade_init(
     cascade_t *cascade, int models, const double *priors, double target)
 {
-	*cascade =
-	    (cascade_t){.models = models, .target = target, .bar = target};
+	*cascade = (cascade_t){
+	    .model_count = models, .target = target, .threshold = target};
 	for (int m = 0; m < models; m++) {
 		for (int b = 0; b < CASCADE_BINS; b++) {
 			/* Before any rating, confidence is taken at its word
@@ -30,8 +30,8 @@
 			double chance = priors[m] +
 			    ((b + 0.5) / CASCADE_BINS - 0.5) * (1 - priors[m]);
 
-			cascade->model[m].seen[b] = PRIOR_WEIGHT;
-			cascade->model[m].good[b] = PRIOR_WEIGHT *
+			cascade->models[m].ratings[b] = PRIOR_WEIGHT;
+			cascade->models[m].good_ratings[b] = PRIOR_WEIGHT *
 			    (chance < 0		 ? 0
 				    : chance > 1 ? 1
 						 : chance);
@@ -40,46 +40,48 @@
 }
 
 double
-cascade_chance(const cascade_t *cascade, int model, double confidence)
+cascade_good_probability(const cascade_t *cascade, int model, double confidence)
 {
-	const cascade_model_t *row = &cascade->model[model];
+	const cascade_model_stats_t *row = &cascade->models[model];
 	int bin = bin_of(confidence);
 
-	return row->good[bin] / row->seen[bin];
+	return row->good_ratings[bin] / row->ratings[bin];
 }
 
 bool
 cascade_accepts(const cascade_t *cascade, int model, double confidence)
 {
-	if (model == cascade->models - 1)
+	if (model == cascade->model_count - 1)
 		return true;
-	return cascade_chance(cascade, model, confidence) >= cascade->bar;
+	return cascade_good_probability(cascade, model, confidence) >=
+	    cascade->threshold;
 }
 
 /* The share of the model's answers that would be accepted, by what was seen. */
 static double
 accepted_share(const cascade_t *cascade, int model)
 {
-	const cascade_model_t *row = &cascade->model[model];
+	const cascade_model_stats_t *row = &cascade->models[model];
 	double accepted = 0;
 	double all = 0;
 
 	for (int b = 0; b < CASCADE_BINS; b++) {
-		all += row->seen[b];
-		if (row->good[b] / row->seen[b] >= cascade->bar)
-			accepted += row->seen[b];
+		all += row->ratings[b];
+		if (row->good_ratings[b] / row->ratings[b] >=
+		    cascade->threshold)
+			accepted += row->ratings[b];
 	}
 	return accepted / all;
 }
 
 int
-cascade_first(const cascade_t *cascade, bool explore)
+cascade_first_model(const cascade_t *cascade, bool explore)
 {
-	int last = cascade->models - 1;
+	int last = cascade->model_count - 1;
 
 	for (int m = 0; m < last; m++) {
-		double cost = cascade->model[m].cost;
-		double best = cascade->model[last].cost;
+		double cost = cascade->models[m].mean_cost;
+		double best = cascade->models[last].mean_cost;
 
 		if (explore || cost <= 0 || best <= 0 ||
 		    cost < best * accepted_share(cascade, m) * WORTH_MARGIN)
@@ -89,18 +91,18 @@
 }
 
 int
-cascade_blind(const cascade_t *cascade)
+cascade_single_model(const cascade_t *cascade)
 {
-	int last = cascade->models - 1;
+	int last = cascade->model_count - 1;
 
 	for (int m = 0; m < last; m++) {
-		const cascade_model_t *row = &cascade->model[m];
+		const cascade_model_stats_t *row = &cascade->models[m];
 		double good = 0;
 		double seen = 0;
 
 		for (int b = 0; b < CASCADE_BINS; b++) {
-			good += row->good[b];
-			seen += row->seen[b];
+			good += row->good_ratings[b];
+			seen += row->ratings[b];
 		}
 		if (good >= cascade->target * seen)
 			return m;
@@ -109,47 +111,47 @@
 }
 
 static void
-bin_rate(cascade_model_t *row, int bin, double weight, bool good)
+bin_rate(cascade_model_stats_t *row, int bin, double weight, bool good)
 {
 	if (bin < 0 || bin >= CASCADE_BINS)
 		return;
-	row->seen[bin] += weight;
-	row->good[bin] += good ? weight : 0;
+	row->ratings[bin] += weight;
+	row->good_ratings[bin] += good ? weight : 0;
 }
 
 void
-cascade_rate(cascade_t *cascade, int model, double confidence, bool good)
+cascade_add_rating(cascade_t *cascade, int model, double confidence, bool good)
 {
-	cascade_model_t *row = &cascade->model[model];
+	cascade_model_stats_t *row = &cascade->models[model];
 	int bin = bin_of(confidence);
 
 	for (int b = 0; b < CASCADE_BINS; b++) {
 		/* What was learned fades, so that a change shows; never to
 		 * nothing, so that a chance stays defined. */
-		if (row->seen[b] * FADE < PRIOR_WEIGHT / 2)
+		if (row->ratings[b] * FADE < PRIOR_WEIGHT / 2)
 			continue;
-		row->seen[b] *= FADE;
-		row->good[b] *= FADE;
+		row->ratings[b] *= FADE;
+		row->good_ratings[b] *= FADE;
 	}
 	bin_rate(row, bin, 1, good);
 	bin_rate(row, bin - 1, NEIGHBOUR, good);
 	bin_rate(row, bin + 1, NEIGHBOUR, good);
 	/* Too many bad answers raise the bar, good ones let it down, so that
 	 * it stands still at the target. */
-	cascade->bar += good ? -BAR_STEP * (1 - cascade->target)
-			     : BAR_STEP * cascade->target;
-	if (cascade->bar < BAR_MIN)
-		cascade->bar = BAR_MIN;
-	if (cascade->bar > BAR_MAX)
-		cascade->bar = BAR_MAX;
+	cascade->threshold += good ? -BAR_STEP * (1 - cascade->target)
+				   : BAR_STEP * cascade->target;
+	if (cascade->threshold < BAR_MIN)
+		cascade->threshold = BAR_MIN;
+	if (cascade->threshold > BAR_MAX)
+		cascade->threshold = BAR_MAX;
 }
 
 void
-cascade_cost(cascade_t *cascade, int model, double cost)
+cascade_add_cost(cascade_t *cascade, int model, double cost)
 {
-	cascade_model_t *row = &cascade->model[model];
+	cascade_model_stats_t *row = &cascade->models[model];
 
-	row->cost = row->cost <= 0
+	row->mean_cost = row->mean_cost <= 0
 	    ? cost
-	    : row->cost + COST_SMOOTHING * (cost - row->cost);
+	    : row->mean_cost + COST_SMOOTHING * (cost - row->mean_cost);
 }
--- a/moortack/route/fleet.c
+++ b/moortack/route/fleet.c
@@ -4,30 +4,30 @@
 #include <string.h>
 
 void
-fleet_init(fleet_t *fleet)
+endpoint_table_init(endpoint_table_t *fleet)
 {
 	table_init(&fleet->endpoints, sizeof(endpoint_t));
 }
 
 void
-fleet_finish(fleet_t *fleet)
+endpoint_table_finish(endpoint_table_t *fleet)
 {
 	table_finish(&fleet->endpoints);
 }
 
 endpoint_t *
-fleet_at(const fleet_t *fleet, handle_t handle)
+endpoint_table_at(const endpoint_table_t *fleet, handle_t handle)
 {
 	return table_at(&fleet->endpoints, handle);
 }
 
 handle_t
-fleet_find(const fleet_t *fleet, const char *address)
+endpoint_table_find(const endpoint_table_t *fleet, const char *address)
 {
 	for (handle_t h = 0; h < fleet->endpoints.len; h++) {
-		const endpoint_t *endpoint = fleet_at(fleet, h);
+		const endpoint_t *endpoint = endpoint_table_at(fleet, h);
 
-		if (endpoint->state != ENDPOINT_GONE &&
+		if (endpoint->state != ENDPOINT_REMOVED &&
 		    strcmp(endpoint->address, address) == 0)
 			return h;
 	}
@@ -35,12 +35,13 @@
 }
 
 static handle_t
-row_free(fleet_t *fleet)
+row_free(endpoint_table_t *fleet)
 {
 	for (handle_t h = 0; h < fleet->endpoints.len; h++) {
-		const endpoint_t *endpoint = fleet_at(fleet, h);
+		const endpoint_t *endpoint = endpoint_table_at(fleet, h);
 
-		if (endpoint->state == ENDPOINT_GONE && endpoint->inflight == 0)
+		if (endpoint->state == ENDPOINT_REMOVED &&
+		    endpoint->in_flight == 0)
 			return h;
 	}
 	return table_add(&fleet->endpoints) != NULL ? fleet->endpoints.len - 1
@@ -48,25 +49,25 @@
 }
 
 void
-fleet_list_begin(fleet_t *fleet)
+endpoint_table_update_begin(endpoint_table_t *fleet)
 {
 	for (handle_t h = 0; h < fleet->endpoints.len; h++)
-		fleet_at(fleet, h)->listed = false;
+		endpoint_table_at(fleet, h)->listed = false;
 }
 
 static handle_t
-endpoint_add(
-    fleet_t *fleet, const char *address, const char *place, struct timespec now)
+endpoint_add(endpoint_table_t *fleet, const char *address, const char *place,
+    struct timespec now)
 {
 	handle_t handle = row_free(fleet);
-	endpoint_t *endpoint = fleet_at(fleet, handle);
+	endpoint_t *endpoint = endpoint_table_at(fleet, handle);
 
 	if (endpoint == NULL)
 		return HANDLE_NONE;
 	*endpoint = (endpoint_t){.state = ENDPOINT_LIVE,
 	    .place = HANDLE_NONE,
 	    .slots = ENDPOINT_DEFAULT_SLOTS,
-	    .since = now};
+	    .slow_start_at = now};
 	snprintf(endpoint->address, sizeof(endpoint->address), "%s", address);
 	snprintf(
 	    endpoint->place_name, sizeof(endpoint->place_name), "%s", place);
@@ -74,32 +75,32 @@
 }
 
 handle_t
-fleet_list(fleet_t *fleet, const char *address, const char *place, bool leaving,
-    struct timespec now)
+endpoint_table_update_entry(endpoint_table_t *fleet, const char *address,
+    const char *place, bool leaving, struct timespec now)
 {
-	handle_t handle = fleet_find(fleet, address);
+	handle_t handle = endpoint_table_find(fleet, address);
 
 	if (handle == HANDLE_NONE)
 		handle = endpoint_add(fleet, address, place, now);
 	if (handle == HANDLE_NONE)
 		return HANDLE_NONE;
-	fleet_at(fleet, handle)->listed = true;
+	endpoint_table_at(fleet, handle)->listed = true;
 	if (leaving)
-		endpoint_leave(fleet_at(fleet, handle));
+		endpoint_mark_leaving(endpoint_table_at(fleet, handle));
 	return handle;
 }
 
 void
-fleet_list_end(fleet_t *fleet)
+endpoint_table_update_end(endpoint_table_t *fleet)
 {
 	for (handle_t h = 0; h < fleet->endpoints.len; h++) {
-		endpoint_t *endpoint = fleet_at(fleet, h);
+		endpoint_t *endpoint = endpoint_table_at(fleet, h);
 
 		if (endpoint->listed)
 			continue;
-		endpoint_leave(endpoint);
-		if (endpoint->inflight == 0)
-			endpoint->state = ENDPOINT_GONE;
+		endpoint_mark_leaving(endpoint);
+		if (endpoint->in_flight == 0)
+			endpoint->state = ENDPOINT_REMOVED;
 	}
 }
 
@@ -118,23 +119,23 @@
 }
 
 bool
-fleet_report(
-    fleet_t *fleet, const load_report_t *report, const config_t *config)
+endpoint_table_apply_report(endpoint_table_t *fleet,
+    const load_report_t *report, const config_t *config)
 {
-	endpoint_t *endpoint =
-	    fleet_at(fleet, fleet_find(fleet, report->address));
+	endpoint_t *endpoint = endpoint_table_at(
+	    fleet, endpoint_table_find(fleet, report->address));
 	bool leaves;
 
-	if (endpoint == NULL || !report->answered)
+	if (endpoint == NULL || !report->responded)
 		return false;
 	leaves = report->leaving && endpoint->state == ENDPOINT_LIVE;
 	if (leaves)
-		endpoint_leave(endpoint);
-	endpoint->reported_once = true;
+		endpoint_mark_leaving(endpoint);
+	endpoint->load_reported = true;
 	endpoint->slots = report->slots > 0 ? report->slots : 1;
-	endpoint->reported = report->running + report->queued;
-	endpoint->inflight_at_report = endpoint->inflight;
-	if (report->lists_versions) {
+	endpoint->reported_load = report->running + report->queued;
+	endpoint->in_flight_at_report = endpoint->in_flight;
+	if (report->has_versions) {
 		memcpy(endpoint->version_names, report->version_names,
 		    sizeof(endpoint->version_names));
 		endpoint->version_count = report->version_count;
@@ -144,21 +145,21 @@
 }
 
 void
-fleet_resolve(fleet_t *fleet, const config_t *config)
+endpoint_table_resolve(endpoint_table_t *fleet, const config_t *config)
 {
 	for (handle_t h = 0; h < fleet->endpoints.len; h++)
-		endpoint_resolve(fleet_at(fleet, h), config);
+		endpoint_resolve(endpoint_table_at(fleet, h), config);
 }
 
 void
-endpoint_leave(endpoint_t *endpoint)
+endpoint_mark_leaving(endpoint_t *endpoint)
 {
 	if (endpoint->state == ENDPOINT_LIVE)
 		endpoint->state = ENDPOINT_LEAVING;
 }
 
 void
-endpoint_serve(endpoint_t *endpoint, const char *version)
+endpoint_add_version(endpoint_t *endpoint, const char *version)
 {
 	for (uint32_t i = 0; i < endpoint->version_count; i++) {
 		if (strcmp(endpoint->version_names[i], version) == 0)
--- a/moortack/route/guard.c
+++ b/moortack/route/guard.c
@@ -15,46 +15,46 @@
 void
 guard_init(guard_t *guard)
 {
-	*guard = (guard_t){.limit = LIMIT_ALL};
-	table_init(&guard->bases, sizeof(guard_base_t));
-	table_init(&guard->rows, sizeof(guard_row_t));
+	*guard = (guard_t){.threshold = LIMIT_ALL};
+	table_init(&guard->baselines, sizeof(guard_baseline_t));
+	table_init(&guard->versions, sizeof(guard_version_t));
 }
 
 void
 guard_finish(guard_t *guard)
 {
-	table_finish(&guard->bases);
-	table_finish(&guard->rows);
+	table_finish(&guard->baselines);
+	table_finish(&guard->versions);
 }
 
-static guard_base_t *
+static guard_baseline_t *
 base_of(guard_t *guard, const char *model)
 {
-	guard_base_t *base;
+	guard_baseline_t *base;
 
-	for (handle_t h = 0; h < guard->bases.len; h++) {
-		base = table_at(&guard->bases, h);
+	for (handle_t h = 0; h < guard->baselines.len; h++) {
+		base = table_at(&guard->baselines, h);
 		if (strcmp(base->model, model) == 0)
 			return base;
 	}
-	base = table_add(&guard->bases);
+	base = table_add(&guard->baselines);
 	if (base != NULL)
 		snprintf(base->model, sizeof(base->model), "%s", model);
 	return base;
 }
 
-static guard_row_t *
+static guard_version_t *
 row_of(guard_t *guard, const char *version, const char *organisation)
 {
-	guard_row_t *row;
+	guard_version_t *row;
 
-	for (handle_t h = 0; h < guard->rows.len; h++) {
-		row = table_at(&guard->rows, h);
+	for (handle_t h = 0; h < guard->versions.len; h++) {
+		row = table_at(&guard->versions, h);
 		if (strcmp(row->version, version) == 0 &&
 		    strcmp(row->organisation, organisation) == 0)
 			return row;
 	}
-	row = table_add(&guard->rows);
+	row = table_add(&guard->versions);
 	if (row == NULL)
 		return NULL;
 	snprintf(row->version, sizeof(row->version), "%s", version);
@@ -64,10 +64,10 @@
 }
 
 static double
-base_rate(const guard_base_t *base, guard_signal_t signal)
+base_rate(const guard_baseline_t *base, guard_signal_t signal)
 {
-	double rate =
-	    (base->bad[signal] + PRIOR_BAD) / (base->seen[signal] + PRIOR_SEEN);
+	double rate = (base->bad[signal] + PRIOR_BAD) /
+	    (base->samples[signal] + PRIOR_SEEN);
 
 	return rate < RATE_MAX ? rate : RATE_MAX;
 }
@@ -84,7 +84,8 @@
 }
 
 static bool
-row_add(guard_row_t *row, const guard_sample_t *sample, double by, double limit)
+row_add(
+    guard_version_t *row, const guard_sample_t *sample, double by, double limit)
 {
 	guard_signal_t signal = sample->signal;
 
@@ -94,30 +95,30 @@
 	if (row->sums[signal] < 0)
 		row->sums[signal] = 0;
 	row->stopped = row->sums[signal] >= limit;
-	row->stopped_at = sample->revision;
+	row->stopped_revision = sample->revision;
 	return row->stopped;
 }
 
 bool
 guard_observe(guard_t *guard, const guard_sample_t *sample)
 {
-	guard_base_t *base = base_of(guard, sample->model);
+	guard_baseline_t *base = base_of(guard, sample->model);
 	double by;
 	bool all, one;
 
 	if (base == NULL)
 		return false;
-	if (sample->baseline) {
+	if (sample->is_baseline) {
 		base->bad[sample->signal] *= FADE;
-		base->seen[sample->signal] *= FADE;
+		base->samples[sample->signal] *= FADE;
 		base->bad[sample->signal] += sample->bad;
-		base->seen[sample->signal] += 1;
+		base->samples[sample->signal] += 1;
 	}
 	by = evidence(base_rate(base, sample->signal), sample->bad);
 	all = row_add(
-	    row_of(guard, sample->version, ""), sample, by, guard->limit);
+	    row_of(guard, sample->version, ""), sample, by, guard->threshold);
 	one = row_add(row_of(guard, sample->version, sample->organisation),
-	    sample, by, guard->limit + LIMIT_ONE);
+	    sample, by, guard->threshold + LIMIT_ONE);
 	return all || one;
 }
 
@@ -125,38 +126,38 @@
 guard_stop(guard_t *guard, const char *version, const char *organisation,
     uint64_t revision)
 {
-	guard_row_t *row = row_of(guard, version, organisation);
+	guard_version_t *row = row_of(guard, version, organisation);
 
-	if (row == NULL || row->stopped || row->changed_at > revision)
+	if (row == NULL || row->stopped || row->changed_revision > revision)
 		return false;
 	row->stopped = true;
-	row->stopped_at = revision;
+	row->stopped_revision = revision;
 	return true;
 }
 
 void
-guard_forget(guard_t *guard, const char *version, uint64_t revision)
+guard_reset_version(guard_t *guard, const char *version, uint64_t revision)
 {
-	for (handle_t h = 0; h < guard->rows.len; h++) {
-		guard_row_t *row = table_at(&guard->rows, h);
+	for (handle_t h = 0; h < guard->versions.len; h++) {
+		guard_version_t *row = table_at(&guard->versions, h);
 
 		if (strcmp(row->version, version) != 0)
 			continue;
-		row->changed_at = revision;
+		row->changed_revision = revision;
 		memset(row->sums, 0, sizeof(row->sums));
-		if (row->stopped_at < revision)
+		if (row->stopped_revision < revision)
 			row->stopped = false;
 	}
 }
 
 version_set_t
-guard_stopped(
+guard_stopped_versions(
     const guard_t *guard, const config_t *config, const char *organisation)
 {
 	version_set_t set = {0};
 
-	for (handle_t h = 0; h < guard->rows.len; h++) {
-		const guard_row_t *row = table_at(&guard->rows, h);
+	for (handle_t h = 0; h < guard->versions.len; h++) {
+		const guard_version_t *row = table_at(&guard->versions, h);
 		handle_t version;
 
 		if (!row->stopped ||
--- a/moortack/route/learn.c
+++ b/moortack/route/learn.c
@@ -5,15 +5,15 @@
 #include <string.h>
 
 void
-learn_init(learn_t *learn)
+feedback_init(feedback_t *learn)
 {
 	guard_init(&learn->guard);
-	table_init(&learn->cascades, sizeof(learn_cascade_t));
-	learn->recent_count = 0;
+	table_init(&learn->cascades, sizeof(organisation_cascade_t));
+	learn->response_count = 0;
 }
 
 void
-learn_finish(learn_t *learn)
+feedback_finish(feedback_t *learn)
 {
 	guard_finish(&learn->guard);
 	table_finish(&learn->cascades);
@@ -48,7 +48,7 @@
 		int at = count;
 
 		if (!model_usable(config, organisation, m) ||
-		    count == CASCADE_MODELS)
+		    count == CASCADE_MODELS_MAX)
 			continue;
 		while (at > 0 &&
 		    config_model_at(config, out[at - 1])->cost >
@@ -62,11 +62,11 @@
 	return count;
 }
 
-static learn_cascade_t *
-cascade_find(learn_t *learn, const char *organisation)
+static organisation_cascade_t *
+cascade_find(feedback_t *learn, const char *organisation)
 {
 	for (handle_t h = 0; h < learn->cascades.len; h++) {
-		learn_cascade_t *row = table_at(&learn->cascades, h);
+		organisation_cascade_t *row = table_at(&learn->cascades, h);
 
 		if (strcmp(row->organisation, organisation) == 0)
 			return row;
@@ -75,13 +75,13 @@
 }
 
 static bool
-models_same(const learn_cascade_t *row, const config_t *config,
+models_same(const organisation_cascade_t *row, const config_t *config,
     const handle_t *models, int count)
 {
-	if (row->cascade.models != count)
+	if (row->cascade.model_count != count)
 		return false;
 	for (int m = 0; m < count; m++) {
-		if (strcmp(row->models[m],
+		if (strcmp(row->model_names[m],
 			config_model_at(config, models[m])->name) != 0)
 			return false;
 	}
@@ -89,16 +89,17 @@
 }
 
 static void
-cascade_make(learn_cascade_t *row, const config_t *config,
+cascade_make(organisation_cascade_t *row, const config_t *config,
     const organisation_t *organisation, const handle_t *models, int count)
 {
-	double priors[CASCADE_MODELS];
+	double priors[CASCADE_MODELS_MAX];
 
 	for (int m = 0; m < count; m++) {
 		const model_t *model = config_model_at(config, models[m]);
 
 		priors[m] = (double)model->quality / CONFIG_QUALITY_FULL;
-		memcpy(row->models[m], model->name, sizeof(row->models[m]));
+		memcpy(row->model_names[m], model->name,
+		    sizeof(row->model_names[m]));
 	}
 	memcpy(
 	    row->organisation, organisation->name, sizeof(row->organisation));
@@ -106,23 +107,23 @@
 	    (double)organisation->quality / CONFIG_QUALITY_FULL);
 }
 
-learn_cascade_t *
-learn_cascade(learn_t *learn, const config_t *config, handle_t handle)
+organisation_cascade_t *
+feedback_get_cascade(feedback_t *learn, const config_t *config, handle_t handle)
 {
 	const organisation_t *organisation =
 	    config_organisation_at(config, handle);
-	learn_cascade_t *row = cascade_find(learn, organisation->name);
-	handle_t models[CASCADE_MODELS];
+	organisation_cascade_t *row = cascade_find(learn, organisation->name);
+	handle_t models[CASCADE_MODELS_MAX];
 	int count;
 
-	if (row != NULL && row->revision == config->revision)
-		return row->cascade.models > 0 ? row : NULL;
+	if (row != NULL && row->models_revision == config->revision)
+		return row->cascade.model_count > 0 ? row : NULL;
 	count = models_list(config, organisation, models);
 	if (row == NULL)
 		row = table_add(&learn->cascades);
 	if (row == NULL)
 		return NULL;
-	row->revision = config->revision;
+	row->models_revision = config->revision;
 	if (!models_same(row, config, models, count) ||
 	    row->cascade.target !=
 		(double)organisation->quality / CONFIG_QUALITY_FULL)
@@ -131,37 +132,41 @@
 }
 
 void
-learn_answer(learn_t *learn, const learn_recent_t *answer)
+feedback_add_response(feedback_t *learn, const recent_response_t *answer)
 {
-	learn->recent[learn->recent_count++ % LEARN_RECENT] = *answer;
+	learn->responses[learn->response_count++ % FEEDBACK_RESPONSES_MAX] =
+	    *answer;
 }
 
-const learn_recent_t *
-learn_recent(const learn_t *learn, const char *request)
+const recent_response_t *
+feedback_find_response(const feedback_t *learn, const char *request)
 {
-	uint64_t kept = learn->recent_count < LEARN_RECENT ? learn->recent_count
-							   : LEARN_RECENT;
+	uint64_t kept = learn->response_count < FEEDBACK_RESPONSES_MAX
+	    ? learn->response_count
+	    : FEEDBACK_RESPONSES_MAX;
 
 	for (uint64_t i = 0; i < kept; i++) {
-		if (strcmp(learn->recent[i].request, request) == 0)
-			return &learn->recent[i];
+		if (strcmp(learn->responses[i].request_id, request) == 0)
+			return &learn->responses[i];
 	}
 	return NULL;
 }
 
 void
-learn_rating(learn_t *learn, const learn_recent_t *answer, bool good)
+feedback_add_rating(
+    feedback_t *learn, const recent_response_t *answer, bool good)
 {
-	learn_cascade_t *row = cascade_find(learn, answer->organisation);
+	organisation_cascade_t *row = cascade_find(learn, answer->organisation);
 
-	if (row != NULL && answer->model >= 0 &&
-	    answer->model < row->cascade.models)
-		cascade_rate(
-		    &row->cascade, answer->model, answer->confidence, good);
+	if (row != NULL && answer->model_index >= 0 &&
+	    answer->model_index < row->cascade.model_count)
+		cascade_add_rating(&row->cascade, answer->model_index,
+		    answer->confidence, good);
 }
 
 void
-learn_config(learn_t *learn, const config_t *before, const config_t *after)
+feedback_config_changed(
+    feedback_t *learn, const config_t *before, const config_t *after)
 {
 	for (handle_t v = 0; v < after->versions.len; v++) {
 		const version_t *new = config_version_at(after, v);
@@ -170,6 +175,7 @@
 
 		if (old == NULL || old->state != new->state ||
 		    old->percent != new->percent)
-			guard_forget(&learn->guard, new->name, after->revision);
+			guard_reset_version(
+			    &learn->guard, new->name, after->revision);
 	}
 }
--- a/moortack/route/rollout.c
+++ b/moortack/route/rollout.c
@@ -31,8 +31,8 @@
 }
 
 handle_t
-rollout_choose(const config_t *config, handle_t organisation, handle_t model,
-    uint64_t session, const version_set_t *stopped)
+rollout_select_version(const config_t *config, handle_t organisation,
+    handle_t model, uint64_t session, const version_set_t *stopped)
 {
 	const organisation_t *row =
 	    config_organisation_at(config, organisation);
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -12,10 +12,10 @@
 #define FRESH_READS 32
 #define READING_MAX 64
 
-struct watch {
+struct endpoint_poller {
 	process_t process;
 	const options_t *options;
-	watch_ports_t ports;
+	endpoint_poller_sink_t ports;
 	http_address_t list_address;
 	struct event *list_tick;
 	struct event *load_tick;
@@ -32,7 +32,7 @@
 };
 
 typedef struct load_read {
-	watch_t *watch;
+	endpoint_poller_t *watch;
 	char address[ENDPOINT_ADDRESS_SIZE];
 } load_read_t;
 
@@ -44,7 +44,7 @@
 
 /* The list's tag, so that it is sent again only once it has changed. */
 static void
-list_etag_take(watch_t *watch, const http_reply_t *reply)
+list_etag_take(endpoint_poller_t *watch, const http_reply_t *reply)
 {
 	const char *etag = evhttp_find_header(reply->headers, "ETag");
 
@@ -55,7 +55,7 @@
 static void
 list_read(void *arg, const http_reply_t *reply)
 {
-	watch_t *watch = arg;
+	endpoint_poller_t *watch = arg;
 	json_t *body = reply->status == 200 ? http_reply_json(reply) : NULL;
 	json_t *vms = json_object_get(body, "vms");
 
@@ -66,7 +66,7 @@
 		json_decref(watch->vms);
 		watch->vms = json_incref(vms);
 		watch->fresh = json_array_size(vms);
-		task_post(watch->ports.front, watch->ports.list,
+		task_post(watch->ports.front, watch->ports.list_kind,
 		    json_incref(vms), json_release);
 	}
 	json_decref(body);
@@ -75,7 +75,7 @@
 static void
 list_ticked(evutil_socket_t fd, short what, void *arg)
 {
-	watch_t *watch = arg;
+	endpoint_poller_t *watch = arg;
 	const http_header_t headers[] = {
 	    {"If-None-Match", watch->list_etag}, {NULL, NULL}};
 	const http_call_t call = {.address = &watch->list_address,
@@ -105,7 +105,7 @@
 	const char *name;
 	json_t *fence;
 
-	report->lists_versions = json_is_object(versions);
+	report->has_versions = json_is_object(versions);
 	json_object_foreach((json_t *)versions, name, fence)
 	{
 		if (report->version_count == ENDPOINT_VERSIONS_MAX)
@@ -125,22 +125,22 @@
 	read->watch->reading--;
 	if (report != NULL) {
 		memcpy(report->address, read->address, sizeof(read->address));
-		report->answered = json_is_object(body);
+		report->responded = json_is_object(body);
 		report->leaving =
 		    json_is_true(json_object_get(body, "leaving"));
 		report->running = count_of(body, "running");
 		report->queued = count_of(body, "queued");
 		report->slots = count_of(body, "slots");
 		versions_take(json_object_get(body, "versions"), report);
-		task_post(read->watch->ports.front, read->watch->ports.load,
-		    report, NULL);
+		task_post(read->watch->ports.front,
+		    read->watch->ports.load_kind, report, NULL);
 	}
 	json_decref(body);
 	free(read);
 }
 
 static void
-load_start(watch_t *watch, const char *address)
+load_start(endpoint_poller_t *watch, const char *address)
 {
 	load_read_t *read = calloc(1, sizeof(*read));
 	http_address_t http;
@@ -167,7 +167,7 @@
 static void
 load_ticked(evutil_socket_t fd, short what, void *arg)
 {
-	watch_t *watch = arg;
+	endpoint_poller_t *watch = arg;
 	size_t count = json_array_size(watch->vms);
 	uint32_t left = watch->fresh > 0 ? FRESH_READS
 					 : (uint32_t)watch->options->load_reads;
@@ -191,14 +191,14 @@
 static void
 ratings_read(void *arg, const http_reply_t *reply)
 {
-	watch_t *watch = arg;
+	endpoint_poller_t *watch = arg;
 	json_t *body = reply->status == 200 ? http_reply_json(reply) : NULL;
 	json_t *ratings = json_object_get(body, "ratings");
 
 	watch->rating_pending = false;
 	if (json_array_size(ratings) > 0) {
 		watch->ratings_read += json_array_size(ratings);
-		task_post(watch->ports.front, watch->ports.ratings,
+		task_post(watch->ports.front, watch->ports.ratings_kind,
 		    json_incref(ratings), json_release);
 	}
 	json_decref(body);
@@ -207,7 +207,7 @@
 static void
 rating_ticked(evutil_socket_t fd, short what, void *arg)
 {
-	watch_t *watch = arg;
+	endpoint_poller_t *watch = arg;
 	char path[64];
 	const http_call_t call = {.address = &watch->rating_address,
 	    .method = EVHTTP_REQ_GET,
@@ -224,7 +224,7 @@
 }
 
 static struct event *
-tick_new(watch_t *watch, event_callback_fn callback, int64_t ms)
+tick_new(endpoint_poller_t *watch, event_callback_fn callback, int64_t ms)
 {
 	struct timeval interval = {
 	    ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
@@ -236,11 +236,11 @@
 	return event;
 }
 
-watch_t *
-watch_new(const process_t *process, const options_t *options,
-    const watch_ports_t *ports, err_t *err)
+endpoint_poller_t *
+endpoint_poller_new(const process_t *process, const options_t *options,
+    const endpoint_poller_sink_t *ports, err_t *err)
 {
-	watch_t *watch = calloc(1, sizeof(*watch));
+	endpoint_poller_t *watch = calloc(1, sizeof(*watch));
 
 	if (watch == NULL) {
 		err_set(err, ERR_MEMORY, "no memory");
@@ -260,7 +260,7 @@
 }
 
 void
-watch_free(watch_t *watch)
+endpoint_poller_free(endpoint_poller_t *watch)
 {
 	event_free(watch->list_tick);
 	event_free(watch->load_tick);
--- a/moortackd/main.c
+++ b/moortackd/main.c
@@ -33,7 +33,7 @@
 	front_t *front;
 	billing_t *billing;
 	witness_task_t *witnesses;
-	watch_t *watch;
+	endpoint_poller_t *watch;
 	struct event *term;
 	struct event *interrupt;
 	struct event *drain_end;
@@ -137,9 +137,9 @@
 		FRONT_FRESH, FRONT_MEMBERS, FRONT_ADMIN,
 		billing_task(daemon->billing), billing_members_kind()},
 	    err);
-	daemon->watch = watch_new(process, options,
-	    &(watch_ports_t){front_task(daemon->front), FRONT_VMS, FRONT_LOAD,
-		FRONT_RATINGS},
+	daemon->watch = endpoint_poller_new(process, options,
+	    &(endpoint_poller_sink_t){front_task(daemon->front), FRONT_VMS,
+		FRONT_LOAD, FRONT_RATINGS},
 	    err);
 	if (daemon->registry == NULL || daemon->watch == NULL)
 		return false;
@@ -168,7 +168,7 @@
 	event_free(daemon->interrupt);
 	event_free(daemon->drain_end);
 	http_calls_end(daemon->process.base);
-	watch_free(daemon->watch);
+	endpoint_poller_free(daemon->watch);
 	registry_free(daemon->registry);
 	witness_task_free(daemon->witnesses);
 	billing_free(daemon->billing);
--- a/test/unit/admission_test.c
+++ b/test/unit/admission_test.c
@@ -23,8 +23,9 @@
 static waiter_t
 waiter(class_t class, int64_t since_ms, int64_t deadline_ms)
 {
-	return (waiter_t){
-	    .class = class, .since = at(since_ms), .deadline = at(deadline_ms)};
+	return (waiter_t){.class = class,
+	    .arrived_at = at(since_ms),
+	    .deadline = at(deadline_ms)};
 }
 
 static void
@@ -35,13 +36,13 @@
 
 	(void)state;
 	admission_init(&admission, 10, CUTOFF_MS);
-	assert_true(admission_wait(&admission, &oldest));
-	assert_true(admission_open(&admission, CLASS_SHEDDABLE, 1, at(99)));
-	assert_false(admission_open(&admission, CLASS_SHEDDABLE, 1, at(100)));
-	assert_false(admission_open(&admission, CLASS_MEDIUM, 1, at(200)));
-	assert_false(admission_open(&admission, CLASS_HIGH, 1, at(400)));
-	assert_true(admission_open(&admission, CLASS_CRITICAL, 1, at(799)));
-	assert_false(admission_open(&admission, CLASS_CRITICAL, 1, at(800)));
+	assert_true(admission_enqueue(&admission, &oldest));
+	assert_true(admission_allows(&admission, CLASS_SHEDDABLE, 1, at(99)));
+	assert_false(admission_allows(&admission, CLASS_SHEDDABLE, 1, at(100)));
+	assert_false(admission_allows(&admission, CLASS_MEDIUM, 1, at(200)));
+	assert_false(admission_allows(&admission, CLASS_HIGH, 1, at(400)));
+	assert_true(admission_allows(&admission, CLASS_CRITICAL, 1, at(799)));
+	assert_false(admission_allows(&admission, CLASS_CRITICAL, 1, at(800)));
 }
 
 static void
@@ -52,9 +53,10 @@
 
 	(void)state;
 	admission_init(&admission, 10, CUTOFF_MS);
-	assert_true(admission_wait(&admission, &old));
-	assert_true(admission_open(&admission, CLASS_CRITICAL, 1, at(5000)));
-	assert_false(admission_open(&admission, CLASS_SHEDDABLE, 1, at(5000)));
+	assert_true(admission_enqueue(&admission, &old));
+	assert_true(admission_allows(&admission, CLASS_CRITICAL, 1, at(5000)));
+	assert_false(
+	    admission_allows(&admission, CLASS_SHEDDABLE, 1, at(5000)));
 }
 
 static void
@@ -66,13 +68,13 @@
 	(void)state;
 	admission_init(&admission, 10, CUTOFF_MS);
 	old.pool = 3;
-	assert_true(admission_wait(&admission, &old));
-	assert_false(
-	    admission_open(&admission, CLASS_HIGH, UINT64_C(1) << 3, at(900)));
-	assert_true(
-	    admission_open(&admission, CLASS_HIGH, UINT64_C(1) << 4, at(900)));
-	assert_true(
-	    admission_open(&admission, CLASS_HIGH, UINT64_C(3) << 3, at(900)));
+	assert_true(admission_enqueue(&admission, &old));
+	assert_false(admission_allows(
+	    &admission, CLASS_HIGH, UINT64_C(1) << 3, at(900)));
+	assert_true(admission_allows(
+	    &admission, CLASS_HIGH, UINT64_C(1) << 4, at(900)));
+	assert_true(admission_allows(
+	    &admission, CLASS_HIGH, UINT64_C(3) << 3, at(900)));
 }
 
 static void
@@ -85,18 +87,18 @@
 
 	(void)state;
 	admission_init(&admission, 3, CUTOFF_MS);
-	assert_true(admission_wait(&admission, &a));
-	assert_true(admission_wait(&admission, &b));
-	assert_true(admission_wait(&admission, &c));
-	assert_false(
-	    admission_wait(&admission, &(waiter_t){.class = CLASS_CRITICAL}));
+	assert_true(admission_enqueue(&admission, &a));
+	assert_true(admission_enqueue(&admission, &b));
+	assert_true(admission_enqueue(&admission, &c));
+	assert_false(admission_enqueue(
+	    &admission, &(waiter_t){.class = CLASS_CRITICAL}));
 	assert_ptr_equal(admission_next(&admission, NULL), &b);
 	assert_ptr_equal(admission_next(&admission, &b), &c);
 	assert_ptr_equal(admission_next(&admission, &c), &a);
 	assert_null(admission_next(&admission, &a));
-	admission_leave(&admission, &b);
-	admission_leave(&admission, &b);
-	assert_int_equal(admission.count, 2);
+	admission_remove(&admission, &b);
+	admission_remove(&admission, &b);
+	assert_int_equal(admission.waiting_count, 2);
 	assert_ptr_equal(admission_next(&admission, NULL), &c);
 }
 
@@ -109,11 +111,11 @@
 
 	(void)state;
 	admission_init(&admission, 10, CUTOFF_MS);
-	assert_true(admission_wait(&admission, &late));
-	assert_true(admission_wait(&admission, &old));
+	assert_true(admission_enqueue(&admission, &late));
+	assert_true(admission_enqueue(&admission, &old));
 	assert_null(admission_overdue(&admission, at(49)));
 	assert_ptr_equal(admission_overdue(&admission, at(50)), &late);
-	admission_leave(&admission, &late);
+	admission_remove(&admission, &late);
 	assert_ptr_equal(admission_overdue(&admission, at(100)), &old);
 }
 
@@ -134,17 +136,17 @@
 static void
 rate_refills(void **state)
 {
-	rate_t rate = {0};
+	rate_limiter_t rate = {0};
 	int64_t wait_ms;
 
 	(void)state;
 	for (int i = 0; i < 10; i++)
-		assert_true(rate_take(&rate, 10, at(0), &wait_ms));
-	assert_false(rate_take(&rate, 10, at(0), &wait_ms));
+		assert_true(rate_limiter_acquire(&rate, 10, at(0), &wait_ms));
+	assert_false(rate_limiter_acquire(&rate, 10, at(0), &wait_ms));
 	assert_in_range(wait_ms, 99, 101);
-	assert_true(rate_take(&rate, 10, at(101), &wait_ms));
-	assert_false(rate_take(&rate, 10, at(102), &wait_ms));
-	assert_true(rate_take(&rate, 0, at(102), &wait_ms));
+	assert_true(rate_limiter_acquire(&rate, 10, at(101), &wait_ms));
+	assert_false(rate_limiter_acquire(&rate, 10, at(102), &wait_ms));
+	assert_true(rate_limiter_acquire(&rate, 0, at(102), &wait_ms));
 }
 
 int
