--- a/moortack/route/balance.c
+++ b/moortack/route/balance.c
@@ -5,8 +5,8 @@
 #define CANDIDATES_MAX 1024
 #define OVERCOMMIT_PERCENT 150 /* of its slots: the rest queues there */
 #define REMOTE_FACTOR 1.3      /* another place costs a round trip */
-#define HINT_FACTOR 0.6	       /* a cached prefix saves the prefill */
-#define DEFAULT_FIRST_MS 20.0
+#define PREFIX_FACTOR 0.6      /* a cached prefix saves the prefill */
+#define DEFAULT_FIRST_TOKEN_MS 20.0
 #define SMOOTHING 0.2
 #define SLOW_START_MS 5000
 #define SLOW_START_FACTOR 4.0
@@ -52,7 +52,7 @@
 }
 
 static bool
-endpoint_out(const endpoint_t *endpoint, struct timespec now)
+ejection_in_effect(const endpoint_t *endpoint, struct timespec now)
 {
 	if (!endpoint->ejected)
 		return false;
@@ -61,7 +61,7 @@
 }
 
 static bool
-avoided(const balance_query_t *query, handle_t handle)
+endpoint_was_tried(const balance_query_t *query, handle_t handle)
 {
 	for (uint32_t i = 0; i < query->tried_count; i++) {
 		if (query->tried_endpoints[i] == handle)
@@ -86,12 +86,12 @@
  * What others have is left out: reports of it are as old as a request is long,
  * and all daemons would go by the same ones (docs/MEASUREMENTS.md, balance). */
 static double
-endpoint_cost(const endpoint_table_t *fleet, handle_t handle,
+endpoint_cost(const endpoint_table_t *table, handle_t handle,
     const balance_query_t *query)
 {
-	const endpoint_t *endpoint = endpoint_table_at(fleet, handle);
+	const endpoint_t *endpoint = endpoint_table_at(table, handle);
 	double first = endpoint->first_token_ms > 0 ? endpoint->first_token_ms
-						    : DEFAULT_FIRST_MS;
+						    : DEFAULT_FIRST_TOKEN_MS;
 	double cost =
 	    first * (endpoint->in_flight + 1) / (double)endpoint->slots;
 
@@ -99,16 +99,16 @@
 	    query->preferred_place != HANDLE_NONE)
 		cost *= REMOTE_FACTOR;
 	if (handle == query->prefix_endpoint)
-		cost *= HINT_FACTOR;
+		cost *= PREFIX_FACTOR;
 	return cost * slow_start_factor(endpoint, query->now);
 }
 
 static bool
-hint_usable(const endpoint_table_t *fleet, const handle_t *candidates,
-    uint32_t count, const balance_query_t *query)
+prefix_endpoint_usable(const endpoint_table_t *table,
+    const handle_t *candidates, uint32_t count, const balance_query_t *query)
 {
 	const endpoint_t *endpoint =
-	    endpoint_table_at(fleet, query->prefix_endpoint);
+	    endpoint_table_at(table, query->prefix_endpoint);
 
 	/* A hot endpoint sheds its sessions: the prefix isn't worth a queue. */
 	if (endpoint == NULL || endpoint_load(endpoint) >= endpoint->slots)
@@ -123,33 +123,33 @@
 /* The endpoint with the prompt's prefix is a third choice, and no more: going
  * there whenever it isn't full doubled the 99th percentile. */
 static handle_t
-two_choices(const endpoint_table_t *fleet, const handle_t *candidates,
+two_choices(const endpoint_table_t *table, const handle_t *candidates,
     uint32_t count, const balance_query_t *query, rng_t *rng)
 {
 	handle_t best = candidates[rng_below(rng, count)];
 	handle_t other = candidates[rng_below(rng, count)];
 
-	if (endpoint_cost(fleet, other, query) <
-	    endpoint_cost(fleet, best, query))
+	if (endpoint_cost(table, other, query) <
+	    endpoint_cost(table, best, query))
 		best = other;
-	if (hint_usable(fleet, candidates, count, query) &&
-	    endpoint_cost(fleet, query->prefix_endpoint, query) <=
-		endpoint_cost(fleet, best, query))
+	if (prefix_endpoint_usable(table, candidates, count, query) &&
+	    endpoint_cost(table, query->prefix_endpoint, query) <=
+		endpoint_cost(table, best, query))
 		best = query->prefix_endpoint;
 	return best;
 }
 
 static handle_t
-random_choice(const endpoint_table_t *fleet, const handle_t *candidates,
+random_choice(const endpoint_table_t *table, const handle_t *candidates,
     uint32_t count, const balance_query_t *query, rng_t *rng)
 {
-	(void)fleet;
+	(void)table;
 	(void)query;
 	return candidates[rng_below(rng, count)];
 }
 
 static handle_t
-least_reported(const endpoint_table_t *fleet, const handle_t *candidates,
+least_reported(const endpoint_table_t *table, const handle_t *candidates,
     uint32_t count, const balance_query_t *query, rng_t *rng)
 {
 	handle_t best = candidates[0];
@@ -157,8 +157,8 @@
 	(void)query;
 	(void)rng;
 	for (uint32_t i = 1; i < count; i++) {
-		if (endpoint_table_at(fleet, candidates[i])->reported_load <
-		    endpoint_table_at(fleet, best)->reported_load)
+		if (endpoint_table_at(table, candidates[i])->reported_load <
+		    endpoint_table_at(table, best)->reported_load)
 			best = candidates[i];
 	}
 	return best;
@@ -166,10 +166,10 @@
 
 /* The state of the turn is the caller's random stream's: see the bench. */
 static handle_t
-round_robin(const endpoint_table_t *fleet, const handle_t *candidates,
+round_robin(const endpoint_table_t *table, const handle_t *candidates,
     uint32_t count, const balance_query_t *query, rng_t *rng)
 {
-	(void)fleet;
+	(void)table;
 	(void)query;
 	return candidates[rng->state++ % count];
 }
@@ -180,23 +180,24 @@
     "least reported", least_reported};
 const balance_policy_t balance_round_robin = {"round robin", round_robin};
 
-/* The allowed endpoints with room. @param any receives whether any is allowed
- * @param again also those that were tried */
+/* The allowed endpoints with room. @param any_allowed receives whether
+ * any_allowed is allowed
+ * @param include_tried also those that were tried */
 static uint32_t
-candidates_find(const endpoint_table_t *fleet, const balance_query_t *query,
-    bool again, handle_t *candidates, bool *any)
+candidates_collect(const endpoint_table_t *table, const balance_query_t *query,
+    bool include_tried, handle_t *candidates, bool *any_allowed)
 {
 	uint32_t count = 0;
 
-	for (handle_t h = 0; h < fleet->endpoints.len && count < CANDIDATES_MAX;
+	for (handle_t h = 0; h < table->endpoints.len && count < CANDIDATES_MAX;
 	     h++) {
-		const endpoint_t *endpoint = endpoint_table_at(fleet, h);
+		const endpoint_t *endpoint = endpoint_table_at(table, h);
 
 		if (!balance_allows(endpoint, query) ||
-		    (!again && avoided(query, h)))
+		    (!include_tried && endpoint_was_tried(query, h)))
 			continue;
-		*any = true;
-		if (!endpoint_out(endpoint, query->now) &&
+		*any_allowed = true;
+		if (!ejection_in_effect(endpoint, query->now) &&
 		    !endpoint_full(endpoint))
 			candidates[count++] = h;
 	}
@@ -204,18 +205,20 @@
 }
 
 balance_result_t
-balance_pick(const endpoint_table_t *fleet, const balance_policy_t *policy,
+balance_pick(const endpoint_table_t *table, const balance_policy_t *policy,
     const balance_query_t *query, rng_t *rng, handle_t *out)
 {
 	handle_t candidates[CANDIDATES_MAX];
-	bool any = false;
-	uint32_t count = candidates_find(fleet, query, false, candidates, &any);
+	bool any_allowed = false;
+	uint32_t count =
+	    candidates_collect(table, query, false, candidates, &any_allowed);
 
-	if (!any && query->tried_count > 0)
-		count = candidates_find(fleet, query, true, candidates, &any);
+	if (!any_allowed && query->tried_count > 0)
+		count = candidates_collect(
+		    table, query, true, candidates, &any_allowed);
 	if (count == 0)
-		return any ? BALANCE_NO_CAPACITY : BALANCE_NO_ENDPOINT;
-	*out = policy->choose(fleet, candidates, count, query, rng);
+		return any_allowed ? BALANCE_NO_CAPACITY : BALANCE_NO_ENDPOINT;
+	*out = policy->choose(table, candidates, count, query, rng);
 	return BALANCE_PICKED;
 }
 
@@ -255,42 +258,42 @@
 
 /* Whether another endpoint of the same versions may be out as well. */
 static bool
-pool_spares(const endpoint_table_t *fleet, const endpoint_t *endpoint)
+pool_may_eject(const endpoint_table_t *table, const endpoint_t *endpoint)
 {
-	uint32_t pool = 0;
-	uint32_t out = 0;
+	uint32_t pool_size = 0;
+	uint32_t ejected = 0;
 
-	for (handle_t h = 0; h < fleet->endpoints.len; h++) {
-		const endpoint_t *other = endpoint_table_at(fleet, h);
+	for (handle_t h = 0; h < table->endpoints.len; h++) {
+		const endpoint_t *other = endpoint_table_at(table, h);
 
 		if (other->state != ENDPOINT_LIVE ||
 		    memcmp(&other->versions, &endpoint->versions,
 			sizeof(other->versions)) != 0)
 			continue;
-		pool++;
-		out += other->ejected;
+		pool_size++;
+		ejected += other->ejected;
 	}
-	return (out + 1) * ALL_PERCENT <= pool * EJECT_POOL_PERCENT;
+	return (ejected + 1) * ALL_PERCENT <= pool_size * EJECT_POOL_PERCENT;
 }
 
 bool
 endpoint_attempt_failed(
-    endpoint_table_t *fleet, handle_t handle, struct timespec now)
+    endpoint_table_t *table, handle_t handle, struct timespec now)
 {
-	endpoint_t *endpoint = endpoint_table_at(fleet, handle);
-	bool was_out = endpoint->ejected;
-	int64_t ms;
+	endpoint_t *endpoint = endpoint_table_at(table, handle);
+	bool was_ejected = endpoint->ejected;
+	int64_t duration_ms;
 
 	endpoint_attempt_ended(endpoint);
 	if (++endpoint->failures < EJECT_FAILURES)
 		return false;
-	if (!was_out && !pool_spares(fleet, endpoint))
+	if (!was_ejected && !pool_may_eject(table, endpoint))
 		return false;
-	ms = EJECT_BASE_MS << (endpoint->ejections < 5 ? endpoint->ejections
-						       : 5);
+	duration_ms = EJECT_BASE_MS
+	    << (endpoint->ejections < 5 ? endpoint->ejections : 5);
 	endpoint->ejections++;
 	endpoint->ejected = true;
-	endpoint->ejected_until =
-	    timespec_after_ms(now, ms < EJECT_MAX_MS ? ms : EJECT_MAX_MS);
-	return !was_out;
+	endpoint->ejected_until = timespec_after_ms(
+	    now, duration_ms < EJECT_MAX_MS ? duration_ms : EJECT_MAX_MS);
+	return !was_ejected;
 }
--- a/moortack/route/cascade.c
+++ b/moortack/route/cascade.c
@@ -1,13 +1,13 @@
 #include "moortack/route/cascade.h"
 
 #define PRIOR_WEIGHT 4.0
-#define FADE 0.995    /* of what was learned, a rating: about 200 count */
-#define BAR_STEP 0.01 /* the bar's move for one rating */
-#define BAR_MIN 0.05
-#define BAR_MAX 0.99
+#define DECAY 0.995	    /* of what was learned, a rating: about 200 count */
+#define THRESHOLD_STEP 0.01 /* the bar's move for one rating */
+#define THRESHOLD_MIN 0.05
+#define THRESHOLD_MAX 0.99
 #define COST_SMOOTHING 0.02
-#define NEIGHBOUR 0.25	 /* a rating says this much of the bins beside */
-#define WORTH_MARGIN 1.0 /* asking first is worth it below this cost ratio */
+#define NEIGHBOUR_WEIGHT 0.25 /* a rating says this much of the bins beside */
+#define COST_MARGIN 1.0 /* asking first is worth it below this cost ratio */
 
 static int
 bin_of(double confidence)
@@ -27,14 +27,14 @@
 		for (int b = 0; b < CASCADE_BINS; b++) {
 			/* Before any rating, confidence is taken at its word
 			 * around the model's prior. */
-			double chance = priors[m] +
+			double probability = priors[m] +
 			    ((b + 0.5) / CASCADE_BINS - 0.5) * (1 - priors[m]);
 
 			cascade->models[m].ratings[b] = PRIOR_WEIGHT;
 			cascade->models[m].good_ratings[b] = PRIOR_WEIGHT *
-			    (chance < 0		 ? 0
-				    : chance > 1 ? 1
-						 : chance);
+			    (probability < 0	      ? 0
+				    : probability > 1 ? 1
+						      : probability);
 		}
 	}
 }
@@ -42,10 +42,10 @@
 double
 cascade_good_probability(const cascade_t *cascade, int model, double confidence)
 {
-	const cascade_model_stats_t *row = &cascade->models[model];
+	const cascade_model_stats_t *stats = &cascade->models[model];
 	int bin = bin_of(confidence);
 
-	return row->good_ratings[bin] / row->ratings[bin];
+	return stats->good_ratings[bin] / stats->ratings[bin];
 }
 
 bool
@@ -61,15 +61,15 @@
 static double
 accepted_share(const cascade_t *cascade, int model)
 {
-	const cascade_model_stats_t *row = &cascade->models[model];
+	const cascade_model_stats_t *stats = &cascade->models[model];
 	double accepted = 0;
 	double all = 0;
 
 	for (int b = 0; b < CASCADE_BINS; b++) {
-		all += row->ratings[b];
-		if (row->good_ratings[b] / row->ratings[b] >=
+		all += stats->ratings[b];
+		if (stats->good_ratings[b] / stats->ratings[b] >=
 		    cascade->threshold)
-			accepted += row->ratings[b];
+			accepted += stats->ratings[b];
 	}
 	return accepted / all;
 }
@@ -84,7 +84,7 @@
 		double best = cascade->models[last].mean_cost;
 
 		if (explore || cost <= 0 || best <= 0 ||
-		    cost < best * accepted_share(cascade, m) * WORTH_MARGIN)
+		    cost < best * accepted_share(cascade, m) * COST_MARGIN)
 			return m;
 	}
 	return last;
@@ -96,13 +96,13 @@
 	int last = cascade->model_count - 1;
 
 	for (int m = 0; m < last; m++) {
-		const cascade_model_stats_t *row = &cascade->models[m];
+		const cascade_model_stats_t *stats = &cascade->models[m];
 		double good = 0;
 		double seen = 0;
 
 		for (int b = 0; b < CASCADE_BINS; b++) {
-			good += row->good_ratings[b];
-			seen += row->ratings[b];
+			good += stats->good_ratings[b];
+			seen += stats->ratings[b];
 		}
 		if (good >= cascade->target * seen)
 			return m;
@@ -111,47 +111,47 @@
 }
 
 static void
-bin_rate(cascade_model_stats_t *row, int bin, double weight, bool good)
+bin_add_rating(cascade_model_stats_t *stats, int bin, double weight, bool good)
 {
 	if (bin < 0 || bin >= CASCADE_BINS)
 		return;
-	row->ratings[bin] += weight;
-	row->good_ratings[bin] += good ? weight : 0;
+	stats->ratings[bin] += weight;
+	stats->good_ratings[bin] += good ? weight : 0;
 }
 
 void
 cascade_add_rating(cascade_t *cascade, int model, double confidence, bool good)
 {
-	cascade_model_stats_t *row = &cascade->models[model];
+	cascade_model_stats_t *stats = &cascade->models[model];
 	int bin = bin_of(confidence);
 
 	for (int b = 0; b < CASCADE_BINS; b++) {
 		/* What was learned fades, so that a change shows; never to
-		 * nothing, so that a chance stays defined. */
-		if (row->ratings[b] * FADE < PRIOR_WEIGHT / 2)
+		 * nothing, so that a probability stays defined. */
+		if (stats->ratings[b] * DECAY < PRIOR_WEIGHT / 2)
 			continue;
-		row->ratings[b] *= FADE;
-		row->good_ratings[b] *= FADE;
+		stats->ratings[b] *= DECAY;
+		stats->good_ratings[b] *= DECAY;
 	}
-	bin_rate(row, bin, 1, good);
-	bin_rate(row, bin - 1, NEIGHBOUR, good);
-	bin_rate(row, bin + 1, NEIGHBOUR, good);
+	bin_add_rating(stats, bin, 1, good);
+	bin_add_rating(stats, bin - 1, NEIGHBOUR_WEIGHT, good);
+	bin_add_rating(stats, bin + 1, NEIGHBOUR_WEIGHT, good);
 	/* Too many bad answers raise the bar, good ones let it down, so that
 	 * it stands still at the target. */
-	cascade->threshold += good ? -BAR_STEP * (1 - cascade->target)
-				   : BAR_STEP * cascade->target;
-	if (cascade->threshold < BAR_MIN)
-		cascade->threshold = BAR_MIN;
-	if (cascade->threshold > BAR_MAX)
-		cascade->threshold = BAR_MAX;
+	cascade->threshold += good ? -THRESHOLD_STEP * (1 - cascade->target)
+				   : THRESHOLD_STEP * cascade->target;
+	if (cascade->threshold < THRESHOLD_MIN)
+		cascade->threshold = THRESHOLD_MIN;
+	if (cascade->threshold > THRESHOLD_MAX)
+		cascade->threshold = THRESHOLD_MAX;
 }
 
 void
 cascade_add_cost(cascade_t *cascade, int model, double cost)
 {
-	cascade_model_stats_t *row = &cascade->models[model];
+	cascade_model_stats_t *stats = &cascade->models[model];
 
-	row->mean_cost = row->mean_cost <= 0
+	stats->mean_cost = stats->mean_cost <= 0
 	    ? cost
-	    : row->mean_cost + COST_SMOOTHING * (cost - row->mean_cost);
+	    : stats->mean_cost + COST_SMOOTHING * (cost - stats->mean_cost);
 }
--- a/moortack/route/fleet.c
+++ b/moortack/route/fleet.c
@@ -4,28 +4,28 @@
 #include <string.h>
 
 void
-endpoint_table_init(endpoint_table_t *fleet)
+endpoint_table_init(endpoint_table_t *table)
 {
-	table_init(&fleet->endpoints, sizeof(endpoint_t));
+	table_init(&table->endpoints, sizeof(endpoint_t));
 }
 
 void
-endpoint_table_finish(endpoint_table_t *fleet)
+endpoint_table_finish(endpoint_table_t *table)
 {
-	table_finish(&fleet->endpoints);
+	table_finish(&table->endpoints);
 }
 
 endpoint_t *
-endpoint_table_at(const endpoint_table_t *fleet, handle_t handle)
+endpoint_table_at(const endpoint_table_t *table, handle_t handle)
 {
-	return table_at(&fleet->endpoints, handle);
+	return table_at(&table->endpoints, handle);
 }
 
 handle_t
-endpoint_table_find(const endpoint_table_t *fleet, const char *address)
+endpoint_table_find(const endpoint_table_t *table, const char *address)
 {
-	for (handle_t h = 0; h < fleet->endpoints.len; h++) {
-		const endpoint_t *endpoint = endpoint_table_at(fleet, h);
+	for (handle_t h = 0; h < table->endpoints.len; h++) {
+		const endpoint_t *endpoint = endpoint_table_at(table, h);
 
 		if (endpoint->state != ENDPOINT_REMOVED &&
 		    strcmp(endpoint->address, address) == 0)
@@ -35,32 +35,32 @@
 }
 
 static handle_t
-row_free(endpoint_table_t *fleet)
+row_acquire(endpoint_table_t *table)
 {
-	for (handle_t h = 0; h < fleet->endpoints.len; h++) {
-		const endpoint_t *endpoint = endpoint_table_at(fleet, h);
+	for (handle_t h = 0; h < table->endpoints.len; h++) {
+		const endpoint_t *endpoint = endpoint_table_at(table, h);
 
 		if (endpoint->state == ENDPOINT_REMOVED &&
 		    endpoint->in_flight == 0)
 			return h;
 	}
-	return table_add(&fleet->endpoints) != NULL ? fleet->endpoints.len - 1
+	return table_add(&table->endpoints) != NULL ? table->endpoints.len - 1
 						    : HANDLE_NONE;
 }
 
 void
-endpoint_table_update_begin(endpoint_table_t *fleet)
+endpoint_table_update_begin(endpoint_table_t *table)
 {
-	for (handle_t h = 0; h < fleet->endpoints.len; h++)
-		endpoint_table_at(fleet, h)->listed = false;
+	for (handle_t h = 0; h < table->endpoints.len; h++)
+		endpoint_table_at(table, h)->listed = false;
 }
 
 static handle_t
-endpoint_add(endpoint_table_t *fleet, const char *address, const char *place,
+endpoint_add(endpoint_table_t *table, const char *address, const char *place,
     struct timespec now)
 {
-	handle_t handle = row_free(fleet);
-	endpoint_t *endpoint = endpoint_table_at(fleet, handle);
+	handle_t handle = row_acquire(table);
+	endpoint_t *endpoint = endpoint_table_at(table, handle);
 
 	if (endpoint == NULL)
 		return HANDLE_NONE;
@@ -75,26 +75,26 @@
 }
 
 handle_t
-endpoint_table_update_entry(endpoint_table_t *fleet, const char *address,
+endpoint_table_update_entry(endpoint_table_t *table, const char *address,
     const char *place, bool leaving, struct timespec now)
 {
-	handle_t handle = endpoint_table_find(fleet, address);
+	handle_t handle = endpoint_table_find(table, address);
 
 	if (handle == HANDLE_NONE)
-		handle = endpoint_add(fleet, address, place, now);
+		handle = endpoint_add(table, address, place, now);
 	if (handle == HANDLE_NONE)
 		return HANDLE_NONE;
-	endpoint_table_at(fleet, handle)->listed = true;
+	endpoint_table_at(table, handle)->listed = true;
 	if (leaving)
-		endpoint_mark_leaving(endpoint_table_at(fleet, handle));
+		endpoint_mark_leaving(endpoint_table_at(table, handle));
 	return handle;
 }
 
 void
-endpoint_table_update_end(endpoint_table_t *fleet)
+endpoint_table_update_end(endpoint_table_t *table)
 {
-	for (handle_t h = 0; h < fleet->endpoints.len; h++) {
-		endpoint_t *endpoint = endpoint_table_at(fleet, h);
+	for (handle_t h = 0; h < table->endpoints.len; h++) {
+		endpoint_t *endpoint = endpoint_table_at(table, h);
 
 		if (endpoint->listed)
 			continue;
@@ -119,11 +119,11 @@
 }
 
 bool
-endpoint_table_apply_report(endpoint_table_t *fleet,
+endpoint_table_apply_report(endpoint_table_t *table,
     const load_report_t *report, const config_t *config)
 {
 	endpoint_t *endpoint = endpoint_table_at(
-	    fleet, endpoint_table_find(fleet, report->address));
+	    table, endpoint_table_find(table, report->address));
 	bool leaves;
 
 	if (endpoint == NULL || !report->responded)
@@ -145,10 +145,10 @@
 }
 
 void
-endpoint_table_resolve(endpoint_table_t *fleet, const config_t *config)
+endpoint_table_resolve(endpoint_table_t *table, const config_t *config)
 {
-	for (handle_t h = 0; h < fleet->endpoints.len; h++)
-		endpoint_resolve(endpoint_table_at(fleet, h), config);
+	for (handle_t h = 0; h < table->endpoints.len; h++)
+		endpoint_resolve(endpoint_table_at(table, h), config);
 }
 
 void
--- a/moortack/route/guard.c
+++ b/moortack/route/guard.c
@@ -4,18 +4,18 @@
 #include <stdio.h>
 #include <string.h>
 
-#define LIMIT_ALL 14.0 /* see docs/MEASUREMENTS.md, weights */
-#define LIMIT_ONE 2.0  /* more for one organisation of several */
-#define STEP 0.05      /* worse by this share of answers counts as bad */
-#define FADE 0.998     /* of the baseline, a sample: about 500 count */
-#define PRIOR_BAD 0.5  /* a baseline not yet seen is taken as 1 in 50 */
+#define THRESHOLD_ALL 14.0	/* see docs/MEASUREMENTS.md, weights */
+#define THRESHOLD_ONE_EXTRA 2.0 /* more for one organisation of several */
+#define STEP 0.05     /* worse ratio this share of answers counts as bad */
+#define DECAY 0.998   /* of the baseline, a sample: about 500 count */
+#define PRIOR_BAD 0.5 /* a baseline not yet seen is taken as 1 in 50 */
 #define PRIOR_SEEN 25.0
-#define RATE_MAX 0.9
+#define BAD_SHARE_MAX 0.9
 
 void
 guard_init(guard_t *guard)
 {
-	*guard = (guard_t){.threshold = LIMIT_ALL};
+	*guard = (guard_t){.threshold = THRESHOLD_ALL};
 	table_init(&guard->baselines, sizeof(guard_baseline_t));
 	table_init(&guard->versions, sizeof(guard_version_t));
 }
@@ -28,110 +28,114 @@
 }
 
 static guard_baseline_t *
-base_of(guard_t *guard, const char *model)
+baseline_get(guard_t *guard, const char *model)
 {
-	guard_baseline_t *base;
+	guard_baseline_t *baseline;
 
 	for (handle_t h = 0; h < guard->baselines.len; h++) {
-		base = table_at(&guard->baselines, h);
-		if (strcmp(base->model, model) == 0)
-			return base;
+		baseline = table_at(&guard->baselines, h);
+		if (strcmp(baseline->model, model) == 0)
+			return baseline;
 	}
-	base = table_add(&guard->baselines);
-	if (base != NULL)
-		snprintf(base->model, sizeof(base->model), "%s", model);
-	return base;
+	baseline = table_add(&guard->baselines);
+	if (baseline != NULL)
+		snprintf(baseline->model, sizeof(baseline->model), "%s", model);
+	return baseline;
 }
 
 static guard_version_t *
-row_of(guard_t *guard, const char *version, const char *organisation)
+version_get(guard_t *guard, const char *version, const char *organisation)
 {
-	guard_version_t *row;
+	guard_version_t *state;
 
 	for (handle_t h = 0; h < guard->versions.len; h++) {
-		row = table_at(&guard->versions, h);
-		if (strcmp(row->version, version) == 0 &&
-		    strcmp(row->organisation, organisation) == 0)
-			return row;
+		state = table_at(&guard->versions, h);
+		if (strcmp(state->version, version) == 0 &&
+		    strcmp(state->organisation, organisation) == 0)
+			return state;
 	}
-	row = table_add(&guard->versions);
-	if (row == NULL)
+	state = table_add(&guard->versions);
+	if (state == NULL)
 		return NULL;
-	snprintf(row->version, sizeof(row->version), "%s", version);
-	snprintf(
-	    row->organisation, sizeof(row->organisation), "%s", organisation);
-	return row;
+	snprintf(state->version, sizeof(state->version), "%s", version);
+	snprintf(state->organisation, sizeof(state->organisation), "%s",
+	    organisation);
+	return state;
 }
 
 static double
-base_rate(const guard_baseline_t *base, guard_signal_t signal)
+baseline_bad_share(const guard_baseline_t *baseline, guard_signal_t signal)
 {
-	double rate = (base->bad[signal] + PRIOR_BAD) /
-	    (base->samples[signal] + PRIOR_SEEN);
+	double share = (baseline->bad[signal] + PRIOR_BAD) /
+	    (baseline->samples[signal] + PRIOR_SEEN);
 
-	return rate < RATE_MAX ? rate : RATE_MAX;
+	return share < BAD_SHARE_MAX ? share : BAD_SHARE_MAX;
 }
 
-/* How much more likely the sample is if the version is worse by a step. */
+/* How much more likely the sample is if the version is worse ratio a step. */
 static double
-evidence(double rate, bool bad)
+log_likelihood_ratio(double share, bool bad)
 {
-	double worse = rate + STEP + rate / 2;
+	double worse = share + STEP + share / 2;
 
-	if (worse > 1 - (1 - RATE_MAX) / 2)
-		worse = 1 - (1 - RATE_MAX) / 2;
-	return bad ? log(worse / rate) : log((1 - worse) / (1 - rate));
+	if (worse > 1 - (1 - BAD_SHARE_MAX) / 2)
+		worse = 1 - (1 - BAD_SHARE_MAX) / 2;
+	return bad ? log(worse / share) : log((1 - worse) / (1 - share));
 }
 
 static bool
-row_add(
-    guard_version_t *row, const guard_sample_t *sample, double by, double limit)
+version_add_sample(guard_version_t *state, const guard_sample_t *sample,
+    double ratio, double threshold)
 {
 	guard_signal_t signal = sample->signal;
 
-	if (row == NULL || row->stopped)
+	if (state == NULL || state->stopped)
 		return false;
-	row->sums[signal] += by;
-	if (row->sums[signal] < 0)
-		row->sums[signal] = 0;
-	row->stopped = row->sums[signal] >= limit;
-	row->stopped_revision = sample->revision;
-	return row->stopped;
+	state->sums[signal] += ratio;
+	if (state->sums[signal] < 0)
+		state->sums[signal] = 0;
+	state->stopped = state->sums[signal] >= threshold;
+	state->stopped_revision = sample->revision;
+	return state->stopped;
 }
 
 bool
 guard_observe(guard_t *guard, const guard_sample_t *sample)
 {
-	guard_baseline_t *base = base_of(guard, sample->model);
-	double by;
-	bool all, one;
+	guard_baseline_t *baseline = baseline_get(guard, sample->model);
+	double ratio;
+	bool stopped_all, stopped_one;
 
-	if (base == NULL)
+	if (baseline == NULL)
 		return false;
 	if (sample->is_baseline) {
-		base->bad[sample->signal] *= FADE;
-		base->samples[sample->signal] *= FADE;
-		base->bad[sample->signal] += sample->bad;
-		base->samples[sample->signal] += 1;
+		baseline->bad[sample->signal] *= DECAY;
+		baseline->samples[sample->signal] *= DECAY;
+		baseline->bad[sample->signal] += sample->bad;
+		baseline->samples[sample->signal] += 1;
 	}
-	by = evidence(base_rate(base, sample->signal), sample->bad);
-	all = row_add(
-	    row_of(guard, sample->version, ""), sample, by, guard->threshold);
-	one = row_add(row_of(guard, sample->version, sample->organisation),
-	    sample, by, guard->threshold + LIMIT_ONE);
-	return all || one;
+	ratio = log_likelihood_ratio(
+	    baseline_bad_share(baseline, sample->signal), sample->bad);
+	stopped_all =
+	    version_add_sample(version_get(guard, sample->version, ""), sample,
+		ratio, guard->threshold);
+	stopped_one = version_add_sample(
+	    version_get(guard, sample->version, sample->organisation), sample,
+	    ratio, guard->threshold + THRESHOLD_ONE_EXTRA);
+	return stopped_all || stopped_one;
 }
 
 bool
 guard_stop(guard_t *guard, const char *version, const char *organisation,
     uint64_t revision)
 {
-	guard_version_t *row = row_of(guard, version, organisation);
+	guard_version_t *state = version_get(guard, version, organisation);
 
-	if (row == NULL || row->stopped || row->changed_revision > revision)
+	if (state == NULL || state->stopped ||
+	    state->changed_revision > revision)
 		return false;
-	row->stopped = true;
-	row->stopped_revision = revision;
+	state->stopped = true;
+	state->stopped_revision = revision;
 	return true;
 }
 
@@ -139,14 +143,14 @@
 guard_reset_version(guard_t *guard, const char *version, uint64_t revision)
 {
 	for (handle_t h = 0; h < guard->versions.len; h++) {
-		guard_version_t *row = table_at(&guard->versions, h);
+		guard_version_t *state = table_at(&guard->versions, h);
 
-		if (strcmp(row->version, version) != 0)
+		if (strcmp(state->version, version) != 0)
 			continue;
-		row->changed_revision = revision;
-		memset(row->sums, 0, sizeof(row->sums));
-		if (row->stopped_revision < revision)
-			row->stopped = false;
+		state->changed_revision = revision;
+		memset(state->sums, 0, sizeof(state->sums));
+		if (state->stopped_revision < revision)
+			state->stopped = false;
 	}
 }
 
@@ -157,14 +161,14 @@
 	version_set_t set = {0};
 
 	for (handle_t h = 0; h < guard->versions.len; h++) {
-		const guard_version_t *row = table_at(&guard->versions, h);
+		const guard_version_t *state = table_at(&guard->versions, h);
 		handle_t version;
 
-		if (!row->stopped ||
-		    (*row->organisation != '\0' &&
-			strcmp(row->organisation, organisation) != 0))
+		if (!state->stopped ||
+		    (*state->organisation != '\0' &&
+			strcmp(state->organisation, organisation) != 0))
 			continue;
-		version = config_version(config, row->version);
+		version = config_version(config, state->version);
 		if (version != HANDLE_NONE)
 			version_set_add(&set, version);
 	}
--- a/moortack/route/learn.c
+++ b/moortack/route/learn.c
@@ -5,18 +5,18 @@
 #include <string.h>
 
 void
-feedback_init(feedback_t *learn)
+feedback_init(feedback_t *feedback)
 {
-	guard_init(&learn->guard);
-	table_init(&learn->cascades, sizeof(organisation_cascade_t));
-	learn->response_count = 0;
+	guard_init(&feedback->guard);
+	table_init(&feedback->cascades, sizeof(organisation_cascade_t));
+	feedback->response_count = 0;
 }
 
 void
-feedback_finish(feedback_t *learn)
+feedback_finish(feedback_t *feedback)
 {
-	guard_finish(&learn->guard);
-	table_finish(&learn->cascades);
+	guard_finish(&feedback->guard);
+	table_finish(&feedback->cascades);
 }
 
 static bool
@@ -39,7 +39,7 @@
 
 /* The usable models, from the cheapest on. */
 static int
-models_list(
+models_by_cost(
     const config_t *config, const organisation_t *organisation, handle_t *out)
 {
 	int count = 0;
@@ -63,10 +63,10 @@
 }
 
 static organisation_cascade_t *
-cascade_find(feedback_t *learn, const char *organisation)
+cascade_find(feedback_t *feedback, const char *organisation)
 {
-	for (handle_t h = 0; h < learn->cascades.len; h++) {
-		organisation_cascade_t *row = table_at(&learn->cascades, h);
+	for (handle_t h = 0; h < feedback->cascades.len; h++) {
+		organisation_cascade_t *row = table_at(&feedback->cascades, h);
 
 		if (strcmp(row->organisation, organisation) == 0)
 			return row;
@@ -75,7 +75,7 @@
 }
 
 static bool
-models_same(const organisation_cascade_t *row, const config_t *config,
+models_match(const organisation_cascade_t *row, const config_t *config,
     const handle_t *models, int count)
 {
 	if (row->cascade.model_count != count)
@@ -89,7 +89,7 @@
 }
 
 static void
-cascade_make(organisation_cascade_t *row, const config_t *config,
+cascade_rebuild(organisation_cascade_t *row, const config_t *config,
     const organisation_t *organisation, const handle_t *models, int count)
 {
 	double priors[CASCADE_MODELS_MAX];
@@ -108,65 +108,69 @@
 }
 
 organisation_cascade_t *
-feedback_get_cascade(feedback_t *learn, const config_t *config, handle_t handle)
+feedback_get_cascade(
+    feedback_t *feedback, const config_t *config, handle_t handle)
 {
 	const organisation_t *organisation =
 	    config_organisation_at(config, handle);
-	organisation_cascade_t *row = cascade_find(learn, organisation->name);
+	organisation_cascade_t *row =
+	    cascade_find(feedback, organisation->name);
 	handle_t models[CASCADE_MODELS_MAX];
 	int count;
 
 	if (row != NULL && row->models_revision == config->revision)
 		return row->cascade.model_count > 0 ? row : NULL;
-	count = models_list(config, organisation, models);
+	count = models_by_cost(config, organisation, models);
 	if (row == NULL)
-		row = table_add(&learn->cascades);
+		row = table_add(&feedback->cascades);
 	if (row == NULL)
 		return NULL;
 	row->models_revision = config->revision;
-	if (!models_same(row, config, models, count) ||
+	if (!models_match(row, config, models, count) ||
 	    row->cascade.target !=
 		(double)organisation->quality / CONFIG_QUALITY_FULL)
-		cascade_make(row, config, organisation, models, count);
+		cascade_rebuild(row, config, organisation, models, count);
 	return count > 0 ? row : NULL;
 }
 
 void
-feedback_add_response(feedback_t *learn, const recent_response_t *answer)
+feedback_add_response(feedback_t *feedback, const recent_response_t *response)
 {
-	learn->responses[learn->response_count++ % FEEDBACK_RESPONSES_MAX] =
-	    *answer;
+	feedback
+	    ->responses[feedback->response_count++ % FEEDBACK_RESPONSES_MAX] =
+	    *response;
 }
 
 const recent_response_t *
-feedback_find_response(const feedback_t *learn, const char *request)
+feedback_find_response(const feedback_t *feedback, const char *request_id)
 {
-	uint64_t kept = learn->response_count < FEEDBACK_RESPONSES_MAX
-	    ? learn->response_count
+	uint64_t count = feedback->response_count < FEEDBACK_RESPONSES_MAX
+	    ? feedback->response_count
 	    : FEEDBACK_RESPONSES_MAX;
 
-	for (uint64_t i = 0; i < kept; i++) {
-		if (strcmp(learn->responses[i].request_id, request) == 0)
-			return &learn->responses[i];
+	for (uint64_t i = 0; i < count; i++) {
+		if (strcmp(feedback->responses[i].request_id, request_id) == 0)
+			return &feedback->responses[i];
 	}
 	return NULL;
 }
 
 void
 feedback_add_rating(
-    feedback_t *learn, const recent_response_t *answer, bool good)
+    feedback_t *feedback, const recent_response_t *response, bool good)
 {
-	organisation_cascade_t *row = cascade_find(learn, answer->organisation);
+	organisation_cascade_t *row =
+	    cascade_find(feedback, response->organisation);
 
-	if (row != NULL && answer->model_index >= 0 &&
-	    answer->model_index < row->cascade.model_count)
-		cascade_add_rating(&row->cascade, answer->model_index,
-		    answer->confidence, good);
+	if (row != NULL && response->model_index >= 0 &&
+	    response->model_index < row->cascade.model_count)
+		cascade_add_rating(&row->cascade, response->model_index,
+		    response->confidence, good);
 }
 
 void
 feedback_config_changed(
-    feedback_t *learn, const config_t *before, const config_t *after)
+    feedback_t *feedback, const config_t *before, const config_t *after)
 {
 	for (handle_t v = 0; v < after->versions.len; v++) {
 		const version_t *new = config_version_at(after, v);
@@ -176,6 +180,6 @@
 		if (old == NULL || old->state != new->state ||
 		    old->percent != new->percent)
 			guard_reset_version(
-			    &learn->guard, new->name, after->revision);
+			    &feedback->guard, new->name, after->revision);
 	}
 }
--- a/moortack/route/rollout.c
+++ b/moortack/route/rollout.c
@@ -3,26 +3,26 @@
 #include <xxhash.h>
 
 static bool
-usable(const config_t *config, const organisation_t *organisation,
+version_usable(const config_t *config, const organisation_t *organisation,
     handle_t model, handle_t version, version_state_t state,
     const version_set_t *stopped)
 {
-	const version_t *row = config_version_at(config, version);
+	const version_t *candidate = config_version_at(config, version);
 
-	return row->model == model && row->state == state &&
+	return candidate->model == model && candidate->state == state &&
 	    organisation_allows_version(organisation, version) &&
 	    !version_set_has(stopped, version);
 }
 
 static handle_t
-live_choose(const config_t *config, const organisation_t *organisation,
+live_select(const config_t *config, const organisation_t *organisation,
     handle_t model, uint64_t hash, const version_set_t *stopped)
 {
 	handle_t live[CONFIG_VERSIONS_MAX];
 	uint32_t count = 0;
 
 	for (handle_t v = 0; v < config->versions.len; v++) {
-		if (usable(
+		if (version_usable(
 			config, organisation, model, v, VERSION_LIVE, stopped))
 			live[count++] = v;
 	}
@@ -31,26 +31,27 @@
 }
 
 handle_t
-rollout_select_version(const config_t *config, handle_t organisation,
-    handle_t model, uint64_t session, const version_set_t *stopped)
+rollout_select_version(const config_t *config, handle_t handle, handle_t model,
+    uint64_t session, const version_set_t *stopped)
 {
-	const organisation_t *row =
-	    config_organisation_at(config, organisation);
+	const organisation_t *organisation =
+	    config_organisation_at(config, handle);
 	uint64_t hash = XXH3_64bits_withSeed(&session, sizeof(session), model);
-	uint32_t point = hash % CONFIG_ALL_PERCENT;
+	uint32_t bucket = hash % CONFIG_ALL_PERCENT;
 	handle_t rolling = HANDLE_NONE;
 	handle_t live;
 	uint32_t sum = 0;
 
 	for (handle_t v = 0; v < config->versions.len; v++) {
-		if (!usable(config, row, model, v, VERSION_ROLLING, stopped))
+		if (!version_usable(config, organisation, model, v,
+			VERSION_ROLLING, stopped))
 			continue;
 		if (rolling == HANDLE_NONE)
 			rolling = v;
 		sum += config_version_at(config, v)->percent;
-		if (point < sum)
+		if (bucket < sum)
 			return v;
 	}
-	live = live_choose(config, row, model, hash, stopped);
+	live = live_select(config, organisation, model, hash, stopped);
 	return live != HANDLE_NONE ? live : rolling;
 }
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -9,30 +9,30 @@
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 #define ETAG_SIZE 80
-#define FRESH_READS 32
-#define READING_MAX 64
+#define NEW_LIST_READS 32
+#define READS_IN_FLIGHT_MAX 64
 
 struct endpoint_poller {
 	process_t process;
 	const options_t *options;
-	endpoint_poller_sink_t ports;
+	endpoint_poller_sink_t sink;
 	http_address_t list_address;
-	struct event *list_tick;
-	struct event *load_tick;
+	struct event *list_timer;
+	struct event *load_timer;
 	json_t *vms; /**< the latest list */
 	char list_etag[ETAG_SIZE];
-	size_t next;  /**< VM whose load is read next */
-	size_t fresh; /**< VMs still to be read since the list changed */
+	size_t next_vm;	   /**< VM whose load is read next */
+	size_t unread_vms; /**< VMs still to be read since the list changed */
 	bool list_pending;
 	http_address_t rating_address;
-	struct event *rating_tick; /**< NULL: there is no rating service */
+	struct event *rating_timer; /**< NULL: there is no rating service */
 	bool rating_pending;
-	size_t ratings_read;
-	uint32_t reading; /**< load reports under way */
+	size_t rating_count;
+	uint32_t reads_in_flight; /**< load reports under way */
 };
 
 typedef struct load_read {
-	endpoint_poller_t *watch;
+	endpoint_poller_t *poller;
 	char address[ENDPOINT_ADDRESS_SIZE];
 } load_read_t;
 
@@ -44,55 +44,55 @@
 
 /* The list's tag, so that it is sent again only once it has changed. */
 static void
-list_etag_take(endpoint_poller_t *watch, const http_reply_t *reply)
+list_etag_store(endpoint_poller_t *poller, const http_reply_t *reply)
 {
 	const char *etag = evhttp_find_header(reply->headers, "ETag");
 
-	snprintf(watch->list_etag, sizeof(watch->list_etag), "%s",
+	snprintf(poller->list_etag, sizeof(poller->list_etag), "%s",
 	    etag != NULL ? etag : "");
 }
 
 static void
-list_read(void *arg, const http_reply_t *reply)
+list_received(void *arg, const http_reply_t *reply)
 {
-	endpoint_poller_t *watch = arg;
+	endpoint_poller_t *poller = arg;
 	json_t *body = reply->status == 200 ? http_reply_json(reply) : NULL;
 	json_t *vms = json_object_get(body, "vms");
 
-	watch->list_pending = false;
+	poller->list_pending = false;
 	/* No list is not an empty list: what is known stays. */
 	if (json_is_array(vms)) {
-		list_etag_take(watch, reply);
-		json_decref(watch->vms);
-		watch->vms = json_incref(vms);
-		watch->fresh = json_array_size(vms);
-		task_post(watch->ports.front, watch->ports.list_kind,
+		list_etag_store(poller, reply);
+		json_decref(poller->vms);
+		poller->vms = json_incref(vms);
+		poller->unread_vms = json_array_size(vms);
+		task_post(poller->sink.front, poller->sink.list_kind,
 		    json_incref(vms), json_release);
 	}
 	json_decref(body);
 }
 
 static void
-list_ticked(evutil_socket_t fd, short what, void *arg)
+list_poll(evutil_socket_t fd, short what, void *arg)
 {
-	endpoint_poller_t *watch = arg;
+	endpoint_poller_t *poller = arg;
 	const http_header_t headers[] = {
-	    {"If-None-Match", watch->list_etag}, {NULL, NULL}};
-	const http_call_t call = {.address = &watch->list_address,
+	    {"If-None-Match", poller->list_etag}, {NULL, NULL}};
+	const http_call_t call = {.address = &poller->list_address,
 	    .method = EVHTTP_REQ_GET,
 	    .path = "/vms",
-	    .headers = *watch->list_etag != '\0' ? headers : NULL,
-	    .timeout_ms = (int)watch->options->store_timeout_ms};
+	    .headers = *poller->list_etag != '\0' ? headers : NULL,
+	    .timeout_ms = (int)poller->options->store_timeout_ms};
 
 	(void)fd;
 	(void)what;
-	if (!watch->list_pending)
-		watch->list_pending = http_call_start(
-		    watch->process.base, &call, list_read, watch);
+	if (!poller->list_pending)
+		poller->list_pending = http_call_start(
+		    poller->process.base, &call, list_received, poller);
 }
 
 static uint32_t
-count_of(const json_t *body, const char *name)
+count_decode(const json_t *body, const char *name)
 {
 	json_int_t count = json_integer_value(json_object_get(body, name));
 
@@ -100,7 +100,7 @@
 }
 
 static void
-versions_take(const json_t *versions, load_report_t *report)
+versions_decode(const json_t *versions, load_report_t *report)
 {
 	const char *name;
 	json_t *fence;
@@ -116,120 +116,123 @@
 }
 
 static void
-load_was_read(void *arg, const http_reply_t *reply)
+load_received(void *arg, const http_reply_t *reply)
 {
 	load_read_t *read = arg;
 	load_report_t *report = calloc(1, sizeof(*report));
 	json_t *body = reply->status == 200 ? http_reply_json(reply) : NULL;
 
-	read->watch->reading--;
+	read->poller->reads_in_flight--;
 	if (report != NULL) {
 		memcpy(report->address, read->address, sizeof(read->address));
 		report->responded = json_is_object(body);
 		report->leaving =
 		    json_is_true(json_object_get(body, "leaving"));
-		report->running = count_of(body, "running");
-		report->queued = count_of(body, "queued");
-		report->slots = count_of(body, "slots");
-		versions_take(json_object_get(body, "versions"), report);
-		task_post(read->watch->ports.front,
-		    read->watch->ports.load_kind, report, NULL);
+		report->running = count_decode(body, "running");
+		report->queued = count_decode(body, "queued");
+		report->slots = count_decode(body, "slots");
+		versions_decode(json_object_get(body, "versions"), report);
+		task_post(read->poller->sink.front,
+		    read->poller->sink.load_kind, report, NULL);
 	}
 	json_decref(body);
 	free(read);
 }
 
 static void
-load_start(endpoint_poller_t *watch, const char *address)
+load_read_start(endpoint_poller_t *poller, const char *address)
 {
 	load_read_t *read = calloc(1, sizeof(*read));
 	http_address_t http;
 	http_call_t call = {.address = &http,
 	    .method = EVHTTP_REQ_GET,
 	    .path = "/load",
-	    .timeout_ms = (int)watch->options->store_timeout_ms};
+	    .timeout_ms = (int)poller->options->store_timeout_ms};
 
 	if (read == NULL)
 		return;
-	read->watch = watch;
+	read->poller = poller;
 	snprintf(read->address, sizeof(read->address), "%s", address);
 	if (!http_address_parse(address, &http) ||
-	    !http_call_start(watch->process.base, &call, load_was_read, read)) {
+	    !http_call_start(
+		poller->process.base, &call, load_received, read)) {
 		free(read);
 		return;
 	}
-	watch->reading++;
+	poller->reads_in_flight++;
 }
 
 /* An endpoint that was never read comes first; the others in turn, a few at a
  * time. What one daemon hears of a leave it tells all, so between them the
  * daemons read each endpoint often enough. */
 static void
-load_ticked(evutil_socket_t fd, short what, void *arg)
+load_poll(evutil_socket_t fd, short what, void *arg)
 {
-	endpoint_poller_t *watch = arg;
-	size_t count = json_array_size(watch->vms);
-	uint32_t left = watch->fresh > 0 ? FRESH_READS
-					 : (uint32_t)watch->options->load_reads;
+	endpoint_poller_t *poller = arg;
+	size_t count = json_array_size(poller->vms);
+	uint32_t left = poller->unread_vms > 0
+	    ? NEW_LIST_READS
+	    : (uint32_t)poller->options->load_reads;
 
 	(void)fd;
 	(void)what;
-	if (watch->reading > READING_MAX)
+	if (poller->reads_in_flight > READS_IN_FLIGHT_MAX)
 		return;
 	for (size_t i = 0; i < count && left > 0; i++, left--) {
 		const char *address = json_string_value(json_object_get(
-		    json_array_get(watch->vms, watch->next++ % count),
+		    json_array_get(poller->vms, poller->next_vm++ % count),
 		    "address"));
 
-		if (watch->fresh > 0)
-			watch->fresh--;
+		if (poller->unread_vms > 0)
+			poller->unread_vms--;
 		if (address != NULL)
-			load_start(watch, address);
+			load_read_start(poller, address);
 	}
 }
 
 static void
-ratings_read(void *arg, const http_reply_t *reply)
+ratings_received(void *arg, const http_reply_t *reply)
 {
-	endpoint_poller_t *watch = arg;
+	endpoint_poller_t *poller = arg;
 	json_t *body = reply->status == 200 ? http_reply_json(reply) : NULL;
 	json_t *ratings = json_object_get(body, "ratings");
 
-	watch->rating_pending = false;
+	poller->rating_pending = false;
 	if (json_array_size(ratings) > 0) {
-		watch->ratings_read += json_array_size(ratings);
-		task_post(watch->ports.front, watch->ports.ratings_kind,
+		poller->rating_count += json_array_size(ratings);
+		task_post(poller->sink.front, poller->sink.ratings_kind,
 		    json_incref(ratings), json_release);
 	}
 	json_decref(body);
 }
 
 static void
-rating_ticked(evutil_socket_t fd, short what, void *arg)
+ratings_poll(evutil_socket_t fd, short what, void *arg)
 {
-	endpoint_poller_t *watch = arg;
+	endpoint_poller_t *poller = arg;
 	char path[64];
-	const http_call_t call = {.address = &watch->rating_address,
+	const http_call_t call = {.address = &poller->rating_address,
 	    .method = EVHTTP_REQ_GET,
 	    .path = path,
-	    .timeout_ms = (int)watch->options->store_timeout_ms};
+	    .timeout_ms = (int)poller->options->store_timeout_ms};
 
 	(void)fd;
 	(void)what;
-	if (watch->rating_pending)
+	if (poller->rating_pending)
 		return;
-	snprintf(path, sizeof(path), "/ratings?after=%zu", watch->ratings_read);
-	watch->rating_pending =
-	    http_call_start(watch->process.base, &call, ratings_read, watch);
+	snprintf(
+	    path, sizeof(path), "/ratings?after=%zu", poller->rating_count);
+	poller->rating_pending = http_call_start(
+	    poller->process.base, &call, ratings_received, poller);
 }
 
 static struct event *
-tick_new(endpoint_poller_t *watch, event_callback_fn callback, int64_t ms)
+timer_new(endpoint_poller_t *poller, event_callback_fn callback, int64_t ms)
 {
 	struct timeval interval = {
 	    ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 	struct event *event =
-	    event_new(watch->process.base, -1, EV_PERSIST, callback, watch);
+	    event_new(poller->process.base, -1, EV_PERSIST, callback, poller);
 
 	if (event != NULL)
 		event_add(event, &interval);
@@ -238,34 +241,34 @@
 
 endpoint_poller_t *
 endpoint_poller_new(const process_t *process, const options_t *options,
-    const endpoint_poller_sink_t *ports, err_t *err)
+    const endpoint_poller_sink_t *sink, err_t *err)
 {
-	endpoint_poller_t *watch = calloc(1, sizeof(*watch));
+	endpoint_poller_t *poller = calloc(1, sizeof(*poller));
 
-	if (watch == NULL) {
+	if (poller == NULL) {
 		err_set(err, ERR_MEMORY, "no memory");
 		return NULL;
 	}
-	watch->process = *process;
-	watch->options = options;
-	watch->ports = *ports;
-	http_address_parse(options->vm_list, &watch->list_address);
-	watch->list_tick = tick_new(watch, list_ticked, options->list_ms);
-	watch->load_tick = tick_new(watch, load_ticked, options->load_ms);
-	if (http_address_parse(options->rating, &watch->rating_address))
-		watch->rating_tick =
-		    tick_new(watch, rating_ticked, options->rating_ms);
-	list_ticked(-1, 0, watch);
-	return watch;
+	poller->process = *process;
+	poller->options = options;
+	poller->sink = *sink;
+	http_address_parse(options->vm_list, &poller->list_address);
+	poller->list_timer = timer_new(poller, list_poll, options->list_ms);
+	poller->load_timer = timer_new(poller, load_poll, options->load_ms);
+	if (http_address_parse(options->rating, &poller->rating_address))
+		poller->rating_timer =
+		    timer_new(poller, ratings_poll, options->rating_ms);
+	list_poll(-1, 0, poller);
+	return poller;
 }
 
 void
-endpoint_poller_free(endpoint_poller_t *watch)
+endpoint_poller_free(endpoint_poller_t *poller)
 {
-	event_free(watch->list_tick);
-	event_free(watch->load_tick);
-	if (watch->rating_tick != NULL)
-		event_free(watch->rating_tick);
-	json_decref(watch->vms);
-	free(watch);
+	event_free(poller->list_timer);
+	event_free(poller->load_timer);
+	if (poller->rating_timer != NULL)
+		event_free(poller->rating_timer);
+	json_decref(poller->vms);
+	free(poller);
 }
--- a/test/unit/admission_test.c
+++ b/test/unit/admission_test.c
@@ -46,7 +46,7 @@
 }
 
 static void
-an_important_class_does_not_wait_behind_a_lesser_one(void **state)
+higher_class_does_not_wait_behind_lower(void **state)
 {
 	admission_t admission;
 	waiter_t old = waiter(CLASS_SHEDDABLE, 0, FAR_MS);
@@ -60,7 +60,7 @@
 }
 
 static void
-one_pool_closes_no_other(void **state)
+pool_over_cutoff_closes_no_other(void **state)
 {
 	admission_t admission;
 	waiter_t old = waiter(CLASS_CRITICAL, 0, FAR_MS);
@@ -120,7 +120,7 @@
 }
 
 static void
-coming_back_is_spread(void **state)
+retry_after_is_spread(void **state)
 {
 	admission_t admission;
 	int64_t low, high;
@@ -154,12 +154,11 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test(lower_classes_are_refused_first),
-	    cmocka_unit_test(
-		an_important_class_does_not_wait_behind_a_lesser_one),
-	    cmocka_unit_test(one_pool_closes_no_other),
+	    cmocka_unit_test(higher_class_does_not_wait_behind_lower),
+	    cmocka_unit_test(pool_over_cutoff_closes_no_other),
 	    cmocka_unit_test(order_is_by_class_then_age),
 	    cmocka_unit_test(overdue_are_found),
-	    cmocka_unit_test(coming_back_is_spread),
+	    cmocka_unit_test(retry_after_is_spread),
 	    cmocka_unit_test(rate_refills),
 	};
 
