--- a/include/moortack/limit/admission.h
+++ b/include/moortack/limit/admission.h
@@ -1,10 +1,12 @@
 /**
  * @file
- * Who waits and who is refused when endpoints are full: a bounded queue for
- * each class, cut off by the age of its head. The signal is waiting, not
- * processor time, and the classes are owned by the configuration (ideas taken
- * from "Load shedding: the arithmetic that decides whether it works"; measured
- * in docs/MEASUREMENTS.md).
+ * Admission control: which requests wait and which are refused when endpoints
+ * are full. Each class has a queue; the queues share one bound, and a class is
+ * refused once the oldest request ahead of it has waited for its cut-off. Load
+ * is measured by waiting time, not processor time, and the configuration
+ * determines the classes (after "Load
+ * shedding: the arithmetic that decides whether it works"; measured in
+ * docs/MEASUREMENTS.md).
  */
 #ifndef MOORTACK_LIMIT_ADMISSION_H
 #define MOORTACK_LIMIT_ADMISSION_H
@@ -14,12 +16,12 @@
 
 #define ADMISSION_POOL_COUNT 64
 
-/** One waiting request; the owner embeds it. */
+/** One waiting request; embedded in the owner's struct. */
 typedef struct waiter {
 	struct waiter *next;
 	struct waiter *prev;
 	class_t class;
-	uint32_t pool; /**< what it waits for, 0 to ADMISSION_POOL_COUNT - 1 */
+	uint32_t pool; /**< that it waits for, 0 to ADMISSION_POOL_COUNT - 1 */
 	struct timespec arrived_at;
 	struct timespec deadline;
 	bool queued;
@@ -31,45 +33,47 @@
 		waiter_t *last;
 		uint32_t count;
 	} queues[CLASSES];
-	uint32_t waiting_max;	    /**< waiting in all */
-	uint32_t waiting_count;	    /**< waiting now */
+	uint32_t waiting_max;	    /**< in all queues */
+	uint32_t waiting_count;	    /**< in all queues */
 	int64_t cutoff_ms[CLASSES]; /**< age of the oldest at which a class is
 				       refused */
 } admission_t;
 
 /** @param max requests that may wait @param cutoff_ms of the most important
- * class; each next one gets half */
+ * class, milliseconds; each next class gets half of the one before */
 void admission_init(admission_t *, uint32_t max, int64_t cutoff_ms);
 
-/** Age of the request that waits longest, milliseconds; 0: none waits. */
+/** How long the oldest request has waited, milliseconds; 0: none waits. */
 int64_t admission_longest_wait_ms(const admission_t *, struct timespec now);
 
 /**
- * Whether a new request of the class may come in now. Cheap: asked before
- * anything is parsed. One pool's queue closes no other pool.
- * @param pools bit n: it may go to pool n
+ * Whether a new request of the class is admitted now. Cheap: called before
+ * anything is parsed. Waiters for one pool don't close another pool.
+ * @param pools bit n: the request may go to pool n
  */
 bool admission_allows(
     const admission_t *, class_t, uint64_t pools, struct timespec now);
 
-/** The pool of a model, by its name: the same in every revision. */
+/** The pool of a model, from its name: the same in every revision. */
 uint32_t admission_pool(const char *model);
 
-/** Queue a request. @return false when no more may wait */
+/** Adds a request to its class's queue. @return false: no more may wait */
 bool admission_enqueue(admission_t *, waiter_t *);
 
-/** Take a request out of its queue; nothing if it isn't in one. */
+/** Removes a request from its queue; does nothing if it isn't queued. */
 void admission_remove(admission_t *, waiter_t *);
 
 /** The next request to try: the most important class first, oldest first.
- * @param after the one tried before, or NULL to begin */
+ * @param after the one tried before; NULL: start at the first
+ * @return NULL: no more */
 waiter_t *admission_next(const admission_t *, const waiter_t *after);
 
-/** A waiter whose deadline has passed, or whose class is over its cut-off and
- * must be given up; NULL: none. */
+/** A waiter that must be refused, as its deadline has passed or it has waited
+ * for its class's cut-off; the least important class first. NULL: none. */
 waiter_t *admission_overdue(const admission_t *, struct timespec now);
 
-/** When to come back, milliseconds: the age, spread by @p random. */
+/** When a refused caller should retry, milliseconds: from the longest wait,
+ * spread by @p random so that callers don't return all at once. */
 int64_t admission_retry_after_ms(
     const admission_t *, struct timespec now, uint32_t random);
 
--- a/include/moortack/limit/rate.h
+++ b/include/moortack/limit/rate.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * A token bucket: requests a second of one organisation at one daemon.
+ * A token bucket that limits the requests per second of one organisation at one
+ * daemon.
  */
 #ifndef MOORTACK_LIMIT_RATE_H
 #define MOORTACK_LIMIT_RATE_H
@@ -16,10 +17,11 @@
 } rate_limiter_t;
 
 /**
- * Take one token.
- * @param per_s refill, and the burst of one second; 0: no limit
- * @param wait_ms receives how long until there is one again
- * @return false when there is none
+ * Acquires one token.
+ * @param per_s tokens added per second, and the size of the bucket, which holds
+ * at least 1; 0: no limit
+ * @param wait_ms receives how long until there is one again, milliseconds
+ * @return false if there is none
  */
 bool rate_limiter_acquire(
     rate_limiter_t *, double per_s, struct timespec now, int64_t *wait_ms);
--- a/moortack/limit/admission.c
+++ b/moortack/limit/admission.c
@@ -31,8 +31,9 @@
 	return oldest;
 }
 
-/* The pools where a class is over its cut-off. It waits behind its own kind and
- * those above it; each queue is in order of age, so few are looked at. */
+/* The pools where a class is over its cut-off. Waiters of its own class and of
+ * more important ones count, as they are ahead of it; each queue is in order of
+ * age, so few are examined. */
 static uint64_t
 pools_closed(const admission_t *admission, class_t class, struct timespec now)
 {
--- a/moortack/limit/retry_budget.c
+++ b/moortack/limit/retry_budget.c
@@ -1,7 +1,8 @@
 #include "moortack/limit/retry_budget.h"
 
 #define ALL_PERCENT 100.0
-#define BALANCE_START 10.0 /* so that a quiet daemon can retry at all */
+/* So that a daemon with little traffic can retry at all. */
+#define BALANCE_START 10.0
 #define BALANCE_MAX 50.0
 
 void
