--- a/include/moortack/route/cascade.h
+++ b/include/moortack/route/cascade.h
@@ -1,12 +1,12 @@
 /**
  * @file
- * Which model answers, when the caller leaves it open: the cheapest whose
- * answers are good often enough for the organisation's target.
+ * Selects the model of a request that leaves it open: the cheapest whose
+ * responses are good often enough for the organisation's target.
  *
- * An engine gives each answer a confidence. From late and sparse ratings the
- * cascade learns, for each model, how often answers of a confidence are good,
- * and accepts an answer where that is over a bar. The bar moves so that the
- * share of good answers in all stays at the target.
+ * An engine gives each response a confidence. From late and sparse ratings the
+ * cascade estimates, for each model, the probability that a response of a
+ * confidence is good, and accepts a response from a threshold of it on. The
+ * threshold moves so that the share of good responses stays at the target.
  */
 #ifndef MOORTACK_ROUTE_CASCADE_H
 #define MOORTACK_ROUTE_CASCADE_H
@@ -17,43 +17,49 @@
 #define CASCADE_MODELS_MAX 8
 #define CASCADE_BINS 10
 
-/** What was learned of one model's answers, by confidence. */
+/** Ratings of one model's responses, by confidence. The counts are weighted:
+ * earlier ratings decay. */
 typedef struct cascade_model_stats {
 	double good_ratings[CASCADE_BINS];
 	double ratings[CASCADE_BINS];
-	double mean_cost; /**< mean of an answer */
+	double mean_cost; /**< moving average, of a response; 0: no sample */
 } cascade_model_stats_t;
 
 /** One organisation's cascade; models from the cheapest to the best. */
 typedef struct cascade {
 	int model_count;
-	double target;	  /**< share of good answers, 0 to 1 */
-	double threshold; /**< an answer is accepted from this chance on */
+	double target;	  /**< share of good responses, 0 to 1 */
+	double threshold; /**< probability of being good from which a response
+			     is accepted, 0 to 1 */
 	cascade_model_stats_t models[CASCADE_MODELS_MAX];
 } cascade_t;
 
-/** @param priors share of good answers expected of each model, 0 to 1 */
+/** @param models number of models @param priors expected share of good
+ * responses of each model, 0 to 1 */
 void cascade_init(cascade_t *, int models, const double *priors, double target);
 
-/** The model to ask first. Where the cheap ones are hardly ever accepted, it
- * is not worth to ask them. @param explore asks the cheapest all the same */
+/** The model to ask first. Cheap models whose responses are hardly ever
+ * accepted are skipped: they would cost more than they save.
+ * @param explore the cheapest in any case, so that it gets ratings */
 int cascade_first_model(const cascade_t *, bool explore);
 
-/** The cheapest model whose answers, taken all together, are good often enough;
- * the best when there is none. For answers that can't be taken back. */
+/** The cheapest model whose responses of all confidences together reach the
+ * target; the best if none does. For responses that can't be escalated, such as
+ * streams. */
 int cascade_single_model(const cascade_t *);
 
-/** Whether an answer of this confidence is good enough to be given. */
+/** Whether a response of this confidence is accepted; of the best model,
+ * always. Else the next model is asked. */
 bool cascade_accepts(const cascade_t *, int model, double confidence);
 
-/** The chance that an answer of this confidence is good. */
+/** The estimated probability that a response of this confidence is good. */
 double
 cascade_good_probability(const cascade_t *, int model, double confidence);
 
-/** A rating came for an answer that was given. */
+/** Records the rating of a response, and adjusts the threshold. */
 void cascade_add_rating(cascade_t *, int model, double confidence, bool good);
 
-/** An answer of the model was made. @param cost of it */
+/** Records the cost of a response. */
 void cascade_add_cost(cascade_t *, int model, double cost);
 
 #endif
--- a/include/moortack/route/fleet.h
+++ b/include/moortack/route/fleet.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The endpoints that a daemon knows: what the platform lists, what they report
- * with a lag, and what this daemon saw of them itself.
+ * The endpoints that a daemon knows: the platform's list of them, their load
+ * reports, which lag, and this daemon's own observations.
  */
 #ifndef MOORTACK_ROUTE_FLEET_H
 #define MOORTACK_ROUTE_FLEET_H
@@ -16,8 +16,8 @@
 
 typedef enum endpoint_state {
 	ENDPOINT_LIVE,
-	ENDPOINT_LEAVING, /**< finishes what it has; no new work */
-	ENDPOINT_REMOVED, /**< its row is free once nothing is in flight */
+	ENDPOINT_LEAVING, /**< completes its requests; gets no new ones */
+	ENDPOINT_REMOVED, /**< its row is reused once nothing is in flight */
 } endpoint_state_t;
 
 typedef struct endpoint {
@@ -29,34 +29,37 @@
 	bool listed; /**< in the latest list of VMs */
 	bool load_reported;
 
-	/* In terms of the configuration in force. */
+	/* Handles of the configuration in force. */
 	handle_t place;
 	version_set_t versions;
 
 	/* Load. */
-	uint32_t slots;
-	uint32_t reported_load;	      /**< running and queued, from all */
-	uint32_t in_flight_at_report; /**< of this daemon */
-	uint32_t in_flight;	      /**< of this daemon, now */
-	double first_token_ms;	      /**< moving average; 0: no sample */
+	uint32_t slots;		      /**< requests that it runs at once */
+	uint32_t reported_load;	      /**< running and queued, of all daemons */
+	uint32_t in_flight_at_report; /**< of this daemon, at the last report */
+	uint32_t in_flight;	      /**< of this daemon */
+	double
+	    first_token_ms; /**< moving average, milliseconds; 0: no sample */
 
 	/* Health. */
-	uint32_t failures;  /**< in a row */
+	uint32_t failures;  /**< consecutive */
 	uint32_t ejections; /**< since the last success */
 	bool ejected;
-	bool probing; /**< one request tries it out */
+	bool probing; /**< the request that tests an ejected endpoint is in
+			 flight */
 	struct timespec ejected_until;
-	struct timespec slow_start_at; /**< of its slow start */
+	struct timespec slow_start_at; /**< when it was added, or recovered from
+					  an ejection */
 } endpoint_t;
 
 typedef struct endpoint_table {
 	table_t endpoints; /**< endpoint_t */
 } endpoint_table_t;
 
-/** What a load report said. */
+/** The result of polling an endpoint for its load. */
 typedef struct load_report {
 	char address[ENDPOINT_ADDRESS_SIZE];
-	bool responded; /**< false: it could not be reached */
+	bool responded; /**< false: no valid load report came */
 	bool leaving;
 	bool has_versions;
 	uint32_t running;
@@ -69,33 +72,38 @@
 void endpoint_table_init(endpoint_table_t *);
 void endpoint_table_finish(endpoint_table_t *);
 
+/** @return NULL if there is no such row */
 endpoint_t *endpoint_table_at(const endpoint_table_t *, handle_t);
 
-/** @return HANDLE_NONE when there is none at the address */
+/** @return HANDLE_NONE if there is no endpoint with the address */
 handle_t endpoint_table_find(const endpoint_table_t *, const char *address);
 
-/** Start taking over a list of VMs: all are unlisted until listed again. */
+/** Starts applying a list of VMs: marks all endpoints as not listed. */
 void endpoint_table_update_begin(endpoint_table_t *);
 
-/** One endpoint of the list.
- * @param versions names, shared; @return its handle or HANDLE_NONE */
+/** Applies one entry of the list: adds the endpoint if it is new.
+ * @param leaving the list says that it is leaving
+ * @return its handle; HANDLE_NONE: out of memory */
 handle_t endpoint_table_update_entry(endpoint_table_t *, const char *address,
     const char *place, bool leaving, struct timespec now);
 
-/** Endpoints that were not listed are leaving, then gone. */
+/** Ends applying a list: endpoints that it doesn't name are marked as leaving,
+ * and as removed once they have nothing in flight. */
 void endpoint_table_update_end(endpoint_table_t *);
 
-/** Take over a load report. @return true when the endpoint starts to leave */
+/** Applies a load report; one without a response changes nothing.
+ * @return true if a live endpoint reported that it is leaving */
 bool endpoint_table_apply_report(
     endpoint_table_t *, const load_report_t *, const config_t *);
 
-/** Translate names into handles of a new configuration. */
+/** Looks up the names of places and versions in a new configuration. */
 void endpoint_table_resolve(endpoint_table_t *, const config_t *);
 
-/** An endpoint leaves: no new work from here on. */
+/** Marks a live endpoint as leaving: it gets no new requests. */
 void endpoint_mark_leaving(endpoint_t *);
 
-/** Add a version that the endpoint serves, by its name. */
+/** Adds a version that the endpoint serves, by its name; it counts after
+ * endpoint_table_resolve(). Versions over ENDPOINT_VERSIONS_MAX are dropped. */
 void endpoint_add_version(endpoint_t *, const char *version);
 
 bool endpoint_serves(const endpoint_t *, handle_t version);
--- a/include/moortack/route/learn.h
+++ b/include/moortack/route/learn.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What the front learns from answers: the guard over versions, a cascade for
- * each organisation, and which of its answers wait for a rating.
+ * Feedback that the front collects from responses: the guard over versions, a
+ * cascade for each organisation, and the responses that may still be rated.
  */
 #ifndef MOORTACK_ROUTE_LEARN_H
 #define MOORTACK_ROUTE_LEARN_H
@@ -15,17 +15,17 @@
 /** An organisation's cascade, over the models that it may use. */
 typedef struct organisation_cascade {
 	char organisation[CONFIG_NAME_SIZE];
-	uint64_t models_revision; /**< that the list of models was made from */
+	uint64_t models_revision; /**< that the list of models is from */
 	char model_names[CASCADE_MODELS_MAX][CONFIG_NAME_SIZE];
 	cascade_t cascade;
 } organisation_cascade_t;
 
-/** An answer that may still be rated. */
+/** A response that may still be rated. */
 typedef struct recent_response {
 	char request_id[FEEDBACK_REQUEST_ID_SIZE];
 	char organisation[CONFIG_NAME_SIZE];
 	char version[CONFIG_NAME_SIZE];
-	int model_index; /**< of its cascade; -1: not of one */
+	int model_index; /**< in its cascade; -1: the caller named the model */
 	double confidence;
 } recent_response_t;
 
@@ -33,28 +33,30 @@
 	guard_t guard;
 	table_t cascades; /**< organisation_cascade_t */
 	recent_response_t responses[FEEDBACK_RESPONSES_MAX]; /**< ring */
-	uint64_t response_count;
+	uint64_t response_count;			     /**< ever added */
 } feedback_t;
 
 void feedback_init(feedback_t *);
 void feedback_finish(feedback_t *);
 
-/** The organisation's cascade, made or made anew for this configuration; NULL
- * when it may use no engine's model, or memory is out. */
+/** The organisation's cascade, created if needed, and reset if its models or
+ * its target changed in the configuration; NULL: it may use no engine's model,
+ * or out of memory. */
 organisation_cascade_t *
 feedback_get_cascade(feedback_t *, const config_t *, handle_t organisation);
 
-/** Remember an answer until its rating comes. */
+/** Adds a response, so that its rating is recognised; replaces the oldest. */
 void feedback_add_response(feedback_t *, const recent_response_t *);
 
-/** The answer that a rating is of, or NULL when it is long ago or a peer's. */
+/** The response that a rating is for; NULL: already replaced, or of a peer. */
 const recent_response_t *
-feedback_find_response(const feedback_t *, const char *request);
+feedback_find_response(const feedback_t *, const char *request_id);
 
-/** Teach a cascade a rating. */
+/** Records a rating in the cascade of the response's organisation. */
 void feedback_add_rating(feedback_t *, const recent_response_t *, bool good);
 
-/** Begin anew with versions whose state or share differs between the two. */
+/** Starts the guard's test again for versions that are new or whose state or
+ * percentage changed. */
 void feedback_config_changed(
     feedback_t *, const config_t *before, const config_t *after);
 
--- a/include/moortack/route/watch.h
+++ b/include/moortack/route/watch.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The task that reads the platform's list of VMs and the load reports of the
- * endpoints on it, and posts both to the front.
+ * Polls the platform's list of VMs, the load reports of the endpoints on it,
+ * and the rating service, and posts what it receives to the front.
  */
 #ifndef MOORTACK_ROUTE_WATCH_H
 #define MOORTACK_ROUTE_WATCH_H
@@ -12,9 +12,9 @@
 
 typedef struct endpoint_poller_sink {
 	task_t *front;
-	int list_kind;	  /**< kind; body: a list of VMs, json_t */
-	int load_kind;	  /**< kind; body: load_report_t */
-	int ratings_kind; /**< kind; body: a list of ratings, json_t */
+	int list_kind;	  /**< message kind; body: a list of VMs, json_t */
+	int load_kind;	  /**< message kind; body: load_report_t */
+	int ratings_kind; /**< message kind; body: a list of ratings, json_t */
 } endpoint_poller_sink_t;
 
 typedef struct endpoint_poller endpoint_poller_t;
--- a/moortack/route/balance.c
+++ b/moortack/route/balance.c
@@ -3,9 +3,10 @@
 #include <string.h>
 
 #define CANDIDATES_MAX 1024
-#define OVERCOMMIT_PERCENT 150 /* of its slots: the rest queues there */
-#define REMOTE_FACTOR 1.3      /* another place costs a round trip */
-#define PREFIX_FACTOR 0.6      /* a cached prefix saves the prefill */
+/* Of its slots; what exceeds the slots queues at the endpoint. */
+#define OVERCOMMIT_PERCENT 150
+#define REMOTE_FACTOR 1.3 /* another place costs a round trip */
+#define PREFIX_FACTOR 0.6 /* a cached prefix saves the prefill */
 #define DEFAULT_FIRST_TOKEN_MS 20.0
 #define SMOOTHING 0.2
 #define SLOW_START_MS 5000
@@ -13,7 +14,7 @@
 #define EJECT_FAILURES 3
 #define EJECT_BASE_MS 1000
 #define EJECT_MAX_MS 30000
-#define EJECT_POOL_PERCENT 50 /* at most this share of a pool is out */
+#define EJECT_POOL_PERCENT 50 /* at most this share of a pool is ejected */
 #define ALL_PERCENT 100
 
 bool
@@ -32,7 +33,8 @@
 	    organisation_allows_place(organisation, endpoint->place);
 }
 
-/* What others have there, from the report, and what this daemon has. */
+/* Requests at the endpoint: of other daemons as of the last report, and those
+ * in flight from this daemon. */
 static uint32_t
 endpoint_load(const endpoint_t *endpoint)
 {
@@ -82,9 +84,9 @@
 	    SLOW_START_MS;
 }
 
-/* Expected wait: how long the endpoint takes, by what this daemon has there.
- * What others have is left out: reports of it are as old as a request is long,
- * and all daemons would go by the same ones (docs/MEASUREMENTS.md, balance). */
+/* Expected wait, from the requests that this daemon has in flight. The load of
+ * other daemons is left out: reports of it are as old as a request is long, and
+ * all daemons would act on the same ones (docs/MEASUREMENTS.md, balance). */
 static double
 endpoint_cost(const endpoint_table_t *table, handle_t handle,
     const balance_query_t *query)
@@ -110,7 +112,8 @@
 	const endpoint_t *endpoint =
 	    endpoint_table_at(table, query->prefix_endpoint);
 
-	/* A hot endpoint sheds its sessions: the prefix isn't worth a queue. */
+	/* A cached prefix isn't worth a wait for a slot, so a loaded endpoint
+	 * loses its sessions to others. */
 	if (endpoint == NULL || endpoint_load(endpoint) >= endpoint->slots)
 		return false;
 	for (uint32_t i = 0; i < count; i++) {
@@ -120,8 +123,8 @@
 	return false;
 }
 
-/* The endpoint with the prompt's prefix is a third choice, and no more: going
- * there whenever it isn't full doubled the 99th percentile. */
+/* The endpoint with the prompt's prefix is only a third candidate: choosing it
+ * whenever it isn't full doubled the 99th percentile. */
 static handle_t
 two_choices(const endpoint_table_t *table, const handle_t *candidates,
     uint32_t count, const balance_query_t *query, rng_t *rng)
@@ -164,7 +167,8 @@
 	return best;
 }
 
-/* The state of the turn is the caller's random stream's: see the bench. */
+/* The state of the random number generator serves as the counter;
+ * bench/balance.c has a generator for each daemon. */
 static handle_t
 round_robin(const endpoint_table_t *table, const handle_t *candidates,
     uint32_t count, const balance_query_t *query, rng_t *rng)
@@ -180,9 +184,9 @@
     "least reported", least_reported};
 const balance_policy_t balance_round_robin = {"round robin", round_robin};
 
-/* The allowed endpoints with room. @param any_allowed receives whether
- * any_allowed is allowed
- * @param include_tried also those that were tried */
+/* Collects the allowed endpoints that are neither full nor ejected.
+ * @param include_tried also those that the request has tried
+ * @param any_allowed set if an endpoint is allowed, even if it can't be used */
 static uint32_t
 candidates_collect(const endpoint_table_t *table, const balance_query_t *query,
     bool include_tried, handle_t *candidates, bool *any_allowed)
@@ -256,7 +260,8 @@
 	    SMOOTHING * (first_token_ms - endpoint->first_token_ms);
 }
 
-/* Whether another endpoint of the same versions may be out as well. */
+/* Whether one more endpoint of the pool may be ejected; a pool is the live
+ * endpoints that serve the same versions. */
 static bool
 pool_may_eject(const endpoint_table_t *table, const endpoint_t *endpoint)
 {
--- a/moortack/route/cascade.c
+++ b/moortack/route/cascade.c
@@ -1,13 +1,15 @@
 #include "moortack/route/cascade.h"
 
 #define PRIOR_WEIGHT 4.0
-#define DECAY 0.995	    /* of what was learned, a rating: about 200 count */
-#define THRESHOLD_STEP 0.01 /* the bar's move for one rating */
+#define DECAY 0.995 /* of earlier ratings at each new one: about 200 count */
+#define THRESHOLD_STEP 0.01 /* change of the threshold for one rating */
 #define THRESHOLD_MIN 0.05
 #define THRESHOLD_MAX 0.99
 #define COST_SMOOTHING 0.02
-#define NEIGHBOUR_WEIGHT 0.25 /* a rating says this much of the bins beside */
-#define COST_MARGIN 1.0 /* asking first is worth it below this cost ratio */
+#define NEIGHBOUR_WEIGHT 0.25 /* weight of a rating in the adjacent bins */
+/* A model is asked first if its cost is below this many times the best model's
+ * cost times the share of its responses that are accepted. */
+#define COST_MARGIN 1.0
 
 static int
 bin_of(double confidence)
@@ -25,8 +27,8 @@
 	    .model_count = models, .target = target, .threshold = target};
 	for (int m = 0; m < models; m++) {
 		for (int b = 0; b < CASCADE_BINS; b++) {
-			/* Before any rating, confidence is taken at its word
-			 * around the model's prior. */
+			/* Before any rating, the probability rises with the
+			 * confidence, around the model's prior. */
 			double probability = priors[m] +
 			    ((b + 0.5) / CASCADE_BINS - 0.5) * (1 - priors[m]);
 
@@ -57,7 +59,7 @@
 	    cascade->threshold;
 }
 
-/* The share of the model's answers that would be accepted, by what was seen. */
+/* The share of the model's rated responses that the threshold accepts. */
 static double
 accepted_share(const cascade_t *cascade, int model)
 {
@@ -126,8 +128,8 @@
 	int bin = bin_of(confidence);
 
 	for (int b = 0; b < CASCADE_BINS; b++) {
-		/* What was learned fades, so that a change shows; never to
-		 * nothing, so that a probability stays defined. */
+		/* Earlier ratings decay, so that a change of the model shows;
+		 * a minimum stays, so that the probability is defined. */
 		if (stats->ratings[b] * DECAY < PRIOR_WEIGHT / 2)
 			continue;
 		stats->ratings[b] *= DECAY;
@@ -136,8 +138,8 @@
 	bin_add_rating(stats, bin, 1, good);
 	bin_add_rating(stats, bin - 1, NEIGHBOUR_WEIGHT, good);
 	bin_add_rating(stats, bin + 1, NEIGHBOUR_WEIGHT, good);
-	/* Too many bad answers raise the bar, good ones let it down, so that
-	 * it stands still at the target. */
+	/* Bad responses raise the threshold and good ones lower it, by steps
+	 * that cancel out when the share of good ones is the target. */
 	cascade->threshold += good ? -THRESHOLD_STEP * (1 - cascade->target)
 				   : THRESHOLD_STEP * cascade->target;
 	if (cascade->threshold < THRESHOLD_MIN)
--- a/moortack/route/guard.c
+++ b/moortack/route/guard.c
@@ -4,11 +4,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define THRESHOLD_ALL 14.0	/* see docs/MEASUREMENTS.md, weights */
-#define THRESHOLD_ONE_EXTRA 2.0 /* more for one organisation of several */
-#define STEP 0.05     /* worse ratio this share of answers counts as bad */
-#define DECAY 0.998   /* of the baseline, a sample: about 500 count */
-#define PRIOR_BAD 0.5 /* a baseline not yet seen is taken as 1 in 50 */
+/* Measured in docs/MEASUREMENTS.md, weights. */
+#define THRESHOLD_ALL 14.0
+/* Added for one organisation, as several are tested. */
+#define THRESHOLD_ONE_EXTRA 2.0
+/* The test detects a rise of the bad share by this and half of the share. */
+#define STEP 0.05
+#define DECAY 0.998   /* of the baseline at each sample: about 500 count */
+#define PRIOR_BAD 0.5 /* a baseline without samples is taken as 1 bad in 50 */
 #define PRIOR_SEEN 25.0
 #define BAD_SHARE_MAX 0.9
 
@@ -72,7 +75,8 @@
 	return share < BAD_SHARE_MAX ? share : BAD_SHARE_MAX;
 }
 
-/* How much more likely the sample is if the version is worse ratio a step. */
+/* Logarithm of how much more likely the sample is if the version is worse than
+ * the baseline by a step. */
 static double
 log_likelihood_ratio(double share, bool bad)
 {
--- a/moortack/route/learn.c
+++ b/moortack/route/learn.c
@@ -37,7 +37,8 @@
 	return false;
 }
 
-/* The usable models, from the cheapest on. */
+/* The usable models in order of their cost, cheapest first.
+ * @return how many; at most CASCADE_MODELS_MAX */
 static int
 models_by_cost(
     const config_t *config, const organisation_t *organisation, handle_t *out)
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -9,7 +9,7 @@
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 #define ETAG_SIZE 80
-#define NEW_LIST_READS 32
+#define NEW_LIST_READS 32 /* at each tick after the list changed */
 #define READS_IN_FLIGHT_MAX 64
 
 struct endpoint_poller {
@@ -21,14 +21,14 @@
 	struct event *load_timer;
 	json_t *vms; /**< the latest list */
 	char list_etag[ETAG_SIZE];
-	size_t next_vm;	   /**< VM whose load is read next */
-	size_t unread_vms; /**< VMs still to be read since the list changed */
+	size_t next_vm;	   /**< index of the VM whose load is read next */
+	size_t unread_vms; /**< VMs not yet read since the list changed */
 	bool list_pending;
 	http_address_t rating_address;
 	struct event *rating_timer; /**< NULL: there is no rating service */
 	bool rating_pending;
-	size_t rating_count;
-	uint32_t reads_in_flight; /**< load reports under way */
+	size_t rating_count;	  /**< ratings received so far */
+	uint32_t reads_in_flight; /**< of load reports */
 };
 
 typedef struct load_read {
@@ -42,7 +42,8 @@
 	json_decref(body);
 }
 
-/* The list's tag, so that it is sent again only once it has changed. */
+/* Stores the list's ETag, so that the list is sent again only once it has
+ * changed. */
 static void
 list_etag_store(endpoint_poller_t *poller, const http_reply_t *reply)
 {
@@ -60,7 +61,7 @@
 	json_t *vms = json_object_get(body, "vms");
 
 	poller->list_pending = false;
-	/* No list is not an empty list: what is known stays. */
+	/* A failed read is not an empty list: the known endpoints stay. */
 	if (json_is_array(vms)) {
 		list_etag_store(poller, reply);
 		json_decref(poller->vms);
@@ -162,9 +163,10 @@
 	poller->reads_in_flight++;
 }
 
-/* An endpoint that was never read comes first; the others in turn, a few at a
- * time. What one daemon hears of a leave it tells all, so between them the
- * daemons read each endpoint often enough. */
+/* Reads load reports in turn: more of them at each tick until all endpoints
+ * were read once since the list changed, then a few. A daemon that learns that
+ * an endpoint is leaving notifies all others, so that together the daemons read
+ * each endpoint often enough. */
 static void
 load_poll(evutil_socket_t fd, short what, void *arg)
 {
@@ -246,7 +248,7 @@
 	endpoint_poller_t *poller = calloc(1, sizeof(*poller));
 
 	if (poller == NULL) {
-		err_set(err, ERR_MEMORY, "no memory");
+		err_set(err, ERR_MEMORY, "out of memory");
 		return NULL;
 	}
 	poller->process = *process;
