--- a/test/scenario/cascade.lua
+++ b/test/scenario/cascade.lua
@@ -1,5 +1,6 @@
--- The caller leaves the model open: a cheap answer that is sure is given, one
--- that is not goes up to the better model, and is one bill with two lines.
+-- Requests with model "auto": a confident response of the cheap model is
+-- returned; one that isn't confident is escalated to the better model, and
+-- billed as one bill with two lines.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({engines = {
@@ -15,22 +16,24 @@
 lib.equal(hard.status, 200, "a hard request")
 lib.equal(hard.headers["Moortack-Version"], "ofenrat@1", "its version")
 lib.equal(hard.json.choices[1].message.content, lib.whole_text("hard one", 8),
-  "the answer of one model only")
--- The session goes on where it ended up.
+  "the response of one model only")
+-- The session stays on the model that it was escalated to.
 local next = lib.chat(c.daemons[2], {model = "auto", prompt = "easy two",
   session = hard.headers["Moortack-Session"]})
-lib.equal(next.headers["Moortack-Version"], "ofenrat@1", "the session's")
--- A stream can't be taken back: one model, chosen beforehand.
+lib.equal(next.headers["Moortack-Version"], "ofenrat@1",
+  "the version of the session")
+-- A stream can't be escalated once it has started, so its model is chosen
+-- beforehand.
 local stream = lib.chat(c.daemons[1],
   {model = "auto", prompt = "hard stream", stream = true})
 local _, done = lib.stream_text(stream.body)
-lib.check(done, "an open stream")
+lib.check(done, "a stream with model auto")
 c:check_billed_once({[easy.headers["Moortack-Request"]] = true,
   [hard.headers["Moortack-Request"]] = true,
   [stream.headers["Moortack-Request"]] = true})
-local answer = lib.http("POST", c.store.address, "/table/scan",
+local response = lib.http("POST", c.store.address, "/table/scan",
   {body = {prefix = "bill/", after = ""}})
-for _, row in ipairs(answer.json.rows) do
+for _, row in ipairs(response.json.rows) do
   for _, bill in ipairs(run.decode(row[2])) do
     if bill.request == hard.headers["Moortack-Request"] then
       lib.equal(#bill.lines, 2, "lines of the hard request's bill")
--- a/test/scenario/guard.lua
+++ b/test/scenario/guard.lua
@@ -1,6 +1,6 @@
--- A version that is rolling out turns bad: the guard stops it at one daemon,
--- the others hear of it, one that starts later too, and only a plan sets it
--- going again. Then answers that are rated bad do the same.
+-- A version that is rolling out starts to fail. The guard stops it at one
+-- daemon, which notifies the others, and daemons that start later. Only a plan
+-- starts the version again. Then the same with responses that are rated bad.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({settings = {["rating-ms"] = 200,
@@ -23,15 +23,16 @@
 run.sleep(500)
 local late = lib.load(c.daemons[4].address,
   {key = "pyykki-dock-key", rate = 60, seconds = 2, tokens = 4, seed = 3})
-lib.equal(lib.finish_load(late).whole > 100, true, "the newcomer serves")
+lib.equal(lib.finish_load(late).whole > 100, true,
+  "the daemon that started later serves")
 local summary = lib.finish_load(load)
 lib.say("%s; %d runs of the bad version", run.encode(summary), stopped)
 lib.equal(c:runs_of("linen-lm@2"), stopped, "runs of it after the stop")
 lib.check(stopped <= 60, "the bad version ran %d times", stopped)
--- The failed ones were retried on the good version, within the budget.
+-- The failed requests were retried on the good version, within the budget.
 lib.check(summary.whole >= summary.sent - stopped, "chats served")
 
--- An unrelated change does not set it going again; a plan for it does.
+-- An unrelated change does not start it again; a plan for it does.
 for i = 1, 2 do lib.fault(c.engines[i].address, {bad = ""}) end
 c:change({{set = "place", name = "kerava-hall", value = {region = "x"}}})
 lib.finish_load(lib.load(c:entries(),
@@ -40,9 +41,9 @@
 c:set_version("linen-lm@2", "rolling", 40)
 lib.finish_load(lib.load(c:entries(),
   {key = "pyykki-dock-key", rate = 60, seconds = 1, tokens = 4, seed = 5}))
-lib.check(c:runs_of("linen-lm@2") > stopped, "a plan sets it going again")
+lib.check(c:runs_of("linen-lm@2") > stopped, "a plan starts it again")
 
--- Bad by rating alone: its answers come whole and fast.
+-- Bad by its ratings alone: its responses are complete and fast.
 lib.fault(c.rating.address, {bad = "linen-lm@2", share = 100})
 local events = #c:events("guard_stopped")
 lib.finish_load(lib.load(c:entries(),
--- a/test/scenario/regions_apart.lua
+++ b/test/scenario/regions_apart.lua
@@ -1,11 +1,11 @@
--- Two regions of two daemons lose each other; one of them reaches the table.
--- That one goes on and can withdraw a version; the other refuses new work, and
--- is back when they meet.
+-- A partition between two regions of two daemons each; only one region reaches
+-- the store's table. That region keeps serving and can withdraw a version. The
+-- other refuses new requests, and serves again when the partition ends.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({relays = true, places =
   {"vantaa-hall", "vantaa-hall", "espoo-depot", "espoo-depot"}})
--- The second region's way to the table.
+-- The relay through which the second region reaches the table.
 local relay = lib.spawn("standin-relay",
   {"--listen", network .. "9:9100"}, {}, "store-relay.log")
 relay.address = network .. "9:9100"
@@ -21,7 +21,7 @@
 c:wait_joined(4)
 c:wait_ready()
 
-local function apart(fault)
+local function partition(fault)
   for i = 1, 4 do
     local others = {}
     for j = 1, 4 do
@@ -31,22 +31,22 @@
       [fault] = others})
   end
 end
-apart("cut")
+partition("cut")
 lib.fault(relay.address, {target = c.store.address, cut = {"*"}})
 for i = 3, 4 do
-  lib.wait_until("daemon " .. i .. " refuses new work", function()
-    local answer = lib.chat(c.daemons[i], {})
-    return answer.json and answer.json.error and
-      answer.json.error.type == "config_stale"
+  lib.wait_until("daemon " .. i .. " refuses new requests", function()
+    local response = lib.chat(c.daemons[i], {})
+    return response.json and response.json.error and
+      response.json.error.type == "config_stale"
   end)
 end
--- The other side goes on, also with a withdrawal.
+-- The other region keeps serving, and a version can be withdrawn there.
 local plan = c:plan({{set = "version", name = "linen-lm@2",
   value = {state = "live"}}, {set = "version", name = "linen-lm@1",
   value = {state = "withdrawn"}}}, c.daemons[1])
-local answer = c:confirm(plan, c.daemons[1])
-lib.equal(answer.status, 200, "confirm by the half with the table")
-c:wait_revision(answer.json.revision, {c.daemons[1], c.daemons[2]})
+local confirmed = c:confirm(plan, c.daemons[1])
+lib.equal(confirmed.status, 200, "confirm by the region with the table")
+c:wait_revision(confirmed.json.revision, {c.daemons[1], c.daemons[2]})
 for i = 1, 2 do
   lib.equal(lib.chat(c.daemons[i], {}).headers["Moortack-Version"],
     "linen-lm@2", "version at daemon " .. i)
@@ -55,16 +55,16 @@
   lib.equal(lib.chat(c.daemons[i], {}).status, 503, "chat at daemon " .. i)
 end
 local before = c:runs_of("linen-lm@1")
--- They meet again.
+-- The partition ends.
 c:heal()
 lib.fault(relay.address, {target = c.store.address})
 c:wait_joined(4)
-c:wait_revision(answer.json.revision)
+c:wait_revision(confirmed.json.revision)
 for i = 3, 4 do
   lib.wait_until("daemon " .. i .. " serves again", function()
-    local back = lib.chat(c.daemons[i], {})
-    return back.status == 200 and
-      back.headers["Moortack-Version"] == "linen-lm@2"
+    local response = lib.chat(c.daemons[i], {})
+    return response.status == 200 and
+      response.headers["Moortack-Version"] == "linen-lm@2"
   end)
 end
 lib.equal(c:runs_of("linen-lm@1"), before, "runs of the withdrawn version since")
--- a/test/scenario/rollout.lua
+++ b/test/scenario/rollout.lua
@@ -1,6 +1,6 @@
--- A roll-out that is interrupted: daemons are killed and replaced halfway, the
--- operator goes away between two steps. The share stays what the plan says, and
--- sessions keep their version through all of it, to the end of the roll-out.
+-- An interrupted roll-out: daemons are killed and replaced while it is in
+-- progress, and its steps come from different operators. The share stays what
+-- the plan says, and sessions keep their version until the roll-out ends.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard({places =
@@ -20,41 +20,41 @@
   return 100 * new / all, all
 end
 -- With about 600 sessions at 30 %, 8 points are over four standard deviations.
-local function near(got, want, what)
+local function check_share(got, want, what)
   lib.say("%s: %.1f %% on the new version", what, got)
   lib.check(math.abs(got - want) < 8, "%s: %.1f %%, want %d", what, got, want)
 end
 
 c:set_version("linen-lm@2", "rolling", 30)
-near(share(1), 30, "before")
+check_share(share(1), 30, "before")
 local sessions = {}
 for i = 1, 20 do
-  local answer = lib.chat(c.daemons[i % 3 + 1], {prompt = "s" .. i})
-  sessions[i] = {token = answer.headers["Moortack-Session"],
-    version = answer.headers["Moortack-Version"]}
+  local response = lib.chat(c.daemons[i % 3 + 1], {prompt = "s" .. i})
+  sessions[i] = {token = response.headers["Moortack-Session"],
+    version = response.headers["Moortack-Version"]}
 end
--- Halfway: two of three daemons are killed, one after the other, and replaced.
+-- Two of three daemons are killed, one after the other, and replaced.
 for i = 1, 2 do
   c.daemons[i]:kill()
   c:daemon_start(i, i == 1 and "vantaa-hall" or "espoo-depot")
   c:wait_ready()
-  run.sleep(3500) -- the dead one is taken off
+  run.sleep(3500) -- until the killed daemon is removed
 end
 c:wait_joined(3)
-near(share(2), 30, "after two daemons were replaced")
+check_share(share(2), 30, "after two daemons were replaced")
 -- The next step comes from another operator at another daemon.
 c:change({{set = "version", name = "linen-lm@2",
   value = {state = "rolling", percent = 70}}}, c.daemons[2])
-near(share(3), 70, "after the next step")
+check_share(share(3), 70, "after the next step")
 c:change({{set = "version", name = "linen-lm@2", value = {state = "live"}},
   {set = "version", name = "linen-lm@1", value = {state = "draining"}}},
   c.daemons[3])
 for i, session in ipairs(sessions) do
-  local answer = lib.chat(c.daemons[i % 3 + 1],
+  local response = lib.chat(c.daemons[i % 3 + 1],
     {prompt = "again", session = session.token})
-  lib.equal(answer.status, 200, "session " .. i)
-  lib.equal(answer.headers["Moortack-Version"], session.version,
+  lib.equal(response.status, 200, "session " .. i)
+  lib.equal(response.headers["Moortack-Version"], session.version,
     "version of session " .. i)
 end
-near(share(4), 100, "at its end")
+check_share(share(4), 100, "at the end")
 lib.say("ok")
--- a/test/unit/admission_test.c
+++ b/test/unit/admission_test.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Who waits and who is refused.
+ * Admission control and the rate limiter.
  */
 #include <setjmp.h>
 #include <stdarg.h>
