--- a/include/moortack/limit/rate.h
+++ b/include/moortack/limit/rate.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * A token bucket: requests a second of one organisation at one daemon.
+ * A token bucket that limits the requests per second of one organisation at one
+ * daemon.
  */
 #ifndef MOORTACK_LIMIT_RATE_H
 #define MOORTACK_LIMIT_RATE_H
@@ -9,18 +10,20 @@
 
 #include "common/clock_source.h"
 
-typedef struct rate {
+typedef struct rate_limiter {
 	double tokens;
-	struct timespec at;
-	bool started;
-} rate_t;
+	struct timespec refilled_at;
+	bool initialized;
+} rate_limiter_t;
 
 /**
- * Take one token.
- * @param per_s refill, and the burst of one second; 0: no limit
- * @param wait_ms receives how long until there is one again
- * @return false when there is none
+ * Acquires one token.
+ * @param per_s tokens added per second, and the size of the bucket, which holds
+ * at least 1; 0: no limit
+ * @param wait_ms receives how long until there is one again, milliseconds
+ * @return false if there is none
  */
-bool rate_take(rate_t *, double per_s, struct timespec now, int64_t *wait_ms);
+bool rate_limiter_acquire(
+    rate_limiter_t *, double per_s, struct timespec now, int64_t *wait_ms);
 
 #endif
--- a/include/moortack/route/watch.h
+++ b/include/moortack/route/watch.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The task that reads the platform's list of VMs and the load reports of the
- * endpoints on it, and posts both to the front.
+ * Polls the platform's list of VMs, the load reports of the endpoints on it,
+ * and the rating service, and posts what it receives to the front.
  */
 #ifndef MOORTACK_ROUTE_WATCH_H
 #define MOORTACK_ROUTE_WATCH_H
@@ -10,17 +10,17 @@
 #include "moortack/options.h"
 #include "moortack/route/fleet.h"
 
-typedef struct watch_ports {
+typedef struct endpoint_poller_sink {
 	task_t *front;
-	int list;    /**< kind; body: a list of VMs, json_t */
-	int load;    /**< kind; body: load_report_t */
-	int ratings; /**< kind; body: a list of ratings, json_t */
-} watch_ports_t;
+	int list_kind;	  /**< message kind; body: a list of VMs, json_t */
+	int load_kind;	  /**< message kind; body: load_report_t */
+	int ratings_kind; /**< message kind; body: a list of ratings, json_t */
+} endpoint_poller_sink_t;
 
-typedef struct watch watch_t;
+typedef struct endpoint_poller endpoint_poller_t;
 
-watch_t *watch_new(
-    const process_t *, const options_t *, const watch_ports_t *, err_t *err);
-void watch_free(watch_t *);
+endpoint_poller_t *endpoint_poller_new(const process_t *, const options_t *,
+    const endpoint_poller_sink_t *, err_t *err);
+void endpoint_poller_free(endpoint_poller_t *);
 
 #endif
--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -16,7 +16,7 @@
 	uint32_t daemon_count = front->members->rows.len + 1;
 	int64_t wait_ms;
 
-	if (!admission_open(&front->admission, arrival->class, arrival->pools,
+	if (!admission_allows(&front->admission, arrival->class, arrival->pools,
 		arrival->now))
 		return err_set(err, ERR_OVERLOAD,
 		    "overloaded: requests of class %s are refused at present",
@@ -24,7 +24,8 @@
 	if (front->room.count >= front->room.max)
 		return err_set(
 		    err, ERR_STORE, "too many bills wait to be stored");
-	if (!rate_take(&front->rates[arrival->organisation % FRONT_RATES_MAX],
+	if (!rate_limiter_acquire(
+		&front->rates[arrival->organisation % FRONT_RATES_MAX],
 		(double)organisation->limit / daemon_count, arrival->now,
 		&wait_ms))
 		return err_set(err, ERR_RATE_LIMIT,
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -412,7 +412,7 @@
 	    (!exchange->idempotent || exchange->at_most_once ||
 		exchange->interrupted_attempts >= INTERRUPTED_ATTEMPTS_MAX))
 		return false;
-	return retry_budget_spend(&exchange->front->retries);
+	return retry_budget_acquire(&exchange->front->retries);
 }
 
 void
@@ -427,7 +427,8 @@
 	if (may_have_run && endpoint_at_fault)
 		exchange_failure_record(exchange);
 	if (endpoint_at_fault && exchange->endpoint != HANDLE_NONE) {
-		if (endpoint_fail(&front->fleet, exchange->endpoint, now)) {
+		if (endpoint_attempt_failed(
+			&front->fleet, exchange->endpoint, now)) {
 			counter_add(
 			    front->process.counters, COUNTER_EJECTIONS, 1);
 			timeline_add(front->process.timeline,
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -43,10 +43,11 @@
 endpoint_record_success(exchange_t *exchange)
 {
 	endpoint_t *endpoint =
-	    fleet_at(&exchange->front->fleet, exchange->endpoint);
+	    endpoint_table_at(&exchange->front->fleet, exchange->endpoint);
 
 	if (endpoint != NULL)
-		endpoint_succeed(endpoint, (double)exchange->first_byte_ms,
+		endpoint_attempt_succeeded(endpoint,
+		    (double)exchange->first_byte_ms,
 		    clock_boottime(exchange->front->process.clock));
 	exchange->endpoint = HANDLE_NONE;
 }
@@ -87,7 +88,7 @@
 	outcome_report(exchange);
 	exchange->phase = PHASE_BILLING;
 	billing_record(front->billing, &bill, exchange->tag);
-	if (front->admission.count > 0)
+	if (front->admission.waiting_count > 0)
 		front_dispatch(front);
 }
 
@@ -217,7 +218,7 @@
 	err_t err;
 
 	err_set(&err, code, "%s", detail);
-	admission_leave(&front->admission, &exchange->waiter);
+	admission_remove(&front->admission, &exchange->waiter);
 	exchange_upstream_cancel(exchange);
 	exchange_endpoint_release(exchange);
 	if (exchange->phase == PHASE_REDEEM)
@@ -244,7 +245,7 @@
 {
 	front_t *front = exchange->front;
 
-	admission_leave(&front->admission, &exchange->waiter);
+	admission_remove(&front->admission, &exchange->waiter);
 	if (exchange->upstream_req != NULL) {
 		evhttp_cancel_request(exchange->upstream_req);
 		evhttp_connection_free(exchange->upstream->conn);
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -28,10 +28,10 @@
 	    row->state == VERSION_WITHDRAWN)
 		return;
 	sample.model = config_model_at(config, row->model)->name;
-	sample.baseline = row->state == VERSION_LIVE;
+	sample.is_baseline = row->state == VERSION_LIVE;
 	if (!guard_observe(&front->learn.guard, &sample))
 		return;
-	stopped = guard_stopped(&front->learn.guard, config, "");
+	stopped = guard_stopped_versions(&front->learn.guard, config, "");
 	front_guard_tell(front, version,
 	    version_set_has(&stopped, config_version(config, version))
 		? ""
@@ -88,16 +88,16 @@
 static void
 recent_response_record(exchange_t *exchange)
 {
-	learn_recent_t recent = {
-	    .model = exchange->auto_model ? exchange->cascade_step : -1,
+	recent_response_t recent = {
+	    .model_index = exchange->auto_model ? exchange->cascade_step : -1,
 	    .confidence = exchange->confidence >= 0 ? exchange->confidence
 						    : DEFAULT_CONFIDENCE};
 
-	memcpy(recent.request, exchange->id, sizeof(recent.request));
+	memcpy(recent.request_id, exchange->id, sizeof(recent.request_id));
 	memcpy(recent.organisation, exchange->organisation,
 	    sizeof(recent.organisation));
 	memcpy(recent.version, exchange->version, sizeof(recent.version));
-	learn_answer(&exchange->front->learn, &recent);
+	feedback_add_response(&exchange->front->learn, &recent);
 }
 
 void
@@ -119,23 +119,24 @@
 
 static bool
 cascade_model_select(exchange_t *exchange, handle_t organisation,
-    const learn_cascade_t *row, int step, err_t *err)
+    const organisation_cascade_t *row, int step, err_t *err)
 {
 	exchange->cascade_step = step;
-	memcpy(exchange->model, row->models[step], sizeof(exchange->model));
+	memcpy(
+	    exchange->model, row->model_names[step], sizeof(exchange->model));
 	return exchange_version_select(exchange, organisation, err);
 }
 
 /* A stream can't be replaced by another model's response once it has started,
  * so its model is chosen without knowing the confidence of the response. */
 static int
-cascade_step_first(exchange_t *exchange, const learn_cascade_t *row)
+cascade_step_first(exchange_t *exchange, const organisation_cascade_t *row)
 {
 	rng_t *rng = exchange->front->process.rng;
 
 	if (exchange->streaming)
-		return cascade_blind(&row->cascade);
-	return cascade_first(
+		return cascade_single_model(&row->cascade);
+	return cascade_first_model(
 	    &row->cascade, rng_below(rng, HUNDRED_PERCENT) < EXPLORE_PERCENT);
 }
 
@@ -143,8 +144,8 @@
 exchange_cascade_start(exchange_t *exchange, handle_t organisation, err_t *err)
 {
 	front_t *front = exchange->front;
-	const learn_cascade_t *row =
-	    learn_cascade(&front->learn, front->config, organisation);
+	const organisation_cascade_t *row =
+	    feedback_get_cascade(&front->learn, front->config, organisation);
 
 	if (row == NULL)
 		return err_set(err, ERR_NOT_ALLOWED,
@@ -176,18 +177,19 @@
 	front_t *front = exchange->front;
 	handle_t organisation =
 	    config_organisation(front->config, exchange->organisation);
-	learn_cascade_t *row;
+	organisation_cascade_t *row;
 	bill_line_t line;
 	err_t err;
 
 	if (!exchange->auto_model || exchange->streaming ||
 	    organisation == HANDLE_NONE || !exchange_has_recipient(exchange))
 		return false;
-	row = learn_cascade(&front->learn, front->config, organisation);
-	if (row == NULL || exchange->cascade_step >= row->cascade.models)
+	row = feedback_get_cascade(&front->learn, front->config, organisation);
+	if (row == NULL || exchange->cascade_step >= row->cascade.model_count)
 		return false;
 	exchange_bill_line(exchange, &line);
-	cascade_cost(&row->cascade, exchange->cascade_step, (double)line.cost);
+	cascade_add_cost(
+	    &row->cascade, exchange->cascade_step, (double)line.cost);
 	if (exchange->bill_line_count + 1 >= BILL_LINES_MAX ||
 	    exchange->confidence < 0 ||
 	    cascade_accepts(
