--- a/moortack/replication/membership_priv.h
+++ b/moortack/replication/membership_priv.h
@@ -2,7 +2,7 @@
  * @file
  * What the files of the membership share: membership.c has the members,
  * member_row.c decodes their rows, member_row_requests.c writes them,
- * membership_liveness.c detects silent members, member_tree.c chooses the
+ * member_signs.c detects silent members, member_tree.c chooses the
  * parent.
  */
 #ifndef MOORTACK_REPLICATION_MEMBERSHIP_PRIV_H
