--- a/bench/admission.c
+++ b/bench/admission.c
@@ -40,7 +40,7 @@
 } pool_t;
 
 /* Of the requests offered: docks, drivers, summaries, the rest. */
-static const double class_shares[CLASSES] = {0.10, 0.25, 0.40, 0.25};
+static const double class_shares[CLASS_COUNT] = {0.10, 0.25, 0.40, 0.25};
 
 static bool
 overloaded(const pool_t *pool)
@@ -89,12 +89,12 @@
 {
 	double at = gsl_rng_uniform(pool->rng.gsl);
 
-	for (int c = 0; c < CLASSES; c++) {
+	for (int c = 0; c < CLASS_COUNT; c++) {
 		if (at < class_shares[c])
 			return c;
 		at -= class_shares[c];
 	}
-	return CLASSES - 1;
+	return CLASS_COUNT - 1;
 }
 
 static void
@@ -216,7 +216,7 @@
 {
 	double all = 0;
 
-	for (int c = 0; c < CLASSES; c++)
+	for (int c = 0; c < CLASS_COUNT; c++)
 		all += values[c];
 	return all;
 }
@@ -224,7 +224,7 @@
 static void
 row_print(const char *name, const admission_case_t *what)
 {
-	samples_t good[CLASSES] = {0};
+	samples_t good[CLASS_COUNT] = {0};
 	samples_t goodput = {0}, recovery = {0}, p99 = {0};
 	double capacity = SLOTS / SERVICE_MS * (LOAD_TO_MS - LOAD_FROM_MS);
 
@@ -232,7 +232,7 @@
 		admission_result_t one;
 
 		admission_run(what, seed, &one);
-		for (int c = 0; c < CLASSES; c++) {
+		for (int c = 0; c < CLASS_COUNT; c++) {
 			samples_add(
 			    &good[c], 100 * one.good[c] / one.offered[c]);
 			if (c == CLASS_CRITICAL)
@@ -245,7 +245,7 @@
 	}
 	printf("| %gx | %s", what->times, name);
 	figure_print(&goodput, "%.0f");
-	for (int c = 0; c < CLASSES; c++) {
+	for (int c = 0; c < CLASS_COUNT; c++) {
 		figure_print(&good[c], "%.0f");
 		samples_finish(&good[c]);
 	}
--- a/bench/admission.h
+++ b/bench/admission.h
@@ -20,11 +20,11 @@
 } admission_case_t;
 
 typedef struct admission_result {
-	double offered[CLASSES];
-	double good[CLASSES]; /**< within their deadline */
-	double refused[CLASSES];
+	double offered[CLASS_COUNT];
+	double good[CLASS_COUNT]; /**< within their deadline */
+	double refused[CLASS_COUNT];
 	double recovery_ms;
-	samples_t took[CLASSES];
+	samples_t took[CLASS_COUNT];
 } admission_result_t;
 
 /** @param out its samples are the caller's to finish */
--- a/bench/weights.c
+++ b/bench/weights.c
@@ -39,7 +39,7 @@
 			samples_add(&sheddable,
 			    100 * one.good[CLASS_SHEDDABLE] /
 				one.offered[CLASS_SHEDDABLE]);
-			for (int c = 0; c < CLASSES; c++)
+			for (int c = 0; c < CLASS_COUNT; c++)
 				samples_finish(&one.took[c]);
 		}
 		printf("| %lld", (long long)cutoffs[i]);
--- a/include/moortack/config/config.h
+++ b/include/moortack/config/config.h
@@ -17,8 +17,8 @@
 #define CONFIG_VERSIONS_MAX 256
 #define CONFIG_KEYS_MAX 4
 #define CONFIG_KEY_HASH_SIZE 65 /**< hexadecimal, with its end */
-#define CONFIG_ALL_PERCENT 100
-#define CONFIG_QUALITY_FULL 1000
+#define CONFIG_PERCENT_MAX 100
+#define CONFIG_QUALITY_MAX 1000
 
 /** What a version may be given. */
 typedef enum version_state {
@@ -27,7 +27,7 @@
 	VERSION_LIVE,	   /**< the rest of the new sessions */
 	VERSION_DRAINING,  /**< its sessions only */
 	VERSION_WITHDRAWN, /**< no new work at all */
-	VERSION_STATES
+	VERSION_STATE_COUNT
 } version_state_t;
 
 /** Importance of an organisation's work, most important first. */
@@ -36,7 +36,7 @@
 	CLASS_HIGH,
 	CLASS_MEDIUM,
 	CLASS_SHEDDABLE,
-	CLASSES
+	CLASS_COUNT
 } class_t;
 
 typedef enum model_kind {
@@ -71,13 +71,13 @@
 typedef struct organisation {
 	char name[CONFIG_NAME_SIZE];
 	char key_hashes[CONFIG_KEYS_MAX][CONFIG_KEY_HASH_SIZE];
-	uint32_t keys;
+	uint32_t key_count;
 	class_t class;
-	uint64_t places;	/**< bit n: the place of handle n is allowed */
-	version_set_t versions; /**< allowed */
-	uint32_t limit;		/**< requests a second over all; 0: none */
-	uint32_t quality;	/**< target, thousandths */
-	bool fallback;		/**< a session may leave a withdrawn version */
+	uint64_t allowed_places; /**< bit n: the place of handle n is allowed */
+	version_set_t allowed_versions; /**< allowed */
+	uint32_t requests_per_s; /**< requests a second over all; 0: none */
+	uint32_t quality_target; /**< target, thousandths */
+	bool fallback;		 /**< a session may leave a withdrawn version */
 } organisation_t;
 
 /** One revision. Read only once compiled; shared by counting references. */
@@ -99,17 +99,18 @@
  */
 config_t *config_compile(json_t *document, uint64_t revision, err_t *err);
 
-config_t *config_share(config_t *);
+config_t *config_acquire(config_t *);
 void config_release(config_t *);
 
 /** @return handles; HANDLE_NONE when there is no such name */
-handle_t config_place(const config_t *, const char *name);
-handle_t config_model(const config_t *, const char *name);
-handle_t config_version(const config_t *, const char *name);
-handle_t config_organisation(const config_t *, const char *name);
+handle_t config_place_find(const config_t *, const char *name);
+handle_t config_model_find(const config_t *, const char *name);
+handle_t config_version_find(const config_t *, const char *name);
+handle_t config_organisation_find(const config_t *, const char *name);
 
 /** The organisation that has this key, by the key's hash. */
-handle_t config_organisation_by_key(const config_t *, const char *key_hash);
+handle_t
+config_organisation_find_by_key(const config_t *, const char *key_hash);
 
 /** The row of a handle that is known to be valid. */
 const place_t *config_place_at(const config_t *, handle_t);
@@ -130,6 +131,6 @@
 const char *class_name(class_t);
 
 /** The hash that the configuration keeps of a key. */
-void key_hash(const char *key, char out[CONFIG_KEY_HASH_SIZE]);
+void api_key_hash(const char *key, char out[CONFIG_KEY_HASH_SIZE]);
 
 #endif
--- a/include/moortack/config/intent.h
+++ b/include/moortack/config/intent.h
@@ -20,6 +20,6 @@
 const char *intent_section(const char *kind);
 
 /** An empty document. */
-json_t *document_new(void);
+json_t *config_document_new(void);
 
 #endif
--- a/include/moortack/config/plan.h
+++ b/include/moortack/config/plan.h
@@ -20,7 +20,7 @@
  * with kind, name, before, after, organisations, places) and "warnings"; NULL
  * with @p err filled
  */
-json_t *plan_make(const config_t *base, const json_t *intent,
+json_t *plan_compute(const config_t *base, const json_t *intent,
     const char *operator_name, err_t *err);
 
 #endif
--- a/include/moortack/front/front.h
+++ b/include/moortack/front/front.h
@@ -16,24 +16,24 @@
 /** Messages that others post to the front. */
 enum front_message {
 	FRONT_CONFIG,  /**< config_t */
-	FRONT_FRESH,   /**< freshness_news_t */
+	FRONT_FRESH,   /**< freshness_update_t */
 	FRONT_MEMBERS, /**< members_t */
-	FRONT_ADMIN,   /**< admin_answer_t */
+	FRONT_ADMIN,   /**< admin_response_t */
 	FRONT_WITNESS, /**< witness_news_t */
 	FRONT_BILLED,  /**< billing_news_t */
 	FRONT_ROOM,    /**< billing_room_t */
 	FRONT_VMS,     /**< a list of VMs, json_t */
 	FRONT_LOAD,    /**< load_report_t */
-	FRONT_LEFT,    /**< peer_question_t: an endpoint leaves */
-	FRONT_GUARD,   /**< peer_question_t: a version was stopped */
+	FRONT_LEFT,    /**< peer_query_t: an endpoint leaves */
+	FRONT_GUARD,   /**< peer_query_t: a version was stopped */
 	FRONT_RATINGS, /**< a list of ratings, json_t */
 };
 
 typedef struct front front_t;
 
 /** @param drained called once, after front_drain(), when nothing is left */
-front_t *front_new(const process_t *, const options_t *, store_t *, peers_t *,
-    void (*drained)(void *), void *arg, err_t *err);
+front_t *front_new(const process_context_t *, const options_t *, store_t *,
+    peers_t *, void (*drained)(void *), void *arg, err_t *err);
 void front_free(front_t *);
 
 /** Where others post to. */
--- a/include/moortack/ledger/billing.h
+++ b/include/moortack/ledger/billing.h
@@ -39,7 +39,7 @@
 	int room; /**< kind; body: billing_room_t */
 } billing_ports_t;
 
-billing_t *billing_new(const process_t *, const options_t *, store_t *,
+billing_t *billing_new(const process_context_t *, const options_t *, store_t *,
     peers_t *, const billing_ports_t *);
 void billing_free(billing_t *);
 
--- a/include/moortack/ledger/witness_task.h
+++ b/include/moortack/ledger/witness_task.h
@@ -24,8 +24,8 @@
 
 /** @param max tickets held at most
  * @param front receives witness_news_t as @p kind */
-witness_task_t *witness_task_new(
-    const process_t *, peers_t *, uint32_t max, task_t *front, int kind);
+witness_task_t *witness_task_new(const process_context_t *, peers_t *,
+    uint32_t max, task_t *front, int kind);
 void witness_task_free(witness_task_t *);
 
 /**
--- a/include/moortack/limit/admission.h
+++ b/include/moortack/limit/admission.h
@@ -30,11 +30,11 @@
 		waiter_t *first;
 		waiter_t *last;
 		uint32_t count;
-	} queues[CLASSES];
-	uint32_t max;		    /**< waiting in all */
-	uint32_t count;		    /**< waiting now */
-	int64_t cutoff_ms[CLASSES]; /**< age of the oldest at which a class is
-				       refused */
+	} queues[CLASS_COUNT];
+	uint32_t max;			/**< waiting in all */
+	uint32_t count;			/**< waiting now */
+	int64_t cutoff_ms[CLASS_COUNT]; /**< age of the oldest at which a class
+				       is refused */
 } admission_t;
 
 /** @param max requests that may wait @param cutoff_ms of the most important
--- a/include/moortack/member/freshness.h
+++ b/include/moortack/member/freshness.h
@@ -29,22 +29,23 @@
 /** What the last answered heartbeat to one peer proved. */
 typedef struct peer_evidence {
 	uint64_t incarnation;
-	struct timespec asked_at;
-	struct timespec store_at; /**< the peer's own last read of the head */
+	struct timespec queried_at;
+	struct timespec
+	    store_read_at; /**< the peer's own last read of the head */
 	uint64_t revision;
 	uint64_t epoch;
 	bool store_read;
 } peer_evidence_t;
 
 typedef struct freshness {
-	int64_t window_ms; /**< how long evidence counts */
-	int64_t outage_ms; /**< how long peers may vouch without any having
-			      read the store */
-	uint64_t revision; /**< held */
-	uint64_t epoch;	   /**< of the membership held */
-	uint32_t members;  /**< listed, with this one */
+	int64_t window_ms;	     /**< how long evidence counts */
+	int64_t store_outage_max_ms; /**< how long peers may vouch without any
+			      having read the store */
+	uint64_t revision;	     /**< held */
+	uint64_t epoch;		     /**< of the membership held */
+	uint32_t member_count;	     /**< listed, with this one */
 	bool store_read;
-	struct timespec store_at;
+	struct timespec store_read_at;
 	table_t peers; /**< peer_evidence_t */
 } freshness_t;
 
@@ -57,10 +58,10 @@
 freshness_store_read(freshness_t *, uint64_t head, struct timespec asked_at);
 
 /** A peer answered a heartbeat. @return false when memory is out */
-bool freshness_peer_answered(freshness_t *, const peer_evidence_t *);
+bool freshness_peer_responded(freshness_t *, const peer_evidence_t *);
 
 /** One unit of an age, milliseconds, and the age that says nothing. */
-#define FRESHNESS_AGE_MS 100
+#define FRESHNESS_AGE_UNIT_MS 100
 #define FRESHNESS_AGE_UNKNOWN 255
 
 /**
@@ -69,29 +70,30 @@
  * @param members incarnations in order, this daemon's too
  * @param ages receives @p count units, rounded up
  */
-void freshness_ages(const freshness_t *, const uint64_t *members,
+void freshness_ages_encode(const freshness_t *, const uint64_t *members,
     uint32_t count, uint64_t self, struct timespec now, uint8_t *ages);
 
 /**
  * Take over what came with a peer's answer.
  * @param from the answer itself: when it was asked for, revision, epoch
  */
-void freshness_merge(freshness_t *, const peer_evidence_t *from,
+void freshness_ages_merge(freshness_t *, const peer_evidence_t *from,
     const uint64_t *members, uint32_t count, uint64_t self,
     const uint8_t *ages);
 
 /** When a peer is last known to have answered anybody; 0: never. */
-struct timespec freshness_heard_at(const freshness_t *, uint64_t incarnation);
+struct timespec
+freshness_last_response_at(const freshness_t *, uint64_t incarnation);
 
 /** A peer is no longer a member. */
-void freshness_peer_forget(freshness_t *, uint64_t incarnation);
+void freshness_peer_remove(freshness_t *, uint64_t incarnation);
 
 /** Until when new work may be taken; in the past when it may not. */
-struct timespec freshness_until(const freshness_t *);
+struct timespec freshness_expires_at(const freshness_t *);
 
 /** Whether at least half of the members, with this one, have answered a
  * heartbeat sent within the window: those that vouch for each other without the
  * table are more than half, so one of them is among these. */
-bool freshness_half(const freshness_t *, struct timespec now);
+bool freshness_half_responded(const freshness_t *, struct timespec now);
 
 #endif
--- a/include/moortack/member/lease.h
+++ b/include/moortack/member/lease.h
@@ -17,23 +17,23 @@
 #define LEASE_NAME_SIZE 32
 
 typedef struct lease {
-	const process_t *process;
+	const process_context_t *process;
 	store_t *store;
 	char name[LEASE_NAME_SIZE];
 	int64_t ttl_ms;
 	bool held;
-	bool asking;
-	int64_t fence;	       /**< of this holder, while held */
-	struct timespec until; /**< elapsed clock */
-	struct timespec asked_at;
-	int64_t asked_fence;
+	bool request_pending;
+	int64_t fence;		    /**< of this holder, while held */
+	struct timespec expires_at; /**< elapsed clock */
+	struct timespec requested_at;
+	int64_t requested_fence;
 } lease_t;
 
-void lease_init(
-    lease_t *, const process_t *, store_t *, const char *name, int64_t ttl_ms);
+void lease_init(lease_t *, const process_context_t *, store_t *,
+    const char *name, int64_t ttl_ms);
 
 /** Ask for the lease, or to keep it; the outcome shows in lease_usable(). */
-void lease_ask(lease_t *);
+void lease_request(lease_t *);
 
 /** Whether the holder may act now, for as long as an order takes. */
 bool lease_usable(const lease_t *);
--- a/include/moortack/member/peer_socket.h
+++ b/include/moortack/member/peer_socket.h
@@ -14,7 +14,7 @@
 	void *owner; /**< handed to whoever drains it */
 	void *socket;
 	struct event *event;
-	void (*drain)(struct peer_socket *);
+	void (*on_message)(struct peer_socket *);
 } peer_socket_t;
 
 /** @param context the ZeroMQ context @param drain reads one message */
@@ -24,7 +24,7 @@
 
 /** After something was sent: look whether something came meanwhile, which the
  * edge-triggered descriptor tells no more. */
-void peer_socket_sent(peer_socket_t *);
+void peer_socket_schedule_read(peer_socket_t *);
 
 /** One frame of a message. @return false when there was none */
 bool peer_frame_read(void *socket, zmq_msg_t *frame, bool *more);
--- a/include/moortack/route/watch.h
+++ b/include/moortack/route/watch.h
@@ -19,8 +19,8 @@
 
 typedef struct watch watch_t;
 
-watch_t *watch_new(
-    const process_t *, const options_t *, const watch_ports_t *, err_t *err);
+watch_t *watch_new(const process_context_t *, const options_t *,
+    const watch_ports_t *, err_t *err);
 void watch_free(watch_t *);
 
 #endif
--- a/include/moortack/store/store.h
+++ b/include/moortack/store/store.h
@@ -2,8 +2,8 @@
  * @file
  * The platform's transactional table, as a table of function pointers.
  */
-#ifndef MOORTACK_PLATFORM_STORE_H
-#define MOORTACK_PLATFORM_STORE_H
+#ifndef MOORTACK_STORE_STORE_H
+#define MOORTACK_STORE_STORE_H
 
 #include <jansson.h>
 #include <stdbool.h>
@@ -11,9 +11,9 @@
 /** How a call to the store ended. */
 typedef enum store_result {
 	STORE_OK,
-	STORE_CONFLICT, /**< a check failed; nothing took effect */
-	STORE_REFUSED,	/**< over its rate; nothing took effect */
-	STORE_LOST,	/**< no answer: a write may have taken effect */
+	STORE_CONFLICT,	    /**< a check failed; nothing took effect */
+	STORE_RATE_LIMITED, /**< over its rate; nothing took effect */
+	STORE_NO_RESPONSE,  /**< no answer: a write may have taken effect */
 } store_result_t;
 
 /** @param reply the answer's object, or NULL; valid inside the call only */
@@ -50,9 +50,9 @@
 store_txn(store_t *, json_t *checks, json_t *puts, store_done_t, void *arg);
 
 /** One element of checks or puts. @param value NULL: absent, or delete */
-json_t *store_row(const char *key, const char *value);
+json_t *store_row_new(const char *key, const char *value);
 
 /** The value of @p key in a reply to store_get(), or NULL. */
-const char *store_value(const json_t *reply, const char *key);
+const char *store_response_value(const json_t *reply, const char *key);
 
 #endif
--- a/moortack/config/config.c
+++ b/moortack/config/config.c
@@ -19,31 +19,31 @@
 }
 
 handle_t
-config_place(const config_t *config, const char *name)
+config_place_find(const config_t *config, const char *name)
 {
 	return row_named(&config->places, name);
 }
 
 handle_t
-config_model(const config_t *config, const char *name)
+config_model_find(const config_t *config, const char *name)
 {
 	return row_named(&config->models, name);
 }
 
 handle_t
-config_version(const config_t *config, const char *name)
+config_version_find(const config_t *config, const char *name)
 {
 	return row_named(&config->versions, name);
 }
 
 handle_t
-config_organisation(const config_t *config, const char *name)
+config_organisation_find(const config_t *config, const char *name)
 {
 	return row_named(&config->organisations, name);
 }
 
 handle_t
-config_organisation_by_key(const config_t *config, const char *hash)
+config_organisation_find_by_key(const config_t *config, const char *hash)
 {
 	const struct config_key *key;
 
@@ -79,18 +79,18 @@
 organisation_allows_version(
     const organisation_t *organisation, handle_t version)
 {
-	return version_set_has(&organisation->versions, version);
+	return version_set_has(&organisation->allowed_versions, version);
 }
 
 bool
 organisation_allows_place(const organisation_t *organisation, handle_t place)
 {
 	return place < CONFIG_PLACES_MAX &&
-	    (organisation->places >> place & 1) != 0;
+	    (organisation->allowed_places >> place & 1) != 0;
 }
 
 void
-key_hash(const char *key, char out[CONFIG_KEY_HASH_SIZE])
+api_key_hash(const char *key, char out[CONFIG_KEY_HASH_SIZE])
 {
 	unsigned char hash[crypto_generichash_BYTES];
 
--- a/moortack/config/config_compile.c
+++ b/moortack/config/config_compile.c
@@ -12,9 +12,9 @@
 #define LIMIT_MAX 1000000
 #define COST_MAX 1000000000
 
-static const char *const state_names[VERSION_STATES] = {
+static const char *const state_names[VERSION_STATE_COUNT] = {
     "staged", "rolling", "live", "draining", "withdrawn"};
-static const char *const class_names[CLASSES] = {
+static const char *const class_names[CLASS_COUNT] = {
     "critical", "high", "medium", "sheddable"};
 
 /** One entry while it is compiled. */
@@ -152,8 +152,8 @@
 	if (!fields_known(entry, known) || !name_take(entry, model->name) ||
 	    !word_take(entry, "kind", kinds, 2, -1, &kind) ||
 	    !number_take(entry, "cost", COST_MAX, 1, &model->cost) ||
-	    !number_take(entry, "quality", CONFIG_QUALITY_FULL,
-		CONFIG_QUALITY_FULL, &model->quality) ||
+	    !number_take(entry, "quality", CONFIG_QUALITY_MAX,
+		CONFIG_QUALITY_MAX, &model->quality) ||
 	    !flag_take(entry, "idempotent", &model->idempotent))
 		return false;
 	if (strchr(model->name, '@') != NULL)
@@ -177,9 +177,9 @@
 		return entry_bad(entry, "the count", "at most 256");
 	if (!fields_known(entry, known) || !name_take(entry, version->name) ||
 	    !word_take(
-		entry, "state", state_names, VERSION_STATES, -1, &state) ||
+		entry, "state", state_names, VERSION_STATE_COUNT, -1, &state) ||
 	    !number_take(
-		entry, "percent", CONFIG_ALL_PERCENT, 0, &version->percent))
+		entry, "percent", CONFIG_PERCENT_MAX, 0, &version->percent))
 		return false;
 	version->state = (version_state_t)state;
 	memcpy(model, version->name, sizeof(model));
@@ -187,7 +187,7 @@
 	if (at == NULL || at[1] == '\0')
 		return entry_bad(entry, "the name", "MODEL@VERSION");
 	*at = '\0';
-	version->model = config_model(config, model);
+	version->model = config_model_find(config, model);
 	if (version->model == HANDLE_NONE)
 		return entry_bad(entry, "the model", "declared");
 	return true;
@@ -203,20 +203,20 @@
 	handle_t handle;
 
 	if (!any) {
-		handle = config_version(config, pattern);
+		handle = config_version_find(config, pattern);
 		if (handle == HANDLE_NONE)
 			return entry_bad(entry, "allow",
 			    "a list of declared MODEL@VERSION or MODEL@*");
-		version_set_add(&organisation->versions, handle);
+		version_set_add(&organisation->allowed_versions, handle);
 		return true;
 	}
 	snprintf(model, sizeof(model), "%.*s", (int)(len - 2), pattern);
-	handle = config_model(config, model);
+	handle = config_model_find(config, model);
 	if (handle == HANDLE_NONE)
 		return entry_bad(entry, "allow", "of declared models");
 	for (handle_t v = 0; v < config->versions.len; v++) {
 		if (config_version_at(config, v)->model == handle)
-			version_set_add(&organisation->versions, v);
+			version_set_add(&organisation->allowed_versions, v);
 	}
 	return true;
 }
@@ -232,12 +232,12 @@
 	json_array_foreach(json_object_get(entry->value, "places"), i, item)
 	{
 		const char *name = json_string_value(item);
-		handle_t place =
-		    name != NULL ? config_place(config, name) : HANDLE_NONE;
+		handle_t place = name != NULL ? config_place_find(config, name)
+					      : HANDLE_NONE;
 
 		if (place == HANDLE_NONE)
 			return entry_bad(entry, "places", "declared");
-		organisation->places |= UINT64_C(1) << place;
+		organisation->allowed_places |= UINT64_C(1) << place;
 	}
 	json_array_foreach(json_object_get(entry->value, "allow"), i, item)
 	{
@@ -258,8 +258,8 @@
 		if (hash == NULL || strlen(hash) != CONFIG_KEY_HASH_SIZE - 1)
 			return entry_bad(
 			    entry, "keys", "hashes made by 'moortackctl key'");
-		memcpy(organisation->key_hashes[organisation->keys++], hash,
-		    CONFIG_KEY_HASH_SIZE);
+		memcpy(organisation->key_hashes[organisation->key_count++],
+		    hash, CONFIG_KEY_HASH_SIZE);
 	}
 	return true;
 }
@@ -276,11 +276,12 @@
 		return err_set(entry->err, ERR_MEMORY, "no memory");
 	if (!fields_known(entry, known) ||
 	    !name_take(entry, organisation->name) ||
-	    !word_take(
-		entry, "class", class_names, CLASSES, CLASS_MEDIUM, &class) ||
-	    !number_take(entry, "limit", LIMIT_MAX, 0, &organisation->limit) ||
-	    !number_take(entry, "quality", CONFIG_QUALITY_FULL, 0,
-		&organisation->quality) ||
+	    !word_take(entry, "class", class_names, CLASS_COUNT, CLASS_MEDIUM,
+		&class) ||
+	    !number_take(
+		entry, "limit", LIMIT_MAX, 0, &organisation->requests_per_s) ||
+	    !number_take(entry, "quality", CONFIG_QUALITY_MAX, 0,
+		&organisation->quality_target) ||
 	    !flag_take(entry, "fallback", &organisation->fallback))
 		return false;
 	organisation->class = (class_t) class;
@@ -300,7 +301,7 @@
 			    version->state == VERSION_ROLLING)
 				percent += version->percent;
 		}
-		if (percent > CONFIG_ALL_PERCENT) {
+		if (percent > CONFIG_PERCENT_MAX) {
 			return err_set(err, ERR_BAD_REQUEST,
 			    "model '%s': its rolling versions take %u per cent;"
 			    " at most 100",
@@ -336,7 +337,7 @@
 	for (handle_t h = 0; h < config->organisations.len; h++) {
 		const organisation_t *row = config_organisation_at(config, h);
 
-		for (uint32_t k = 0; k < row->keys; k++) {
+		for (uint32_t k = 0; k < row->key_count; k++) {
 			struct config_key *key;
 
 			HASH_FIND_STR(config->keys, row->key_hashes[k], key);
@@ -401,7 +402,7 @@
 }
 
 config_t *
-config_share(config_t *config)
+config_acquire(config_t *config)
 {
 	config->references++;
 	return config;
@@ -424,11 +425,11 @@
 const char *
 version_state_name(version_state_t state)
 {
-	return state < VERSION_STATES ? state_names[state] : "?";
+	return state < VERSION_STATE_COUNT ? state_names[state] : "?";
 }
 
 const char *
 class_name(class_t class)
 {
-	return class < CLASSES ? class_names[class] : "?";
+	return class < CLASS_COUNT ? class_names[class] : "?";
 }
--- a/moortack/config/intent.c
+++ b/moortack/config/intent.c
@@ -25,7 +25,7 @@
 }
 
 json_t *
-document_new(void)
+config_document_new(void)
 {
 	return json_pack("{s:{},s:{},s:{},s:{}}", "models", "organisations",
 	    "places", "versions");
--- a/moortack/config/plan.c
+++ b/moortack/config/plan.c
@@ -19,10 +19,10 @@
 		return strcmp(organisation->name, name) == 0;
 	if (strcmp(kind, "place") == 0)
 		return organisation_allows_place(
-		    organisation, config_place(config, name));
+		    organisation, config_place_find(config, name));
 	if (strcmp(kind, "version") == 0)
 		return organisation_allows_version(
-		    organisation, config_version(config, name));
+		    organisation, config_version_find(config, name));
 	for (handle_t v = 0; v < config->versions.len; v++) {
 		const version_t *version = config_version_at(config, v);
 
@@ -150,8 +150,8 @@
 }
 
 json_t *
-plan_make(const config_t *base, const json_t *intent, const char *operator_name,
-    err_t *err)
+plan_compute(const config_t *base, const json_t *intent,
+    const char *operator_name, err_t *err)
 {
 	unsigned char id[PLAN_ID_BYTES];
 	char text[PLAN_ID_SIZE];
--- a/moortack/config/registry.c
+++ b/moortack/config/registry.c
@@ -21,23 +21,24 @@
 static void
 config_tell(registry_t *registry)
 {
-	task_post(registry->ports.front, registry->ports.config,
-	    config_share(registry->config), config_body_release);
+	task_post(registry->subscribers.front_task,
+	    registry->subscribers.config_kind, config_acquire(registry->config),
+	    config_body_release);
 }
 
 void
-registry_freshness_tell(registry_t *registry)
+registry_freshness_publish(registry_t *registry)
 {
-	freshness_news_t *news = malloc(sizeof(*news));
+	freshness_update_t *news = malloc(sizeof(*news));
 	struct timespec now = clock_boottime(registry->process.clock);
 	bool fresh;
 
 	if (news == NULL)
 		return;
-	news->until = freshness_until(&registry->freshness);
-	news->ready = registry->config->revision > 0;
+	news->expires_at = freshness_expires_at(&registry->freshness);
+	news->has_revision = registry->config->revision > 0;
 	news->listed = registry->joined || registry->leaving;
-	fresh = timespec_ms_between(now, news->until) > 0;
+	fresh = timespec_ms_between(now, news->expires_at) > 0;
 	if (fresh != registry->was_fresh) {
 		registry->was_fresh = fresh;
 		timeline_add(registry->process.timeline,
@@ -47,13 +48,15 @@
 			counter_add(registry->process.counters,
 			    COUNTER_STALE_PAUSES, 1);
 	}
-	task_post(registry->ports.front, registry->ports.fresh, news, NULL);
+	task_post(registry->subscribers.front_task,
+	    registry->subscribers.freshness_kind, news, NULL);
 }
 
 const revision_row_t *
-registry_row(const registry_t *registry, uint64_t number)
+registry_revision_row(const registry_t *registry, uint64_t number)
 {
-	const revision_row_t *row = &registry->rows[number % REVISIONS_KEPT];
+	const revision_row_t *row =
+	    &registry->revision_rows[number % REVISION_ROWS_MAX];
 
 	return row->text != NULL && row->number == number ? row : NULL;
 }
@@ -61,7 +64,8 @@
 static void
 row_keep(registry_t *registry, uint64_t number, const char *text)
 {
-	revision_row_t *row = &registry->rows[number % REVISIONS_KEPT];
+	revision_row_t *row =
+	    &registry->revision_rows[number % REVISION_ROWS_MAX];
 
 	free(row->text);
 	row->number = number;
@@ -81,7 +85,7 @@
 }
 
 bool
-registry_take(registry_t *registry, uint64_t number, const char *text)
+registry_revision_apply(registry_t *registry, uint64_t number, const char *text)
 {
 	json_t *row;
 	json_t *document;
@@ -118,9 +122,9 @@
 static void
 store_seen(registry_t *registry, bool answers)
 {
-	if (answers != registry->store_lost)
+	if (answers != registry->store_unavailable)
 		return;
-	registry->store_lost = !answers;
+	registry->store_unavailable = !answers;
 	timeline_add(registry->process.timeline,
 	    answers ? EVENT_STORE_AVAILABLE : EVENT_STORE_UNAVAILABLE, "store",
 	    "%s", "");
@@ -149,7 +153,7 @@
 	json_decref(snapshot);
 	if (text != NULL) {
 		store_txn(registry->store, json_array(),
-		    json_pack("[o]", store_row("snapshot", text)),
+		    json_pack("[o]", store_row_new("snapshot", text)),
 		    snapshot_written, registry);
 	}
 	free(text);
@@ -163,7 +167,7 @@
 	json_t *row;
 	size_t i;
 
-	registry->rows_pending = false;
+	registry->revisions_pending = false;
 	if (result != STORE_OK)
 		return;
 	json_array_foreach(json_object_get(reply, "rows"), i, row)
@@ -176,26 +180,26 @@
 		    sscanf(key, "rev/%" SCNu64, &number) != 1)
 			continue;
 		if (number > registry->config->revision &&
-		    !registry_take(registry, number, text))
+		    !registry_revision_apply(registry, number, text))
 			break;
 	}
 	/* Whoever had to read this much spares the next one. */
-	if (registry->config->revision - before >= SNAPSHOT_EVERY)
+	if (registry->config->revision - before >= SNAPSHOT_INTERVAL)
 		registry_snapshot_write(registry);
 	if (registry->config->revision > before)
 		registry_head_read(registry);
 }
 
 void
-registry_rows_read(registry_t *registry)
+registry_revisions_read(registry_t *registry)
 {
 	char after[KEY_SIZE];
 
-	if (registry->rows_pending)
+	if (registry->revisions_pending)
 		return;
 	snprintf(after, sizeof(after), REVISION_KEY_FORMAT,
 	    registry->config->revision);
-	registry->rows_pending =
+	registry->revisions_pending =
 	    store_scan(registry->store, "rev/", after, rows_read, registry);
 }
 
@@ -233,19 +237,19 @@
 	}
 	registry->head = head;
 	if (head > registry->config->revision)
-		registry_rows_read(registry);
+		registry_revisions_read(registry);
 	else
 		freshness_store_read(
-		    &registry->freshness, head, registry->head_asked_at);
+		    &registry->freshness, head, registry->head_requested_at);
 }
 
 static void
 head_read(void *arg, store_result_t result, const json_t *reply)
 {
 	registry_t *registry = arg;
-	const char *head = store_value(reply, "head");
-	const char *epoch = store_value(reply, "epoch");
-	const char *snapshot = store_value(reply, "snapshot");
+	const char *head = store_response_value(reply, "head");
+	const char *epoch = store_response_value(reply, "epoch");
+	const char *snapshot = store_response_value(reply, "snapshot");
 
 	registry->head_pending = false;
 	store_seen(registry, result == STORE_OK);
@@ -260,7 +264,7 @@
 		if (members_epoch != registry->store_epoch || !registry->joined)
 			registry_members_read(registry);
 	}
-	registry_freshness_tell(registry);
+	registry_freshness_publish(registry);
 }
 
 void
@@ -273,7 +277,7 @@
 	keys = json_pack("[s,s]", "head", "epoch");
 	if (registry->config->revision == 0)
 		json_array_append_new(keys, json_string("snapshot"));
-	registry->head_asked_at = clock_boottime(registry->process.clock);
+	registry->head_requested_at = clock_boottime(registry->process.clock);
 	registry->head_pending =
 	    store_get(registry->store, keys, head_read, registry);
 }
@@ -284,7 +288,7 @@
 	(void)fd;
 	(void)what;
 	registry_head_read(arg);
-	registry_freshness_tell(arg);
+	registry_freshness_publish(arg);
 }
 
 static void
@@ -302,23 +306,23 @@
 
 	switch ((enum registry_message)msg->kind) {
 	case REGISTRY_ADMIN:
-		registry_admin_take(registry, msg->body);
+		registry_admin_handle(registry, msg->body);
 		msg->body = NULL;
 		break;
 	case REGISTRY_LEAVE:
-		registry_leave_now(registry);
+		registry_leave_start(registry);
 		break;
-	case REGISTRY_STANDING:
-		registry_standing(registry, msg->body);
+	case REGISTRY_HEARTBEAT_QUERY:
+		registry_heartbeat_query(registry, msg->body);
 		break;
-	case REGISTRY_STOOD:
-		registry_stood(registry, msg->body);
+	case REGISTRY_HEARTBEAT_RESPONSE:
+		registry_heartbeat_response(registry, msg->body);
 		break;
-	case REGISTRY_ASKED_ROWS:
-		registry_rows_asked(registry, msg->body);
+	case REGISTRY_REVISIONS_QUERY:
+		registry_revisions_query(registry, msg->body);
 		break;
-	case REGISTRY_ROWS:
-		registry_rows_answered(registry, msg->body);
+	case REGISTRY_REVISIONS_RESPONSE:
+		registry_revisions_response(registry, msg->body);
 		break;
 	}
 }
@@ -337,27 +341,27 @@
 }
 
 void
-admin_ask_free(void *body)
+admin_command_free(void *body)
 {
-	admin_ask_t *ask = body;
+	admin_command_t *ask = body;
 
 	json_decref(ask->intent);
 	free(ask);
 }
 
 void
-admin_answer_free(void *body)
+admin_response_free(void *body)
 {
-	admin_answer_t *answer = body;
+	admin_response_t *answer = body;
 
 	json_decref(answer->body);
 	free(answer);
 }
 
 void
-registry_admin(registry_t *registry, admin_ask_t *ask)
+registry_admin_submit(registry_t *registry, admin_command_t *ask)
 {
-	task_post(&registry->task, REGISTRY_ADMIN, ask, admin_ask_free);
+	task_post(&registry->task, REGISTRY_ADMIN, ask, admin_command_free);
 }
 
 void
@@ -369,18 +373,19 @@
 static void
 routes_set(registry_t *registry)
 {
-	peers_route(registry->peers, WIRE__ENVELOPE__BODY_STANDING,
-	    &registry->task, REGISTRY_STANDING);
-	peers_route(registry->peers, WIRE__ENVELOPE__BODY_REVISIONS_ASK,
-	    &registry->task, REGISTRY_ASKED_ROWS);
+	peers_handler_set(registry->peers, WIRE__ENVELOPE__BODY_STANDING,
+	    &registry->task, REGISTRY_HEARTBEAT_QUERY);
+	peers_handler_set(registry->peers, WIRE__ENVELOPE__BODY_REVISIONS_ASK,
+	    &registry->task, REGISTRY_REVISIONS_QUERY);
 }
 
 registry_t *
-registry_new(const process_t *process, const options_t *options, store_t *store,
-    peers_t *peers, const registry_ports_t *ports, err_t *err)
+registry_new(const process_context_t *process, const options_t *options,
+    store_t *store, peers_t *peers, const registry_subscribers_t *ports,
+    err_t *err)
 {
 	registry_t *registry = calloc(1, sizeof(*registry));
-	json_t *document = document_new();
+	json_t *document = config_document_new();
 
 	if (registry == NULL) {
 		json_decref(document);
@@ -391,7 +396,7 @@
 	registry->options = options;
 	registry->store = store;
 	registry->peers = peers;
-	registry->ports = *ports;
+	registry->subscribers = *ports;
 	registry->config = config_compile(document, 0, err);
 	json_decref(document);
 	registry->members = members_new();
@@ -399,8 +404,9 @@
 	    &registry->freshness, options->fresh_ms, options->outage_ms);
 	task_init(&registry->task, process->base, handle, registry);
 	routes_set(registry);
-	registry->head_tick = tick_new(registry, head_ticked, options->head_ms);
-	registry->heartbeat_tick =
+	registry->head_timer =
+	    tick_new(registry, head_ticked, options->head_ms);
+	registry->heartbeat_timer =
 	    tick_new(registry, heartbeat_ticked, options->heartbeat_ms);
 	registry_head_read(registry);
 	return registry;
@@ -409,13 +415,13 @@
 void
 registry_free(registry_t *registry)
 {
-	event_free(registry->head_tick);
-	event_free(registry->heartbeat_tick);
+	event_free(registry->head_timer);
+	event_free(registry->heartbeat_timer);
 	task_finish(&registry->task);
 	freshness_finish(&registry->freshness);
 	members_release(registry->members);
 	config_release(registry->config);
-	for (int i = 0; i < REVISIONS_KEPT; i++)
-		free(registry->rows[i].text);
+	for (int i = 0; i < REVISION_ROWS_MAX; i++)
+		free(registry->revision_rows[i].text);
 	free(registry);
 }
--- a/moortack/config/registry_admin.c
+++ b/moortack/config/registry_admin.c
@@ -15,7 +15,7 @@
 /** One operator's question under way. */
 typedef struct admin_job {
 	registry_t *registry;
-	admin_ask_t *ask;
+	admin_command_t *ask;
 	json_t *plan;	 /**< ADMIN_CONFIRM: as it was made */
 	char *text;	 /**< the revision's row, as it was written */
 	uint64_t number; /**< the revision that it becomes */
@@ -28,19 +28,20 @@
 static void
 job_answer(admin_job_t *job, const err_t *err, json_t *body)
 {
-	admin_answer_t *answer = calloc(1, sizeof(*answer));
+	admin_response_t *answer = calloc(1, sizeof(*answer));
 
 	if (answer != NULL) {
 		answer->tag = job->ask->tag;
 		answer->body = body;
 		if (err != NULL)
 			answer->err = *err;
-		task_post(job->registry->ports.front,
-		    job->registry->ports.admin, answer, admin_answer_free);
+		task_post(job->registry->subscribers.front_task,
+		    job->registry->subscribers.admin_kind, answer,
+		    admin_response_free);
 	} else {
 		json_decref(body);
 	}
-	admin_ask_free(job->ask);
+	admin_command_free(job->ask);
 	json_decref(job->plan);
 	free(job->text);
 	free(job);
@@ -92,7 +93,7 @@
 	char *text;
 	err_t err;
 
-	job->plan = plan_make(job->registry->config, job->ask->intent,
+	job->plan = plan_compute(job->registry->config, job->ask->intent,
 	    job->ask->operator_name, &err);
 	if (job->plan == NULL) {
 		job_answer(job, &err, NULL);
@@ -103,7 +104,7 @@
 	text = json_dumps(job->plan, JSON_COMPACT);
 	if (text == NULL ||
 	    !store_txn(job->registry->store, json_array(),
-		json_pack("[o]", store_row(key, text)), plan_stored, job))
+		json_pack("[o]", store_row_new(key, text)), plan_stored, job))
 		job_fail(job, ERR_MEMORY, "no memory");
 	free(text);
 }
@@ -135,9 +136,9 @@
 		return;
 	}
 	job_answer(job, NULL,
-	    json_pack("{s:s,s:I,s:i,s:i}", "plan", job->ask->plan, "revision",
-		(json_int_t)job->number, "in_force", (int)in_force, "members",
-		(int)members));
+	    json_pack("{s:s,s:I,s:i,s:i}", "plan", job->ask->plan_id,
+		"revision", (json_int_t)job->number, "in_force", (int)in_force,
+		"members", (int)members));
 }
 
 static void
@@ -147,7 +148,7 @@
 
 	job->number = number;
 	timeline_add(registry->process.timeline, EVENT_PLAN_CONFIRMED,
-	    job->ask->plan, "revision %" PRIu64, number);
+	    job->ask->plan_id, "revision %" PRIu64, number);
 	/* Peers learn of it by the heartbeat and ask for the row. */
 	registry_heartbeat(registry);
 	registry_head_read(registry);
@@ -177,7 +178,7 @@
 static json_t *
 revision_json(admin_job_t *job)
 {
-	return json_pack("{s:s,s:s,s:s,s:I,s:O}", "plan", job->ask->plan,
+	return json_pack("{s:s,s:s,s:s,s:I,s:O}", "plan", job->ask->plan_id,
 	    "operator", job->ask->operator_name, "planned_by",
 	    json_string_value(json_object_get(job->plan, "operator")), "at_ms",
 	    (json_int_t)timespec_to_ms(
@@ -196,8 +197,8 @@
 		confirm_again(job);
 		return;
 	}
-	registry_take(job->registry, job->number, job->text);
-	if (job->number % SNAPSHOT_EVERY == 0)
+	registry_revision_apply(job->registry, job->number, job->text);
+	if (job->number % SNAPSHOT_INTERVAL == 0)
 		registry_snapshot_write(job->registry);
 	confirmed(job, job->number);
 }
@@ -218,13 +219,15 @@
 	snprintf(base, sizeof(base), "%" PRIu64, head);
 	snprintf(next, sizeof(next), "%" PRIu64, job->number);
 	snprintf(row_key, sizeof(row_key), REVISION_KEY_FORMAT, job->number);
-	snprintf(done_key, sizeof(done_key), "done/%.40s", job->ask->plan);
+	snprintf(done_key, sizeof(done_key), "done/%.40s", job->ask->plan_id);
 	if (job->text == NULL ||
 	    !store_txn(job->registry->store,
-		json_pack("[o,o]", store_row("head", head > 0 ? base : NULL),
-		    store_row(done_key, NULL)),
-		json_pack("[o,o,o]", store_row("head", next),
-		    store_row(row_key, job->text), store_row(done_key, next)),
+		json_pack("[o,o]",
+		    store_row_new("head", head > 0 ? base : NULL),
+		    store_row_new(done_key, NULL)),
+		json_pack("[o,o,o]", store_row_new("head", next),
+		    store_row_new(row_key, job->text),
+		    store_row_new(done_key, next)),
 		confirm_written, job))
 		job_fail(job, ERR_MEMORY, "no memory");
 }
@@ -236,7 +239,7 @@
 	err_t err;
 
 	timeline_add(job->registry->process.timeline, EVENT_PLAN_REFUSED,
-	    job->ask->plan, "conflict");
+	    job->ask->plan_id, "conflict");
 	err_set(&err, ERR_CONFLICT,
 	    "the configuration changed since this plan was made; see "
 	    "\"changed\" and plan again");
@@ -261,21 +264,21 @@
 confirm_judge(admin_job_t *job, const json_t *reply)
 {
 	char key[KEY_SIZE];
-	const char *head_text = store_value(reply, "head");
+	const char *head_text = store_response_value(reply, "head");
 	uint64_t head = head_text != NULL ? strtoull(head_text, NULL, 10) : 0;
 	uint64_t base;
 	const char *done;
 	const char *plan;
 
-	snprintf(key, sizeof(key), "done/%.40s", job->ask->plan);
-	done = store_value(reply, key);
+	snprintf(key, sizeof(key), "done/%.40s", job->ask->plan_id);
+	done = store_response_value(reply, key);
 	if (done != NULL) {
-		registry_rows_read(job->registry);
+		registry_revisions_read(job->registry);
 		confirmed(job, strtoull(done, NULL, 10));
 		return;
 	}
-	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan);
-	plan = store_value(reply, key);
+	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan_id);
+	plan = store_response_value(reply, key);
 	json_decref(job->plan);
 	job->plan = plan != NULL ? json_loads(plan, 0, NULL) : NULL;
 	if (job->plan == NULL) {
@@ -307,8 +310,8 @@
 	char done_key[KEY_SIZE];
 	json_t *keys;
 
-	snprintf(plan_key, sizeof(plan_key), "plan/%.40s", job->ask->plan);
-	snprintf(done_key, sizeof(done_key), "done/%.40s", job->ask->plan);
+	snprintf(plan_key, sizeof(plan_key), "plan/%.40s", job->ask->plan_id);
+	snprintf(done_key, sizeof(done_key), "done/%.40s", job->ask->plan_id);
 	keys = json_pack("[s,s,s]", "head", plan_key, done_key);
 	if (!store_get(job->registry->store, keys, confirm_was_read, job))
 		job_fail(job, ERR_MEMORY, "no memory");
@@ -321,7 +324,7 @@
 
 	/* See freshness.h: without half of the members in reach the change
 	 * might not come into force in time. */
-	if (!freshness_half(&registry->freshness,
+	if (!freshness_half_responded(&registry->freshness,
 		clock_boottime(registry->process.clock))) {
 		job_fail(job, ERR_PEERS_UNAVAILABLE,
 		    "fewer than half of the members answer this daemon; "
@@ -341,8 +344,8 @@
 	const char *text;
 	json_t *plan;
 
-	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan);
-	text = store_value(reply, key);
+	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan_id);
+	text = store_response_value(reply, key);
 	plan = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	if (result != STORE_OK)
 		job_fail(job, ERR_STORE, "the store does not answer");
@@ -357,14 +360,14 @@
 {
 	char key[KEY_SIZE];
 
-	if (*job->ask->plan == '\0') {
+	if (*job->ask->plan_id == '\0') {
 		job_answer(job, NULL,
 		    json_pack("{s:I,s:O}", "revision",
 			(json_int_t)job->registry->config->revision, "document",
 			job->registry->config->document));
 		return;
 	}
-	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan);
+	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan_id);
 	if (!store_get(job->registry->store, json_pack("[s]", key), shown, job))
 		job_fail(job, ERR_MEMORY, "no memory");
 }
@@ -376,9 +379,9 @@
 
 	return json_pack("{s:s,s:s,s:I,s:b,s:b,s:I}", "entry",
 	    member->http_address, "place", member->place, "revision",
-	    (json_int_t)member->revision, "answers", member->answers,
+	    (json_int_t)member->revision, "answers", member->responsive,
 	    "draining", member->draining, "heard_ms_ago",
-	    (json_int_t)timespec_ms_between(member->heard_at, now));
+	    (json_int_t)timespec_ms_between(member->last_response_at, now));
 }
 
 static void
@@ -404,11 +407,11 @@
 		(int)in_force_count(registry, registry->head), "members",
 		(int)registry->members->rows.len + 1, "fresh",
 		timespec_ms_between(
-		    now, freshness_until(&registry->freshness)) > 0,
+		    now, freshness_expires_at(&registry->freshness)) > 0,
 		"fresh_ms",
 		(json_int_t)timespec_ms_between(
-		    now, freshness_until(&registry->freshness)),
-		"store_lost", registry->store_lost, "entries", entries));
+		    now, freshness_expires_at(&registry->freshness)),
+		"store_lost", registry->store_unavailable, "entries", entries));
 }
 
 static void
@@ -444,18 +447,19 @@
 {
 	char after[KEY_SIZE];
 
-	snprintf(after, sizeof(after), REVISION_KEY_FORMAT, job->ask->after);
+	snprintf(after, sizeof(after), REVISION_KEY_FORMAT,
+	    job->ask->after_revision);
 	if (!store_scan(job->registry->store, "rev/", after, history_read, job))
 		job_fail(job, ERR_MEMORY, "no memory");
 }
 
 void
-registry_admin_take(registry_t *registry, admin_ask_t *ask)
+registry_admin_handle(registry_t *registry, admin_command_t *ask)
 {
 	admin_job_t *job = calloc(1, sizeof(*job));
 
 	if (job == NULL) {
-		admin_ask_free(ask);
+		admin_command_free(ask);
 		return;
 	}
 	job->registry = registry;
--- a/moortack/config/registry_heartbeat.c
+++ b/moortack/config/registry_heartbeat.c
@@ -24,9 +24,9 @@
 	standing->revision = registry->config->revision;
 	standing->epoch = registry->members->epoch;
 	standing->draining = registry->leaving;
-	standing->sequence = registry->heartbeat;
+	standing->sequence = registry->heartbeat_sequence;
 	standing->store_age_ms = registry->freshness.store_read
-	    ? timespec_ms_between(registry->freshness.store_at, now)
+	    ? timespec_ms_between(registry->freshness.store_read_at, now)
 	    : -1;
 }
 
@@ -35,17 +35,17 @@
 {
 	Wire__Standing standing;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	const peer_ask_t ask = {.to = member->incarnation,
+	const peer_query_options_t ask = {.to = member->incarnation,
 	    .timeout_ms =
 		(int)registry->options->heartbeat_ms * HEARTBEAT_TIMEOUTS,
 	    .task = &registry->task,
-	    .kind = REGISTRY_STOOD};
+	    .kind = REGISTRY_HEARTBEAT_RESPONSE};
 
 	standing_fill(registry, &standing);
 	standing.want_ages = want_ages;
 	envelope.body_case = WIRE__ENVELOPE__BODY_STANDING;
 	envelope.standing = &standing;
-	peers_ask(registry->peers, &ask, &envelope);
+	peers_query(registry->peers, &ask, &envelope);
 }
 
 void
@@ -54,14 +54,15 @@
 	uint32_t count = registry->members->rows.len;
 	bool all = count <= HEARTBEAT_FANOUT;
 	uint32_t asked = all ? count : HEARTBEAT_FANOUT;
-	uint32_t first = rng_below(registry->process.rng, MEMBERS_PARTNERS);
+	uint32_t first = rng_below(registry->process.rng, MEMBERS_PARTNERS_MAX);
 
-	registry->heartbeat++;
+	registry->heartbeat_sequence++;
 	for (uint32_t i = 0; i < asked; i++)
 		member_ask(registry,
 		    members_partner_at(registry->members, first + i),
 		    i < AGES_ASKED);
-	registry_dead_check(registry, clock_boottime(registry->process.clock));
+	registry_silent_member_remove(
+	    registry, clock_boottime(registry->process.clock));
 }
 
 static void
@@ -69,15 +70,15 @@
 {
 	Wire__RevisionsAsk rows = WIRE__REVISIONS_ASK__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	const peer_ask_t ask = {.to = from,
+	const peer_query_options_t ask = {.to = from,
 	    .timeout_ms = (int)registry->options->heartbeat_ms,
 	    .task = &registry->task,
-	    .kind = REGISTRY_ROWS};
+	    .kind = REGISTRY_REVISIONS_RESPONSE};
 
 	rows.after = registry->config->revision;
 	envelope.body_case = WIRE__ENVELOPE__BODY_REVISIONS_ASK;
 	envelope.revisions_ask = &rows;
-	peers_ask(registry->peers, &ask, &envelope);
+	peers_query(registry->peers, &ask, &envelope);
 }
 
 static void
@@ -101,8 +102,8 @@
 
 	if (registry->members->rows.len > MEMBERS_MAX || !registry->joined)
 		return;
-	count = members_ranked(registry->members, self, ranked);
-	freshness_ages(&registry->freshness, ranked, count, self,
+	count = members_incarnations(registry->members, self, ranked);
+	freshness_ages_encode(&registry->freshness, ranked, count, self,
 	    clock_boottime(registry->process.clock), ages);
 	memset(holds, 0, (count + BITS - 1) / BITS);
 	for (uint32_t i = 0; i < count; i++) {
@@ -120,7 +121,7 @@
 }
 
 void
-registry_standing(registry_t *registry, const peer_question_t *question)
+registry_heartbeat_query(registry_t *registry, const peer_query_t *question)
 {
 	const Wire__Standing *theirs = question->envelope->standing;
 	member_t *member =
@@ -132,7 +133,7 @@
 
 	if (member != NULL && member->draining != theirs->draining) {
 		member->draining = theirs->draining;
-		registry_members_tell(registry);
+		registry_members_publish(registry);
 	}
 	standing_learn(registry, question->envelope->from, theirs);
 	standing_fill(registry, &standing);
@@ -141,16 +142,16 @@
 		ages_fill(registry, &standing, ages, holds);
 	envelope.body_case = WIRE__ENVELOPE__BODY_STANDING;
 	envelope.standing = &standing;
-	peers_answer(registry->peers, question, &envelope);
+	peers_respond(registry->peers, question, &envelope);
 }
 
 static void
 answer_missed(registry_t *registry, member_t *member)
 {
-	if (member == NULL || !member->answers)
+	if (member == NULL || !member->responsive)
 		return;
-	member->answers = false;
-	registry_members_tell(registry);
+	member->responsive = false;
+	registry_members_publish(registry);
 }
 
 /* What an answer brought of the other members. */
@@ -166,35 +167,36 @@
 	if (registry->members->rows.len > MEMBERS_MAX ||
 	    standing->epoch != registry->members->epoch)
 		return;
-	count = members_ranked(registry->members, self, ranked);
+	count = members_incarnations(registry->members, self, ranked);
 	if (standing->ages.len != count ||
 	    standing->holds.len != (count + BITS - 1) / BITS)
 		return;
-	freshness_merge(&registry->freshness, evidence, ranked, count, self,
-	    standing->ages.data);
+	freshness_ages_merge(&registry->freshness, evidence, ranked, count,
+	    self, standing->ages.data);
 	for (uint32_t i = 0; i < count; i++) {
 		member_t *member = members_find(registry->members, ranked[i]);
 		struct timespec heard;
 
 		if (member == NULL)
 			continue;
-		heard = freshness_heard_at(&registry->freshness, ranked[i]);
-		if (timespec_ms_between(member->heard_at, heard) > 0) {
-			member->heard_at = heard;
+		heard =
+		    freshness_last_response_at(&registry->freshness, ranked[i]);
+		if (timespec_ms_between(member->last_response_at, heard) > 0) {
+			member->last_response_at = heard;
 			/* Of a partner this daemon's own questions tell. */
-			changed |= !member->partner && !member->answers;
-			member->answers |= !member->partner;
+			changed |= !member->partner && !member->responsive;
+			member->responsive |= !member->partner;
 		}
 		if ((standing->holds.data[i / BITS] >> i % BITS & 1) != 0 &&
 		    standing->revision > member->revision)
 			member->revision = standing->revision;
 	}
 	if (changed)
-		registry_members_tell(registry);
+		registry_members_publish(registry);
 }
 
 void
-registry_stood(registry_t *registry, const peer_answer_t *answer)
+registry_heartbeat_response(registry_t *registry, const peer_response_t *answer)
 {
 	member_t *member = members_find(registry->members, answer->from);
 	const Wire__Standing *standing;
@@ -209,27 +211,27 @@
 		return;
 	standing = answer->envelope->standing;
 	evidence = (peer_evidence_t){.incarnation = answer->from,
-	    .asked_at = answer->asked_at,
+	    .queried_at = answer->queried_at,
 	    .revision = standing->revision,
 	    .epoch = standing->epoch,
 	    .store_read = standing->store_age_ms >= 0,
-	    .store_at =
-		timespec_add_ms(answer->asked_at, -standing->store_age_ms)};
-	freshness_peer_answered(&registry->freshness, &evidence);
-	changed = !member->answers || member->draining != standing->draining;
-	member->answers = true;
+	    .store_read_at =
+		timespec_add_ms(answer->queried_at, -standing->store_age_ms)};
+	freshness_peer_responded(&registry->freshness, &evidence);
+	changed = !member->responsive || member->draining != standing->draining;
+	member->responsive = true;
 	member->draining = standing->draining;
 	member->revision = standing->revision;
-	member->heard_at = answer->asked_at;
+	member->last_response_at = answer->queried_at;
 	if (changed)
-		registry_members_tell(registry);
+		registry_members_publish(registry);
 	ages_take(registry, standing, &evidence);
 	standing_learn(registry, answer->from, standing);
-	registry_freshness_tell(registry);
+	registry_freshness_publish(registry);
 }
 
 void
-registry_rows_asked(registry_t *registry, const peer_question_t *question)
+registry_revisions_query(registry_t *registry, const peer_query_t *question)
 {
 	uint64_t after = question->envelope->revisions_ask->after;
 	Wire__Revision rows[ROWS_ASKED_MAX];
@@ -239,8 +241,8 @@
 
 	revisions.revisions = pointers;
 	while (revisions.n_revisions < ROWS_ASKED_MAX) {
-		const revision_row_t *row =
-		    registry_row(registry, after + 1 + revisions.n_revisions);
+		const revision_row_t *row = registry_revision_row(
+		    registry, after + 1 + revisions.n_revisions);
 		size_t n = revisions.n_revisions;
 
 		if (row == NULL)
@@ -253,11 +255,11 @@
 	}
 	envelope.body_case = WIRE__ENVELOPE__BODY_REVISIONS;
 	envelope.revisions = &revisions;
-	peers_answer(registry->peers, question, &envelope);
+	peers_respond(registry->peers, question, &envelope);
 }
 
 void
-registry_rows_answered(registry_t *registry, const peer_answer_t *answer)
+registry_revisions_response(registry_t *registry, const peer_response_t *answer)
 {
 	const Wire__Revisions *revisions;
 
@@ -265,11 +267,12 @@
 		return;
 	revisions = answer->envelope->revisions;
 	for (size_t i = 0; i < revisions->n_revisions; i++)
-		registry_take(registry, revisions->revisions[i]->number,
+		registry_revision_apply(registry,
+		    revisions->revisions[i]->number,
 		    revisions->revisions[i]->text);
 	/* The peer kept too few of them: the store has all. */
 	if (revisions->n_revisions == 0)
-		registry_rows_read(registry);
+		registry_revisions_read(registry);
 	else
 		registry_heartbeat(registry);
 }
--- a/moortack/config/registry_members.c
+++ b/moortack/config/registry_members.c
@@ -13,16 +13,17 @@
 }
 
 void
-registry_members_tell(registry_t *registry)
+registry_members_publish(registry_t *registry)
 {
 	members_t *front = members_copy(registry->members);
 
 	if (front == NULL)
 		return;
-	task_post(registry->ports.billing, registry->ports.billing_members,
-	    members_share(front), members_body_release);
-	task_post(registry->ports.front, registry->ports.members, front,
+	task_post(registry->subscribers.billing_task,
+	    registry->subscribers.billing_members_kind, members_acquire(front),
 	    members_body_release);
+	task_post(registry->subscribers.front_task,
+	    registry->subscribers.members_kind, front, members_body_release);
 }
 
 static void
@@ -30,7 +31,7 @@
 {
 	char text[INCARNATION_TEXT_SIZE];
 
-	incarnation_text(registry->process.incarnation, text);
+	incarnation_format(registry->process.incarnation, text);
 	snprintf(out, size, "member/%s", text);
 }
 
@@ -40,9 +41,9 @@
 	registry_t *registry = arg;
 
 	(void)reply;
-	registry->joining = false;
+	registry->join_pending = false;
 	/* Joined, lost or raced: the list tells. */
-	if (result != STORE_REFUSED)
+	if (result != STORE_RATE_LIMITED)
 		registry_members_read(registry);
 }
 
@@ -58,9 +59,10 @@
 	snprintf(after, sizeof(after), "%" PRIu64, registry->store_epoch + 1);
 	return store_txn(registry->store,
 	    json_pack("[o]",
-		store_row("epoch", registry->store_epoch > 0 ? before : NULL)),
-	    json_pack(
-		"[o,o]", store_row("epoch", after), store_row(key, value)),
+		store_row_new(
+		    "epoch", registry->store_epoch > 0 ? before : NULL)),
+	    json_pack("[o,o]", store_row_new("epoch", after),
+		store_row_new(key, value)),
 	    done, registry);
 }
 
@@ -72,7 +74,7 @@
 	json_t *row;
 	char *text;
 
-	if (registry->joining || registry->leaving)
+	if (registry->join_pending || registry->leaving)
 		return;
 	snprintf(self.peer_address, sizeof(self.peer_address), "%.63s",
 	    registry->options->peer_advertise);
@@ -81,11 +83,11 @@
 	snprintf(
 	    self.place, sizeof(self.place), "%.47s", registry->options->place);
 	self_key(registry, key, sizeof(key));
-	row = member_json(&self);
+	row = member_to_json(&self);
 	text = json_dumps(row, JSON_COMPACT);
 	json_decref(row);
 	if (text != NULL)
-		registry->joining =
+		registry->join_pending =
 		    member_row_put(registry, key, text, join_done);
 	free(text);
 }
@@ -99,7 +101,7 @@
 }
 
 void
-registry_leave_now(registry_t *registry)
+registry_leave_start(registry_t *registry)
 {
 	char key[KEY_SIZE];
 
@@ -116,10 +118,10 @@
 	const member_t *old = members_find(registry->members, row->incarnation);
 	member_t *added;
 
-	row->heard_at = clock_boottime(registry->process.clock);
+	row->last_response_at = clock_boottime(registry->process.clock);
 	if (old != NULL) {
-		row->heard_at = old->heard_at;
-		row->answers = old->answers;
+		row->last_response_at = old->last_response_at;
+		row->responsive = old->responsive;
 		row->draining = old->draining;
 		row->revision = old->revision;
 	} else {
@@ -139,7 +141,7 @@
 
 		if (members_find(members, old->incarnation) != NULL)
 			continue;
-		freshness_peer_forget(&registry->freshness, old->incarnation);
+		freshness_peer_remove(&registry->freshness, old->incarnation);
 		timeline_add(registry->process.timeline, EVENT_PEER_LOST,
 		    old->peer_address, "%s", old->place);
 	}
@@ -176,15 +178,15 @@
 		return;
 	members->epoch = registry->store_epoch;
 	registry->joined = rows_take(registry, members, rows);
-	members_partner(members, registry->process.incarnation);
+	members_partners_select(members, registry->process.incarnation);
 	lost_forget(registry, members);
 	members_release(registry->members);
 	registry->members = members;
 	registry->freshness.epoch = members->epoch;
-	registry->freshness.members =
+	registry->freshness.member_count =
 	    members->rows.len + (registry->joined ? 1 : 0);
-	peers_members(registry->peers, members);
-	registry_members_tell(registry);
+	peers_members_set(registry->peers, members);
+	registry_members_publish(registry);
 	if (!registry->joined)
 		registry_join(registry);
 }
@@ -208,7 +210,7 @@
 static uint64_t
 epoch_of(const json_t *reply)
 {
-	const char *epoch = store_value(reply, "epoch");
+	const char *epoch = store_response_value(reply, "epoch");
 
 	return epoch != NULL ? strtoull(epoch, NULL, 10) : 0;
 }
@@ -271,7 +273,7 @@
 	char incarnation[INCARNATION_TEXT_SIZE];
 	char key[KEY_SIZE];
 
-	incarnation_text(member->incarnation, incarnation);
+	incarnation_format(member->incarnation, incarnation);
 	snprintf(key, sizeof(key), "member/%s", incarnation);
 	log_line(LOG_WARN, LOG_CONFIG, "Peer %s is silent and is taken off.",
 	    member->peer_address);
@@ -282,17 +284,17 @@
  * partner is: of the others a daemon hears at second hand, and not to hear that
  * says nothing. Each member is a partner of some. */
 void
-registry_dead_check(registry_t *registry, struct timespec now)
+registry_silent_member_remove(registry_t *registry, struct timespec now)
 {
-	if (registry->store_lost || !registry->joined ||
+	if (registry->store_unavailable || !registry->joined ||
 	    registry->members_pending ||
-	    !freshness_half(&registry->freshness, now))
+	    !freshness_half_responded(&registry->freshness, now))
 		return;
 	for (handle_t h = 0; h < registry->members->rows.len; h++) {
 		const member_t *member = members_at(registry->members, h);
 
 		if (member->partner &&
-		    timespec_ms_between(member->heard_at, now) >=
+		    timespec_ms_between(member->last_response_at, now) >=
 			registry->options->dead_ms) {
 			dead_remove(registry, member);
 			return;
--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -25,12 +25,12 @@
 		return err_set(
 		    err, ERR_STORE, "too many bills wait to be stored");
 	if (!rate_take(&front->rates[arrival->organisation % FRONT_RATES_MAX],
-		(double)organisation->limit / daemon_count, arrival->now,
-		&wait_ms))
+		(double)organisation->requests_per_s / daemon_count,
+		arrival->now, &wait_ms))
 		return err_set(err, ERR_RATE_LIMIT,
 		    "%s exceeds its limit of %u requests per second; retry in "
 		    "%lld ms",
-		    organisation->name, organisation->limit,
+		    organisation->name, organisation->requests_per_s,
 		    (long long)wait_ms);
 	return true;
 }
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -140,7 +140,7 @@
     model_kind_t kind, err_t *err)
 {
 	const config_t *config = arrival->front->config;
-	handle_t model = config_model(config, name);
+	handle_t model = config_model_find(config, name);
 
 	/* The error doesn't reveal to an organisation that may not use a model
 	 * whether the model exists. */
@@ -353,7 +353,8 @@
     const char *organisation, json_t *body, int64_t deadline_ms, err_t *err)
 {
 	arrival_t arrival = {.front = front,
-	    .organisation = config_organisation(front->config, organisation),
+	    .organisation =
+		config_organisation_find(front->config, organisation),
 	    .class = CLASS_SHEDDABLE,
 	    .now = clock_boottime(front->process.clock)};
 	exchange_t *exchange;
--- a/moortack/exchange/deferred.c
+++ b/moortack/exchange/deferred.c
@@ -125,9 +125,9 @@
 	snprintf(queue_key, sizeof(queue_key), "defer/%s", call->id);
 	snprintf(result_key, sizeof(result_key), "deferred/%s", call->id);
 	if (!store_txn(call->front->store,
-		json_pack("[o,o]", store_row(queue_key, NULL),
-		    store_row(result_key, NULL)),
-		json_pack("[o]", store_row(queue_key, call->row)),
+		json_pack("[o,o]", store_row_new(queue_key, NULL),
+		    store_row_new(result_key, NULL)),
+		json_pack("[o]", store_row_new(queue_key, call->row)),
 		accept_written, call))
 		accept_finish(call, false);
 }
@@ -199,8 +199,8 @@
 collect_rows_read(void *arg, store_result_t result, const json_t *reply)
 {
 	collect_call_t *call = arg;
-	const char *result_text = store_value(reply, call->result_key);
-	const char *queued_text = store_value(reply, call->queue_key);
+	const char *result_text = store_response_value(reply, call->result_key);
+	const char *queued_text = store_response_value(reply, call->queue_key);
 	json_t *row = result_text != NULL ? json_loads(result_text, 0, NULL)
 	    : queued_text != NULL	  ? json_loads(queued_text, 0, NULL)
 					  : NULL;
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -88,7 +88,7 @@
 
 	snprintf(key, sizeof(key), "defer/%s", job->id);
 	if (!store_txn(job->front->store,
-		json_pack("[o]", store_row(key, job->claim)),
+		json_pack("[o]", store_row_new(key, job->claim)),
 		json_incref(job->commit_puts), job_committed, job))
 		job_free(job);
 }
@@ -117,13 +117,13 @@
 	json_object_set(
 	    result, "organisation", json_object_get(job->row, "organisation"));
 	text = json_dump_release(result);
-	job->commit_puts = json_pack("[o,o]", store_row(queue_key, NULL),
-	    store_row(result_key, text != NULL ? text : "{}"));
+	job->commit_puts = json_pack("[o,o]", store_row_new(queue_key, NULL),
+	    store_row_new(result_key, text != NULL ? text : "{}"));
 	free(text);
 	if (bill != NULL) {
 		text = json_dump_release(bill);
 		json_array_append_new(
-		    job->commit_puts, store_row(bill_key, text));
+		    job->commit_puts, store_row_new(bill_key, text));
 		free(text);
 	}
 	job_commit(job);
@@ -160,7 +160,7 @@
 	    json_integer(timespec_to_ms(clock_wall(job->front->process.clock)) +
 		REQUEUE_DELAY_MS));
 	text = json_dump_release(row);
-	job->commit_puts = json_pack("[o]", store_row(key, text));
+	job->commit_puts = json_pack("[o]", store_row_new(key, text));
 	free(text);
 	job_commit(job);
 }
@@ -255,7 +255,7 @@
 	if (job == NULL)
 		return;
 	front->jobs++;
-	incarnation_text(front->process.incarnation, incarnation);
+	incarnation_format(front->process.incarnation, incarnation);
 	json_object_set_new(row, "by", json_string(incarnation));
 	json_object_set_new(
 	    row, "until_ms", json_integer(wall_ms + front->options->lease_ms));
@@ -270,8 +270,9 @@
 	snprintf(job->id, sizeof(job->id), "%.39s", id);
 	snprintf(key, sizeof(key), "defer/%s", job->id);
 	if (job->claim == NULL ||
-	    !store_txn(front->store, json_pack("[o]", store_row(key, text)),
-		json_pack("[o]", store_row(key, job->claim)), job_claimed, job))
+	    !store_txn(front->store, json_pack("[o]", store_row_new(key, text)),
+		json_pack("[o]", store_row_new(key, job->claim)), job_claimed,
+		job))
 		job_free(job);
 }
 
--- a/moortack/exchange/dispatch.c
+++ b/moortack/exchange/dispatch.c
@@ -12,9 +12,9 @@
 
 	*query = (balance_query_t){.config = front->config,
 	    .organisation =
-		config_organisation(front->config, exchange->organisation),
-	    .version = config_version(front->config, exchange->version),
-	    .place = config_place(front->config, front->options->place),
+		config_organisation_find(front->config, exchange->organisation),
+	    .version = config_version_find(front->config, exchange->version),
+	    .place = config_place_find(front->config, front->options->place),
 	    .hint = HANDLE_NONE,
 	    .avoid_count = exchange->attempts,
 	    .now = clock_boottime(front->process.clock)};
@@ -34,7 +34,7 @@
 	const config_t *config = front->config;
 	version_set_t stopped =
 	    guard_stopped(&front->learn.guard, config, exchange->organisation);
-	handle_t model = config_model(config, exchange->model);
+	handle_t model = config_model_find(config, exchange->model);
 	handle_t version = rollout_choose(
 	    config, organisation, model, exchange->session.id, &stopped);
 
@@ -88,9 +88,9 @@
 version_check(exchange_t *exchange, err_t *err)
 {
 	const config_t *config = exchange->front->config;
-	handle_t version = config_version(config, exchange->version);
+	handle_t version = config_version_find(config, exchange->version);
 	handle_t organisation =
-	    config_organisation(config, exchange->organisation);
+	    config_organisation_find(config, exchange->organisation);
 	bool fallback;
 
 	if (organisation == HANDLE_NONE)
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -15,7 +15,7 @@
 {
 	const config_t *config = exchange->front->config;
 	const model_t *model =
-	    config_model_at(config, config_model(config, exchange->model));
+	    config_model_at(config, config_model_find(config, exchange->model));
 	uint64_t units = exchange->is_engine ? exchange->sse.tokens : 1;
 
 	*out = (bill_line_t){.tokens_in = exchange->tokens_in,
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -16,7 +16,7 @@
 {
 	const config_t *config = front->config;
 	const version_t *row =
-	    config_version_at(config, config_version(config, version));
+	    config_version_at(config, config_version_find(config, version));
 	guard_sample_t sample = {.version = version,
 	    .organisation = organisation,
 	    .signal = signal,
@@ -33,7 +33,7 @@
 		return;
 	stopped = guard_stopped(&front->learn.guard, config, "");
 	front_guard_tell(front, version,
-	    version_set_has(&stopped, config_version(config, version))
+	    version_set_has(&stopped, config_version_find(config, version))
 		? ""
 		: organisation);
 }
@@ -175,7 +175,7 @@
 {
 	front_t *front = exchange->front;
 	handle_t organisation =
-	    config_organisation(front->config, exchange->organisation);
+	    config_organisation_find(front->config, exchange->organisation);
 	learn_cascade_t *row;
 	bill_line_t line;
 	err_t err;
--- a/moortack/front/admin.c
+++ b/moortack/front/admin.c
@@ -43,11 +43,11 @@
 	return slot != NULL && slot->generation == tag >> 32 ? slot : NULL;
 }
 
-static admin_ask_t *
+static admin_command_t *
 ask_new(front_t *front, struct evhttp_request *req,
     const operator_row_t *operator_row, admin_action_t action)
 {
-	admin_ask_t *ask = calloc(1, sizeof(*ask));
+	admin_command_t *ask = calloc(1, sizeof(*ask));
 
 	if (ask == NULL)
 		return NULL;
@@ -64,7 +64,7 @@
 {
 	err_t err;
 	json_t *intent = http_request_json(req, &err);
-	admin_ask_t *ask;
+	admin_command_t *ask;
 
 	(void)rest;
 	if (intent == NULL || !operator_may(operator_row, intent, &err)) {
@@ -74,27 +74,27 @@
 	}
 	ask = ask_new(front, req, operator_row, ADMIN_PLAN);
 	ask->intent = intent;
-	registry_admin(front->registry, ask);
+	registry_admin_submit(front->registry, ask);
 }
 
 static void
 show(front_t *front, struct evhttp_request *req,
     const operator_row_t *operator_row, const char *rest)
 {
-	admin_ask_t *ask = ask_new(front, req, operator_row, ADMIN_SHOW);
+	admin_command_t *ask = ask_new(front, req, operator_row, ADMIN_SHOW);
 
-	snprintf(ask->plan, sizeof(ask->plan), "%.40s", rest);
-	registry_admin(front->registry, ask);
+	snprintf(ask->plan_id, sizeof(ask->plan_id), "%.40s", rest);
+	registry_admin_submit(front->registry, ask);
 }
 
 static void
 confirm(front_t *front, struct evhttp_request *req,
     const operator_row_t *operator_row, const char *rest)
 {
-	admin_ask_t *ask = ask_new(front, req, operator_row, ADMIN_CONFIRM);
+	admin_command_t *ask = ask_new(front, req, operator_row, ADMIN_CONFIRM);
 
-	snprintf(ask->plan, sizeof(ask->plan), "%.40s", rest);
-	registry_admin(front->registry, ask);
+	snprintf(ask->plan_id, sizeof(ask->plan_id), "%.40s", rest);
+	registry_admin_submit(front->registry, ask);
 }
 
 static void
@@ -102,7 +102,7 @@
     const operator_row_t *operator_row, const char *rest)
 {
 	(void)rest;
-	registry_admin(
+	registry_admin_submit(
 	    front->registry, ask_new(front, req, operator_row, ADMIN_STATUS));
 }
 
@@ -110,13 +110,13 @@
 history(front_t *front, struct evhttp_request *req,
     const operator_row_t *operator_row, const char *rest)
 {
-	admin_ask_t *ask = ask_new(front, req, operator_row, ADMIN_HISTORY);
+	admin_command_t *ask = ask_new(front, req, operator_row, ADMIN_HISTORY);
 	char after[24] = "0";
 
 	(void)rest;
 	http_request_query_param(req, "after", after, sizeof(after));
-	ask->after = strtoull(after, NULL, 10);
-	registry_admin(front->registry, ask);
+	ask->after_revision = strtoull(after, NULL, 10);
+	registry_admin_submit(front->registry, ask);
 }
 
 static void
@@ -218,7 +218,7 @@
 }
 
 void
-admin_answered(front_t *front, admin_answer_t *answer)
+admin_answered(front_t *front, admin_response_t *answer)
 {
 	admin_slot_t *slot = slot_of(front, answer->tag);
 	struct evhttp_request *req;
--- a/moortack/front/auth.c
+++ b/moortack/front/auth.c
@@ -15,7 +15,7 @@
 
 	if (header == NULL || strncmp(header, bearer, sizeof(bearer) - 1) != 0)
 		return false;
-	key_hash(header + sizeof(bearer) - 1, out);
+	api_key_hash(header + sizeof(bearer) - 1, out);
 	return true;
 }
 
@@ -26,7 +26,7 @@
 
 	if (!key_hash_of(req, hash))
 		return HANDLE_NONE;
-	return config_organisation_by_key(front->config, hash);
+	return config_organisation_find_by_key(front->config, hash);
 }
 
 const operator_row_t *
--- a/moortack/front/entries.c
+++ b/moortack/front/entries.c
@@ -27,7 +27,7 @@
 	     h < front->members->rows.len && count < CANDIDATES_MAX; h++) {
 		const member_t *member = members_at(front->members, h);
 
-		if (member->answers && !member->draining)
+		if (member->responsive && !member->draining)
 			out[count++] =
 			    (entry_t){member->http_address, member->place};
 	}
@@ -106,14 +106,14 @@
 static uint64_t
 second_witness(front_t *front)
 {
-	uint32_t first = rng_below(front->process.rng, MEMBERS_PARTNERS);
+	uint32_t first = rng_below(front->process.rng, MEMBERS_PARTNERS_MAX);
 	uint64_t fallback = front->process.incarnation;
 
-	for (uint32_t i = 0; i < MEMBERS_PARTNERS; i++) {
+	for (uint32_t i = 0; i < MEMBERS_PARTNERS_MAX; i++) {
 		const member_t *member =
 		    members_partner_at(front->members, first + i);
 
-		if (member == NULL || !member->answers || member->draining)
+		if (member == NULL || !member->responsive || member->draining)
 			continue;
 		if (strcmp(member->place, front->options->place) != 0)
 			return member->incarnation;
--- a/moortack/front/front.c
+++ b/moortack/front/front.c
@@ -83,10 +83,10 @@
 {
 	struct timespec now = clock_boottime(front->process.clock);
 
-	if (!front->fresh.ready || !front->fresh.listed)
+	if (!front->fresh.has_revision || !front->fresh.listed)
 		return err_set(err, ERR_NOT_READY,
 		    "this entry holds no confirmed configuration yet");
-	if (timespec_ms_between(now, front->fresh.until) <= 0)
+	if (timespec_ms_between(now, front->fresh.expires_at) <= 0)
 		return err_set(err, ERR_CONFIG_STALE,
 		    "this entry cannot tell whether its configuration is still "
 		    "in force");
@@ -286,8 +286,9 @@
 }
 
 front_t *
-front_new(const process_t *process, const options_t *options, store_t *store,
-    peers_t *peers, void (*drained)(void *), void *arg, err_t *err)
+front_new(const process_context_t *process, const options_t *options,
+    store_t *store, peers_t *peers, void (*drained)(void *), void *arg,
+    err_t *err)
 {
 	static const struct timeval interval = {0, TICK_US};
 	front_t *front = calloc(1, sizeof(*front));
@@ -315,9 +316,9 @@
 		front_free(front);
 		return NULL;
 	}
-	peers_route(peers, WIRE__ENVELOPE__BODY_ENDPOINT_LEFT, &front->task,
-	    FRONT_LEFT);
-	peers_route(
+	peers_handler_set(peers, WIRE__ENVELOPE__BODY_ENDPOINT_LEFT,
+	    &front->task, FRONT_LEFT);
+	peers_handler_set(
 	    peers, WIRE__ENVELOPE__BODY_GUARD_STOP, &front->task, FRONT_GUARD);
 	front->tick = event_new(process->base, -1, EV_PERSIST, ticked, front);
 	event_add(front->tick, &interval);
--- a/moortack/front/front_priv.h
+++ b/moortack/front/front_priv.h
@@ -50,7 +50,7 @@
 };
 
 struct front {
-	process_t process;
+	process_context_t process;
 	const options_t *options;
 	store_t *store;
 	peers_t *peers;
@@ -64,7 +64,7 @@
 
 	config_t *config;
 	members_t *members;
-	freshness_news_t fresh;
+	freshness_update_t fresh;
 	billing_room_t room;
 	fleet_t fleet;
 	keyring_t keyring;
@@ -134,7 +134,7 @@
 /* admin.c */
 
 void admin_request(front_t *, struct evhttp_request *, const char *path);
-void admin_answered(front_t *, admin_answer_t *);
+void admin_answered(front_t *, admin_response_t *);
 void metrics_answer(front_t *, struct evhttp_request *);
 
 /* front.c */
--- a/moortack/front/messages.c
+++ b/moortack/front/messages.c
@@ -15,7 +15,7 @@
 {
 	learn_config(&front->learn, front->config, config);
 	config_release(front->config);
-	front->config = config_share(config);
+	front->config = config_acquire(config);
 	fleet_resolve(&front->fleet, config);
 	front_dispatch(front);
 }
@@ -32,7 +32,7 @@
 	stop.revision = revision;
 	envelope.body_case = WIRE__ENVELOPE__BODY_GUARD_STOP;
 	envelope.guard_stop = &stop;
-	peers_tell(front->peers, to, &envelope);
+	peers_send_message(front->peers, to, &envelope);
 }
 
 void
@@ -51,7 +51,7 @@
 }
 
 static void
-guard_heard(front_t *front, const peer_question_t *question)
+guard_heard(front_t *front, const peer_query_t *question)
 {
 	const Wire__GuardStop *stop = question->envelope->guard_stop;
 
@@ -73,7 +73,7 @@
 		uint64_t to = member->incarnation;
 		const member_t *old = members_find(front->members, to);
 
-		if (!member->answers || (old != NULL && old->answers))
+		if (!member->responsive || (old != NULL && old->responsive))
 			continue;
 		for (handle_t r = 0; r < front->learn.guard.rows.len; r++) {
 			const guard_row_t *row =
@@ -125,7 +125,7 @@
 {
 	newcomers_tell(front, members);
 	members_release(front->members);
-	front->members = members_share(members);
+	front->members = members_acquire(members);
 }
 
 static void
@@ -186,12 +186,12 @@
 	envelope.body_case = WIRE__ENVELOPE__BODY_ENDPOINT_LEFT;
 	envelope.endpoint_left = &left;
 	for (handle_t h = 0; h < front->members->rows.len; h++)
-		peers_tell(front->peers,
+		peers_send_message(front->peers,
 		    members_at(front->members, h)->incarnation, &envelope);
 }
 
 static void
-leave_heard(front_t *front, const peer_question_t *question)
+leave_heard(front_t *front, const peer_query_t *question)
 {
 	const char *address = question->envelope->endpoint_left->address;
 	endpoint_t *endpoint =
@@ -242,7 +242,7 @@
 		config_take(front, msg->body);
 		break;
 	case FRONT_FRESH:
-		front->fresh = *(freshness_news_t *)msg->body;
+		front->fresh = *(freshness_update_t *)msg->body;
 		break;
 	case FRONT_MEMBERS:
 		members_take(front, msg->body);
--- a/moortack/front/orders.c
+++ b/moortack/front/orders.c
@@ -53,7 +53,8 @@
 {
 	for (uint32_t i = 0; i < endpoint->version_count; i++) {
 		const version_t *version = config_version_at(front->config,
-		    config_version(front->config, endpoint->version_names[i]));
+		    config_version_find(
+			front->config, endpoint->version_names[i]));
 
 		if (version != NULL && version->state == VERSION_WITHDRAWN)
 			return version->name;
@@ -65,7 +66,7 @@
 is_engine(const front_t *front, const char *version)
 {
 	const version_t *row = config_version_at(
-	    front->config, config_version(front->config, version));
+	    front->config, config_version_find(front->config, version));
 
 	return row != NULL &&
 	    config_model_at(front->config, row->model)->kind == MODEL_ENGINE;
@@ -89,7 +90,7 @@
 		    !is_engine(front, version))
 			continue;
 		if (!lease_usable(&front->orders_lease)) {
-			lease_ask(&front->orders_lease);
+			lease_request(&front->orders_lease);
 			return;
 		}
 		order_send(front, endpoint, version);
--- a/moortack/ledger/billing.c
+++ b/moortack/ledger/billing.c
@@ -39,7 +39,7 @@
 members_take(billing_t *billing, members_t *members)
 {
 	members_release(billing->members);
-	billing->members = members_share(members);
+	billing->members = members_acquire(members);
 }
 
 static void
@@ -113,8 +113,8 @@
 }
 
 billing_t *
-billing_new(const process_t *process, const options_t *options, store_t *store,
-    peers_t *peers, const billing_ports_t *ports)
+billing_new(const process_context_t *process, const options_t *options,
+    store_t *store, peers_t *peers, const billing_ports_t *ports)
 {
 	billing_t *billing = calloc(1, sizeof(*billing));
 	struct timeval interval = {options->flush_ms / MS_PER_SEC,
@@ -132,9 +132,9 @@
 	bill_book_init(&billing->book, process->incarnation,
 	    (uint32_t)options->bills_max, options->held_ms);
 	task_init(&billing->task, process->base, handle, billing);
-	peers_route(peers, WIRE__ENVELOPE__BODY_BILL_HOLD, &billing->task,
+	peers_handler_set(peers, WIRE__ENVELOPE__BODY_BILL_HOLD, &billing->task,
 	    BILLING_PEER_HOLDS);
-	peers_route(peers, WIRE__ENVELOPE__BODY_BILL_DROP, &billing->task,
+	peers_handler_set(peers, WIRE__ENVELOPE__BODY_BILL_DROP, &billing->task,
 	    BILLING_PEER_DROPS);
 	billing->tick =
 	    event_new(process->base, -1, EV_PERSIST, ticked, billing);
--- a/moortack/ledger/billing_flush.c
+++ b/moortack/ledger/billing_flush.c
@@ -65,7 +65,7 @@
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_DROP;
 	envelope.bill_drop = &drop;
 	for (handle_t h = 0; h < billing->members->rows.len; h++)
-		peers_tell(billing->peers,
+		peers_send_message(billing->peers,
 		    members_at(billing->members, h)->incarnation, &envelope);
 }
 
@@ -114,16 +114,16 @@
 	bool started = false;
 
 	json_decref(batch);
-	incarnation_text(flush->incarnation, incarnation);
+	incarnation_format(flush->incarnation, incarnation);
 	/* A number enters the mark once, so no other batch has this key. */
 	snprintf(key, sizeof(key), "bill/%s/%012" PRIu64, incarnation,
 	    flush->bills[0].sequence);
 	if (text != NULL && mark != NULL) {
 		started = store_txn(flush->billing->store,
-		    json_pack(
-			"[o]", store_row(flush->mark_key, flush->mark_before)),
-		    json_pack("[o,o]", store_row(flush->mark_key, mark),
-			store_row(key, text)),
+		    json_pack("[o]",
+			store_row_new(flush->mark_key, flush->mark_before)),
+		    json_pack("[o,o]", store_row_new(flush->mark_key, mark),
+			store_row_new(key, text)),
 		    flush_written, flush);
 	}
 	free(text);
@@ -135,7 +135,7 @@
 mark_read(void *arg, store_result_t result, const json_t *reply)
 {
 	flush_t *flush = arg;
-	const char *mark = store_value(reply, flush->mark_key);
+	const char *mark = store_response_value(reply, flush->mark_key);
 
 	if (result != STORE_OK) {
 		if (flush->billing->draining)
@@ -177,7 +177,7 @@
 	flush->billing = billing;
 	flush->incarnation = due;
 	interval_set_init(&flush->mark);
-	incarnation_text(due, incarnation);
+	incarnation_format(due, incarnation);
 	snprintf(
 	    flush->mark_key, sizeof(flush->mark_key), "mark/%s", incarnation);
 	billing->flushing = true;
--- a/moortack/ledger/billing_hold.c
+++ b/moortack/ledger/billing_hold.c
@@ -20,11 +20,11 @@
 	    (uint32_t)holding->record.bill.sequence + (uint32_t)holding->tries;
 	const member_t *fallback = NULL;
 
-	for (uint32_t i = 0; i < MEMBERS_PARTNERS; i++) {
+	for (uint32_t i = 0; i < MEMBERS_PARTNERS_MAX; i++) {
 		const member_t *member =
 		    members_partner_at(billing->members, first + i);
 
-		if (member == NULL || !member->answers || member->draining)
+		if (member == NULL || !member->responsive || member->draining)
 			continue;
 		if (strcmp(member->place, billing->options->place) != 0)
 			return member;
@@ -50,7 +50,7 @@
 	Wire__Bill *bills[1] = {&bill.bill};
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	peer_ask_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
+	peer_query_options_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
 	    .task = &billing->task,
 	    .kind = BILLING_HELD,
 	    .tag = handle};
@@ -69,7 +69,7 @@
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HOLD;
 	envelope.bill_hold = &hold;
 	ask.to = member->incarnation;
-	peers_ask(billing->peers, &ask, &envelope);
+	peers_query(billing->peers, &ask, &envelope);
 }
 
 static handle_t
@@ -109,7 +109,7 @@
 }
 
 void
-billing_held(billing_t *billing, const peer_answer_t *answer)
+billing_held(billing_t *billing, const peer_response_t *answer)
 {
 	holding_t *holding =
 	    table_at(&billing->holdings, (handle_t)answer->tag);
@@ -126,7 +126,7 @@
 }
 
 void
-billing_peer_holds(billing_t *billing, const peer_question_t *question)
+billing_peer_holds(billing_t *billing, const peer_query_t *question)
 {
 	const Wire__BillHold *hold = question->envelope->bill_hold;
 	Wire__BillHeld held = WIRE__BILL_HELD__INIT;
@@ -147,11 +147,11 @@
 	}
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HELD;
 	envelope.bill_held = &held;
-	peers_answer(billing->peers, question, &envelope);
+	peers_respond(billing->peers, question, &envelope);
 }
 
 void
-billing_peer_drops(billing_t *billing, const peer_question_t *question)
+billing_peer_drops(billing_t *billing, const peer_query_t *question)
 {
 	const Wire__BillDrop *drop = question->envelope->bill_drop;
 
@@ -170,7 +170,7 @@
 	Wire__Bill *pointers[HAND_MAX];
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	peer_ask_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
+	peer_query_options_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
 	    .task = &billing->task,
 	    .kind = BILLING_HANDED};
 
@@ -190,11 +190,11 @@
 	envelope.bill_hold = &hold;
 	ask.to = member->incarnation;
 	billing->handing = true;
-	peers_ask(billing->peers, &ask, &envelope);
+	peers_query(billing->peers, &ask, &envelope);
 }
 
 void
-billing_handed(billing_t *billing, const peer_answer_t *answer)
+billing_handed(billing_t *billing, const peer_response_t *answer)
 {
 	billing->handing = false;
 	if (answer->envelope != NULL &&
--- a/moortack/ledger/billing_priv.h
+++ b/moortack/ledger/billing_priv.h
@@ -32,7 +32,7 @@
 } holding_t;
 
 struct billing {
-	process_t process;
+	process_context_t process;
 	const options_t *options;
 	store_t *store;
 	peers_t *peers;
@@ -61,13 +61,13 @@
 
 /** Take a new record into the book and have a peer hold it. */
 void billing_take(billing_t *, record_t *);
-void billing_held(billing_t *, const peer_answer_t *);
-void billing_peer_holds(billing_t *, const peer_question_t *);
-void billing_peer_drops(billing_t *, const peer_question_t *);
+void billing_held(billing_t *, const peer_response_t *);
+void billing_peer_holds(billing_t *, const peer_query_t *);
+void billing_peer_drops(billing_t *, const peer_query_t *);
 
 /** Have a peer take over what can't be flushed. */
 void billing_hand_over(billing_t *);
-void billing_handed(billing_t *, const peer_answer_t *);
+void billing_handed(billing_t *, const peer_response_t *);
 
 /* billing_flush.c */
 
--- a/moortack/ledger/claim.c
+++ b/moortack/ledger/claim.c
@@ -38,7 +38,7 @@
 		return;
 	}
 	/* Overtaken, or the reply was lost: the table tells whose it is. */
-	if (result == STORE_REFUSED || ++claim->tries >= CLAIM_TRIES ||
+	if (result == STORE_RATE_LIMITED || ++claim->tries >= CLAIM_TRIES ||
 	    !claim_read(claim))
 		claim_end(claim, NULL);
 }
@@ -47,15 +47,15 @@
 claim_was_read(void *arg, store_result_t result, const json_t *reply)
 {
 	claim_t *claim = arg;
-	const char *ticket = store_value(reply, claim->key);
+	const char *ticket = store_response_value(reply, claim->key);
 
 	if (result != STORE_OK)
 		claim_end(claim, NULL);
 	else if (ticket != NULL)
 		claim_end(claim, ticket);
 	else if (!store_txn(claim->store,
-		     json_pack("[o]", store_row(claim->key, NULL)),
-		     json_pack("[o]", store_row(claim->key, claim->ticket)),
+		     json_pack("[o]", store_row_new(claim->key, NULL)),
+		     json_pack("[o]", store_row_new(claim->key, claim->ticket)),
 		     claim_written, claim))
 		claim_end(claim, NULL);
 }
--- a/moortack/ledger/witness_task.c
+++ b/moortack/ledger/witness_task.c
@@ -23,7 +23,7 @@
 } local_ask_t;
 
 struct witness_task {
-	process_t process;
+	process_context_t process;
 	peers_t *peers;
 	task_t task;
 	task_t *front;
@@ -108,7 +108,7 @@
 	const witness_question_t *question = &local->question;
 	Wire__TicketAsk wire = WIRE__TICKET_ASK__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	const peer_ask_t ask = {.to = local->incarnation,
+	const peer_query_options_t ask = {.to = local->incarnation,
 	    .timeout_ms = WITNESS_TIMEOUT_MS,
 	    .task = local->tag != 0 ? &task->task : NULL,
 	    .kind = WITNESS_PEER_SAYS,
@@ -124,7 +124,7 @@
 	wire.answer.len = local->answer != NULL ? question->answer_len : 0;
 	envelope.body_case = WIRE__ENVELOPE__BODY_TICKET_ASK;
 	envelope.ticket_ask = &wire;
-	peers_ask(task->peers, &ask, &envelope);
+	peers_query(task->peers, &ask, &envelope);
 }
 
 static void
@@ -141,7 +141,7 @@
 }
 
 static void
-peer_asks(witness_task_t *task, const peer_question_t *question)
+peer_asks(witness_task_t *task, const peer_query_t *question)
 {
 	const Wire__TicketAsk *wire = question->envelope->ticket_ask;
 	witness_question_t ask = {.op = (witness_op_t)wire->op,
@@ -164,11 +164,11 @@
 	out.answer.len = answer.answer != NULL ? answer.answer_len : 0;
 	envelope.body_case = WIRE__ENVELOPE__BODY_TICKET_ANSWER;
 	envelope.ticket_answer = &out;
-	peers_answer(task->peers, question, &envelope);
+	peers_respond(task->peers, question, &envelope);
 }
 
 static void
-peer_says(witness_task_t *task, const peer_answer_t *said)
+peer_says(witness_task_t *task, const peer_response_t *said)
 {
 	witness_answer_t answer = {0};
 	const Wire__TicketAnswer *wire;
@@ -227,7 +227,7 @@
 }
 
 witness_task_t *
-witness_task_new(const process_t *process, peers_t *peers, uint32_t max,
+witness_task_new(const process_context_t *process, peers_t *peers, uint32_t max,
     task_t *front, int kind)
 {
 	witness_task_t *task = calloc(1, sizeof(*task));
@@ -240,7 +240,7 @@
 	task->front_kind = kind;
 	witness_init(&task->witness, max);
 	task_init(&task->task, process->base, handle, task);
-	peers_route(peers, WIRE__ENVELOPE__BODY_TICKET_ASK, &task->task,
+	peers_handler_set(peers, WIRE__ENVELOPE__BODY_TICKET_ASK, &task->task,
 	    WITNESS_PEER_ASKS);
 	return task;
 }
--- a/moortack/limit/admission.c
+++ b/moortack/limit/admission.c
@@ -10,7 +10,7 @@
 admission_init(admission_t *admission, uint32_t max, int64_t cutoff_ms)
 {
 	*admission = (admission_t){.max = max};
-	for (int c = 0; c < CLASSES; c++)
+	for (int c = 0; c < CLASS_COUNT; c++)
 		admission->cutoff_ms[c] = cutoff_ms >> c;
 }
 
@@ -19,7 +19,7 @@
 {
 	int64_t oldest = 0;
 
-	for (int c = 0; c < CLASSES; c++) {
+	for (int c = 0; c < CLASS_COUNT; c++) {
 		const waiter_t *first = admission->queues[c].first;
 		int64_t age =
 		    first != NULL ? timespec_ms_between(first->since, now) : 0;
@@ -109,7 +109,7 @@
 			return after->next;
 		c = (int)after->class + 1;
 	}
-	for (; c < CLASSES; c++) {
+	for (; c < CLASS_COUNT; c++) {
 		if (admission->queues[c].first != NULL)
 			return admission->queues[c].first;
 	}
@@ -119,7 +119,7 @@
 waiter_t *
 admission_overdue(const admission_t *admission, struct timespec now)
 {
-	for (int c = CLASSES - 1; c >= 0; c--) {
+	for (int c = CLASS_COUNT - 1; c >= 0; c--) {
 		for (waiter_t *w = admission->queues[c].first; w != NULL;
 		     w = w->next) {
 			if (timespec_ms_between(w->deadline, now) >= 0 ||
--- a/moortack/member/freshness.c
+++ b/moortack/member/freshness.c
@@ -7,8 +7,9 @@
 void
 freshness_init(freshness_t *freshness, int64_t window_ms, int64_t outage_ms)
 {
-	*freshness = (freshness_t){
-	    .window_ms = window_ms, .outage_ms = outage_ms, .members = 1};
+	*freshness = (freshness_t){.window_ms = window_ms,
+	    .store_outage_max_ms = outage_ms,
+	    .member_count = 1};
 	table_init(&freshness->peers, sizeof(peer_evidence_t));
 }
 
@@ -25,10 +26,10 @@
 	if (head > freshness->revision)
 		return;
 	if (freshness->store_read &&
-	    timespec_ms_between(freshness->store_at, asked_at) < 0)
+	    timespec_ms_between(freshness->store_read_at, asked_at) < 0)
 		return;
 	freshness->store_read = true;
-	freshness->store_at = asked_at;
+	freshness->store_read_at = asked_at;
 }
 
 static peer_evidence_t *
@@ -44,7 +45,8 @@
 }
 
 bool
-freshness_peer_answered(freshness_t *freshness, const peer_evidence_t *evidence)
+freshness_peer_responded(
+    freshness_t *freshness, const peer_evidence_t *evidence)
 {
 	peer_evidence_t *peer = peer_find(freshness, evidence->incarnation);
 
@@ -63,12 +65,12 @@
 	peer_evidence_t *peer = peer_find(freshness, evidence->incarnation);
 
 	if (peer == NULL) {
-		freshness_peer_answered(freshness, evidence);
+		freshness_peer_responded(freshness, evidence);
 		return;
 	}
-	if (timespec_us_between(peer->asked_at, evidence->asked_at) <= 0)
+	if (timespec_us_between(peer->queried_at, evidence->queried_at) <= 0)
 		return;
-	peer->asked_at = evidence->asked_at;
+	peer->queried_at = evidence->queried_at;
 	peer->revision = evidence->revision;
 	peer->epoch = evidence->epoch;
 }
@@ -76,7 +78,8 @@
 static uint8_t
 age_units(int64_t ms)
 {
-	int64_t units = (ms + FRESHNESS_AGE_MS - 1) / FRESHNESS_AGE_MS;
+	int64_t units =
+	    (ms + FRESHNESS_AGE_UNIT_MS - 1) / FRESHNESS_AGE_UNIT_MS;
 
 	if (units < 0)
 		return 0;
@@ -92,7 +95,7 @@
 }
 
 void
-freshness_ages(const freshness_t *freshness, const uint64_t *members,
+freshness_ages_encode(const freshness_t *freshness, const uint64_t *members,
     uint32_t count, uint64_t self, struct timespec now, uint8_t *ages)
 {
 	for (uint32_t i = 0; i < count; i++) {
@@ -102,13 +105,13 @@
 		if (members[i] == self)
 			ages[i] = 0;
 		else if (peer != NULL && evidence_counts(freshness, peer))
-			ages[i] =
-			    age_units(timespec_ms_between(peer->asked_at, now));
+			ages[i] = age_units(
+			    timespec_ms_between(peer->queried_at, now));
 	}
 }
 
 void
-freshness_merge(freshness_t *freshness, const peer_evidence_t *from,
+freshness_ages_merge(freshness_t *freshness, const peer_evidence_t *from,
     const uint64_t *members, uint32_t count, uint64_t self, const uint8_t *ages)
 {
 	if (from->epoch != freshness->epoch)
@@ -120,23 +123,23 @@
 		    ages[i] == FRESHNESS_AGE_UNKNOWN)
 			continue;
 		evidence.incarnation = members[i];
-		evidence.asked_at = timespec_add_ms(
-		    from->asked_at, -(int64_t)ages[i] * FRESHNESS_AGE_MS);
+		evidence.queried_at = timespec_add_ms(from->queried_at,
+		    -(int64_t)ages[i] * FRESHNESS_AGE_UNIT_MS);
 		evidence.store_read = false;
 		peer_heard(freshness, &evidence);
 	}
 }
 
 struct timespec
-freshness_heard_at(const freshness_t *freshness, uint64_t incarnation)
+freshness_last_response_at(const freshness_t *freshness, uint64_t incarnation)
 {
 	const peer_evidence_t *peer = peer_find(freshness, incarnation);
 
-	return peer != NULL ? peer->asked_at : (struct timespec){0};
+	return peer != NULL ? peer->queried_at : (struct timespec){0};
 }
 
 void
-freshness_peer_forget(freshness_t *freshness, uint64_t incarnation)
+freshness_peer_remove(freshness_t *freshness, uint64_t incarnation)
 {
 	peer_evidence_t *peer = peer_find(freshness, incarnation);
 
@@ -160,21 +163,21 @@
 static uint32_t
 peers_needed(const freshness_t *freshness)
 {
-	return freshness->members / 2;
+	return freshness->member_count / 2;
 }
 
 /* The last read of the store by this daemon or by a peer that counts. */
 static struct timespec
 last_store_read(const freshness_t *freshness)
 {
-	struct timespec last = freshness->store_at;
+	struct timespec last = freshness->store_read_at;
 
 	for (handle_t h = 0; h < freshness->peers.len; h++) {
 		const peer_evidence_t *peer = table_at(&freshness->peers, h);
 
 		if (evidence_counts(freshness, peer) && peer->store_read &&
-		    timespec_ms_between(last, peer->store_at) > 0)
-			last = peer->store_at;
+		    timespec_ms_between(last, peer->store_read_at) > 0)
+			last = peer->store_read_at;
 	}
 	return last;
 }
@@ -191,7 +194,7 @@
 		const peer_evidence_t *peer = table_at(&freshness->peers, h);
 
 		if (evidence_counts(freshness, peer))
-			times[n++] = peer->asked_at;
+			times[n++] = peer->queried_at;
 	}
 	if (needed == 0 || n < needed)
 		return (struct timespec){0};
@@ -212,7 +215,7 @@
 }
 
 struct timespec
-freshness_until(const freshness_t *freshness)
+freshness_expires_at(const freshness_t *freshness)
 {
 	struct timespec by_store = {0};
 	struct timespec by_peers;
@@ -220,25 +223,26 @@
 
 	if (!freshness->store_read)
 		return by_store;
-	by_store = timespec_add_ms(freshness->store_at, freshness->window_ms);
+	by_store =
+	    timespec_add_ms(freshness->store_read_at, freshness->window_ms);
 	by_peers =
 	    timespec_add_ms(majority_at(freshness), freshness->window_ms);
-	bound =
-	    timespec_add_ms(last_store_read(freshness), freshness->outage_ms);
+	bound = timespec_add_ms(
+	    last_store_read(freshness), freshness->store_outage_max_ms);
 	return later(by_store, earlier(by_peers, bound));
 }
 
 bool
-freshness_half(const freshness_t *freshness, struct timespec now)
+freshness_half_responded(const freshness_t *freshness, struct timespec now)
 {
 	uint32_t answered = 0;
 
 	for (handle_t h = 0; h < freshness->peers.len; h++) {
 		const peer_evidence_t *peer = table_at(&freshness->peers, h);
 
-		if (timespec_ms_between(peer->asked_at, now) <
+		if (timespec_ms_between(peer->queried_at, now) <
 		    freshness->window_ms)
 			answered++;
 	}
-	return 2 * (answered + 1) >= freshness->members;
+	return 2 * (answered + 1) >= freshness->member_count;
 }
--- a/moortack/member/lease.c
+++ b/moortack/member/lease.c
@@ -9,7 +9,7 @@
 #define MARGIN_PARTS 3 /* the last third of a lease is not used */
 
 void
-lease_init(lease_t *lease, const process_t *process, store_t *store,
+lease_init(lease_t *lease, const process_context_t *process, store_t *store,
     const char *name, int64_t ttl_ms)
 {
 	*lease =
@@ -23,7 +23,7 @@
 	struct timespec now = clock_boottime(lease->process->clock);
 
 	return lease->held &&
-	    timespec_ms_between(now, lease->until) >
+	    timespec_ms_between(now, lease->expires_at) >
 	    lease->ttl_ms / MARGIN_PARTS;
 }
 
@@ -33,14 +33,14 @@
 	lease_t *lease = arg;
 
 	(void)reply;
-	lease->asking = false;
+	lease->request_pending = false;
 	/* After a lost reply it may be held or not: not using it is safe, and
 	 * the next ask finds this daemon's own row. */
 	if (result != STORE_OK)
 		return;
 	lease->held = true;
-	lease->fence = lease->asked_fence;
-	lease->until = timespec_add_ms(lease->asked_at, lease->ttl_ms);
+	lease->fence = lease->requested_fence;
+	lease->expires_at = timespec_add_ms(lease->requested_at, lease->ttl_ms);
 }
 
 static json_t *
@@ -49,7 +49,7 @@
 	int64_t wall_ms = timespec_to_ms(clock_wall(lease->process->clock));
 
 	return json_pack("{s:s,s:I,s:I}", "holder", holder, "fence",
-	    (json_int_t)lease->asked_fence, "until_ms",
+	    (json_int_t)lease->requested_fence, "until_ms",
 	    (json_int_t)(wall_ms + lease->ttl_ms));
 }
 
@@ -61,15 +61,15 @@
 	char *text;
 	bool started;
 
-	incarnation_text(lease->process->incarnation, holder);
+	incarnation_format(lease->process->incarnation, holder);
 	row = row_new(lease, holder);
 	text = json_dumps(row, JSON_COMPACT);
 	json_decref(row);
 	if (text == NULL)
 		return false;
-	started =
-	    store_txn(lease->store, json_pack("[o]", store_row(key, before)),
-		json_pack("[o]", store_row(key, text)), written, lease);
+	started = store_txn(lease->store,
+	    json_pack("[o]", store_row_new(key, before)),
+	    json_pack("[o]", store_row_new(key, text)), written, lease);
 	free(text);
 	return started;
 }
@@ -87,32 +87,32 @@
 	bool mine, lapsed;
 
 	snprintf(key, sizeof(key), "lease/%s", lease->name);
-	text = store_value(reply, key);
+	text = store_response_value(reply, key);
 	row = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	holder = json_string_value(json_object_get(row, "holder"));
 	fence = json_integer_value(json_object_get(row, "fence"));
 	until_ms = json_integer_value(json_object_get(row, "until_ms"));
-	incarnation_text(lease->process->incarnation, self);
+	incarnation_format(lease->process->incarnation, self);
 	mine = holder != NULL && strcmp(holder, self) == 0;
 	lapsed = until_ms <= timespec_to_ms(clock_wall(lease->process->clock));
 	if (!mine)
 		lease->held = false;
-	lease->asked_fence = mine && !lapsed ? fence : fence + 1;
+	lease->requested_fence = mine && !lapsed ? fence : fence + 1;
 	if (result != STORE_OK || (!mine && !lapsed) ||
 	    !row_write(lease, key, text))
-		lease->asking = false;
+		lease->request_pending = false;
 	json_decref(row);
 }
 
 void
-lease_ask(lease_t *lease)
+lease_request(lease_t *lease)
 {
 	char key[KEY_SIZE];
 
-	if (lease->asking)
+	if (lease->request_pending)
 		return;
 	snprintf(key, sizeof(key), "lease/%s", lease->name);
-	lease->asked_at = clock_boottime(lease->process->clock);
-	lease->asking =
+	lease->requested_at = clock_boottime(lease->process->clock);
+	lease->request_pending =
 	    store_get(lease->store, json_pack("[s]", key), was_read, lease);
 }
--- a/moortack/member/members.c
+++ b/moortack/member/members.c
@@ -19,7 +19,7 @@
 }
 
 members_t *
-members_share(members_t *members)
+members_acquire(members_t *members)
 {
 	members->references++;
 	return members;
@@ -87,7 +87,7 @@
 }
 
 void
-members_partner(members_t *members, uint64_t self)
+members_partners_select(members_t *members, uint64_t self)
 {
 	uint32_t count = members->rows.len;
 	ranked_row_t *ranked = calloc(count + 1, sizeof(*ranked));
@@ -103,7 +103,7 @@
 		    XXH3_64bits_withSeed(&other, sizeof(other), self);
 	}
 	qsort(ranked, count, sizeof(*ranked), hash_order);
-	for (uint32_t i = 0; i < count && i < MEMBERS_PARTNERS; i++)
+	for (uint32_t i = 0; i < count && i < MEMBERS_PARTNERS_MAX; i++)
 		members_at(members, ranked[i].handle)->partner = true;
 	free(ranked);
 }
@@ -111,9 +111,9 @@
 member_t *
 members_partner_at(const members_t *members, uint32_t n)
 {
-	uint32_t partners = members->rows.len < MEMBERS_PARTNERS
+	uint32_t partners = members->rows.len < MEMBERS_PARTNERS_MAX
 	    ? members->rows.len
-	    : MEMBERS_PARTNERS;
+	    : MEMBERS_PARTNERS_MAX;
 
 	if (partners == 0)
 		return NULL;
@@ -129,7 +129,7 @@
 
 /* The table lists rows in order of their key, which is the incarnation. */
 uint32_t
-members_ranked(const members_t *members, uint64_t self, uint64_t *out)
+members_incarnations(const members_t *members, uint64_t self, uint64_t *out)
 {
 	uint32_t count = 0;
 	bool placed = false;
@@ -149,17 +149,17 @@
 }
 
 void
-incarnation_text(uint64_t incarnation, char out[INCARNATION_TEXT_SIZE])
+incarnation_format(uint64_t incarnation, char out[INCARNATION_TEXT_SIZE])
 {
 	snprintf(out, INCARNATION_TEXT_SIZE, "%016" PRIx64, incarnation);
 }
 
 json_t *
-member_json(const member_t *member)
+member_to_json(const member_t *member)
 {
 	char text[INCARNATION_TEXT_SIZE];
 
-	incarnation_text(member->incarnation, text);
+	incarnation_format(member->incarnation, text);
 	return json_pack("{s:s,s:s,s:s,s:s}", "incarnation", text, "peer",
 	    member->peer_address, "http", member->http_address, "place",
 	    member->place);
--- a/moortack/member/peer_auth.c
+++ b/moortack/member/peer_auth.c
@@ -6,7 +6,7 @@
 
 /* ZAP, RFC 27: only the holder of the fleet's secret key may connect. */
 void
-peer_auth_drain(peer_socket_t *socket)
+peer_auth_zap_handle(peer_socket_t *socket)
 {
 	static const char *const answers[2][2] = {
 	    {"400", "not of this fleet"}, {"200", "OK"}};
@@ -22,7 +22,7 @@
 	peer_frames_skip(socket->socket, more && count == ZAP_FRAMES);
 	known = count == ZAP_FRAMES &&
 	    zmq_msg_size(&frames[6]) == CURVE_KEY_SIZE &&
-	    memcmp(zmq_msg_data(&frames[6]), auth->public_bytes,
+	    memcmp(zmq_msg_data(&frames[6]), auth->public_key_bytes,
 		CURVE_KEY_SIZE) == 0;
 	if (count >= 2) {
 		zmq_send(socket->socket, "1.0", 3, ZMQ_SNDMORE);
@@ -39,18 +39,20 @@
 }
 
 void
-peer_auth_set(const peer_auth_t *auth, void *socket, bool server)
+peer_auth_apply(const peer_auth_t *auth, void *socket, bool server)
 {
 	int yes = 1;
 
-	zmq_setsockopt(socket, ZMQ_CURVE_SECRETKEY, auth->secret, Z85_KEY_SIZE);
-	zmq_setsockopt(socket, ZMQ_CURVE_PUBLICKEY, auth->public, Z85_KEY_SIZE);
+	zmq_setsockopt(
+	    socket, ZMQ_CURVE_SECRETKEY, auth->secret_key, Z85_KEY_SIZE);
+	zmq_setsockopt(
+	    socket, ZMQ_CURVE_PUBLICKEY, auth->public_key, Z85_KEY_SIZE);
 	if (server) {
 		zmq_setsockopt(socket, ZMQ_CURVE_SERVER, &yes, sizeof(yes));
 		zmq_setsockopt(socket, ZMQ_ZAP_DOMAIN, "fleet", 5);
 	} else {
-		zmq_setsockopt(
-		    socket, ZMQ_CURVE_SERVERKEY, auth->public, Z85_KEY_SIZE);
+		zmq_setsockopt(socket, ZMQ_CURVE_SERVERKEY, auth->public_key,
+		    Z85_KEY_SIZE);
 	}
 }
 
@@ -58,10 +60,10 @@
 peer_auth_init(peer_auth_t *auth, const char *secret, err_t *err)
 {
 	if (strlen(secret) != Z85_KEY_SIZE - 1 ||
-	    zmq_curve_public(auth->public, secret) != 0 ||
-	    zmq_z85_decode(auth->public_bytes, auth->public) == NULL)
+	    zmq_curve_public(auth->public_key, secret) != 0 ||
+	    zmq_z85_decode(auth->public_key_bytes, auth->public_key) == NULL)
 		return err_set(err, ERR_SETTING,
 		    "peer-key: want a CURVE secret key, 40 characters of Z85");
-	memcpy(auth->secret, secret, Z85_KEY_SIZE);
+	memcpy(auth->secret_key, secret, Z85_KEY_SIZE);
 	return true;
 }
--- a/moortack/member/peer_links.c
+++ b/moortack/member/peer_links.c
@@ -16,18 +16,19 @@
 	if (link == NULL)
 		return NULL;
 	if (!peer_socket_open(&link->socket, links->base, links->context,
-		ZMQ_DEALER, links->drain, links->owner)) {
+		ZMQ_DEALER, links->on_message, links->owner)) {
 		peer_socket_close(&link->socket);
 		free(link);
 		return NULL;
 	}
 	link->incarnation = member->incarnation;
-	peer_auth_set(links->auth, link->socket.socket, false);
+	peer_auth_apply(links->auth, link->socket.socket, false);
 	/* From the address that it listens on, so that a firewall can tell. */
-	snprintf(endpoint, sizeof(endpoint), "tcp://%s:0;%s", links->host,
+	snprintf(endpoint, sizeof(endpoint), "tcp://%s:0;%s", links->own_host,
 	    member->peer_address);
 	zmq_connect(link->socket.socket, endpoint);
-	HASH_ADD(hh, links->all, incarnation, sizeof(link->incarnation), link);
+	HASH_ADD(hh, links->open_links, incarnation, sizeof(link->incarnation),
+	    link);
 	return link;
 }
 
@@ -37,7 +38,8 @@
 	const member_t *member = members_find(links->members, incarnation);
 	peer_link_t *link;
 
-	HASH_FIND(hh, links->all, &incarnation, sizeof(incarnation), link);
+	HASH_FIND(
+	    hh, links->open_links, &incarnation, sizeof(incarnation), link);
 	if (link == NULL && member != NULL)
 		link = link_new(links, member);
 	if (link != NULL)
@@ -48,19 +50,19 @@
 static void
 link_close(peer_links_t *links, peer_link_t *link)
 {
-	HASH_DEL(links->all, link);
+	HASH_DEL(links->open_links, link);
 	peer_socket_close(&link->socket);
 	free(link);
 }
 
 void
-peer_links_members(peer_links_t *links, members_t *members)
+peer_links_members_set(peer_links_t *links, members_t *members)
 {
 	peer_link_t *next;
 
 	members_release(links->members);
-	links->members = members_share(members);
-	for (peer_link_t *link = links->all; link != NULL; link = next) {
+	links->members = members_acquire(members);
+	for (peer_link_t *link = links->open_links; link != NULL; link = next) {
 		next = link->hh.next;
 		if (members_find(members, link->incarnation) == NULL)
 			link_close(links, link);
@@ -74,12 +76,12 @@
 }
 
 void
-peer_links_bound(peer_links_t *links)
+peer_links_evict(peer_links_t *links)
 {
-	while (HASH_COUNT(links->all) > LINKS_MAX) {
-		peer_link_t *oldest = links->all;
+	while (HASH_COUNT(links->open_links) > LINKS_MAX) {
+		peer_link_t *oldest = links->open_links;
 
-		for (peer_link_t *link = links->all; link != NULL;
+		for (peer_link_t *link = links->open_links; link != NULL;
 		     link = link->hh.next) {
 			if (timespec_us_between(
 				link->used_at, oldest->used_at) > 0)
@@ -92,7 +94,7 @@
 void
 peer_links_finish(peer_links_t *links)
 {
-	while (links->all != NULL)
-		link_close(links, links->all);
+	while (links->open_links != NULL)
+		link_close(links, links->open_links);
 	members_release(links->members);
 }
--- a/moortack/member/peer_socket.c
+++ b/moortack/member/peer_socket.c
@@ -22,7 +22,7 @@
 		zmq_getsockopt(socket->socket, ZMQ_EVENTS, &events, &size);
 		if ((events & ZMQ_POLLIN) == 0)
 			return;
-		socket->drain(socket);
+		socket->on_message(socket);
 	}
 	event_active(socket->event, EV_READ, 0);
 }
@@ -63,7 +63,7 @@
 	int fd;
 	size_t size = sizeof(fd);
 
-	*socket = (peer_socket_t){.owner = owner, .drain = drain};
+	*socket = (peer_socket_t){.owner = owner, .on_message = drain};
 	socket->socket = zmq_socket(context, type);
 	if (socket->socket == NULL)
 		return false;
@@ -95,7 +95,7 @@
 }
 
 void
-peer_socket_sent(peer_socket_t *socket)
+peer_socket_schedule_read(peer_socket_t *socket)
 {
 	event_active(socket->event, EV_READ, 0);
 }
--- a/moortack/member/peers.c
+++ b/moortack/member/peers.c
@@ -18,7 +18,7 @@
 /** A question whose answer is awaited. */
 typedef struct pending {
 	uint64_t id;
-	peer_ask_t ask;
+	peer_query_options_t ask;
 	struct timespec asked_at;
 	outgoing_t *waiting; /**< for a new link to come up; or NULL */
 	UT_hash_handle hh;
@@ -26,7 +26,7 @@
 
 /** A packed message on its way to the task. */
 struct outgoing {
-	peer_ask_t ask;
+	peer_query_options_t ask;
 	uint64_t id;
 	uint8_t identity[PEER_IDENTITY_MAX];
 	size_t identity_len;
@@ -35,7 +35,7 @@
 };
 
 struct peers {
-	process_t process;
+	process_context_t process;
 	task_t task;
 	void *context;
 	peer_socket_t router;
@@ -47,22 +47,22 @@
 	struct {
 		task_t *task;
 		int kind;
-	} routes[PEER_BODIES];
+	} routes[PEER_BODY_CASES];
 };
 
 void
-peer_question_free(void *body)
+peer_query_free(void *body)
 {
-	peer_question_t *question = body;
+	peer_query_t *question = body;
 
 	wire__envelope__free_unpacked(question->envelope, NULL);
 	free(question);
 }
 
 void
-peer_answer_free(void *body)
+peer_response_free(void *body)
 {
-	peer_answer_t *answer = body;
+	peer_response_t *answer = body;
 
 	if (answer->envelope != NULL)
 		wire__envelope__free_unpacked(answer->envelope, NULL);
@@ -99,19 +99,19 @@
 static void
 answer_post(const pending_t *pending, Wire__Envelope *envelope)
 {
-	peer_answer_t *answer = malloc(sizeof(*answer));
+	peer_response_t *answer = malloc(sizeof(*answer));
 
 	if (answer == NULL) {
 		if (envelope != NULL)
 			wire__envelope__free_unpacked(envelope, NULL);
 		return;
 	}
-	*answer = (peer_answer_t){.tag = pending->ask.tag,
+	*answer = (peer_response_t){.tag = pending->ask.tag,
 	    .from = pending->ask.to,
-	    .asked_at = pending->asked_at,
+	    .queried_at = pending->asked_at,
 	    .envelope = envelope};
 	task_post(
-	    pending->ask.task, pending->ask.kind, answer, peer_answer_free);
+	    pending->ask.task, pending->ask.kind, answer, peer_response_free);
 }
 
 static void
@@ -147,11 +147,11 @@
 question_post(
     peers_t *peers, const zmq_msg_t *identity, Wire__Envelope *envelope)
 {
-	peer_question_t *question = calloc(1, sizeof(*question));
+	peer_query_t *question = calloc(1, sizeof(*question));
 	size_t len = zmq_msg_size(identity);
 
 	if (question == NULL || len > PEER_IDENTITY_MAX ||
-	    envelope->body_case >= PEER_BODIES ||
+	    envelope->body_case >= PEER_BODY_CASES ||
 	    peers->routes[envelope->body_case].task == NULL ||
 	    (envelope->to != 0 && envelope->to != peers->process.incarnation)) {
 		free(question);
@@ -162,8 +162,7 @@
 	question->identity_len = len;
 	question->envelope = envelope;
 	task_post(peers->routes[envelope->body_case].task,
-	    peers->routes[envelope->body_case].kind, question,
-	    peer_question_free);
+	    peers->routes[envelope->body_case].kind, question, peer_query_free);
 }
 
 static void
@@ -202,7 +201,7 @@
 {
 	bool sent = bytes_send(peers, &link->socket, out);
 
-	link->was_up |= sent;
+	link->established |= sent;
 	return sent;
 }
 
@@ -250,7 +249,7 @@
 		return;
 	/* One that was up and isn't refuses: its asker hears so at once. A new
 	 * one is given the time to come up. */
-	if (link != NULL && !link->was_up)
+	if (link != NULL && !link->established)
 		pending->waiting = outgoing_copy(out);
 	if (pending->waiting == NULL)
 		pending_end(peers, pending, NULL);
@@ -277,7 +276,7 @@
 		answer_send(peers, msg->body);
 		break;
 	case PEERS_MEMBERS:
-		peer_links_members(&peers->links, msg->body);
+		peer_links_members_set(&peers->links, msg->body);
 		break;
 	}
 }
@@ -291,7 +290,7 @@
 
 	(void)fd;
 	(void)what;
-	peer_links_bound(&peers->links);
+	peer_links_evict(&peers->links);
 	HASH_ITER(hh, peers->pending, pending, next)
 	{
 		if (timespec_ms_between(pending->asked_at, now) >=
@@ -320,7 +319,8 @@
 }
 
 void
-peers_ask(peers_t *peers, const peer_ask_t *ask, Wire__Envelope *envelope)
+peers_query(
+    peers_t *peers, const peer_query_options_t *ask, Wire__Envelope *envelope)
 {
 	outgoing_t *out;
 
@@ -335,16 +335,16 @@
 }
 
 void
-peers_tell(peers_t *peers, uint64_t to, Wire__Envelope *envelope)
+peers_send_message(peers_t *peers, uint64_t to, Wire__Envelope *envelope)
 {
-	const peer_ask_t ask = {.to = to};
+	const peer_query_options_t ask = {.to = to};
 
-	peers_ask(peers, &ask, envelope);
+	peers_query(peers, &ask, envelope);
 }
 
 void
-peers_answer(
-    peers_t *peers, const peer_question_t *question, Wire__Envelope *envelope)
+peers_respond(
+    peers_t *peers, const peer_query_t *question, Wire__Envelope *envelope)
 {
 	outgoing_t *out;
 
@@ -360,14 +360,14 @@
 }
 
 void
-peers_members(peers_t *peers, members_t *members)
+peers_members_set(peers_t *peers, members_t *members)
 {
-	task_post(&peers->task, PEERS_MEMBERS, members_share(members),
+	task_post(&peers->task, PEERS_MEMBERS, members_acquire(members),
 	    members_body_release);
 }
 
 void
-peers_route(
+peers_handler_set(
     peers_t *peers, Wire__Envelope__BodyCase body, task_t *task, int kind)
 {
 	peers->routes[body].task = task;
@@ -380,12 +380,12 @@
 	char endpoint[MEMBER_ADDRESS_SIZE + 8];
 
 	if (!peer_socket_open(&peers->zap, peers->process.base, peers->context,
-		ZMQ_REP, peer_auth_drain, &peers->auth) ||
+		ZMQ_REP, peer_auth_zap_handle, &peers->auth) ||
 	    zmq_bind(peers->zap.socket, ZAP_ADDRESS) != 0 ||
 	    !peer_socket_open(&peers->router, peers->process.base,
 		peers->context, ZMQ_ROUTER, router_drain, peers))
 		return err_set(err, ERR_INTERNAL, "cannot open peer sockets");
-	peer_auth_set(&peers->auth, peers->router.socket, true);
+	peer_auth_apply(&peers->auth, peers->router.socket, true);
 	snprintf(endpoint, sizeof(endpoint), "tcp://%s", address);
 	if (zmq_bind(peers->router.socket, endpoint) != 0)
 		return err_set(err, ERR_SETTING, "peer-listen %s: %s", address,
@@ -394,8 +394,8 @@
 }
 
 peers_t *
-peers_new(const process_t *process, const char *address, const char *secret,
-    err_t *err)
+peers_new(const process_context_t *process, const char *address,
+    const char *secret, err_t *err)
 {
 	static const struct timeval interval = {0, TICK_MS * 1000};
 	peers_t *peers = calloc(1, sizeof(*peers));
@@ -410,10 +410,10 @@
 	    .clock = process->clock,
 	    .context = peers->context,
 	    .auth = &peers->auth,
-	    .drain = link_drain,
+	    .on_message = link_drain,
 	    .owner = peers,
 	    .members = members_new()};
-	snprintf(peers->links.host, sizeof(peers->links.host), "%.*s",
+	snprintf(peers->links.own_host, sizeof(peers->links.own_host), "%.*s",
 	    (int)strcspn(address, ":"), address);
 	if (!task_init(&peers->task, process->base, handle, peers) ||
 	    !peer_auth_init(&peers->auth, secret, err) ||
--- a/moortack/replication/feed_client.c
+++ b/moortack/replication/feed_client.c
@@ -39,7 +39,7 @@
 	sent =
 	    zmq_send(client->dealer.socket, text, strlen(text), ZMQ_DONTWAIT);
 	free(text);
-	peer_socket_sent(&client->dealer);
+	peer_socket_schedule_read(&client->dealer);
 	client->slow = false;
 	timer_start(client, SLOW_MS);
 	return sent >= 0;
@@ -157,7 +157,7 @@
 	/* The first request is queued until the connection is established. */
 	zmq_setsockopt(client->dealer.socket, ZMQ_IMMEDIATE, &queue_at_once,
 	    sizeof(queue_at_once));
-	peer_auth_set(client->auth, client->dealer.socket, false);
+	peer_auth_apply(client->auth, client->dealer.socket, false);
 	if (zmq_connect(client->dealer.socket, address) != 0) {
 		feed_client_disconnect(client);
 		return false;
--- a/moortack/replication/feed_server.c
+++ b/moortack/replication/feed_server.c
@@ -54,7 +54,7 @@
 			ZMQ_SNDMORE) &&
 		    frame_send(server, text, strlen(text), more) && more != 0)
 			frame_send(server, rows->data, rows->len, 0);
-		peer_socket_sent(&server->router);
+		peer_socket_schedule_read(&server->router);
 	}
 	free(text);
 }
@@ -237,12 +237,12 @@
 	server->flush = event_new(base, -1, 0, on_flush, server);
 	if (server->flush == NULL ||
 	    !peer_socket_open(&server->zap, base, context, ZMQ_REP,
-		peer_auth_drain, (void *)(uintptr_t)auth) ||
+		peer_auth_zap_handle, (void *)(uintptr_t)auth) ||
 	    zmq_bind(server->zap.socket, ZAP_ADDRESS) != 0 ||
 	    !peer_socket_open(
 		&server->router, base, context, ZMQ_ROUTER, on_request, server))
 		return false;
-	peer_auth_set(auth, server->router.socket, true);
+	peer_auth_apply(auth, server->router.socket, true);
 	return zmq_bind(server->router.socket, address) == 0;
 }
 
--- a/moortack/route/fleet.c
+++ b/moortack/route/fleet.c
@@ -106,11 +106,11 @@
 static void
 endpoint_resolve(endpoint_t *endpoint, const config_t *config)
 {
-	endpoint->place = config_place(config, endpoint->place_name);
+	endpoint->place = config_place_find(config, endpoint->place_name);
 	endpoint->versions = (version_set_t){0};
 	for (uint32_t i = 0; i < endpoint->version_count; i++) {
 		handle_t version =
-		    config_version(config, endpoint->version_names[i]);
+		    config_version_find(config, endpoint->version_names[i]);
 
 		if (version != HANDLE_NONE)
 			version_set_add(&endpoint->versions, version);
--- a/moortack/route/guard.c
+++ b/moortack/route/guard.c
@@ -163,7 +163,7 @@
 		    (*row->organisation != '\0' &&
 			strcmp(row->organisation, organisation) != 0))
 			continue;
-		version = config_version(config, row->version);
+		version = config_version_find(config, row->version);
 		if (version != HANDLE_NONE)
 			version_set_add(&set, version);
 	}
--- a/moortack/route/learn.c
+++ b/moortack/route/learn.c
@@ -97,13 +97,13 @@
 	for (int m = 0; m < count; m++) {
 		const model_t *model = config_model_at(config, models[m]);
 
-		priors[m] = (double)model->quality / CONFIG_QUALITY_FULL;
+		priors[m] = (double)model->quality / CONFIG_QUALITY_MAX;
 		memcpy(row->models[m], model->name, sizeof(row->models[m]));
 	}
 	memcpy(
 	    row->organisation, organisation->name, sizeof(row->organisation));
 	cascade_init(&row->cascade, count, priors,
-	    (double)organisation->quality / CONFIG_QUALITY_FULL);
+	    (double)organisation->quality_target / CONFIG_QUALITY_MAX);
 }
 
 learn_cascade_t *
@@ -125,7 +125,7 @@
 	row->revision = config->revision;
 	if (!models_same(row, config, models, count) ||
 	    row->cascade.target !=
-		(double)organisation->quality / CONFIG_QUALITY_FULL)
+		(double)organisation->quality_target / CONFIG_QUALITY_MAX)
 		cascade_make(row, config, organisation, models, count);
 	return count > 0 ? row : NULL;
 }
@@ -166,7 +166,7 @@
 	for (handle_t v = 0; v < after->versions.len; v++) {
 		const version_t *new = config_version_at(after, v);
 		const version_t *old = config_version_at(
-		    before, config_version(before, new->name));
+		    before, config_version_find(before, new->name));
 
 		if (old == NULL || old->state != new->state ||
 		    old->percent != new->percent)
--- a/moortack/route/rollout.c
+++ b/moortack/route/rollout.c
@@ -26,7 +26,7 @@
 			config, organisation, model, v, VERSION_LIVE, stopped))
 			live[count++] = v;
 	}
-	return count > 0 ? live[hash / CONFIG_ALL_PERCENT % count]
+	return count > 0 ? live[hash / CONFIG_PERCENT_MAX % count]
 			 : HANDLE_NONE;
 }
 
@@ -37,7 +37,7 @@
 	const organisation_t *row =
 	    config_organisation_at(config, organisation);
 	uint64_t hash = XXH3_64bits_withSeed(&session, sizeof(session), model);
-	uint32_t point = hash % CONFIG_ALL_PERCENT;
+	uint32_t point = hash % CONFIG_PERCENT_MAX;
 	handle_t rolling = HANDLE_NONE;
 	handle_t live;
 	uint32_t sum = 0;
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -13,7 +13,7 @@
 #define READING_MAX 64
 
 struct watch {
-	process_t process;
+	process_context_t process;
 	const options_t *options;
 	watch_ports_t ports;
 	http_address_t list_address;
@@ -237,7 +237,7 @@
 }
 
 watch_t *
-watch_new(const process_t *process, const options_t *options,
+watch_new(const process_context_t *process, const options_t *options,
     const watch_ports_t *ports, err_t *err)
 {
 	watch_t *watch = calloc(1, sizeof(*watch));
--- a/moortack/store/store.c
+++ b/moortack/store/store.c
@@ -21,13 +21,13 @@
 }
 
 json_t *
-store_row(const char *key, const char *value)
+store_row_new(const char *key, const char *value)
 {
 	return json_pack("{s:s,s:s?}", "key", key, "value", value);
 }
 
 const char *
-store_value(const json_t *reply, const char *key)
+store_response_value(const json_t *reply, const char *key)
 {
 	return json_string_value(
 	    json_object_get(json_object_get(reply, "values"), key));
--- a/moortack/store/store_http.c
+++ b/moortack/store/store_http.c
@@ -22,9 +22,9 @@
 	case STATUS_CONFLICT:
 		return STORE_CONFLICT;
 	case STATUS_REFUSED:
-		return STORE_REFUSED;
+		return STORE_RATE_LIMITED;
 	default:
-		return STORE_LOST;
+		return STORE_NO_RESPONSE;
 	}
 }
 
@@ -36,8 +36,8 @@
 	json_t *body = http_response_json(reply);
 
 	if (result == STORE_OK && body == NULL)
-		result = STORE_LOST;
-	if (result == STORE_LOST || result == STORE_REFUSED)
+		result = STORE_NO_RESPONSE;
+	if (result == STORE_NO_RESPONSE || result == STORE_RATE_LIMITED)
 		counter_add(call->store->counters, COUNTER_STORE_FAILURES, 1);
 	call->done(call->arg, result, body);
 	json_decref(body);
--- a/moortackctl/key.c
+++ b/moortackctl/key.c
@@ -42,7 +42,7 @@
 {
 	char hash[CONFIG_KEY_HASH_SIZE];
 
-	key_hash(key, hash);
+	api_key_hash(key, hash);
 	if (context->json)
 		printf("{\"key\": \"%s\", \"hash\": \"%s\"}\n", key, hash);
 	else
--- a/moortackd/main.c
+++ b/moortackd/main.c
@@ -26,7 +26,7 @@
 	counters_t counters;
 	timeline_t timeline;
 	rng_t rng;
-	process_t process;
+	process_context_t process;
 	store_http_t store;
 	peers_t *peers;
 	registry_t *registry;
@@ -99,7 +99,7 @@
 	clock_system_init(&daemon->clock);
 	timeline_init(&daemon->timeline, &daemon->clock);
 	rng_system_init(&daemon->rng);
-	daemon->process = (process_t){.base = event_base_new(),
+	daemon->process = (process_context_t){.base = event_base_new(),
 	    .clock = &daemon->clock,
 	    .counters = &daemon->counters,
 	    .timeline = &daemon->timeline,
@@ -110,7 +110,7 @@
 static bool
 tasks_start(daemon_t *daemon, err_t *err)
 {
-	const process_t *process = &daemon->process;
+	const process_context_t *process = &daemon->process;
 	const options_t *options = &daemon->options;
 	store_t *store = &daemon->store.store;
 	http_address_t address;
@@ -133,7 +133,7 @@
 	    (uint32_t)options->tickets_max, front_task(daemon->front),
 	    FRONT_WITNESS);
 	daemon->registry = registry_new(process, options, store, daemon->peers,
-	    &(registry_ports_t){front_task(daemon->front), FRONT_CONFIG,
+	    &(registry_subscribers_t){front_task(daemon->front), FRONT_CONFIG,
 		FRONT_FRESH, FRONT_MEMBERS, FRONT_ADMIN,
 		billing_task(daemon->billing), billing_members_kind()},
 	    err);
@@ -203,7 +203,7 @@
 		return EXIT_SETTINGS;
 	}
 	signals_watch(&daemon);
-	incarnation_text(daemon.process.incarnation, incarnation);
+	incarnation_format(daemon.process.incarnation, incarnation);
 	timeline_add(&daemon.timeline, EVENT_STARTED, daemon.options.listen,
 	    "%s %.24s", incarnation, daemon.options.place);
 	log_line(LOG_INFO, LOG_MAIN, "Listening on %s as %s.",
--- a/test/fuzz/freshness_fuzz.c
+++ b/test/fuzz/freshness_fuzz.c
@@ -80,7 +80,7 @@
 			    .from = from,
 			    .to = to,
 			    .evidence.incarnation = (uint64_t)to + 1,
-			    .evidence.asked_at = world->now};
+			    .evidence.queried_at = world->now};
 			break;
 		}
 	}
@@ -100,8 +100,8 @@
 		ask->answered = true;
 		ask->evidence.revision = other->freshness.revision;
 		ask->evidence.store_read = other->freshness.store_read;
-		ask->evidence.store_at = other->freshness.store_at;
-		freshness_ages(&other->freshness, members, DAEMONS,
+		ask->evidence.store_read_at = other->freshness.store_read_at;
+		freshness_ages_encode(&other->freshness, members, DAEMONS,
 		    members[ask->to], world->now, ask->ages);
 		if (!other->deaf)
 			learn(world, ask->to, self->freshness.revision);
@@ -110,8 +110,8 @@
 	if (self->stopped)
 		return;
 	ask->used = false;
-	freshness_peer_answered(&self->freshness, &ask->evidence);
-	freshness_merge(&self->freshness, &ask->evidence, members, DAEMONS,
+	freshness_peer_responded(&self->freshness, &ask->evidence);
+	freshness_ages_merge(&self->freshness, &ask->evidence, members, DAEMONS,
 	    members[ask->from], ask->ages);
 	if (!other->stopped && !self->deaf)
 		learn(world, ask->from, ask->evidence.revision);
@@ -166,7 +166,7 @@
 
 	if (daemon->stopped || !daemon->store || world->head + 1 >= REVISIONS ||
 	    daemon->freshness.revision != world->head ||
-	    !freshness_half(&daemon->freshness, world->now))
+	    !freshness_half_responded(&daemon->freshness, world->now))
 		return;
 	world->head++;
 	daemon->freshness.revision = world->head;
@@ -193,7 +193,7 @@
 		if (since <= WINDOW_MS + 2 * HEARTBEAT_MS)
 			continue;
 		FUZZ_CHECK(timespec_ms_between(world->now,
-			       freshness_until(&daemon->freshness)) <= 0);
+			       freshness_expires_at(&daemon->freshness)) <= 0);
 	}
 }
 
@@ -271,7 +271,7 @@
 	for (int n = 0; n < DAEMONS; n++) {
 		freshness_init(
 		    &world.daemons[n].freshness, WINDOW_MS, OUTAGE_MS);
-		world.daemons[n].freshness.members = DAEMONS;
+		world.daemons[n].freshness.member_count = DAEMONS;
 		world.daemons[n].store = true;
 		world.daemons[n].last_heartbeat = world.now;
 	}
--- a/test/fuzz/intent_fuzz.c
+++ b/test/fuzz/intent_fuzz.c
@@ -22,13 +22,13 @@
 		const version_t *version = config_version_at(config, v);
 
 		FUZZ_CHECK(config_model_at(config, version->model) != NULL);
-		FUZZ_CHECK(version->state < VERSION_STATES);
-		FUZZ_CHECK(version->percent <= CONFIG_ALL_PERCENT);
+		FUZZ_CHECK(version->state < VERSION_STATE_COUNT);
+		FUZZ_CHECK(version->percent <= CONFIG_PERCENT_MAX);
 	}
 	for (handle_t o = 0; o < config->organisations.len; o++) {
 		const organisation_t *row = config_organisation_at(config, o);
 
-		FUZZ_CHECK(row->class < CLASSES);
+		FUZZ_CHECK(row->class < CLASS_COUNT);
 		for (handle_t v = config->versions.len; v < CONFIG_VERSIONS_MAX;
 		     v++)
 			FUZZ_CHECK(!organisation_allows_version(row, v));
@@ -53,7 +53,7 @@
 	FUZZ_CHECK(next != NULL || err.code != ERR_NONE);
 	if (next != NULL) {
 		config_t *config = config_compile(next, 2, &err);
-		json_t *plan = plan_make(base, intent, "fuzz", &err);
+		json_t *plan = plan_compute(base, intent, "fuzz", &err);
 
 		FUZZ_CHECK((config != NULL) == (plan != NULL));
 		if (config != NULL)
--- a/test/unit/freshness_test.c
+++ b/test/unit/freshness_test.c
@@ -23,7 +23,7 @@
 static int64_t
 until_ms(const freshness_t *freshness)
 {
-	return timespec_to_ms(freshness_until(freshness)) - START_MS;
+	return timespec_to_ms(freshness_expires_at(freshness)) - START_MS;
 }
 
 static void
@@ -31,18 +31,18 @@
     uint64_t revision, uint64_t epoch)
 {
 	const peer_evidence_t evidence = {.incarnation = peer,
-	    .asked_at = at(asked_ms),
+	    .queried_at = at(asked_ms),
 	    .revision = revision,
 	    .epoch = epoch};
 
-	assert_true(freshness_peer_answered(freshness, &evidence));
+	assert_true(freshness_peer_responded(freshness, &evidence));
 }
 
 static void
 init(freshness_t *freshness, uint32_t members)
 {
 	freshness_init(freshness, WINDOW_MS, OUTAGE_MS);
-	freshness->members = members;
+	freshness->member_count = members;
 	freshness->revision = 5;
 	freshness->epoch = 3;
 }
@@ -139,10 +139,10 @@
 	(void)state;
 	init(&freshness, 5);
 	answer(&freshness, 11, 0, 5, 3);
-	assert_false(freshness_half(&freshness, at(10)));
-	freshness.members = 4;
-	assert_true(freshness_half(&freshness, at(10)));
-	assert_false(freshness_half(&freshness, at(WINDOW_MS)));
+	assert_false(freshness_half_responded(&freshness, at(10)));
+	freshness.member_count = 4;
+	assert_true(freshness_half_responded(&freshness, at(10)));
+	assert_false(freshness_half_responded(&freshness, at(WINDOW_MS)));
 	freshness_finish(&freshness);
 }
 
@@ -156,12 +156,12 @@
 	freshness_store_read(&freshness, 5, at(0));
 	answer(&freshness, 11, 20000, 5, 3);
 	answer(&freshness, 12, 21000, 5, 3);
-	freshness_peer_forget(&freshness, 12);
+	freshness_peer_remove(&freshness, 12);
 	assert_int_equal(until_ms(&freshness), 20000 + WINDOW_MS);
-	freshness_peer_forget(&freshness, 11);
+	freshness_peer_remove(&freshness, 11);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
-	freshness_peer_forget(&freshness, 11);
-	assert_false(freshness_half(&freshness, at(21000)));
+	freshness_peer_remove(&freshness, 11);
+	assert_false(freshness_half_responded(&freshness, at(21000)));
 	freshness_finish(&freshness);
 }
 
--- a/test/unit/peer_auth_test.c
+++ b/test/unit/peer_auth_test.c
@@ -54,12 +54,12 @@
 	assert_int_equal(zmq_curve_keypair(public, secret), 0);
 	assert_true(peer_auth_init(&server->auth, secret, &err));
 	assert_true(peer_socket_open(&server->zap, server->base,
-	    server->context, ZMQ_REP, peer_auth_drain, &server->auth));
+	    server->context, ZMQ_REP, peer_auth_zap_handle, &server->auth));
 	assert_int_equal(
 	    zmq_bind(server->zap.socket, "inproc://zeromq.zap.01"), 0);
 	assert_true(peer_socket_open(&server->router, server->base,
 	    server->context, ZMQ_ROUTER, count_message, NULL));
-	peer_auth_set(&server->auth, server->router.socket, true);
+	peer_auth_apply(&server->auth, server->router.socket, true);
 	assert_int_equal(zmq_bind(server->router.socket, ADDRESS), 0);
 	zmq_getsockopt(
 	    server->router.socket, ZMQ_LAST_ENDPOINT, server->endpoint, &size);
@@ -84,9 +84,9 @@
 	struct timeval turn = {0, TURN_US};
 
 	zmq_setsockopt(dealer, ZMQ_LINGER, &linger, sizeof(linger));
-	peer_auth_set(client, dealer, false);
+	peer_auth_apply(client, dealer, false);
 	zmq_setsockopt(
-	    dealer, ZMQ_CURVE_SERVERKEY, server->auth.public, Z85_KEY_SIZE);
+	    dealer, ZMQ_CURVE_SERVERKEY, server->auth.public_key, Z85_KEY_SIZE);
 	assert_int_equal(zmq_connect(dealer, server->endpoint), 0);
 	zmq_send(dealer, "x", 1, 0);
 	for (int i = 0; i < TURNS && heard == 0; i++) {
