--- a/include/moortack/member/lease.h
+++ b/include/moortack/member/lease.h
@@ -1,12 +1,14 @@
 /**
  * @file
- * A lease in the platform's table, with a fencing number that grows each time
- * it changes hands. Its row is "lease/NAME": {"holder","fence","until_ms"}.
+ * A lease in the platform's table, with a fencing token that grows each time
+ * the lease gets another holder. Its row is "lease/NAME":
+ * {"holder","fence","until_ms"}.
  *
- * A holder may act only while the lease is usable: by the clock that counts
- * suspended time, from before it was asked for, and with a margin left. What it
- * orders carries the fencing number, for those that look at it; for those that
- * don't, orders must be such that a late one does no harm.
+ * A holder may act only while the lease is usable. Its time is measured on the
+ * clock that counts suspended time, from before the lease was requested, and
+ * less a safety margin. The holder's orders carry the fencing token for
+ * receivers that check it; for those that don't, an order must do no harm if it
+ * arrives late.
  */
 #ifndef MOORTACK_MEMBER_LEASE_H
 #define MOORTACK_MEMBER_LEASE_H
@@ -23,8 +25,8 @@
 	int64_t ttl_ms;
 	bool held;
 	bool request_pending;
-	int64_t fence;		    /**< of this holder, while held */
-	struct timespec expires_at; /**< elapsed clock */
+	int64_t fence; /**< fencing token of this daemon, while held */
+	struct timespec expires_at; /**< boot time clock */
 	struct timespec requested_at;
 	int64_t requested_fence;
 } lease_t;
@@ -32,10 +34,11 @@
 void lease_init(lease_t *, const process_context_t *, store_t *,
     const char *name, int64_t ttl_ms);
 
-/** Ask for the lease, or to keep it; the outcome shows in lease_usable(). */
+/** Requests the lease, or its renewal; lease_usable() tells the outcome. */
 void lease_request(lease_t *);
 
-/** Whether the holder may act now, for as long as an order takes. */
+/** Whether this daemon holds the lease with enough time left to carry
+ * out an order. */
 bool lease_usable(const lease_t *);
 
 #endif
--- a/include/moortack/member/peer_auth.h
+++ b/include/moortack/member/peer_auth.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Who may be a peer: holders of the fleet's one CURVE key pair.
+ * Authenticates peers: a peer must hold the CURVE key pair of the fleet.
  */
 #ifndef MOORTACK_MEMBER_PEER_AUTH_H
 #define MOORTACK_MEMBER_PEER_AUTH_H
@@ -22,11 +22,11 @@
 /** @param secret 40 characters of Z85 */
 bool peer_auth_init(peer_auth_t *, const char *secret, err_t *err);
 
-/** Give a socket the fleet's keys. */
+/** Sets the fleet's keys on a socket. */
 void peer_auth_apply(const peer_auth_t *, void *socket, bool server);
 
-/** Answer one question of ZeroMQ's authentication protocol; the socket's owner
- * is the peer_auth_t. */
+/** Handles one request of the ZeroMQ Authentication Protocol (ZAP). The owner
+ * of the socket is the peer_auth_t. */
 void peer_auth_zap_handle(peer_socket_t *);
 
 #endif
--- a/include/moortack/member/peer_socket.h
+++ b/include/moortack/member/peer_socket.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * A ZeroMQ socket on the event loop.
+ * A ZeroMQ socket whose messages are read from the event loop.
  */
 #ifndef MOORTACK_MEMBER_PEER_SOCKET_H
 #define MOORTACK_MEMBER_PEER_SOCKET_H
@@ -9,27 +9,29 @@
 #include <stdbool.h>
 #include <zmq.h>
 
-/** A socket and the event of its edge-triggered descriptor. */
+/** A socket and the event for its edge-triggered file descriptor. */
 typedef struct peer_socket {
-	void *owner; /**< handed to whoever drains it */
+	void *owner; /**< for use by on_message */
 	void *socket;
 	struct event *event;
 	void (*on_message)(struct peer_socket *);
 } peer_socket_t;
 
-/** @param context the ZeroMQ context @param drain reads one message */
+/** @param context the ZeroMQ context @param type of the ZeroMQ socket
+ * @param on_message reads one message */
 bool peer_socket_open(peer_socket_t *, struct event_base *, void *context,
     int type, void (*drain)(peer_socket_t *), void *owner);
 void peer_socket_close(peer_socket_t *);
 
-/** After something was sent: look whether something came meanwhile, which the
- * edge-triggered descriptor tells no more. */
+/** Schedules a read after a send: the send may have consumed the edge of the
+ * file descriptor for a message that arrived meanwhile. */
 void peer_socket_schedule_read(peer_socket_t *);
 
-/** One frame of a message. @return false when there was none */
+/** Reads one frame of a message. @param more receives whether further frames
+ * follow @return false if there was none */
 bool peer_frame_read(void *socket, zmq_msg_t *frame, bool *more);
 
-/** Skip the rest of a message. */
+/** Skips the remaining frames of a message. */
 void peer_frames_skip(void *socket, bool more);
 
 #endif
--- a/include/moortack/member/peers.h
+++ b/include/moortack/member/peers.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The task that talks to the other daemons: questions and answers over ZeroMQ,
- * encrypted and authenticated with one key pair of the fleet (CURVE).
+ * The task that exchanges messages with the other daemons: queries and
+ * responses over ZeroMQ, encrypted and authenticated with the fleet's CURVE key
+ * pair.
  */
 #ifndef MOORTACK_MEMBER_PEERS_H
 #define MOORTACK_MEMBER_PEERS_H
@@ -17,7 +18,7 @@
 #define PEER_IDENTITY_MAX 64
 #define PEER_BODY_CASES 32 /**< above every body case of an Envelope */
 
-/** What a process's tasks share; each outlives them. */
+/** What the tasks of a process share; everything pointed to outlives them. */
 typedef struct process_context {
 	struct event_base *base;
 	const clock_source_t *clock;
@@ -27,54 +28,56 @@
 	uint64_t incarnation;
 } process_context_t;
 
-/** A peer's question, as the task that answers it receives it. */
+/** A peer's query, as posted to the task that handles it. */
 typedef struct peer_query {
-	uint8_t identity[PEER_IDENTITY_MAX]; /**< the way back */
+	uint8_t identity[PEER_IDENTITY_MAX]; /**< ZeroMQ routing id */
 	size_t identity_len;
 	Wire__Envelope *envelope;
 } peer_query_t;
 
-/** The answer to a question, as the asking task receives it. */
+/** The outcome of a query, as posted to the task that sent it. */
 typedef struct peer_response {
-	uint64_t tag;		    /**< the asker's own */
-	uint64_t from;		    /**< incarnation that was asked */
-	struct timespec queried_at; /**< elapsed clock */
-	Wire__Envelope *envelope;   /**< NULL: none came in time */
+	uint64_t tag;		    /**< of the peer_query_options_t */
+	uint64_t from;		    /**< incarnation of the member queried */
+	struct timespec queried_at; /**< boot time clock */
+	Wire__Envelope *envelope;   /**< NULL: no response in time */
 } peer_response_t;
 
-/** How an answer finds its asker. */
+/** The receiver of a query, its timeout, and where its response is posted. */
 typedef struct peer_query_options {
-	uint64_t to; /**< incarnation */
+	uint64_t to; /**< incarnation of the member */
 	int timeout_ms;
-	task_t *task; /**< receives a peer_response_t */
+	task_t *task; /**< receives a peer_response_t as a @p kind message */
 	int kind;
 	uint64_t tag;
 } peer_query_options_t;
 
 typedef struct peers peers_t;
 
-/** @param address IP:PORT to bind @param secret the fleet's secret key, Z85 */
+/** @param address IP:PORT to bind @param secret the fleet's CURVE secret key,
+ * Z85 */
 peers_t *peers_new(const process_context_t *, const char *address,
     const char *secret, err_t *err);
 void peers_free(peers_t *);
 
-/** Let @p task receive questions of one body case, as @p kind messages with a
- * peer_query_t. */
+/** Sets the task that receives the queries of one body case, as @p kind
+ * messages with a peer_query_t. */
 void
 peers_handler_set(peers_t *, Wire__Envelope__BodyCase, task_t *task, int kind);
 
-/* The calls below post to the task. */
+/* The functions below post a message to the task. */
 
-/** Ask a member. The answer, or its absence, is posted to the asker. */
+/** Sends a query to a member. The response, or its absence, is posted to the
+ * task in the options. */
 void peers_query(peers_t *, const peer_query_options_t *, Wire__Envelope *);
 
-/** Tell a member something that needs no answer. */
+/** Sends a member a message that needs no response. */
 void peers_send_message(peers_t *, uint64_t to, Wire__Envelope *);
 
-/** Answer a question. */
+/** Responds to a query. */
 void peers_respond(peers_t *, const peer_query_t *, Wire__Envelope *);
 
-/** Who the members are now. */
+/** Sets the membership; takes a reference of its own. */
 void peers_members_set(peers_t *, members_t *);
 
 void peer_query_free(void *);
--- a/moortack/member/freshness.c
+++ b/moortack/member/freshness.c
@@ -58,7 +58,7 @@
 	return true;
 }
 
-/* Evidence at second hand never takes the place of newer evidence. */
+/* Merges indirect evidence, which never replaces newer evidence. */
 static void
 peer_heard(freshness_t *freshness, const peer_evidence_t *evidence)
 {
@@ -159,14 +159,16 @@
 	return us > 0 ? 1 : us < 0 ? -1 : 0;
 }
 
-/* How many peers must answer, so that with this one they are over half. */
+/* The number of peers that must have responded so that, with this daemon, they
+ * are more than half of the members. */
 static uint32_t
 peers_needed(const freshness_t *freshness)
 {
 	return freshness->member_count / 2;
 }
 
-/* The last read of the store by this daemon or by a peer that counts. */
+/* The last read of the store by this daemon or by a peer whose evidence is
+ * valid. */
 static struct timespec
 last_store_read(const freshness_t *freshness)
 {
@@ -182,7 +184,8 @@
 	return last;
 }
 
-/* When the majority was last whole: the time of the last answer it needs. */
+/* When the majority was last complete: the time of the oldest query that it
+ * needs, or 0 if there is no majority. */
 static struct timespec
 majority_at(const freshness_t *freshness)
 {
--- a/moortack/member/lease.c
+++ b/moortack/member/lease.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define KEY_SIZE 48
-#define MARGIN_PARTS 3 /* the last third of a lease is not used */
+#define MARGIN_PARTS 3 /* the last third is the safety margin */
 
 void
 lease_init(lease_t *lease, const process_context_t *process, store_t *store,
@@ -34,8 +34,8 @@
 
 	(void)reply;
 	lease->request_pending = false;
-	/* After a lost reply it may be held or not: not using it is safe, and
-	 * the next ask finds this daemon's own row. */
+	/* Without a response the lease may be held or not. It is safe not to
+	 * use it: the next request finds this daemon's own row. */
 	if (result != STORE_OK)
 		return;
 	lease->held = true;
--- a/moortack/member/members.c
+++ b/moortack/member/members.c
@@ -127,7 +127,8 @@
 	return NULL;
 }
 
-/* The table lists rows in order of their key, which is the incarnation. */
+/* The table lists rows in the order of their keys, which are the
+ * incarnations. */
 uint32_t
 members_incarnations(const members_t *members, uint64_t self, uint64_t *out)
 {
--- a/moortack/member/peer_auth.c
+++ b/moortack/member/peer_auth.c
@@ -4,7 +4,7 @@
 
 #define ZAP_FRAMES 7
 
-/* ZAP, RFC 27: only the holder of the fleet's secret key may connect. */
+/* ZAP (ZeroMQ RFC 27): only a client with the fleet's key pair may connect. */
 void
 peer_auth_zap_handle(peer_socket_t *socket)
 {
@@ -63,7 +63,8 @@
 	    zmq_curve_public(auth->public_key, secret) != 0 ||
 	    zmq_z85_decode(auth->public_key_bytes, auth->public_key) == NULL)
 		return err_set(err, ERR_SETTING,
-		    "peer-key: want a CURVE secret key, 40 characters of Z85");
+		    "peer-key: must be a CURVE secret key, 40 characters of "
+		    "Z85");
 	memcpy(auth->secret_key, secret, Z85_KEY_SIZE);
 	return true;
 }
--- a/moortack/member/peer_links.c
+++ b/moortack/member/peer_links.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <zmq.h>
 
-/* A link takes some 90 KB. */
+/* An open connection takes about 90 KB of memory. */
 #define LINKS_MAX 48
 
 static peer_link_t *
@@ -23,7 +23,8 @@
 	}
 	link->incarnation = member->incarnation;
 	peer_auth_apply(links->auth, link->socket.socket, false);
-	/* From the address that it listens on, so that a firewall can tell. */
+	/* Connects from the address that this daemon listens on, so that a
+	 * firewall can filter by source address. */
 	snprintf(endpoint, sizeof(endpoint), "tcp://%s:0;%s", links->own_host,
 	    member->peer_address);
 	zmq_connect(link->socket.socket, endpoint);
--- a/moortack/member/peer_socket.c
+++ b/moortack/member/peer_socket.c
@@ -3,15 +3,18 @@
 #define SEND_HWM 1000
 #define RECONNECT_MS 100
 #define RECONNECT_MAX_MS 2000
-/* A connection that has fallen silent is given up after IDLE + COUNT * PAUSE
- * seconds; until then its questions go unanswered, and another is asked. */
+/* TCP keepalive closes a connection whose peer no longer responds after
+ * IDLE + COUNT * INTERVAL seconds. Until then queries on it time out, and other
+ * members are queried. */
 #define PROBE_IDLE_S 4
 #define PROBE_PAUSE_S 1
 #define PROBE_COUNT 3
 #define MESSAGE_MAX (4 << 20)
 #define DRAIN_ROUNDS 8
 
-/* The descriptor is edge-triggered: read until there is nothing more. */
+/* The file descriptor is edge-triggered: reads until there are no more
+ * messages. After MESSAGES_PER_EVENT messages the rest is left to another
+ * event. */
 static void
 socket_drain(peer_socket_t *socket)
 {
--- a/moortack/member/peers.c
+++ b/moortack/member/peers.c
@@ -15,16 +15,17 @@
 
 typedef struct outgoing outgoing_t;
 
-/** A question whose answer is awaited. */
+/** A query without a response yet. */
 typedef struct pending {
 	uint64_t id;
 	peer_query_options_t ask;
 	struct timespec asked_at;
-	outgoing_t *waiting; /**< for a new link to come up; or NULL */
+	outgoing_t *waiting; /**< not sent yet: the new connection is not
+				established; or NULL */
 	UT_hash_handle hh;
 } pending_t;
 
-/** A packed message on its way to the task. */
+/** A packed message posted to the task for sending. */
 struct outgoing {
 	peer_query_options_t ask;
 	uint64_t id;
@@ -191,7 +192,8 @@
 		counter_add(
 		    peers->process.counters, COUNTER_PEER_BYTES_SENT, out->len);
 	}
-	/* Sending may have swallowed the edge of what arrived meanwhile. */
+	/* The send may have consumed the edge of the file descriptor for a
+	 * message that arrived meanwhile. */
 	event_active(socket->event, EV_READ, 0);
 	return sent;
 }
@@ -215,7 +217,7 @@
 	return copy;
 }
 
-/* What waits for a new link to come up. */
+/* Sends a query that waits for its new connection to be established. */
 static void
 waiting_send(peers_t *peers, pending_t *pending)
 {
@@ -247,8 +249,8 @@
 	HASH_ADD(hh, peers->pending, id, sizeof(pending->id), pending);
 	if (link != NULL && link_send(peers, link, out))
 		return;
-	/* One that was up and isn't refuses: its asker hears so at once. A new
-	 * one is given the time to come up. */
+	/* If an established connection was lost, the query fails at once. A new
+	 * connection gets time to be established. */
 	if (link != NULL && !link->established)
 		pending->waiting = outgoing_copy(out);
 	if (pending->waiting == NULL)
@@ -401,7 +403,7 @@
 	peers_t *peers = calloc(1, sizeof(*peers));
 
 	if (peers == NULL) {
-		err_set(err, ERR_MEMORY, "no memory");
+		err_set(err, ERR_MEMORY, "out of memory");
 		return NULL;
 	}
 	peers->process = *process;
--- a/test/fuzz/freshness_fuzz.c
+++ b/test/fuzz/freshness_fuzz.c
@@ -1,11 +1,13 @@
 /**
  * @file
- * Stateful fuzzing of freshness: daemons with links that are cut, a table that
- * each may or may not reach, processes that are stopped while heartbeats and
- * reads are under way, and plans confirmed by whoever hears half.
+ * Stateful fuzzing of freshness: connections between daemons fail, the store is
+ * unavailable to some of them, processes are stopped while heartbeats and reads
+ * are in flight, and plans are confirmed by any daemon that gets responses from
+ * half of the members.
  *
- * The oracle is one clock: past the window and two heartbeats after a
- * confirmation was answered, no daemon that lacks it takes work.
+ * The oracle uses a single clock: later than the window and two heartbeats
+ * after the response to a confirmation (once half of the members hold the
+ * revision), no daemon without this revision accepts work.
  */
 #include <string.h>
 
@@ -22,23 +24,23 @@
 #define START_MS 1000000
 #define ALL ((1u << DAEMONS) - 1)
 
-/** A heartbeat under way: asked, then answered, then read. */
+/** A heartbeat in flight: sent, then responded to, then received. */
 typedef struct ask {
 	bool used;
 	bool answered;
 	int from;
 	int to;
 	peer_evidence_t evidence;
-	uint8_t ages[DAEMONS]; /**< what the other knew, with its answer */
+	uint8_t ages[DAEMONS]; /**< what the responder knew of the members */
 } ask_t;
 
 typedef struct daemon {
 	freshness_t freshness;
-	bool store;   /**< it reaches the table */
+	bool store;   /**< it can read the store */
 	bool stopped; /**< as by SIGSTOP */
-	bool deaf;    /**< it fails to fetch the rows it lacks */
+	bool deaf;    /**< it can't fetch the revisions it lacks */
 	struct timespec last_heartbeat;
-	bool read_open; /**< a read of the head is under way */
+	bool read_open; /**< a read of the head is in flight */
 	bool read_done;
 	struct timespec read_asked_at;
 	uint64_t read_head;
@@ -49,7 +51,7 @@
 	bool cut[DAEMONS][DAEMONS];
 	ask_t asks[ASKS];
 	uint64_t head;
-	struct timespec confirmed_at[REVISIONS]; /**< when told "in force" */
+	struct timespec confirmed_at[REVISIONS]; /**< reported "in force" */
 	struct timespec now;
 } world_t;
 
@@ -62,7 +64,7 @@
 		world->daemons[n].freshness.revision = revision;
 }
 
-/* It asks some of the others; of the rest it hears at second hand. */
+/* Queries some of the others; of the rest the daemon learns indirectly. */
 static void
 heartbeat(world_t *world, int from, uint32_t asked)
 {
@@ -148,7 +150,8 @@
 	    &daemon->freshness, daemon->read_head, daemon->read_asked_at);
 }
 
-/* Half hold it: none that lacks it finds more than half to vouch for it. */
+/* If half of the members hold it, a daemon that lacks it finds no majority of
+ * members that don't hold it. */
 static bool
 held_by_half(const world_t *world, uint64_t revision)
 {
@@ -197,8 +200,8 @@
 	}
 }
 
-/* Processes that run go on by themselves; the input's other decisions are what
- * comes between. */
+/* Running daemons send heartbeats and read the store on their own; the other
+ * decisions of the input happen in between. */
 static void
 everyone_moves(world_t *world, input_t *input)
 {
--- a/test/unit/freshness_test.c
+++ b/test/unit/freshness_test.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * When a daemon may take its configuration to be in force.
+ * Until when a daemon may treat its configuration as being in force.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -67,7 +67,7 @@
 	init(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(100));
 	assert_int_equal(until_ms(&freshness), 100 + WINDOW_MS);
-	/* An older read that comes late takes nothing back. */
+	/* An older read that arrives late doesn't shorten the time. */
 	freshness_store_read(&freshness, 5, at(50));
 	assert_int_equal(until_ms(&freshness), 100 + WINDOW_MS);
 	freshness_finish(&freshness);
@@ -96,7 +96,7 @@
 	answer(&freshness, 11, 20000, 5, 3);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
 	answer(&freshness, 12, 19000, 5, 3);
-	/* The majority is as old as the answer it can't do without. */
+	/* The majority is as old as the oldest response that it needs. */
 	assert_int_equal(until_ms(&freshness), 19000 + WINDOW_MS);
 	freshness_finish(&freshness);
 }
--- a/test/unit/peer_auth_test.c
+++ b/test/unit/peer_auth_test.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Only a holder of the fleet's secret key is heard, whoever knows its public
- * one.
+ * Messages are received only from clients that hold the fleet's secret key; to
+ * know its public key isn't enough.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -31,7 +31,7 @@
 	}
 }
 
-/* A server with the fleet's keys, and where it listens. */
+/* A server with the fleet's keys, and its address. */
 typedef struct server {
 	struct event_base *base;
 	void *context;
@@ -74,7 +74,8 @@
 	event_base_free(server->base);
 }
 
-/* Send one message with these keys, and let the server run for a while. */
+/* Sends a message with the client's keys and runs the server until it receives
+ * it, or for at most TURNS * TURN_US. */
 static void
 send_as(server_t *server, const peer_auth_t *client)
 {
