--- a/include/moortack/config/registry.h
+++ b/include/moortack/config/registry.h
@@ -1,16 +1,18 @@
 /**
  * @file
- * The task that keeps the configuration and the membership in step with the
+ * The task that synchronises the configuration and the membership with the
  * platform's table and with the peers, and that plans and confirms changes.
  *
  * Rows in the table:
  *   head            the revision in force, decimal
- *   rev/NNNNNNNNNNNN  one revision: {"plan","operator","at_ms","intent"}
- *   snapshot        {"revision","document"}, so that a new daemon reads little
- *   plan/ID         a plan that was made
- *   done/ID         the revision that the plan became
- *   epoch           counts changes of membership
- *   member/INC      one daemon
+ *   rev/NNNNNNNNNNNN  one revision: {"plan","operator","planned_by",
+ *                   "at_ms","intent"}
+ *   snapshot        {"revision","document"}, so that a new daemon reads few
+ *                   revisions
+ *   plan/ID         a plan
+ *   done/ID         the revision that a confirmed plan became
+ *   epoch           number of changes of the membership
+ *   member/INC      the member with incarnation INC
  */
 #ifndef MOORTACK_CONFIG_REGISTRY_H
 #define MOORTACK_CONFIG_REGISTRY_H
@@ -21,25 +23,25 @@
 #include "moortack/options.h"
 #include "moortack/store/store.h"
 
-/** Where the registry posts what others need to know. */
+/** The tasks to which the registry posts changes, and the message kinds. */
 typedef struct registry_subscribers {
 	task_t *front_task;
-	int config_kind;    /**< kind; body: config_t, shared */
-	int freshness_kind; /**< kind; body: freshness_update_t */
-	int members_kind;   /**< kind; body: members_t, shared */
-	int admin_kind;	    /**< kind; body: admin_response_t */
+	int config_kind;    /**< body: config_t, a reference */
+	int freshness_kind; /**< body: freshness_update_t */
+	int members_kind;   /**< body: members_t, a reference */
+	int admin_kind;	    /**< body: admin_response_t */
 	task_t *billing_task;
-	int billing_members_kind; /**< kind; body: members_t, shared */
+	int billing_members_kind; /**< body: members_t, a reference */
 } registry_subscribers_t;
 
-/** Until when new work may be taken. */
+/** Whether and until when new work may be accepted. */
 typedef struct freshness_update {
-	struct timespec expires_at; /**< elapsed clock */
+	struct timespec expires_at; /**< boot time clock */
 	bool has_revision;	    /**< holds a confirmed revision */
-	bool listed;		    /**< stands in the membership */
+	bool listed;		    /**< in the membership, or leaving it */
 } freshness_update_t;
 
-/** What an operator asks for. */
+/** What an operator requests. */
 typedef enum admin_action {
 	ADMIN_PLAN,
 	ADMIN_SHOW,
@@ -59,7 +61,7 @@
 
 typedef struct admin_response {
 	uint64_t tag;
-	err_t err;    /**< code ERR_NONE: done */
+	err_t err;    /**< code ERR_NONE: success */
 	json_t *body; /**< may be NULL on failure */
 } admin_response_t;
 
@@ -69,10 +71,10 @@
     store_t *, peers_t *, const registry_subscribers_t *, err_t *err);
 void registry_free(registry_t *);
 
-/** Post an operator's question; @p ask is taken over. */
+/** Posts an operator's command; takes ownership of @p command. */
 void registry_admin_submit(registry_t *, admin_command_t *ask);
 
-/** Post that this daemon leaves: it takes itself off the membership. */
+/** Posts that this daemon leaves: it removes itself from the membership. */
 void registry_leave(registry_t *);
 
 void admin_command_free(void *);
--- a/include/moortack/store/store_http.h
+++ b/include/moortack/store/store_http.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The platform's table over HTTP.
+ * Access to the platform's table over HTTP.
  */
 #ifndef MOORTACK_STORE_STORE_HTTP_H
 #define MOORTACK_STORE_STORE_HTTP_H
@@ -10,7 +10,7 @@
 #include "moortack/store/store.h"
 
 typedef struct store_http {
-	store_t store; /**< must stay first */
+	store_t store; /**< first: cast back from store_t * */
 	struct event_base *base;
 	http_address_t address;
 	counters_t *counters;
--- a/moortack/config/config.c
+++ b/moortack/config/config.c
@@ -7,7 +7,7 @@
 
 #define BITS 64
 
-/* Every row type starts with its name. */
+/* The name is the first member of every row type. */
 static handle_t
 row_named(const table_t *table, const char *name)
 {
--- a/moortack/config/config_compile.c
+++ b/moortack/config/config_compile.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * From a document to a configuration: every entry is checked, and what it names
- * must be there.
+ * Compiles a document into a configuration: checks every entry, and that the
+ * entries it refers to exist.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
 static const char *const class_names[CLASS_COUNT] = {
     "critical", "high", "medium", "sheddable"};
 
-/** One entry while it is compiled. */
+/** An entry of the document being compiled. */
 typedef struct entry {
 	const char *kind;
 	const char *name;
@@ -118,7 +118,7 @@
 			return true;
 		}
 	}
-	return entry_bad(entry, field, "one of the words in docs/API.md");
+	return entry_bad(entry, field, "one of the values in docs/API.md");
 }
 
 static bool
@@ -130,9 +130,9 @@
 	    json_string_value(json_object_get(entry->value, "region"));
 
 	if (place == NULL)
-		return err_set(entry->err, ERR_MEMORY, "no memory");
+		return err_set(entry->err, ERR_MEMORY, "out of memory");
 	if (config->places.len > CONFIG_PLACES_MAX)
-		return entry_bad(entry, "the count", "at most 64");
+		return entry_bad(entry, "the number of places", "at most 64");
 	snprintf(place->region, sizeof(place->region), "%s",
 	    region != NULL ? region : "");
 	return fields_known(entry, known) && name_take(entry, place->name);
@@ -148,7 +148,7 @@
 	int kind;
 
 	if (model == NULL)
-		return err_set(entry->err, ERR_MEMORY, "no memory");
+		return err_set(entry->err, ERR_MEMORY, "out of memory");
 	if (!fields_known(entry, known) || !name_take(entry, model->name) ||
 	    !word_take(entry, "kind", kinds, 2, -1, &kind) ||
 	    !number_take(entry, "cost", COST_MAX, 1, &model->cost) ||
@@ -172,9 +172,10 @@
 	int state;
 
 	if (version == NULL)
-		return err_set(entry->err, ERR_MEMORY, "no memory");
+		return err_set(entry->err, ERR_MEMORY, "out of memory");
 	if (config->versions.len > CONFIG_VERSIONS_MAX)
-		return entry_bad(entry, "the count", "at most 256");
+		return entry_bad(
+		    entry, "the number of versions", "at most 256");
 	if (!fields_known(entry, known) || !name_take(entry, version->name) ||
 	    !word_take(
 		entry, "state", state_names, VERSION_STATE_COUNT, -1, &state) ||
@@ -213,7 +214,8 @@
 	snprintf(model, sizeof(model), "%.*s", (int)(len - 2), pattern);
 	handle = config_model_find(config, model);
 	if (handle == HANDLE_NONE)
-		return entry_bad(entry, "allow", "of declared models");
+		return entry_bad(
+		    entry, "allow", "a list of versions of declared models");
 	for (handle_t v = 0; v < config->versions.len; v++) {
 		if (config_version_at(config, v)->model == handle)
 			version_set_add(&organisation->allowed_versions, v);
@@ -236,7 +238,8 @@
 					      : HANDLE_NONE;
 
 		if (place == HANDLE_NONE)
-			return entry_bad(entry, "places", "declared");
+			return entry_bad(
+			    entry, "places", "a list of declared places");
 		organisation->allowed_places |= UINT64_C(1) << place;
 	}
 	json_array_foreach(json_object_get(entry->value, "allow"), i, item)
@@ -250,14 +253,14 @@
 			    : entry_bad(entry, "allow", "a list of names");
 	}
 	if (json_array_size(keys) > CONFIG_KEYS_MAX)
-		return entry_bad(entry, "keys", "at most 4");
+		return entry_bad(entry, "keys", "a list of at most 4 hashes");
 	json_array_foreach(keys, i, item)
 	{
 		const char *hash = json_string_value(item);
 
 		if (hash == NULL || strlen(hash) != CONFIG_KEY_HASH_SIZE - 1)
-			return entry_bad(
-			    entry, "keys", "hashes made by 'moortackctl key'");
+			return entry_bad(entry, "keys",
+			    "a list of hashes made by 'moortackctl key'");
 		memcpy(organisation->key_hashes[organisation->key_count++],
 		    hash, CONFIG_KEY_HASH_SIZE);
 	}
@@ -273,7 +276,7 @@
 	int class;
 
 	if (organisation == NULL)
-		return err_set(entry->err, ERR_MEMORY, "no memory");
+		return err_set(entry->err, ERR_MEMORY, "out of memory");
 	if (!fields_known(entry, known) ||
 	    !name_take(entry, organisation->name) ||
 	    !word_take(entry, "class", class_names, CLASS_COUNT, CLASS_MEDIUM,
@@ -303,8 +306,8 @@
 		}
 		if (percent > CONFIG_PERCENT_MAX) {
 			return err_set(err, ERR_BAD_REQUEST,
-			    "model '%s': its rolling versions take %u per cent;"
-			    " at most 100",
+			    "model '%s': its rolling versions add up to %u "
+			    "per cent; at most 100 is allowed",
 			    config_model_at(config, m)->name, percent);
 		}
 	}
@@ -330,7 +333,7 @@
 	return true;
 }
 
-/* Each request looks a key up, so it isn't searched for row by row. */
+/* Every request looks up a key, so keys are indexed instead of scanned. */
 static bool
 keys_index(config_t *config, err_t *err)
 {
@@ -343,7 +346,9 @@
 			HASH_FIND_STR(config->keys, row->key_hashes[k], key);
 			if (key != NULL && key->organisation != h)
 				return err_set(err, ERR_BAD_REQUEST,
-				    "%s and %s have the same key", row->name,
+				    "organisations '%s' and '%s' have the same "
+				    "key",
+				    row->name,
 				    config_organisation_at(
 					config, key->organisation)
 					->name);
@@ -351,7 +356,8 @@
 				continue;
 			key = calloc(1, sizeof(*key));
 			if (key == NULL)
-				return err_set(err, ERR_MEMORY, "no memory");
+				return err_set(
+				    err, ERR_MEMORY, "out of memory");
 			memcpy(
 			    key->hash, row->key_hashes[k], sizeof(key->hash));
 			key->organisation = h;
@@ -379,7 +385,7 @@
 	config_t *config = calloc(1, sizeof(*config));
 
 	if (config == NULL) {
-		err_set(err, ERR_MEMORY, "no memory");
+		err_set(err, ERR_MEMORY, "out of memory");
 		return NULL;
 	}
 	config->revision = revision;
--- a/moortack/config/config_key.h
+++ b/moortack/config/config_key.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The index of keys in a configuration.
+ * The index of API keys in a configuration.
  */
 #ifndef MOORTACK_CONFIG_CONFIG_KEY_H
 #define MOORTACK_CONFIG_CONFIG_KEY_H
@@ -9,7 +9,7 @@
 
 #include "moortack/config/config.h"
 
-/** A key's hash and whose it is. */
+/** The hash of an API key and the organisation that has the key. */
 struct config_key {
 	char hash[CONFIG_KEY_HASH_SIZE];
 	handle_t organisation;
--- a/moortack/config/intent.c
+++ b/moortack/config/intent.c
@@ -53,7 +53,7 @@
 
 	if (!json_is_object(value))
 		return err_set(err, ERR_BAD_REQUEST,
-		    "the change of '%.48s' has no \"value\" object", name);
+		    "the change of '%.48s' needs a \"value\" object", name);
 	if (entry == NULL) {
 		entry = json_object();
 		json_object_set_new(entries, name, entry);
--- a/moortack/config/plan.c
+++ b/moortack/config/plan.c
@@ -141,7 +141,7 @@
 				continue;
 			json_array_append_new(warnings,
 			    json_sprintf("%s would have no version of %s that "
-					 "takes new sessions",
+					 "accepts new sessions",
 				organisation->name,
 				config_model_at(after, m)->name));
 		}
--- a/moortack/config/registry.c
+++ b/moortack/config/registry.c
@@ -102,10 +102,11 @@
 		config = config_compile(document, number, &err);
 	json_decref(document);
 	if (config == NULL) {
-		/* Every confirmed plan was compiled before: a newer program
-		 * wrote it, or the table is damaged. */
+		/* Every confirmed plan was compiled before: the revision was
+		 * written by a newer version of the program, or the table is
+		 * corrupt. */
 		log_line(LOG_ERROR, LOG_CONFIG,
-		    "Revision %" PRIu64 " cannot be read: %s.", number,
+		    "Cannot apply revision %" PRIu64 ": %s.", number,
 		    err.detail);
 		json_decref(row);
 		return false;
@@ -129,8 +130,8 @@
 	    answers ? EVENT_STORE_AVAILABLE : EVENT_STORE_UNAVAILABLE, "store",
 	    "%s", "");
 	log_line(answers ? LOG_INFO : LOG_WARN, LOG_CONFIG, "%s",
-	    answers ? "The store answers again."
-		    : "The store does not answer.");
+	    answers ? "The store is available again."
+		    : "The store is unavailable.");
 }
 
 static void
@@ -139,7 +140,7 @@
 	(void)reply;
 	(void)arg;
 	if (result != STORE_OK)
-		log_line(LOG_WARN, LOG_CONFIG, "A snapshot was not written.");
+		log_line(LOG_WARN, LOG_CONFIG, "Cannot write the snapshot.");
 }
 
 void
@@ -183,7 +184,8 @@
 		    !registry_revision_apply(registry, number, text))
 			break;
 	}
-	/* Whoever had to read this much spares the next one. */
+	/* After so many revisions, a snapshot spares other daemons from
+	 * reading them. */
 	if (registry->config->revision - before >= SNAPSHOT_INTERVAL)
 		registry_snapshot_write(registry);
 	if (registry->config->revision > before)
@@ -231,7 +233,7 @@
 		    "head %" PRIu64 ", was %" PRIu64, head, registry->head);
 		log_line(LOG_ERROR, LOG_CONFIG,
 		    "The store's head went back from %" PRIu64 " to %" PRIu64
-		    "; this daemon keeps what it holds.",
+		    "; ignoring it.",
 		    registry->head, head);
 		return;
 	}
@@ -389,7 +391,7 @@
 
 	if (registry == NULL) {
 		json_decref(document);
-		err_set(err, ERR_MEMORY, "no memory");
+		err_set(err, ERR_MEMORY, "out of memory");
 		return NULL;
 	}
 	registry->process = *process;
--- a/moortack/config/registry_admin.c
+++ b/moortack/config/registry_admin.c
@@ -12,15 +12,15 @@
 #define SPREAD_CHECK_MS 50
 #define SPREAD_CHECKS 60
 
-/** One operator's question under way. */
+/** An operator's command in progress. */
 typedef struct admin_job {
 	registry_t *registry;
 	admin_command_t *ask;
-	json_t *plan;	 /**< ADMIN_CONFIRM: as it was made */
-	char *text;	 /**< the revision's row, as it was written */
-	uint64_t number; /**< the revision that it becomes */
-	int tries;	 /**< to write it */
-	int checks;	 /**< of its spread */
+	json_t *plan;	 /**< ADMIN_PLAN: computed; ADMIN_CONFIRM: as stored */
+	char *text;	 /**< ADMIN_CONFIRM: the row of the revision */
+	uint64_t number; /**< of the revision that the plan becomes */
+	int tries;	 /**< attempts that failed to read or write the store */
+	int checks;	 /**< of how many members hold the revision */
 } admin_job_t;
 
 static void confirm_read(admin_job_t *);
@@ -73,10 +73,11 @@
 	admin_job_t *job = arg;
 
 	(void)reply;
-	/* A lost reply is harmless: to confirm reads the plan back. */
+	/* A missing response does no harm: the confirmation reads the plan from
+	 * the store. */
 	if (result != STORE_OK) {
 		job_fail(job, ERR_STORE,
-		    "the plan was not stored; ask for it again");
+		    "the plan was not stored; request it again");
 		return;
 	}
 	timeline_add(job->registry->process.timeline, EVENT_PLAN_MADE,
@@ -105,7 +106,7 @@
 	if (text == NULL ||
 	    !store_txn(job->registry->store, json_array(),
 		json_pack("[o]", store_row_new(key, text)), plan_stored, job))
-		job_fail(job, ERR_MEMORY, "no memory");
+		job_fail(job, ERR_MEMORY, "out of memory");
 	free(text);
 }
 
@@ -149,7 +150,7 @@
 	job->number = number;
 	timeline_add(registry->process.timeline, EVENT_PLAN_CONFIRMED,
 	    job->ask->plan_id, "revision %" PRIu64, number);
-	/* Peers learn of it by the heartbeat and ask for the row. */
+	/* Peers learn of the revision from the heartbeat and query its row. */
 	registry_heartbeat(registry);
 	registry_head_read(registry);
 	spread_check(-1, 0, job);
@@ -168,8 +169,8 @@
 {
 	if (++job->tries >= CONFIRM_TRIES) {
 		job_fail(job, ERR_STORE,
-		    "the store does not answer: whether the plan is in force "
-		    "is not known; confirm it again, which is safe");
+		    "the store is unavailable: it is unknown whether the plan "
+		    "is in force; it is safe to confirm it again");
 		return;
 	}
 	later(job, CONFIRM_RETRY_MS, confirm_retry);
@@ -193,7 +194,8 @@
 
 	(void)reply;
 	if (result != STORE_OK) {
-		/* Lost, or overtaken: what the table holds decides. */
+		/* No response, or another write came first: reads the table
+		 * to find out. */
 		confirm_again(job);
 		return;
 	}
@@ -229,7 +231,7 @@
 		    store_row_new(row_key, job->text),
 		    store_row_new(done_key, next)),
 		confirm_written, job))
-		job_fail(job, ERR_MEMORY, "no memory");
+		job_fail(job, ERR_MEMORY, "out of memory");
 }
 
 static void
@@ -241,8 +243,8 @@
 	timeline_add(job->registry->process.timeline, EVENT_PLAN_REFUSED,
 	    job->ask->plan_id, "conflict");
 	err_set(&err, ERR_CONFLICT,
-	    "the configuration changed since this plan was made; see "
-	    "\"changed\" and plan again");
+	    "the configuration has changed since this plan was made; "
+	    "see \"changed\" and make a new plan");
 	job_answer(job, &err,
 	    result == STORE_OK
 		? json_pack("{s:O}", "changed", json_object_get(reply, "rows"))
@@ -257,7 +259,7 @@
 	snprintf(after, sizeof(after), REVISION_KEY_FORMAT, base);
 	if (!store_scan(
 		job->registry->store, "rev/", after, conflict_read, job))
-		job_fail(job, ERR_MEMORY, "no memory");
+		job_fail(job, ERR_MEMORY, "out of memory");
 }
 
 static void
@@ -282,7 +284,7 @@
 	json_decref(job->plan);
 	job->plan = plan != NULL ? json_loads(plan, 0, NULL) : NULL;
 	if (job->plan == NULL) {
-		job_fail(job, ERR_NOT_FOUND, "there is no such plan");
+		job_fail(job, ERR_NOT_FOUND, "there is no plan with this id");
 		return;
 	}
 	base = (uint64_t)json_integer_value(json_object_get(job->plan, "base"));
@@ -314,7 +316,7 @@
 	snprintf(done_key, sizeof(done_key), "done/%.40s", job->ask->plan_id);
 	keys = json_pack("[s,s,s]", "head", plan_key, done_key);
 	if (!store_get(job->registry->store, keys, confirm_was_read, job))
-		job_fail(job, ERR_MEMORY, "no memory");
+		job_fail(job, ERR_MEMORY, "out of memory");
 }
 
 static void
@@ -322,13 +324,13 @@
 {
 	registry_t *registry = job->registry;
 
-	/* See freshness.h: without half of the members in reach the change
-	 * might not come into force in time. */
+	/* See freshness.h: unless half of the members respond, the change might
+	 * not come into force in time. */
 	if (!freshness_half_responded(&registry->freshness,
 		clock_boottime(registry->process.clock))) {
 		job_fail(job, ERR_PEERS_UNAVAILABLE,
-		    "fewer than half of the members answer this daemon; "
-		    "confirm at another entry");
+		    "fewer than half of the members respond to this daemon; "
+		    "confirm through another entry");
 		return;
 	}
 	confirm_read(job);
@@ -348,9 +350,9 @@
 	text = store_response_value(reply, key);
 	plan = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	if (result != STORE_OK)
-		job_fail(job, ERR_STORE, "the store does not answer");
+		job_fail(job, ERR_STORE, "the store is unavailable");
 	else if (plan == NULL)
-		job_fail(job, ERR_NOT_FOUND, "there is no such plan");
+		job_fail(job, ERR_NOT_FOUND, "there is no plan with this id");
 	else
 		job_answer(job, NULL, plan);
 }
@@ -369,7 +371,7 @@
 	}
 	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan_id);
 	if (!store_get(job->registry->store, json_pack("[s]", key), shown, job))
-		job_fail(job, ERR_MEMORY, "no memory");
+		job_fail(job, ERR_MEMORY, "out of memory");
 }
 
 static json_t *
@@ -423,7 +425,7 @@
 	size_t i;
 
 	if (result != STORE_OK) {
-		job_fail(job, ERR_STORE, "the store does not answer");
+		job_fail(job, ERR_STORE, "the store is unavailable");
 		return;
 	}
 	list = json_array();
@@ -450,7 +452,7 @@
 	snprintf(after, sizeof(after), REVISION_KEY_FORMAT,
 	    job->ask->after_revision);
 	if (!store_scan(job->registry->store, "rev/", after, history_read, job))
-		job_fail(job, ERR_MEMORY, "no memory");
+		job_fail(job, ERR_MEMORY, "out of memory");
 }
 
 void
--- a/moortack/config/registry_heartbeat.c
+++ b/moortack/config/registry_heartbeat.c
@@ -1,14 +1,14 @@
 /**
  * @file
- * Heartbeats: what members tell each other of revisions and of who is there.
+ * Heartbeats: members exchange the revision and the membership that they hold.
  */
 #include <string.h>
 
 #include "registry_priv.h"
 
-/** Partners asked in one heartbeat round, from a random one on. */
+/** Partners queried in one heartbeat round, starting with a random one. */
 #define HEARTBEAT_FANOUT 8
-/** Of them, those that are asked for what they know of the others. */
+/** Of these, the number queried for what they know of the other members. */
 #define AGES_ASKED 2
 #define MEMBERS_MAX 1024
 #define BITS 8
@@ -91,7 +91,8 @@
 		registry_members_read(registry);
 }
 
-/* What this daemon knows of the others, for an asker of the same epoch. */
+/* Fills in what this daemon knows of the other members, for a sender that holds
+ * the membership of the same epoch. */
 static void
 ages_fill(const registry_t *registry, Wire__Standing *standing, uint8_t *ages,
     uint8_t *holds)
@@ -154,7 +155,7 @@
 	registry_members_publish(registry);
 }
 
-/* What an answer brought of the other members. */
+/* Applies what a response contains about the other members. */
 static void
 ages_take(registry_t *registry, const Wire__Standing *standing,
     const peer_evidence_t *evidence)
@@ -183,7 +184,8 @@
 		    freshness_last_response_at(&registry->freshness, ranked[i]);
 		if (timespec_ms_between(member->last_response_at, heard) > 0) {
 			member->last_response_at = heard;
-			/* Of a partner this daemon's own questions tell. */
+			/* Whether a partner responds is known from this
+			 * daemon's own heartbeats. */
 			changed |= !member->partner && !member->responsive;
 			member->responsive |= !member->partner;
 		}
@@ -270,7 +272,7 @@
 		registry_revision_apply(registry,
 		    revisions->revisions[i]->number,
 		    revisions->revisions[i]->text);
-	/* The peer kept too few of them: the store has all. */
+	/* The peer no longer caches the next revision: the store has all. */
 	if (revisions->n_revisions == 0)
 		registry_revisions_read(registry);
 	else
--- a/moortack/config/registry_members.c
+++ b/moortack/config/registry_members.c
@@ -42,12 +42,13 @@
 
 	(void)reply;
 	registry->join_pending = false;
-	/* Joined, lost or raced: the list tells. */
+	/* Joined, no response, or a conflict: the list of members tells. */
 	if (result != STORE_RATE_LIMITED)
 		registry_members_read(registry);
 }
 
-/* Change a row of the membership and count the epoch up, or neither. */
+/* Changes a row of the membership and increments the epoch, in a transaction.
+ */
 static bool
 member_row_put(
     registry_t *registry, const char *key, const char *value, store_done_t done)
@@ -191,8 +192,8 @@
 		registry_join(registry);
 }
 
-/* The epoch is read before and after the list, so that the two belong
- * together. */
+/** A read of the list of members. The epoch is read before and after the list,
+ * so that the two are known to belong together. */
 typedef struct members_read {
 	registry_t *registry;
 	uint64_t epoch;
@@ -275,14 +276,16 @@
 
 	incarnation_format(member->incarnation, incarnation);
 	snprintf(key, sizeof(key), "member/%s", incarnation);
-	log_line(LOG_WARN, LOG_CONFIG, "Peer %s is silent and is taken off.",
+	log_line(LOG_WARN, LOG_CONFIG,
+	    "Removing peer %s from the membership: it does not respond.",
 	    member->peer_address);
 	member_row_put(registry, key, NULL, row_changed);
 }
 
-/* A silent member is taken off by whoever notices first, one at a time. Only a
- * partner is: of the others a daemon hears at second hand, and not to hear that
- * says nothing. Each member is a partner of some. */
+/* The first daemon that notices that a member doesn't respond removes it, one
+ * member at a time. A daemon removes only its own partners: what it knows of
+ * the others is indirect, and may be missing although they respond. Each member
+ * is a partner of some other. */
 void
 registry_silent_member_remove(registry_t *registry, struct timespec now)
 {
--- a/moortack/config/registry_priv.h
+++ b/moortack/config/registry_priv.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What the files of the registry share.
+ * Declarations shared by the source files of the registry.
  */
 #ifndef MOORTACK_CONFIG_REGISTRY_PRIV_H
 #define MOORTACK_CONFIG_REGISTRY_PRIV_H
@@ -16,13 +16,13 @@
 enum registry_message {
 	REGISTRY_ADMIN,
 	REGISTRY_LEAVE,
-	REGISTRY_HEARTBEAT_QUERY,    /**< a peer's question */
-	REGISTRY_HEARTBEAT_RESPONSE, /**< a peer's answer */
-	REGISTRY_REVISIONS_QUERY,    /**< a peer's question */
-	REGISTRY_REVISIONS_RESPONSE, /**< a peer's answer */
+	REGISTRY_HEARTBEAT_QUERY,    /**< from a peer */
+	REGISTRY_HEARTBEAT_RESPONSE, /**< of a peer, or none */
+	REGISTRY_REVISIONS_QUERY,    /**< from a peer */
+	REGISTRY_REVISIONS_RESPONSE, /**< of a peer, or none */
 };
 
-/** One revision as the table holds it, kept for peers that lag. */
+/** A revision as stored in the table, cached for peers that lag behind. */
 typedef struct revision_row {
 	uint64_t number;
 	char *text;
@@ -38,13 +38,14 @@
 	config_t *config;
 	members_t *members;
 	freshness_t freshness;
-	revision_row_t revision_rows[REVISION_ROWS_MAX]; /**< ring, by number */
+	revision_row_t revision_rows[REVISION_ROWS_MAX]; /**< by number modulo
+							    REVISION_ROWS_MAX */
 	struct event *head_timer;
 	struct event *heartbeat_timer;
 	struct timespec head_requested_at;
-	uint64_t store_epoch; /**< of the last membership read */
-	uint64_t head;	      /**< highest ever read or confirmed */
-	bool head_pending;    /**< a read of the head is under way */
+	uint64_t store_epoch; /**< of the membership last read */
+	uint64_t head;	      /**< highest ever read or applied */
+	bool head_pending;    /**< a read of the head is in flight */
 	bool revisions_pending;
 	bool members_pending;
 	bool store_unavailable;
@@ -52,27 +53,29 @@
 	bool join_pending;
 	bool leaving;
 	bool was_fresh;
-	uint64_t heartbeat_sequence; /**< sequence */
+	uint64_t heartbeat_sequence; /**< of the last round */
 };
 
 /* registry.c */
 
-/** Take over one revision. @return false when it is not the next one */
+/** Applies a revision. @return false: it isn't the next one, or is invalid */
 bool registry_revision_apply(registry_t *, uint64_t number, const char *text);
 
-/** Write what is held as the snapshot; several that do so do no harm. */
+/** Writes the configuration held as the snapshot. It does no harm if several
+ * daemons do so. */
 void registry_snapshot_write(registry_t *);
 
-/** Tell the front how fresh this daemon is. */
+/** Posts a freshness_update_t to the front task. */
 void registry_freshness_publish(registry_t *);
 
-/** Read the head now. */
+/** Starts a read of the head, unless one is in flight. */
 void registry_head_read(registry_t *);
 
-/** Read the revisions after the one held, from the store. */
+/** Starts a read of the revisions after the one held from the store, unless one
+ * is in flight. */
 void registry_revisions_read(registry_t *);
 
-/** The row of a revision, if it is kept. */
+/** The row of a revision; NULL if it isn't cached. */
 const revision_row_t *
 registry_revision_row(const registry_t *, uint64_t number);
 
@@ -82,10 +85,10 @@
 void registry_leave_start(registry_t *);
 void registry_members_read(registry_t *);
 
-/** Tell the other tasks who the members are. */
+/** Posts the membership to the other tasks. */
 void registry_members_publish(registry_t *);
 
-/** Take one member off that was silent for too long. */
+/** Removes one member, if any, that has not responded for too long. */
 void registry_silent_member_remove(registry_t *, struct timespec now);
 
 /* registry_heartbeat.c */
--- a/test/fuzz/intent_fuzz.c
+++ b/test/fuzz/intent_fuzz.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Any bytes as an intent: refused with a type, or a configuration that holds
- * together; what was in force before is never touched.
+ * Applies arbitrary bytes as an intent: it either fails with an error code or
+ * results in a consistent configuration, and never changes the document that it
+ * is applied to.
  */
 #include <string.h>
 
