--- a/test/scenario/kills.lua
+++ b/test/scenario/kills.lua
@@ -1,5 +1,6 @@
--- Daemons are killed and replaced under load: answers at callers are whole or
--- failed with an error, and what was answered whole is billed once.
+-- Daemons are killed and replaced under load. A response must be complete or
+-- fail with an error, each complete response must be billed exactly once, and
+-- no booking may be executed more than once.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
@@ -24,20 +25,20 @@
 
 local whole = {}
 for _, row in ipairs(rows) do
-  -- A killed process ends its connections: its callers see that, and no end
-  -- mark. Nothing else may be wrong with an answer.
-  lib.check(row.verdict ~= "wrong", "request %d got a wrong answer", row.n)
+  -- When a process is killed its connections close: its callers see that, and
+  -- no end mark. No response may be wrong in another way.
+  lib.check(row.verdict ~= "wrong", "request %d got a wrong response", row.n)
   if row.verdict == "whole" then whole[row.request] = true end
 end
 for _, row in ipairs(book_rows) do
-  lib.check(row.verdict ~= "wrong", "booking %d got a wrong answer", row.n)
+  lib.check(row.verdict ~= "wrong", "booking %d got a wrong response", row.n)
   if row.verdict == "whole" then whole[row.request] = true end
 end
-lib.check(summary.whole > summary.sent * 0.8, "most chats were served")
+lib.check(summary.whole > summary.sent * 0.8, "most chats were completed")
 lib.check(book_summary.whole > book_summary.sent * 0.7,
-  "most bookings were served")
+  "most bookings were completed")
 
--- At most once, and "not run" was true.
+-- Each booking ran at most once, and none that was reported as "not run" ran.
 local runs = lib.runs(c.services[2])
 lib.check_at_most_once(book_rows, runs)
 
@@ -48,8 +49,8 @@
     said[what] = (said[what] or 0) + 1
   end
 end
-lib.say("bookings not whole: %s", run.encode(said))
+lib.say("incomplete bookings: %s", run.encode(said))
 
--- Every whole answer has one bill; no request has two.
+-- Each complete response has one billing record; no request has two.
 c:check_billed_once(whole)
 lib.say("ok")
--- a/test/scenario/operators_race.lua
+++ b/test/scenario/operators_race.lua
@@ -1,5 +1,6 @@
--- Two operators confirm conflicting plans at once, many times: one wins each
--- time, the other is told what changed, and every daemon ends up the same.
+-- Conflicting plans are confirmed concurrently through three daemons, in
+-- several rounds: exactly one must succeed in each round, the others must get
+-- the changes, and all daemons must end up with the same configuration.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
@@ -20,12 +21,12 @@
     if answer.status == 200 then
       won = won + 1
     else
-      lib.equal(answer.json.error.type, "conflict", "the loser's failure")
-      lib.check(#answer.json.changed >= 1, "what changed is told")
+      lib.equal(answer.json.error.type, "conflict", "error type of a plan that lost")
+      lib.check(#answer.json.changed >= 1, "the changes are returned")
       conflicts = conflicts + 1
     end
   end
-  lib.equal(won, 1, "winners of round " .. round)
+  lib.equal(won, 1, "plans confirmed in round " .. round)
   c:wait_revision(c:status().accepted)
 end
 lib.equal(conflicts, 16, "conflicts")
@@ -33,9 +34,9 @@
 for i = 1, 3 do
   local shown = c:admin("GET", "plan/", nil, c.daemons[i]).json
   documents[i] = shown.document.versions["linen-lm@2"].percent
-  lib.equal(documents[i], documents[1], "what daemon " .. i .. " holds")
+  lib.equal(documents[i], documents[1], "percentage held by daemon " .. i)
 end
--- Never down: each daemon's time line has its revisions in order.
+-- The revision never decreases: each daemon's timeline lists them in order.
 for i = 1, 3 do
   local last = 0
   for _, event in ipairs(c:events("revision_taken", c.daemons[i])) do
--- a/test/scenario/paused.lua
+++ b/test/scenario/paused.lua
@@ -1,6 +1,7 @@
--- A daemon is stopped with requests in hand, its callers retry at others, and
--- it goes on much later: nothing that may not be repeated runs twice, nothing
--- called "not run" ran, and it sends nothing by an old configuration.
+-- A daemon is paused with requests in flight, its callers retry through others,
+-- and it continues much later. A request that may not be repeated must not run
+-- twice, one reported as "not run" must not have run, and the daemon must not
+-- send requests by an outdated configuration.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
@@ -16,7 +17,7 @@
     if i % 7 == 0 then run.sleep(round) end
   end
   c.daemons[1]:stop()
-  -- The callers give up and retry through another entry.
+  -- The callers give up and retry through other daemons.
   local retried = {}
   for i = 1, 20 do
     retried[i] = lib.book_begin(c.daemons[2 + i % 2], {ticket = tickets[i],
@@ -43,7 +44,8 @@
     end
   end
   c:wait_joined(3)
-  -- Once the first daemon is back, each is settled: whole, or never run.
+  -- Once the first daemon continues, each outcome is final: complete or not
+  -- run.
   for i = 1, 20 do
     local answer = lib.book(c.daemons[3], {ticket = tickets[i],
       body = {prompt = "r" .. round .. "b" .. i}})
@@ -60,13 +62,13 @@
 local named = 0
 for name in pairs(not_run) do
   named = named + 1
-  lib.check(not runs[name], "%s was called not run and ran", name)
+  lib.check(not runs[name], "%s was reported as not run, but ran", name)
 end
-lib.say("%d retried: %d whole, %d not run, %d unknown; %d ran, %d settled " ..
+lib.say("%d retried: %d complete, %d not run, %d unknown; %d ran, %d final " ..
   "afterwards", total, whole, named, unknown, count, settled)
-lib.equal(settled, total, "settled afterwards")
+lib.equal(settled, total, "outcomes that are final afterwards")
 
--- Stopped across a withdrawal.
+-- A daemon that is paused while a version is withdrawn.
 local session = lib.chat(c.daemons[1], {prompt = "before"})
 lib.equal(session.status, 200, "chat before")
 c.daemons[1]:stop()
@@ -89,5 +91,5 @@
   lib.check(answer.status ~= 200, "a paused daemon served a withdrawn version")
 end
 lib.equal(c:runs_of("linen-lm@1"), before,
-  "runs of the withdrawn version in all")
+  "runs of the withdrawn version at the end")
 lib.say("ok")
--- a/test/scenario/store_outage.lua
+++ b/test/scenario/store_outage.lua
@@ -1,5 +1,7 @@
--- The table is down for long, under load: requests and ticketed bookings go on,
--- bills wait and arrive once, and what needs the table is refused with a type.
+-- The store is unavailable for several seconds under load: requests and
+-- bookings with tickets must continue, billing records must be stored exactly
+-- once afterwards, and operations that need the store must fail with an error
+-- type.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
@@ -14,12 +16,14 @@
 lib.fault(c.store.address, {down = true})
 run.sleep(4000)
 
--- In the outage, well past the window of freshness.
+-- During the outage, well after the freshness window has passed.
 local confirm = c:confirm(plan)
-lib.equal(confirm.json.error.type, "store", "confirm in an outage")
+lib.equal(confirm.json.error.type, "store", "confirm during the outage")
 local keyed = lib.book(c.daemons[1], {idempotency_key = "no-store"})
-lib.equal(keyed.json.error.type, "store", "a bare key in an outage")
-lib.equal(keyed.json.error.ran, "unknown", "what a bare key's refusal says")
+lib.equal(keyed.json.error.type, "store",
+  "an idempotency key without a ticket during the outage")
+lib.equal(keyed.json.error.ran, "unknown",
+  "execution reported with this error")
 local _, during = c:bills()
 lib.fault(c.store.address, {down = false})
 
@@ -27,11 +31,11 @@
 local book_summary, book_rows = lib.finish_load(bookings)
 lib.say("chat: %s", run.encode(summary))
 lib.say("bookings: %s", run.encode(book_summary))
-lib.equal(summary.whole, summary.sent, "chats served through the outage")
+lib.equal(summary.whole, summary.sent, "chats completed through the outage")
 lib.equal(book_summary.whole, book_summary.sent,
-  "ticketed bookings served through the outage")
+  "bookings with tickets completed through the outage")
 c:check_billed_once(lib.whole_of(rows, book_rows))
--- The plan was either taken or not; to confirm it again settles that.
+-- The plan may or may not be in force; to confirm it again is safe and decides.
 local again = c:confirm(plan)
 lib.equal(again.status, 200, "confirm after the outage")
 c:wait_revision(again.json.revision)
