--- a/include/moortack/member/freshness.h
+++ b/include/moortack/member/freshness.h
@@ -56,8 +56,8 @@
 
 /** Records that a call made at @p requested_at read the store's head.
  * @param head is evidence only if this daemon already holds this revision */
-void
-freshness_store_read(freshness_t *, uint64_t head, struct timespec asked_at);
+void freshness_store_read(
+    freshness_t *, uint64_t head, struct timespec requested_at);
 
 /** Records a peer's response to a heartbeat. @return false: out of memory */
 bool freshness_peer_responded(freshness_t *, const peer_evidence_t *);
--- a/include/moortack/member/peer_socket.h
+++ b/include/moortack/member/peer_socket.h
@@ -20,7 +20,7 @@
 /** @param context the ZeroMQ context @param type of the ZeroMQ socket
  * @param on_message reads one message */
 bool peer_socket_open(peer_socket_t *, struct event_base *, void *context,
-    int type, void (*drain)(peer_socket_t *), void *owner);
+    int type, void (*on_message)(peer_socket_t *), void *owner);
 void peer_socket_close(peer_socket_t *);
 
 /** Schedules a read after a send: the send may have consumed the edge of the
--- a/moortack/member/freshness.c
+++ b/moortack/member/freshness.c
@@ -21,15 +21,15 @@
 
 void
 freshness_store_read(
-    freshness_t *freshness, uint64_t head, struct timespec asked_at)
+    freshness_t *freshness, uint64_t head, struct timespec requested_at)
 {
 	if (head > freshness->revision)
 		return;
 	if (freshness->store_read &&
-	    timespec_ms_between(freshness->store_read_at, asked_at) < 0)
+	    timespec_ms_between(freshness->store_read_at, requested_at) < 0)
 		return;
 	freshness->store_read = true;
-	freshness->store_read_at = asked_at;
+	freshness->store_read_at = requested_at;
 }
 
 static peer_evidence_t *
@@ -60,7 +60,7 @@
 
 /* Merges indirect evidence, which never replaces newer evidence. */
 static void
-peer_heard(freshness_t *freshness, const peer_evidence_t *evidence)
+peer_merge_indirect(freshness_t *freshness, const peer_evidence_t *evidence)
 {
 	peer_evidence_t *peer = peer_find(freshness, evidence->incarnation);
 
@@ -76,7 +76,7 @@
 }
 
 static uint8_t
-age_units(int64_t ms)
+age_encode(int64_t ms)
 {
 	int64_t units =
 	    (ms + FRESHNESS_AGE_UNIT_MS - 1) / FRESHNESS_AGE_UNIT_MS;
@@ -88,7 +88,7 @@
 }
 
 static bool
-evidence_counts(const freshness_t *freshness, const peer_evidence_t *peer)
+evidence_is_valid(const freshness_t *freshness, const peer_evidence_t *peer)
 {
 	return peer->revision <= freshness->revision &&
 	    peer->epoch == freshness->epoch;
@@ -104,8 +104,8 @@
 		ages[i] = FRESHNESS_AGE_UNKNOWN;
 		if (members[i] == self)
 			ages[i] = 0;
-		else if (peer != NULL && evidence_counts(freshness, peer))
-			ages[i] = age_units(
+		else if (peer != NULL && evidence_is_valid(freshness, peer))
+			ages[i] = age_encode(
 			    timespec_ms_between(peer->queried_at, now));
 	}
 }
@@ -126,7 +126,7 @@
 		evidence.queried_at = timespec_add_ms(from->queried_at,
 		    -(int64_t)ages[i] * FRESHNESS_AGE_UNIT_MS);
 		evidence.store_read = false;
-		peer_heard(freshness, &evidence);
+		peer_merge_indirect(freshness, &evidence);
 	}
 }
 
@@ -162,7 +162,7 @@
 /* The number of peers that must have responded so that, with this daemon, they
  * are more than half of the members. */
 static uint32_t
-peers_needed(const freshness_t *freshness)
+majority_peer_count(const freshness_t *freshness)
 {
 	return freshness->member_count / 2;
 }
@@ -177,7 +177,7 @@
 	for (handle_t h = 0; h < freshness->peers.len; h++) {
 		const peer_evidence_t *peer = table_at(&freshness->peers, h);
 
-		if (evidence_counts(freshness, peer) && peer->store_read &&
+		if (evidence_is_valid(freshness, peer) && peer->store_read &&
 		    timespec_ms_between(last, peer->store_read_at) > 0)
 			last = peer->store_read_at;
 	}
@@ -187,16 +187,16 @@
 /* When the majority was last complete: the time of the oldest query that it
  * needs, or 0 if there is no majority. */
 static struct timespec
-majority_at(const freshness_t *freshness)
+majority_queried_at(const freshness_t *freshness)
 {
 	struct timespec times[MEMBERS_MAX];
-	uint32_t needed = peers_needed(freshness);
+	uint32_t needed = majority_peer_count(freshness);
 	uint32_t n = 0;
 
 	for (handle_t h = 0; h < freshness->peers.len && n < MEMBERS_MAX; h++) {
 		const peer_evidence_t *peer = table_at(&freshness->peers, h);
 
-		if (evidence_counts(freshness, peer))
+		if (evidence_is_valid(freshness, peer))
 			times[n++] = peer->queried_at;
 	}
 	if (needed == 0 || n < needed)
@@ -206,13 +206,13 @@
 }
 
 static struct timespec
-earlier(struct timespec a, struct timespec b)
+timespec_earlier(struct timespec a, struct timespec b)
 {
 	return timespec_us_between(a, b) > 0 ? a : b;
 }
 
 static struct timespec
-later(struct timespec a, struct timespec b)
+timespec_later(struct timespec a, struct timespec b)
 {
 	return timespec_us_between(a, b) > 0 ? b : a;
 }
@@ -228,11 +228,11 @@
 		return by_store;
 	by_store =
 	    timespec_add_ms(freshness->store_read_at, freshness->window_ms);
-	by_peers =
-	    timespec_add_ms(majority_at(freshness), freshness->window_ms);
+	by_peers = timespec_add_ms(
+	    majority_queried_at(freshness), freshness->window_ms);
 	bound = timespec_add_ms(
 	    last_store_read(freshness), freshness->store_outage_max_ms);
-	return later(by_store, earlier(by_peers, bound));
+	return timespec_later(by_store, timespec_earlier(by_peers, bound));
 }
 
 bool
--- a/moortack/member/lease.c
+++ b/moortack/member/lease.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define KEY_SIZE 48
-#define MARGIN_PARTS 3 /* the last third is the safety margin */
+#define MARGIN_DIVISOR 3 /* the last third is the safety margin */
 
 void
 lease_init(lease_t *lease, const process_context_t *process, store_t *store,
@@ -24,15 +24,15 @@
 
 	return lease->held &&
 	    timespec_ms_between(now, lease->expires_at) >
-	    lease->ttl_ms / MARGIN_PARTS;
+	    lease->ttl_ms / MARGIN_DIVISOR;
 }
 
 static void
-written(void *arg, store_result_t result, const json_t *reply)
+lease_written(void *arg, store_result_t result, const json_t *response)
 {
 	lease_t *lease = arg;
 
-	(void)reply;
+	(void)response;
 	lease->request_pending = false;
 	/* Without a response the lease may be held or not. It is safe not to
 	 * use it: the next request finds this daemon's own row. */
@@ -44,7 +44,7 @@
 }
 
 static json_t *
-row_new(const lease_t *lease, const char *holder)
+lease_row_new(const lease_t *lease, const char *holder)
 {
 	int64_t wall_ms = timespec_to_ms(clock_wall(lease->process->clock));
 
@@ -54,7 +54,7 @@
 }
 
 static bool
-row_write(lease_t *lease, const char *key, const char *before)
+lease_row_write(lease_t *lease, const char *key, const char *expected)
 {
 	char holder[INCARNATION_TEXT_SIZE];
 	json_t *row;
@@ -62,20 +62,20 @@
 	bool started;
 
 	incarnation_format(lease->process->incarnation, holder);
-	row = row_new(lease, holder);
+	row = lease_row_new(lease, holder);
 	text = json_dumps(row, JSON_COMPACT);
 	json_decref(row);
 	if (text == NULL)
 		return false;
 	started = store_txn(lease->store,
-	    json_pack("[o]", store_row_new(key, before)),
-	    json_pack("[o]", store_row_new(key, text)), written, lease);
+	    json_pack("[o]", store_row_new(key, expected)),
+	    json_pack("[o]", store_row_new(key, text)), lease_written, lease);
 	free(text);
 	return started;
 }
 
 static void
-was_read(void *arg, store_result_t result, const json_t *reply)
+lease_read(void *arg, store_result_t result, const json_t *response)
 {
 	lease_t *lease = arg;
 	char key[KEY_SIZE];
@@ -84,22 +84,22 @@
 	const char *holder;
 	json_t *row;
 	int64_t fence, until_ms;
-	bool mine, lapsed;
+	bool own, expired;
 
 	snprintf(key, sizeof(key), "lease/%s", lease->name);
-	text = store_response_value(reply, key);
+	text = store_response_value(response, key);
 	row = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	holder = json_string_value(json_object_get(row, "holder"));
 	fence = json_integer_value(json_object_get(row, "fence"));
 	until_ms = json_integer_value(json_object_get(row, "until_ms"));
 	incarnation_format(lease->process->incarnation, self);
-	mine = holder != NULL && strcmp(holder, self) == 0;
-	lapsed = until_ms <= timespec_to_ms(clock_wall(lease->process->clock));
-	if (!mine)
+	own = holder != NULL && strcmp(holder, self) == 0;
+	expired = until_ms <= timespec_to_ms(clock_wall(lease->process->clock));
+	if (!own)
 		lease->held = false;
-	lease->requested_fence = mine && !lapsed ? fence : fence + 1;
-	if (result != STORE_OK || (!mine && !lapsed) ||
-	    !row_write(lease, key, text))
+	lease->requested_fence = own && !expired ? fence : fence + 1;
+	if (result != STORE_OK || (!own && !expired) ||
+	    !lease_row_write(lease, key, text))
 		lease->request_pending = false;
 	json_decref(row);
 }
@@ -114,5 +114,5 @@
 	snprintf(key, sizeof(key), "lease/%s", lease->name);
 	lease->requested_at = clock_boottime(lease->process->clock);
 	lease->request_pending =
-	    store_get(lease->store, json_pack("[s]", key), was_read, lease);
+	    store_get(lease->store, json_pack("[s]", key), lease_read, lease);
 }
--- a/moortack/member/members.c
+++ b/moortack/member/members.c
@@ -72,16 +72,16 @@
 	return NULL;
 }
 
-typedef struct ranked_row {
+typedef struct hashed_member {
 	uint64_t hash;
 	handle_t handle;
-} ranked_row_t;
+} hashed_member_t;
 
 static int
-hash_order(const void *a, const void *b)
+hash_compare(const void *a, const void *b)
 {
-	uint64_t x = ((const ranked_row_t *)a)->hash;
-	uint64_t y = ((const ranked_row_t *)b)->hash;
+	uint64_t x = ((const hashed_member_t *)a)->hash;
+	uint64_t y = ((const hashed_member_t *)b)->hash;
 
 	return x < y ? -1 : x > y;
 }
@@ -90,22 +90,22 @@
 members_partners_select(members_t *members, uint64_t self)
 {
 	uint32_t count = members->rows.len;
-	ranked_row_t *ranked = calloc(count + 1, sizeof(*ranked));
+	hashed_member_t *hashed = calloc(count + 1, sizeof(*hashed));
 
-	if (ranked == NULL)
+	if (hashed == NULL)
 		return;
 	for (handle_t h = 0; h < count; h++) {
 		uint64_t other = members_at(members, h)->incarnation;
 
 		members_at(members, h)->partner = false;
-		ranked[h].handle = h;
-		ranked[h].hash =
+		hashed[h].handle = h;
+		hashed[h].hash =
 		    XXH3_64bits_withSeed(&other, sizeof(other), self);
 	}
-	qsort(ranked, count, sizeof(*ranked), hash_order);
+	qsort(hashed, count, sizeof(*hashed), hash_compare);
 	for (uint32_t i = 0; i < count && i < MEMBERS_PARTNERS_MAX; i++)
-		members_at(members, ranked[i].handle)->partner = true;
-	free(ranked);
+		members_at(members, hashed[i].handle)->partner = true;
+	free(hashed);
 }
 
 member_t *
@@ -133,18 +133,18 @@
 members_incarnations(const members_t *members, uint64_t self, uint64_t *out)
 {
 	uint32_t count = 0;
-	bool placed = false;
+	bool self_added = false;
 
 	for (handle_t h = 0; h < members->rows.len; h++) {
 		uint64_t incarnation = members_at(members, h)->incarnation;
 
-		if (!placed && incarnation > self) {
+		if (!self_added && incarnation > self) {
 			out[count++] = self;
-			placed = true;
+			self_added = true;
 		}
 		out[count++] = incarnation;
 	}
-	if (!placed)
+	if (!self_added)
 		out[count++] = self;
 	return count;
 }
@@ -171,13 +171,13 @@
 {
 	json_t *row = json_loads(text, 0, NULL);
 	const char *incarnation, *peer, *http, *place;
-	bool good;
+	bool valid;
 
 	*out = (member_t){0};
-	good =
+	valid =
 	    json_unpack(row, "{s:s,s:s,s:s,s:s}", "incarnation", &incarnation,
 		"peer", &peer, "http", &http, "place", &place) == 0;
-	if (good) {
+	if (valid) {
 		out->incarnation = strtoull(incarnation, NULL, 16);
 		snprintf(
 		    out->peer_address, sizeof(out->peer_address), "%s", peer);
@@ -186,5 +186,5 @@
 		snprintf(out->place, sizeof(out->place), "%s", place);
 	}
 	json_decref(row);
-	return good && out->incarnation != 0;
+	return valid && out->incarnation != 0;
 }
--- a/moortack/member/peer_auth.c
+++ b/moortack/member/peer_auth.c
@@ -8,7 +8,7 @@
 void
 peer_auth_zap_handle(peer_socket_t *socket)
 {
-	static const char *const answers[2][2] = {
+	static const char *const statuses[2][2] = {
 	    {"400", "not of this fleet"}, {"200", "OK"}};
 	const peer_auth_t *auth = socket->owner;
 	zmq_msg_t frames[ZAP_FRAMES];
@@ -28,9 +28,9 @@
 		zmq_send(socket->socket, "1.0", 3, ZMQ_SNDMORE);
 		zmq_send(socket->socket, zmq_msg_data(&frames[1]),
 		    zmq_msg_size(&frames[1]), ZMQ_SNDMORE);
-		zmq_send(socket->socket, answers[known][0], 3, ZMQ_SNDMORE);
-		zmq_send(socket->socket, answers[known][1],
-		    strlen(answers[known][1]), ZMQ_SNDMORE);
+		zmq_send(socket->socket, statuses[known][0], 3, ZMQ_SNDMORE);
+		zmq_send(socket->socket, statuses[known][1],
+		    strlen(statuses[known][1]), ZMQ_SNDMORE);
 		zmq_send(socket->socket, "", 0, ZMQ_SNDMORE);
 		zmq_send(socket->socket, "", 0, 0);
 	}
--- a/moortack/member/peer_links.c
+++ b/moortack/member/peer_links.c
@@ -8,7 +8,7 @@
 #define LINKS_MAX 48
 
 static peer_link_t *
-link_new(peer_links_t *links, const member_t *member)
+link_open(peer_links_t *links, const member_t *member)
 {
 	char endpoint[2 * MEMBER_ADDRESS_SIZE + 16];
 	peer_link_t *link = calloc(1, sizeof(*link));
@@ -42,7 +42,7 @@
 	HASH_FIND(
 	    hh, links->open_links, &incarnation, sizeof(incarnation), link);
 	if (link == NULL && member != NULL)
-		link = link_new(links, member);
+		link = link_open(links, member);
 	if (link != NULL)
 		link->used_at = clock_boottime(links->clock);
 	return link;
--- a/moortack/member/peers.c
+++ b/moortack/member/peers.c
@@ -8,26 +8,26 @@
 
 #include "moortack/member/peer_links.h"
 
-#define TICK_MS 20
-#define ZAP_ADDRESS "inproc://zeromq.zap.01"
+#define TIMER_INTERVAL_MS 20
+#define ZAP_ENDPOINT "inproc://zeromq.zap.01"
 
-enum peers_message { PEERS_ASK, PEERS_ANSWER, PEERS_MEMBERS };
+enum peers_message { PEERS_QUERY, PEERS_RESPOND, PEERS_MEMBERS };
 
 typedef struct outgoing outgoing_t;
 
 /** A query without a response yet. */
 typedef struct pending {
 	uint64_t id;
-	peer_query_options_t ask;
-	struct timespec asked_at;
-	outgoing_t *waiting; /**< not sent yet: the new connection is not
-				established; or NULL */
+	peer_query_options_t options;
+	struct timespec queried_at;
+	outgoing_t *unsent; /**< not sent yet: the new connection is not
+			       established; or NULL */
 	UT_hash_handle hh;
 } pending_t;
 
 /** A packed message posted to the task for sending. */
 struct outgoing {
-	peer_query_options_t ask;
+	peer_query_options_t options;
 	uint64_t id;
 	uint8_t identity[PEER_IDENTITY_MAX];
 	size_t identity_len;
@@ -43,7 +43,7 @@
 	peer_socket_t zap;
 	peer_links_t links;
 	pending_t *pending;
-	struct event *tick;
+	struct event *timer;
 	peer_auth_t auth;
 	struct {
 		task_t *task;
@@ -54,20 +54,20 @@
 void
 peer_query_free(void *body)
 {
-	peer_query_t *question = body;
+	peer_query_t *query = body;
 
-	wire__envelope__free_unpacked(question->envelope, NULL);
-	free(question);
+	wire__envelope__free_unpacked(query->envelope, NULL);
+	free(query);
 }
 
 void
 peer_response_free(void *body)
 {
-	peer_response_t *answer = body;
+	peer_response_t *response = body;
 
-	if (answer->envelope != NULL)
-		wire__envelope__free_unpacked(answer->envelope, NULL);
-	free(answer);
+	if (response->envelope != NULL)
+		wire__envelope__free_unpacked(response->envelope, NULL);
+	free(response);
 }
 
 static void
@@ -98,34 +98,34 @@
 }
 
 static void
-answer_post(const pending_t *pending, Wire__Envelope *envelope)
+response_post(const pending_t *pending, Wire__Envelope *envelope)
 {
-	peer_response_t *answer = malloc(sizeof(*answer));
+	peer_response_t *response = malloc(sizeof(*response));
 
-	if (answer == NULL) {
+	if (response == NULL) {
 		if (envelope != NULL)
 			wire__envelope__free_unpacked(envelope, NULL);
 		return;
 	}
-	*answer = (peer_response_t){.tag = pending->ask.tag,
-	    .from = pending->ask.to,
-	    .queried_at = pending->asked_at,
+	*response = (peer_response_t){.tag = pending->options.tag,
+	    .from = pending->options.to,
+	    .queried_at = pending->queried_at,
 	    .envelope = envelope};
-	task_post(
-	    pending->ask.task, pending->ask.kind, answer, peer_response_free);
+	task_post(pending->options.task, pending->options.kind, response,
+	    peer_response_free);
 }
 
 static void
-pending_end(peers_t *peers, pending_t *pending, Wire__Envelope *envelope)
+pending_complete(peers_t *peers, pending_t *pending, Wire__Envelope *envelope)
 {
 	HASH_DEL(peers->pending, pending);
-	answer_post(pending, envelope);
-	free(pending->waiting);
+	response_post(pending, envelope);
+	free(pending->unsent);
 	free(pending);
 }
 
 static void
-link_drain(peer_socket_t *socket)
+link_message_read(peer_socket_t *socket)
 {
 	peers_t *peers = socket->owner;
 	Wire__Envelope *envelope = envelope_read(peers, socket->socket);
@@ -136,38 +136,37 @@
 	if (envelope->answer)
 		HASH_FIND(hh, peers->pending, &envelope->id,
 		    sizeof(envelope->id), pending);
-	if (pending == NULL || pending->ask.to != envelope->from) {
+	if (pending == NULL || pending->options.to != envelope->from) {
 		counter_add(peers->process.counters, COUNTER_LATE_RESPONSES, 1);
 		wire__envelope__free_unpacked(envelope, NULL);
 		return;
 	}
-	pending_end(peers, pending, envelope);
+	pending_complete(peers, pending, envelope);
 }
 
 static void
-question_post(
-    peers_t *peers, const zmq_msg_t *identity, Wire__Envelope *envelope)
+query_post(peers_t *peers, const zmq_msg_t *identity, Wire__Envelope *envelope)
 {
-	peer_query_t *question = calloc(1, sizeof(*question));
+	peer_query_t *query = calloc(1, sizeof(*query));
 	size_t len = zmq_msg_size(identity);
 
-	if (question == NULL || len > PEER_IDENTITY_MAX ||
+	if (query == NULL || len > PEER_IDENTITY_MAX ||
 	    envelope->body_case >= PEER_BODY_CASES ||
 	    peers->routes[envelope->body_case].task == NULL ||
 	    (envelope->to != 0 && envelope->to != peers->process.incarnation)) {
-		free(question);
+		free(query);
 		wire__envelope__free_unpacked(envelope, NULL);
 		return;
 	}
-	memcpy(question->identity, zmq_msg_data((zmq_msg_t *)identity), len);
-	question->identity_len = len;
-	question->envelope = envelope;
+	memcpy(query->identity, zmq_msg_data((zmq_msg_t *)identity), len);
+	query->identity_len = len;
+	query->envelope = envelope;
 	task_post(peers->routes[envelope->body_case].task,
-	    peers->routes[envelope->body_case].kind, question, peer_query_free);
+	    peers->routes[envelope->body_case].kind, query, peer_query_free);
 }
 
 static void
-router_drain(peer_socket_t *socket)
+router_message_read(peer_socket_t *socket)
 {
 	Wire__Envelope *envelope;
 	zmq_msg_t identity;
@@ -177,20 +176,20 @@
 		return;
 	envelope = more ? envelope_read(socket->owner, socket->socket) : NULL;
 	if (envelope != NULL)
-		question_post(socket->owner, &identity, envelope);
+		query_post(socket->owner, &identity, envelope);
 	zmq_msg_close(&identity);
 }
 
 static bool
-bytes_send(peers_t *peers, peer_socket_t *socket, const outgoing_t *out)
+message_send(peers_t *peers, peer_socket_t *socket, const outgoing_t *message)
 {
-	bool sent =
-	    zmq_send(socket->socket, out->bytes, out->len, ZMQ_DONTWAIT) >= 0;
+	bool sent = zmq_send(socket->socket, message->bytes, message->len,
+			ZMQ_DONTWAIT) >= 0;
 
 	if (sent) {
 		counter_add(peers->process.counters, COUNTER_PEER_SENT, 1);
-		counter_add(
-		    peers->process.counters, COUNTER_PEER_BYTES_SENT, out->len);
+		counter_add(peers->process.counters, COUNTER_PEER_BYTES_SENT,
+		    message->len);
 	}
 	/* The send may have consumed the edge of the file descriptor for a
 	 * message that arrived meanwhile. */
@@ -199,83 +198,83 @@
 }
 
 static bool
-link_send(peers_t *peers, peer_link_t *link, const outgoing_t *out)
+link_send(peers_t *peers, peer_link_t *link, const outgoing_t *message)
 {
-	bool sent = bytes_send(peers, &link->socket, out);
+	bool sent = message_send(peers, &link->socket, message);
 
 	link->established |= sent;
 	return sent;
 }
 
 static outgoing_t *
-outgoing_copy(const outgoing_t *out)
+outgoing_copy(const outgoing_t *message)
 {
-	outgoing_t *copy = malloc(sizeof(*copy) + out->len);
+	outgoing_t *copy = malloc(sizeof(*copy) + message->len);
 
 	if (copy != NULL)
-		memcpy(copy, out, sizeof(*copy) + out->len);
+		memcpy(copy, message, sizeof(*copy) + message->len);
 	return copy;
 }
 
 /* Sends a query that waits for its new connection to be established. */
 static void
-waiting_send(peers_t *peers, pending_t *pending)
+unsent_retry(peers_t *peers, pending_t *pending)
 {
-	peer_link_t *link = peer_links_get(&peers->links, pending->ask.to);
+	peer_link_t *link = peer_links_get(&peers->links, pending->options.to);
 
-	if (link == NULL || !link_send(peers, link, pending->waiting))
+	if (link == NULL || !link_send(peers, link, pending->unsent))
 		return;
-	free(pending->waiting);
-	pending->waiting = NULL;
+	free(pending->unsent);
+	pending->unsent = NULL;
 }
 
 static void
-ask_send(peers_t *peers, const outgoing_t *out)
+query_send(peers_t *peers, const outgoing_t *message)
 {
-	peer_link_t *link = peer_links_get(&peers->links, out->ask.to);
+	peer_link_t *link = peer_links_get(&peers->links, message->options.to);
 	pending_t *pending;
 
-	if (out->ask.task == NULL) {
+	if (message->options.task == NULL) {
 		if (link != NULL)
-			bytes_send(peers, &link->socket, out);
+			message_send(peers, &link->socket, message);
 		return;
 	}
 	pending = calloc(1, sizeof(*pending));
 	if (pending == NULL)
 		return;
-	*pending = (pending_t){.id = out->id,
-	    .ask = out->ask,
-	    .asked_at = clock_boottime(peers->process.clock)};
+	*pending = (pending_t){.id = message->id,
+	    .options = message->options,
+	    .queried_at = clock_boottime(peers->process.clock)};
 	HASH_ADD(hh, peers->pending, id, sizeof(pending->id), pending);
-	if (link != NULL && link_send(peers, link, out))
+	if (link != NULL && link_send(peers, link, message))
 		return;
 	/* If an established connection was lost, the query fails at once. A new
 	 * connection gets time to be established. */
 	if (link != NULL && !link->established)
-		pending->waiting = outgoing_copy(out);
-	if (pending->waiting == NULL)
-		pending_end(peers, pending, NULL);
+		pending->unsent = outgoing_copy(message);
+	if (pending->unsent == NULL)
+		pending_complete(peers, pending, NULL);
 }
 
 static void
-answer_send(peers_t *peers, const outgoing_t *out)
+response_send(peers_t *peers, const outgoing_t *message)
 {
-	zmq_send(peers->router.socket, out->identity, out->identity_len,
+	zmq_send(peers->router.socket, message->identity, message->identity_len,
 	    ZMQ_DONTWAIT | ZMQ_SNDMORE);
-	bytes_send(peers, &peers->router, out);
+	message_send(peers, &peers->router, message);
 }
 
 static void
-handle(void *state, task_msg_t *msg)
+message_handle(void *state, task_msg_t *msg)
 {
 	peers_t *peers = state;
 
 	switch ((enum peers_message)msg->kind) {
-	case PEERS_ASK:
-		ask_send(peers, msg->body);
+	case PEERS_QUERY:
+		query_send(peers, msg->body);
 		break;
-	case PEERS_ANSWER:
-		answer_send(peers, msg->body);
+	case PEERS_RESPOND:
+		response_send(peers, msg->body);
 		break;
 	case PEERS_MEMBERS:
 		peer_links_members_set(&peers->links, msg->body);
@@ -284,7 +283,7 @@
 }
 
 static void
-tick(evutil_socket_t fd, short what, void *arg)
+timer_run(evutil_socket_t fd, short what, void *arg)
 {
 	peers_t *peers = arg;
 	struct timespec now = clock_boottime(peers->process.clock);
@@ -295,70 +294,70 @@
 	peer_links_evict(&peers->links);
 	HASH_ITER(hh, peers->pending, pending, next)
 	{
-		if (timespec_ms_between(pending->asked_at, now) >=
-		    pending->ask.timeout_ms)
-			pending_end(peers, pending, NULL);
-		else if (pending->waiting != NULL)
-			waiting_send(peers, pending);
+		if (timespec_ms_between(pending->queried_at, now) >=
+		    pending->options.timeout_ms)
+			pending_complete(peers, pending, NULL);
+		else if (pending->unsent != NULL)
+			unsent_retry(peers, pending);
 	}
 }
 
 static outgoing_t *
 envelope_pack(peers_t *peers, Wire__Envelope *envelope)
 {
-	outgoing_t *out;
+	outgoing_t *message;
 	size_t len;
 
 	envelope->from = peers->process.incarnation;
 	envelope->stamp = hlc_tick(&peers->process.timeline->hlc,
 	    timespec_to_ms(clock_wall(peers->process.clock)));
 	len = wire__envelope__get_packed_size(envelope);
-	out = calloc(1, sizeof(*out) + len);
-	if (out == NULL)
+	message = calloc(1, sizeof(*message) + len);
+	if (message == NULL)
 		return NULL;
-	out->len = wire__envelope__pack(envelope, out->bytes);
-	return out;
+	message->len = wire__envelope__pack(envelope, message->bytes);
+	return message;
 }
 
 void
-peers_query(
-    peers_t *peers, const peer_query_options_t *ask, Wire__Envelope *envelope)
+peers_query(peers_t *peers, const peer_query_options_t *options,
+    Wire__Envelope *envelope)
 {
-	outgoing_t *out;
+	outgoing_t *message;
 
 	envelope->id = rng_u64(peers->process.rng);
-	envelope->to = ask->to;
-	out = envelope_pack(peers, envelope);
-	if (out == NULL)
+	envelope->to = options->to;
+	message = envelope_pack(peers, envelope);
+	if (message == NULL)
 		return;
-	out->ask = *ask;
-	out->id = envelope->id;
-	task_post(&peers->task, PEERS_ASK, out, NULL);
+	message->options = *options;
+	message->id = envelope->id;
+	task_post(&peers->task, PEERS_QUERY, message, NULL);
 }
 
 void
 peers_send_message(peers_t *peers, uint64_t to, Wire__Envelope *envelope)
 {
-	const peer_query_options_t ask = {.to = to};
+	const peer_query_options_t options = {.to = to};
 
-	peers_query(peers, &ask, envelope);
+	peers_query(peers, &options, envelope);
 }
 
 void
 peers_respond(
-    peers_t *peers, const peer_query_t *question, Wire__Envelope *envelope)
+    peers_t *peers, const peer_query_t *query, Wire__Envelope *envelope)
 {
-	outgoing_t *out;
+	outgoing_t *message;
 
-	envelope->id = question->envelope->id;
-	envelope->to = question->envelope->from;
+	envelope->id = query->envelope->id;
+	envelope->to = query->envelope->from;
 	envelope->answer = true;
-	out = envelope_pack(peers, envelope);
-	if (out == NULL)
+	message = envelope_pack(peers, envelope);
+	if (message == NULL)
 		return;
-	memcpy(out->identity, question->identity, question->identity_len);
-	out->identity_len = question->identity_len;
-	task_post(&peers->task, PEERS_ANSWER, out, NULL);
+	memcpy(message->identity, query->identity, query->identity_len);
+	message->identity_len = query->identity_len;
+	task_post(&peers->task, PEERS_RESPOND, message, NULL);
 }
 
 void
@@ -383,9 +382,9 @@
 
 	if (!peer_socket_open(&peers->zap, peers->process.base, peers->context,
 		ZMQ_REP, peer_auth_zap_handle, &peers->auth) ||
-	    zmq_bind(peers->zap.socket, ZAP_ADDRESS) != 0 ||
+	    zmq_bind(peers->zap.socket, ZAP_ENDPOINT) != 0 ||
 	    !peer_socket_open(&peers->router, peers->process.base,
-		peers->context, ZMQ_ROUTER, router_drain, peers))
+		peers->context, ZMQ_ROUTER, router_message_read, peers))
 		return err_set(err, ERR_INTERNAL, "cannot open peer sockets");
 	peer_auth_apply(&peers->auth, peers->router.socket, true);
 	snprintf(endpoint, sizeof(endpoint), "tcp://%s", address);
@@ -399,7 +398,7 @@
 peers_new(const process_context_t *process, const char *address,
     const char *secret, err_t *err)
 {
-	static const struct timeval interval = {0, TICK_MS * 1000};
+	static const struct timeval interval = {0, TIMER_INTERVAL_MS * 1000};
 	peers_t *peers = calloc(1, sizeof(*peers));
 
 	if (peers == NULL) {
@@ -412,19 +411,20 @@
 	    .clock = process->clock,
 	    .context = peers->context,
 	    .auth = &peers->auth,
-	    .on_message = link_drain,
+	    .on_message = link_message_read,
 	    .owner = peers,
 	    .members = members_new()};
 	snprintf(peers->links.own_host, sizeof(peers->links.own_host), "%.*s",
 	    (int)strcspn(address, ":"), address);
-	if (!task_init(&peers->task, process->base, handle, peers) ||
+	if (!task_init(&peers->task, process->base, message_handle, peers) ||
 	    !peer_auth_init(&peers->auth, secret, err) ||
 	    !sockets_open(peers, address, err)) {
 		peers_free(peers);
 		return NULL;
 	}
-	peers->tick = event_new(process->base, -1, EV_PERSIST, tick, peers);
-	event_add(peers->tick, &interval);
+	peers->timer =
+	    event_new(process->base, -1, EV_PERSIST, timer_run, peers);
+	event_add(peers->timer, &interval);
 	return peers;
 }
 
@@ -436,12 +436,12 @@
 	HASH_ITER(hh, peers->pending, pending, next_pending)
 	{
 		HASH_DEL(peers->pending, pending);
-		free(pending->waiting);
+		free(pending->unsent);
 		free(pending);
 	}
 	peer_links_finish(&peers->links);
-	if (peers->tick != NULL)
-		event_free(peers->tick);
+	if (peers->timer != NULL)
+		event_free(peers->timer);
 	peer_socket_close(&peers->router);
 	peer_socket_close(&peers->zap);
 	task_finish(&peers->task);
--- a/test/fuzz/freshness_fuzz.c
+++ b/test/fuzz/freshness_fuzz.c
@@ -15,7 +15,7 @@
 #include "moortack/member/freshness.h"
 
 #define DAEMONS 4
-#define ASKS 32
+#define QUERIES 32
 #define STEP_MS 50
 #define WINDOW_MS 1000
 #define OUTAGE_MS 10000000
@@ -25,31 +25,31 @@
 #define ALL ((1u << DAEMONS) - 1)
 
 /** A heartbeat in flight: sent, then responded to, then received. */
-typedef struct ask {
+typedef struct query {
 	bool used;
-	bool answered;
+	bool responded;
 	int from;
 	int to;
 	peer_evidence_t evidence;
 	uint8_t ages[DAEMONS]; /**< what the responder knew of the members */
-} ask_t;
+} query_t;
 
 typedef struct daemon {
 	freshness_t freshness;
-	bool store;   /**< it can read the store */
-	bool stopped; /**< as by SIGSTOP */
-	bool deaf;    /**< it can't fetch the revisions it lacks */
+	bool store_reachable; /**< it can read the store */
+	bool stopped;	      /**< as by SIGSTOP */
+	bool fetch_fails;     /**< it can't fetch the revisions it lacks */
 	struct timespec last_heartbeat;
 	bool read_open; /**< a read of the head is in flight */
 	bool read_done;
-	struct timespec read_asked_at;
+	struct timespec read_requested_at;
 	uint64_t read_head;
 } daemon_t;
 
 typedef struct world {
 	daemon_t daemons[DAEMONS];
-	bool cut[DAEMONS][DAEMONS];
-	ask_t asks[ASKS];
+	bool link_down[DAEMONS][DAEMONS];
+	query_t queries[QUERIES];
 	uint64_t head;
 	struct timespec confirmed_at[REVISIONS]; /**< reported "in force" */
 	struct timespec now;
@@ -58,7 +58,7 @@
 static const uint64_t members[DAEMONS] = {1, 2, 3, 4};
 
 static void
-learn(world_t *world, int n, uint64_t revision)
+revision_apply(world_t *world, int n, uint64_t revision)
 {
 	if (revision > world->daemons[n].freshness.revision)
 		world->daemons[n].freshness.revision = revision;
@@ -66,7 +66,7 @@
 
 /* Queries some of the others; of the rest the daemon learns indirectly. */
 static void
-heartbeat(world_t *world, int from, uint32_t asked)
+heartbeat(world_t *world, int from, uint32_t targets)
 {
 	daemon_t *daemon = &world->daemons[from];
 
@@ -75,10 +75,11 @@
 	daemon->last_heartbeat = world->now;
 	for (int to = 0; to < DAEMONS; to++) {
 		for (int i = 0;
-		     i < ASKS && to != from && (asked >> to & 1) != 0; i++) {
-			if (world->asks[i].used)
+		     i < QUERIES && to != from && (targets >> to & 1) != 0;
+		     i++) {
+			if (world->queries[i].used)
 				continue;
-			world->asks[i] = (ask_t){.used = true,
+			world->queries[i] = (query_t){.used = true,
 			    .from = from,
 			    .to = to,
 			    .evidence.incarnation = (uint64_t)to + 1,
@@ -89,38 +90,40 @@
 }
 
 static void
-ask_move(world_t *world, ask_t *ask)
+query_advance(world_t *world, query_t *query)
 {
-	daemon_t *other = &world->daemons[ask->to];
-	daemon_t *self = &world->daemons[ask->from];
+	daemon_t *responder = &world->daemons[query->to];
+	daemon_t *sender = &world->daemons[query->from];
 
-	if (!ask->used || world->cut[ask->from][ask->to])
+	if (!query->used || world->link_down[query->from][query->to])
 		return;
-	if (!ask->answered) {
-		if (other->stopped)
+	if (!query->responded) {
+		if (responder->stopped)
 			return;
-		ask->answered = true;
-		ask->evidence.revision = other->freshness.revision;
-		ask->evidence.store_read = other->freshness.store_read;
-		ask->evidence.store_read_at = other->freshness.store_read_at;
-		freshness_ages_encode(&other->freshness, members, DAEMONS,
-		    members[ask->to], world->now, ask->ages);
-		if (!other->deaf)
-			learn(world, ask->to, self->freshness.revision);
+		query->responded = true;
+		query->evidence.revision = responder->freshness.revision;
+		query->evidence.store_read = responder->freshness.store_read;
+		query->evidence.store_read_at =
+		    responder->freshness.store_read_at;
+		freshness_ages_encode(&responder->freshness, members, DAEMONS,
+		    members[query->to], world->now, query->ages);
+		if (!responder->fetch_fails)
+			revision_apply(
+			    world, query->to, sender->freshness.revision);
 		return;
 	}
-	if (self->stopped)
+	if (sender->stopped)
 		return;
-	ask->used = false;
-	freshness_peer_responded(&self->freshness, &ask->evidence);
-	freshness_ages_merge(&self->freshness, &ask->evidence, members, DAEMONS,
-	    members[ask->from], ask->ages);
-	if (!other->stopped && !self->deaf)
-		learn(world, ask->from, ask->evidence.revision);
+	query->used = false;
+	freshness_peer_responded(&sender->freshness, &query->evidence);
+	freshness_ages_merge(&sender->freshness, &query->evidence, members,
+	    DAEMONS, members[query->from], query->ages);
+	if (!responder->stopped && !sender->fetch_fails)
+		revision_apply(world, query->from, query->evidence.revision);
 }
 
 static void
-read_move(world_t *world, int n)
+read_advance(world_t *world, int n)
 {
 	daemon_t *daemon = &world->daemons[n];
 
@@ -129,11 +132,11 @@
 			return;
 		daemon->read_open = true;
 		daemon->read_done = false;
-		daemon->read_asked_at = world->now;
+		daemon->read_requested_at = world->now;
 		return;
 	}
 	if (!daemon->read_done) {
-		if (!daemon->store) {
+		if (!daemon->store_reachable) {
 			daemon->read_open = false;
 			return;
 		}
@@ -144,16 +147,17 @@
 	if (daemon->stopped)
 		return;
 	daemon->read_open = false;
-	if (daemon->read_head > daemon->freshness.revision && !daemon->deaf)
-		learn(world, n, daemon->read_head);
+	if (daemon->read_head > daemon->freshness.revision &&
+	    !daemon->fetch_fails)
+		revision_apply(world, n, daemon->read_head);
 	freshness_store_read(
-	    &daemon->freshness, daemon->read_head, daemon->read_asked_at);
+	    &daemon->freshness, daemon->read_head, daemon->read_requested_at);
 }
 
 /* If half of the members hold it, a daemon that lacks it finds no majority of
  * members that don't hold it. */
 static bool
-held_by_half(const world_t *world, uint64_t revision)
+half_hold(const world_t *world, uint64_t revision)
 {
 	int count = 0;
 
@@ -167,7 +171,8 @@
 {
 	daemon_t *daemon = &world->daemons[n];
 
-	if (daemon->stopped || !daemon->store || world->head + 1 >= REVISIONS ||
+	if (daemon->stopped || !daemon->store_reachable ||
+	    world->head + 1 >= REVISIONS ||
 	    daemon->freshness.revision != world->head ||
 	    !freshness_half_responded(&daemon->freshness, world->now))
 		return;
@@ -177,11 +182,10 @@
 }
 
 static void
-oracle(world_t *world)
+freshness_check(world_t *world)
 {
 	for (uint64_t r = 1; r <= world->head; r++) {
-		if (world->confirmed_at[r].tv_sec == 0 &&
-		    held_by_half(world, r))
+		if (world->confirmed_at[r].tv_sec == 0 && half_hold(world, r))
 			world->confirmed_at[r] = world->now;
 	}
 	for (int n = 0; n < DAEMONS; n++) {
@@ -203,17 +207,17 @@
 /* Running daemons send heartbeats and read the store on their own; the other
  * decisions of the input happen in between. */
 static void
-everyone_moves(world_t *world, input_t *input)
+daemons_advance(world_t *world, input_t *input)
 {
 	for (int n = 0; n < DAEMONS; n++) {
 		if (timespec_ms_between(world->daemons[n].last_heartbeat,
 			world->now) >= HEARTBEAT_MS)
 			heartbeat(world, n, input_below(input, ALL + 1));
-		read_move(world, n);
+		read_advance(world, n);
 	}
 	for (int round = 0; round < 2; round++) {
-		for (int i = 0; i < ASKS; i++)
-			ask_move(world, &world->asks[i]);
+		for (int i = 0; i < QUERIES; i++)
+			query_advance(world, &world->queries[i]);
 	}
 }
 
@@ -231,19 +235,21 @@
 	case 2:
 	case 3:
 	case 4:
-		ask_move(world, &world->asks[input_below(input, ASKS)]);
+		query_advance(
+		    world, &world->queries[input_below(input, QUERIES)]);
 		break;
 	case 5:
 	case 6:
-		read_move(world, a);
+		read_advance(world, a);
 		break;
 	case 7:
 		b = (int)input_below(input, DAEMONS);
-		world->cut[a][b] = !world->cut[a][b];
-		world->cut[b][a] = world->cut[a][b];
+		world->link_down[a][b] = !world->link_down[a][b];
+		world->link_down[b][a] = world->link_down[a][b];
 		break;
 	case 8:
-		world->daemons[a].store = !world->daemons[a].store;
+		world->daemons[a].store_reachable =
+		    !world->daemons[a].store_reachable;
 		break;
 	case 9:
 		world->daemons[a].stopped = !world->daemons[a].stopped;
@@ -252,15 +258,15 @@
 		confirm(world, a);
 		break;
 	case 11:
-		world->daemons[a].deaf = !world->daemons[a].deaf;
+		world->daemons[a].fetch_fails = !world->daemons[a].fetch_fails;
 		break;
 	default:
 		world->now = timespec_add_ms(
 		    world->now, STEP_MS * (1 + input_below(input, 8)));
-		everyone_moves(world, input);
+		daemons_advance(world, input);
 		break;
 	}
-	oracle(world);
+	freshness_check(world);
 }
 
 int
@@ -275,7 +281,7 @@
 		freshness_init(
 		    &world.daemons[n].freshness, WINDOW_MS, OUTAGE_MS);
 		world.daemons[n].freshness.member_count = DAEMONS;
-		world.daemons[n].store = true;
+		world.daemons[n].store_reachable = true;
 		world.daemons[n].last_heartbeat = world.now;
 	}
 	while (!input_at_end(&input))
--- a/test/unit/freshness_test.c
+++ b/test/unit/freshness_test.c
@@ -27,11 +27,11 @@
 }
 
 static void
-answer(freshness_t *freshness, uint64_t peer, int64_t asked_ms,
+peer_respond(freshness_t *freshness, uint64_t peer, int64_t queried_ms,
     uint64_t revision, uint64_t epoch)
 {
 	const peer_evidence_t evidence = {.incarnation = peer,
-	    .queried_at = at(asked_ms),
+	    .queried_at = at(queried_ms),
 	    .revision = revision,
 	    .epoch = epoch};
 
@@ -39,7 +39,7 @@
 }
 
 static void
-init(freshness_t *freshness, uint32_t members)
+freshness_setup(freshness_t *freshness, uint32_t members)
 {
 	freshness_init(freshness, WINDOW_MS, OUTAGE_MS);
 	freshness->member_count = members;
@@ -48,23 +48,23 @@
 }
 
 static void
-never_without_the_store(void **state)
+not_fresh_without_store_read(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 1);
+	freshness_setup(&freshness, 1);
 	assert_true(until_ms(&freshness) < 0);
 	freshness_finish(&freshness);
 }
 
 static void
-dated_by_the_question(void **state)
+dated_by_request_time(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(100));
 	assert_int_equal(until_ms(&freshness), 100 + WINDOW_MS);
 	/* An older read that arrives late doesn't shorten the time. */
@@ -74,71 +74,71 @@
 }
 
 static void
-a_head_not_yet_held_proves_nothing(void **state)
+head_not_held_is_no_evidence(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 6, at(100));
 	assert_true(until_ms(&freshness) < 0);
 	freshness_finish(&freshness);
 }
 
 static void
-peers_vouch_only_in_a_majority(void **state)
+peers_are_evidence_only_as_majority(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 5);
+	freshness_setup(&freshness, 5);
 	freshness_store_read(&freshness, 5, at(0));
-	answer(&freshness, 11, 20000, 5, 3);
+	peer_respond(&freshness, 11, 20000, 5, 3);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
-	answer(&freshness, 12, 19000, 5, 3);
+	peer_respond(&freshness, 12, 19000, 5, 3);
 	/* The majority is as old as the oldest response that it needs. */
 	assert_int_equal(until_ms(&freshness), 19000 + WINDOW_MS);
 	freshness_finish(&freshness);
 }
 
 static void
-peers_ahead_or_elsewhere_do_not_vouch(void **state)
+later_revision_or_other_epoch_does_not_count(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(0));
-	answer(&freshness, 11, 20000, 6, 3);
+	peer_respond(&freshness, 11, 20000, 6, 3);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
-	answer(&freshness, 11, 20000, 5, 4);
+	peer_respond(&freshness, 11, 20000, 5, 4);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
-	answer(&freshness, 11, 20000, 4, 3);
+	peer_respond(&freshness, 11, 20000, 4, 3);
 	assert_int_equal(until_ms(&freshness), 20000 + WINDOW_MS);
 	freshness_finish(&freshness);
 }
 
 static void
-an_outage_has_a_bound(void **state)
+store_outage_is_limited(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(0));
-	answer(&freshness, 11, 59000, 5, 3);
+	peer_respond(&freshness, 11, 59000, 5, 3);
 	assert_int_equal(until_ms(&freshness), OUTAGE_MS);
 	freshness_finish(&freshness);
 }
 
 static void
-half_may_confirm(void **state)
+half_counts_this_daemon(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 5);
-	answer(&freshness, 11, 0, 5, 3);
+	freshness_setup(&freshness, 5);
+	peer_respond(&freshness, 11, 0, 5, 3);
 	assert_false(freshness_half_responded(&freshness, at(10)));
 	freshness.member_count = 4;
 	assert_true(freshness_half_responded(&freshness, at(10)));
@@ -147,15 +147,15 @@
 }
 
 static void
-a_peer_that_left_is_forgotten(void **state)
+removed_peer_does_not_count(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(0));
-	answer(&freshness, 11, 20000, 5, 3);
-	answer(&freshness, 12, 21000, 5, 3);
+	peer_respond(&freshness, 11, 20000, 5, 3);
+	peer_respond(&freshness, 12, 21000, 5, 3);
 	freshness_peer_remove(&freshness, 12);
 	assert_int_equal(until_ms(&freshness), 20000 + WINDOW_MS);
 	freshness_peer_remove(&freshness, 11);
@@ -169,14 +169,14 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(never_without_the_store),
-	    cmocka_unit_test(dated_by_the_question),
-	    cmocka_unit_test(a_head_not_yet_held_proves_nothing),
-	    cmocka_unit_test(peers_vouch_only_in_a_majority),
-	    cmocka_unit_test(peers_ahead_or_elsewhere_do_not_vouch),
-	    cmocka_unit_test(an_outage_has_a_bound),
-	    cmocka_unit_test(half_may_confirm),
-	    cmocka_unit_test(a_peer_that_left_is_forgotten),
+	    cmocka_unit_test(not_fresh_without_store_read),
+	    cmocka_unit_test(dated_by_request_time),
+	    cmocka_unit_test(head_not_held_is_no_evidence),
+	    cmocka_unit_test(peers_are_evidence_only_as_majority),
+	    cmocka_unit_test(later_revision_or_other_epoch_does_not_count),
+	    cmocka_unit_test(store_outage_is_limited),
+	    cmocka_unit_test(half_counts_this_daemon),
+	    cmocka_unit_test(removed_peer_does_not_count),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/peer_auth_test.c
+++ b/test/unit/peer_auth_test.c
@@ -17,16 +17,16 @@
 #define TURNS 60
 #define TURN_US 10000
 
-static int heard;
+static int messages_received;
 
 static void
-count_message(peer_socket_t *socket)
+message_count(peer_socket_t *socket)
 {
 	zmq_msg_t frame;
 	bool more = true;
 
 	while (more && peer_frame_read(socket->socket, &frame, &more)) {
-		heard++;
+		messages_received++;
 		zmq_msg_close(&frame);
 	}
 }
@@ -48,7 +48,7 @@
 	size_t size = sizeof(server->endpoint);
 	err_t err;
 
-	heard = 0;
+	messages_received = 0;
 	server->base = event_base_new();
 	server->context = zmq_ctx_new();
 	assert_int_equal(zmq_curve_keypair(public, secret), 0);
@@ -58,7 +58,7 @@
 	assert_int_equal(
 	    zmq_bind(server->zap.socket, "inproc://zeromq.zap.01"), 0);
 	assert_true(peer_socket_open(&server->router, server->base,
-	    server->context, ZMQ_ROUTER, count_message, NULL));
+	    server->context, ZMQ_ROUTER, message_count, NULL));
 	peer_auth_apply(&server->auth, server->router.socket, true);
 	assert_int_equal(zmq_bind(server->router.socket, ADDRESS), 0);
 	zmq_getsockopt(
@@ -77,7 +77,7 @@
 /* Sends a message with the client's keys and runs the server until it receives
  * it, or for at most TURNS * TURN_US. */
 static void
-send_as(server_t *server, const peer_auth_t *client)
+message_send_as(server_t *server, const peer_auth_t *client)
 {
 	static const int linger = 0;
 	void *context = zmq_ctx_new();
@@ -90,7 +90,7 @@
 	    dealer, ZMQ_CURVE_SERVERKEY, server->auth.public_key, Z85_KEY_SIZE);
 	assert_int_equal(zmq_connect(dealer, server->endpoint), 0);
 	zmq_send(dealer, "x", 1, 0);
-	for (int i = 0; i < TURNS && heard == 0; i++) {
+	for (int i = 0; i < TURNS && messages_received == 0; i++) {
 		event_base_loopexit(server->base, &turn);
 		event_base_dispatch(server->base);
 	}
@@ -99,36 +99,36 @@
 }
 
 static void
-the_fleet_is_heard(void **state)
+fleet_key_is_accepted(void **state)
 {
 	server_t server;
 
 	(void)state;
 	server_start(&server);
-	send_as(&server, &server.auth);
-	assert_true(heard > 0);
+	message_send_as(&server, &server.auth);
+	assert_true(messages_received > 0);
 	server_stop(&server);
 }
 
 static void
-a_stranger_is_not(void **state)
+other_key_is_rejected(void **state)
 {
 	char public[Z85_KEY_SIZE], secret[Z85_KEY_SIZE];
-	peer_auth_t stranger;
+	peer_auth_t other;
 	server_t server;
 	err_t err;
 
 	(void)state;
 	server_start(&server);
 	assert_int_equal(zmq_curve_keypair(public, secret), 0);
-	assert_true(peer_auth_init(&stranger, secret, &err));
-	send_as(&server, &stranger);
-	assert_int_equal(heard, 0);
+	assert_true(peer_auth_init(&other, secret, &err));
+	message_send_as(&server, &other);
+	assert_int_equal(messages_received, 0);
 	server_stop(&server);
 }
 
 static void
-bad_keys_are_settings_errors(void **state)
+invalid_key_is_a_setting_error(void **state)
 {
 	peer_auth_t auth;
 	err_t err;
@@ -142,9 +142,9 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(the_fleet_is_heard),
-	    cmocka_unit_test(a_stranger_is_not),
-	    cmocka_unit_test(bad_keys_are_settings_errors),
+	    cmocka_unit_test(fleet_key_is_accepted),
+	    cmocka_unit_test(other_key_is_rejected),
+	    cmocka_unit_test(invalid_key_is_a_setting_error),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
