--- a/include/moortack/config/registry.h
+++ b/include/moortack/config/registry.h
@@ -72,7 +72,7 @@
 void registry_free(registry_t *);
 
 /** Posts an operator's command; takes ownership of @p command. */
-void registry_admin_submit(registry_t *, admin_command_t *ask);
+void registry_admin_submit(registry_t *, admin_command_t *command);
 
 /** Posts that this daemon leaves: it removes itself from the membership. */
 void registry_leave(registry_t *);
--- a/include/moortack/store/store.h
+++ b/include/moortack/store/store.h
@@ -19,7 +19,7 @@
 
 /** @param response the JSON object, or NULL; valid only during the call */
 typedef void (*store_done_t)(
-    void *arg, store_result_t result, const json_t *reply);
+    void *arg, store_result_t result, const json_t *response);
 
 typedef struct store store_t;
 
@@ -57,7 +57,7 @@
  * @param value NULL: absent in checks, delete in puts */
 json_t *store_row_new(const char *key, const char *value);
 
-/** The value of @p key in the reply to store_get(); NULL if it is absent. */
-const char *store_response_value(const json_t *reply, const char *key);
+/** The value of @p key in the response to store_get(); NULL if it is absent. */
+const char *store_response_value(const json_t *response, const char *key);
 
 #endif
--- a/moortack/config/config.c
+++ b/moortack/config/config.c
@@ -5,11 +5,11 @@
 
 #include "config_key.h"
 
-#define BITS 64
+#define BITS_PER_WORD 64
 
 /* The name is the first member of every row type. */
 static handle_t
-row_named(const table_t *table, const char *name)
+row_find(const table_t *table, const char *name)
 {
 	for (handle_t h = 0; h < table->len; h++) {
 		if (strcmp(table_at(table, h), name) == 0)
@@ -21,25 +21,25 @@
 handle_t
 config_place_find(const config_t *config, const char *name)
 {
-	return row_named(&config->places, name);
+	return row_find(&config->places, name);
 }
 
 handle_t
 config_model_find(const config_t *config, const char *name)
 {
-	return row_named(&config->models, name);
+	return row_find(&config->models, name);
 }
 
 handle_t
 config_version_find(const config_t *config, const char *name)
 {
-	return row_named(&config->versions, name);
+	return row_find(&config->versions, name);
 }
 
 handle_t
 config_organisation_find(const config_t *config, const char *name)
 {
-	return row_named(&config->organisations, name);
+	return row_find(&config->organisations, name);
 }
 
 handle_t
@@ -103,12 +103,14 @@
 version_set_has(const version_set_t *set, handle_t version)
 {
 	return version < CONFIG_VERSIONS_MAX &&
-	    (set->bits[version / BITS] >> (version % BITS) & 1) != 0;
+	    (set->bits[version / BITS_PER_WORD] >> (version % BITS_PER_WORD) &
+		1) != 0;
 }
 
 void
 version_set_add(version_set_t *set, handle_t version)
 {
 	if (version < CONFIG_VERSIONS_MAX)
-		set->bits[version / BITS] |= UINT64_C(1) << (version % BITS);
+		set->bits[version / BITS_PER_WORD] |= UINT64_C(1)
+		    << (version % BITS_PER_WORD);
 }
--- a/moortack/config/config_compile.c
+++ b/moortack/config/config_compile.c
@@ -9,7 +9,7 @@
 
 #include "config_key.h"
 
-#define LIMIT_MAX 1000000
+#define REQUESTS_PER_S_MAX 1000000
 #define COST_MAX 1000000000
 
 static const char *const state_names[VERSION_STATE_COUNT] = {
@@ -26,14 +26,14 @@
 } entry_t;
 
 static bool
-entry_bad(const entry_t *entry, const char *field, const char *allowed)
+entry_error(const entry_t *entry, const char *field, const char *allowed)
 {
 	return err_set(entry->err, ERR_BAD_REQUEST, "%s '%.48s': %s must be %s",
 	    entry->kind, entry->name, field, allowed);
 }
 
 static bool
-name_take(const entry_t *entry, char *out)
+name_parse(const entry_t *entry, char *out)
 {
 	size_t len = strlen(entry->name);
 
@@ -41,20 +41,20 @@
 	    strspn(entry->name,
 		"abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 		"0123456789._-@") != len)
-		return entry_bad(entry, "the name",
+		return entry_error(entry, "the name",
 		    "1 to 47 letters, digits, '.', '_', '-'");
 	memcpy(out, entry->name, len + 1);
 	return true;
 }
 
 static bool
-fields_known(const entry_t *entry, const char *const *known)
+fields_check(const entry_t *entry, const char *const *known)
 {
 	const char *field;
 	json_t *value;
 
 	if (!json_is_object(entry->value))
-		return entry_bad(entry, "the value", "an object");
+		return entry_error(entry, "the value", "an object");
 	json_object_foreach((json_t *)entry->value, field, value)
 	{
 		const char *const *k = known;
@@ -71,12 +71,12 @@
 }
 
 static bool
-number_take(const entry_t *entry, const char *field, uint32_t max,
-    uint32_t fallback, uint32_t *out)
+number_parse(const entry_t *entry, const char *field, uint32_t max,
+    uint32_t default_value, uint32_t *out)
 {
 	const json_t *value = json_object_get(entry->value, field);
 
-	*out = fallback;
+	*out = default_value;
 	if (value == NULL)
 		return true;
 	if (!json_is_integer(value) || json_integer_value(value) < 0 ||
@@ -85,40 +85,40 @@
 
 		snprintf(allowed, sizeof(allowed),
 		    "a whole number from 0 to %u", max);
-		return entry_bad(entry, field, allowed);
+		return entry_error(entry, field, allowed);
 	}
 	*out = (uint32_t)json_integer_value(value);
 	return true;
 }
 
 static bool
-flag_take(const entry_t *entry, const char *field, bool *out)
+flag_parse(const entry_t *entry, const char *field, bool *out)
 {
 	const json_t *value = json_object_get(entry->value, field);
 
 	*out = json_is_true(value);
 	if (value != NULL && !json_is_boolean(value))
-		return entry_bad(entry, field, "true or false");
+		return entry_error(entry, field, "true or false");
 	return true;
 }
 
 static bool
-word_take(const entry_t *entry, const char *field, const char *const *words,
-    int count, int fallback, int *out)
+enum_parse(const entry_t *entry, const char *field, const char *const *names,
+    int count, int default_value, int *out)
 {
 	const json_t *value = json_object_get(entry->value, field);
-	const char *word = json_string_value(value);
+	const char *text = json_string_value(value);
 
-	*out = fallback;
-	if (value == NULL && fallback >= 0)
+	*out = default_value;
+	if (value == NULL && default_value >= 0)
 		return true;
-	for (int i = 0; word != NULL && i < count; i++) {
-		if (strcmp(words[i], word) == 0) {
+	for (int i = 0; text != NULL && i < count; i++) {
+		if (strcmp(names[i], text) == 0) {
 			*out = i;
 			return true;
 		}
 	}
-	return entry_bad(entry, field, "one of the values in docs/API.md");
+	return entry_error(entry, field, "one of the values in docs/API.md");
 }
 
 static bool
@@ -132,10 +132,10 @@
 	if (place == NULL)
 		return err_set(entry->err, ERR_MEMORY, "out of memory");
 	if (config->places.len > CONFIG_PLACES_MAX)
-		return entry_bad(entry, "the number of places", "at most 64");
+		return entry_error(entry, "the number of places", "at most 64");
 	snprintf(place->region, sizeof(place->region), "%s",
 	    region != NULL ? region : "");
-	return fields_known(entry, known) && name_take(entry, place->name);
+	return fields_check(entry, known) && name_parse(entry, place->name);
 }
 
 static bool
@@ -149,15 +149,15 @@
 
 	if (model == NULL)
 		return err_set(entry->err, ERR_MEMORY, "out of memory");
-	if (!fields_known(entry, known) || !name_take(entry, model->name) ||
-	    !word_take(entry, "kind", kinds, 2, -1, &kind) ||
-	    !number_take(entry, "cost", COST_MAX, 1, &model->cost) ||
-	    !number_take(entry, "quality", CONFIG_QUALITY_MAX,
+	if (!fields_check(entry, known) || !name_parse(entry, model->name) ||
+	    !enum_parse(entry, "kind", kinds, 2, -1, &kind) ||
+	    !number_parse(entry, "cost", COST_MAX, 1, &model->cost) ||
+	    !number_parse(entry, "quality", CONFIG_QUALITY_MAX,
 		CONFIG_QUALITY_MAX, &model->quality) ||
-	    !flag_take(entry, "idempotent", &model->idempotent))
+	    !flag_parse(entry, "idempotent", &model->idempotent))
 		return false;
 	if (strchr(model->name, '@') != NULL)
-		return entry_bad(entry, "the name", "without '@'");
+		return entry_error(entry, "the name", "without '@'");
 	model->kind = (model_kind_t)kind;
 	return true;
 }
@@ -168,45 +168,45 @@
 	static const char *const known[] = {"state", "percent", NULL};
 	version_t *version = table_add(&config->versions);
 	char model[CONFIG_NAME_SIZE];
-	char *at;
+	char *separator;
 	int state;
 
 	if (version == NULL)
 		return err_set(entry->err, ERR_MEMORY, "out of memory");
 	if (config->versions.len > CONFIG_VERSIONS_MAX)
-		return entry_bad(
+		return entry_error(
 		    entry, "the number of versions", "at most 256");
-	if (!fields_known(entry, known) || !name_take(entry, version->name) ||
-	    !word_take(
+	if (!fields_check(entry, known) || !name_parse(entry, version->name) ||
+	    !enum_parse(
 		entry, "state", state_names, VERSION_STATE_COUNT, -1, &state) ||
-	    !number_take(
+	    !number_parse(
 		entry, "percent", CONFIG_PERCENT_MAX, 0, &version->percent))
 		return false;
 	version->state = (version_state_t)state;
 	memcpy(model, version->name, sizeof(model));
-	at = strchr(model, '@');
-	if (at == NULL || at[1] == '\0')
-		return entry_bad(entry, "the name", "MODEL@VERSION");
-	*at = '\0';
+	separator = strchr(model, '@');
+	if (separator == NULL || separator[1] == '\0')
+		return entry_error(entry, "the name", "MODEL@VERSION");
+	*separator = '\0';
 	version->model = config_model_find(config, model);
 	if (version->model == HANDLE_NONE)
-		return entry_bad(entry, "the model", "declared");
+		return entry_error(entry, "the model", "declared");
 	return true;
 }
 
 static bool
-allow_take(config_t *config, const entry_t *entry, const char *pattern,
+allow_pattern_apply(config_t *config, const entry_t *entry, const char *pattern,
     organisation_t *organisation)
 {
 	size_t len = strlen(pattern);
-	bool any = len > 2 && strcmp(pattern + len - 2, "@*") == 0;
+	bool all_versions = len > 2 && strcmp(pattern + len - 2, "@*") == 0;
 	char model[CONFIG_NAME_SIZE];
 	handle_t handle;
 
-	if (!any) {
+	if (!all_versions) {
 		handle = config_version_find(config, pattern);
 		if (handle == HANDLE_NONE)
-			return entry_bad(entry, "allow",
+			return entry_error(entry, "allow",
 			    "a list of declared MODEL@VERSION or MODEL@*");
 		version_set_add(&organisation->allowed_versions, handle);
 		return true;
@@ -214,7 +214,7 @@
 	snprintf(model, sizeof(model), "%.*s", (int)(len - 2), pattern);
 	handle = config_model_find(config, model);
 	if (handle == HANDLE_NONE)
-		return entry_bad(
+		return entry_error(
 		    entry, "allow", "a list of versions of declared models");
 	for (handle_t v = 0; v < config->versions.len; v++) {
 		if (config_version_at(config, v)->model == handle)
@@ -224,7 +224,7 @@
 }
 
 static bool
-organisation_lists_take(
+organisation_lists_parse(
     config_t *config, const entry_t *entry, organisation_t *organisation)
 {
 	const json_t *keys = json_object_get(entry->value, "keys");
@@ -238,7 +238,7 @@
 					      : HANDLE_NONE;
 
 		if (place == HANDLE_NONE)
-			return entry_bad(
+			return entry_error(
 			    entry, "places", "a list of declared places");
 		organisation->allowed_places |= UINT64_C(1) << place;
 	}
@@ -247,19 +247,19 @@
 		const char *pattern = json_string_value(item);
 
 		if (pattern == NULL ||
-		    !allow_take(config, entry, pattern, organisation))
+		    !allow_pattern_apply(config, entry, pattern, organisation))
 			return pattern != NULL
 			    ? false
-			    : entry_bad(entry, "allow", "a list of names");
+			    : entry_error(entry, "allow", "a list of names");
 	}
 	if (json_array_size(keys) > CONFIG_KEYS_MAX)
-		return entry_bad(entry, "keys", "a list of at most 4 hashes");
+		return entry_error(entry, "keys", "a list of at most 4 hashes");
 	json_array_foreach(keys, i, item)
 	{
 		const char *hash = json_string_value(item);
 
 		if (hash == NULL || strlen(hash) != CONFIG_KEY_HASH_SIZE - 1)
-			return entry_bad(entry, "keys",
+			return entry_error(entry, "keys",
 			    "a list of hashes made by 'moortackctl key'");
 		memcpy(organisation->key_hashes[organisation->key_count++],
 		    hash, CONFIG_KEY_HASH_SIZE);
@@ -277,22 +277,22 @@
 
 	if (organisation == NULL)
 		return err_set(entry->err, ERR_MEMORY, "out of memory");
-	if (!fields_known(entry, known) ||
-	    !name_take(entry, organisation->name) ||
-	    !word_take(entry, "class", class_names, CLASS_COUNT, CLASS_MEDIUM,
+	if (!fields_check(entry, known) ||
+	    !name_parse(entry, organisation->name) ||
+	    !enum_parse(entry, "class", class_names, CLASS_COUNT, CLASS_MEDIUM,
 		&class) ||
-	    !number_take(
-		entry, "limit", LIMIT_MAX, 0, &organisation->requests_per_s) ||
-	    !number_take(entry, "quality", CONFIG_QUALITY_MAX, 0,
+	    !number_parse(entry, "limit", REQUESTS_PER_S_MAX, 0,
+		&organisation->requests_per_s) ||
+	    !number_parse(entry, "quality", CONFIG_QUALITY_MAX, 0,
 		&organisation->quality_target) ||
-	    !flag_take(entry, "fallback", &organisation->fallback))
+	    !flag_parse(entry, "fallback", &organisation->fallback))
 		return false;
 	organisation->class = (class_t) class;
-	return organisation_lists_take(config, entry, organisation);
+	return organisation_lists_parse(config, entry, organisation);
 }
 
 static bool
-rolling_check(const config_t *config, err_t *err)
+rolling_percent_check(const config_t *config, err_t *err)
 {
 	for (handle_t m = 0; m < config->models.len; m++) {
 		uint32_t percent = 0;
@@ -335,7 +335,7 @@
 
 /* Every request looks up a key, so keys are indexed instead of scanned. */
 static bool
-keys_index(config_t *config, err_t *err)
+key_index_build(config_t *config, err_t *err)
 {
 	for (handle_t h = 0; h < config->organisations.len; h++) {
 		const organisation_t *row = config_organisation_at(config, h);
@@ -368,7 +368,7 @@
 }
 
 static void
-keys_free(config_t *config)
+key_index_free(config_t *config)
 {
 	struct config_key *key, *next;
 
@@ -401,7 +401,7 @@
 		config, "versions", "version", version_compile, err) &&
 	    section_compile(config, "organisations", "organisation",
 		organisation_compile, err) &&
-	    rolling_check(config, err) && keys_index(config, err))
+	    rolling_percent_check(config, err) && key_index_build(config, err))
 		return config;
 	config_release(config);
 	return NULL;
@@ -419,7 +419,7 @@
 {
 	if (config == NULL || --config->references > 0)
 		return;
-	keys_free(config);
+	key_index_free(config);
 	table_finish(&config->places);
 	table_finish(&config->models);
 	table_finish(&config->versions);
--- a/moortack/config/plan.c
+++ b/moortack/config/plan.c
@@ -12,8 +12,8 @@
     "place", "model", "version", "organisation", NULL};
 
 static bool
-organisation_touched(const config_t *config, const organisation_t *organisation,
-    const char *kind, const char *name)
+organisation_affected(const config_t *config,
+    const organisation_t *organisation, const char *kind, const char *name)
 {
 	if (strcmp(kind, "organisation") == 0)
 		return strcmp(organisation->name, name) == 0;
@@ -35,7 +35,7 @@
 }
 
 static void
-string_add_once(json_t *list, const char *text)
+string_add_unique(json_t *list, const char *text)
 {
 	json_t *item;
 	size_t i;
@@ -49,19 +49,19 @@
 }
 
 static void
-touched_add(const config_t *config, const char *kind, const char *name,
+affected_add(const config_t *config, const char *kind, const char *name,
     json_t *organisations, json_t *places)
 {
 	for (handle_t o = 0; o < config->organisations.len; o++) {
 		const organisation_t *organisation =
 		    config_organisation_at(config, o);
 
-		if (!organisation_touched(config, organisation, kind, name))
+		if (!organisation_affected(config, organisation, kind, name))
 			continue;
-		string_add_once(organisations, organisation->name);
+		string_add_unique(organisations, organisation->name);
 		for (handle_t p = 0; p < config->places.len; p++) {
 			if (organisation_allows_place(organisation, p))
-				string_add_once(
+				string_add_unique(
 				    places, config_place_at(config, p)->name);
 		}
 	}
@@ -74,8 +74,8 @@
 	json_t *organisations = json_array();
 	json_t *places = json_array();
 
-	touched_add(before, kind, name, organisations, places);
-	touched_add(after, kind, name, organisations, places);
+	affected_add(before, kind, name, organisations, places);
+	affected_add(after, kind, name, organisations, places);
 	return json_pack("{s:s,s:s,s:O?,s:O?,s:o,s:o}", "kind", kind, "name",
 	    name, "before", from, "after", to, "organisations", organisations,
 	    "places", places);
@@ -93,11 +93,12 @@
 
 	json_object_foreach(new, name, value)
 	{
-		json_t *was = json_object_get(old, name);
+		json_t *old_value = json_object_get(old, name);
 
-		if (was == NULL || !json_equal(was, value))
+		if (old_value == NULL || !json_equal(old_value, value))
 			json_array_append_new(effects,
-			    effect_new(before, after, kind, name, was, value));
+			    effect_new(
+				before, after, kind, name, old_value, value));
 	}
 	json_object_foreach(old, name, value)
 	{
@@ -107,8 +108,10 @@
 	}
 }
 
+/* Whether a version of the model accepts new sessions of the organisation; also
+ * true if the organisation may not use the model at all. */
 static bool
-organisation_served(
+organisation_model_available(
     const config_t *config, const organisation_t *organisation, handle_t model)
 {
 	bool allowed = false;
@@ -137,7 +140,8 @@
 		    config_organisation_at(after, o);
 
 		for (handle_t m = 0; m < after->models.len; m++) {
-			if (organisation_served(after, organisation, m))
+			if (organisation_model_available(
+				after, organisation, m))
 				continue;
 			json_array_append_new(warnings,
 			    json_sprintf("%s would have no version of %s that "
--- a/moortack/config/registry.c
+++ b/moortack/config/registry.c
@@ -19,7 +19,7 @@
 }
 
 static void
-config_tell(registry_t *registry)
+config_publish(registry_t *registry)
 {
 	task_post(registry->subscribers.front_task,
 	    registry->subscribers.config_kind, config_acquire(registry->config),
@@ -29,16 +29,16 @@
 void
 registry_freshness_publish(registry_t *registry)
 {
-	freshness_update_t *news = malloc(sizeof(*news));
+	freshness_update_t *update = malloc(sizeof(*update));
 	struct timespec now = clock_boottime(registry->process.clock);
 	bool fresh;
 
-	if (news == NULL)
+	if (update == NULL)
 		return;
-	news->expires_at = freshness_expires_at(&registry->freshness);
-	news->has_revision = registry->config->revision > 0;
-	news->listed = registry->joined || registry->leaving;
-	fresh = timespec_ms_between(now, news->expires_at) > 0;
+	update->expires_at = freshness_expires_at(&registry->freshness);
+	update->has_revision = registry->config->revision > 0;
+	update->listed = registry->joined || registry->leaving;
+	fresh = timespec_ms_between(now, update->expires_at) > 0;
 	if (fresh != registry->was_fresh) {
 		registry->was_fresh = fresh;
 		timeline_add(registry->process.timeline,
@@ -49,7 +49,7 @@
 			    COUNTER_STALE_PAUSES, 1);
 	}
 	task_post(registry->subscribers.front_task,
-	    registry->subscribers.freshness_kind, news, NULL);
+	    registry->subscribers.freshness_kind, update, NULL);
 }
 
 const revision_row_t *
@@ -62,7 +62,7 @@
 }
 
 static void
-row_keep(registry_t *registry, uint64_t number, const char *text)
+revision_row_store(registry_t *registry, uint64_t number, const char *text)
 {
 	revision_row_t *row =
 	    &registry->revision_rows[number % REVISION_ROWS_MAX];
@@ -73,7 +73,7 @@
 }
 
 static void
-config_take(registry_t *registry, config_t *config)
+config_replace(registry_t *registry, config_t *config)
 {
 	config_release(registry->config);
 	registry->config = config;
@@ -81,7 +81,7 @@
 	if (config->revision > registry->head)
 		registry->head = config->revision;
 	counter_add(registry->process.counters, COUNTER_REVISIONS_APPLIED, 1);
-	config_tell(registry);
+	config_publish(registry);
 }
 
 bool
@@ -111,8 +111,8 @@
 		json_decref(row);
 		return false;
 	}
-	row_keep(registry, number, text);
-	config_take(registry, config);
+	revision_row_store(registry, number, text);
+	config_replace(registry, config);
 	plan = json_string_value(json_object_get(row, "plan"));
 	timeline_add(registry->process.timeline, EVENT_REVISION_APPLIED,
 	    plan != NULL ? plan : "", "revision %" PRIu64, number);
@@ -121,23 +121,23 @@
 }
 
 static void
-store_seen(registry_t *registry, bool answers)
+store_availability_set(registry_t *registry, bool available)
 {
-	if (answers != registry->store_unavailable)
+	if (available != registry->store_unavailable)
 		return;
-	registry->store_unavailable = !answers;
+	registry->store_unavailable = !available;
 	timeline_add(registry->process.timeline,
-	    answers ? EVENT_STORE_AVAILABLE : EVENT_STORE_UNAVAILABLE, "store",
-	    "%s", "");
-	log_line(answers ? LOG_INFO : LOG_WARN, LOG_CONFIG, "%s",
-	    answers ? "The store is available again."
-		    : "The store is unavailable.");
+	    available ? EVENT_STORE_AVAILABLE : EVENT_STORE_UNAVAILABLE,
+	    "store", "%s", "");
+	log_line(available ? LOG_INFO : LOG_WARN, LOG_CONFIG, "%s",
+	    available ? "The store is available again."
+		      : "The store is unavailable.");
 }
 
 static void
-snapshot_written(void *arg, store_result_t result, const json_t *reply)
+snapshot_written(void *arg, store_result_t result, const json_t *response)
 {
-	(void)reply;
+	(void)response;
 	(void)arg;
 	if (result != STORE_OK)
 		log_line(LOG_WARN, LOG_CONFIG, "Cannot write the snapshot.");
@@ -161,7 +161,7 @@
 }
 
 static void
-rows_read(void *arg, store_result_t result, const json_t *reply)
+revisions_read(void *arg, store_result_t result, const json_t *response)
 {
 	registry_t *registry = arg;
 	uint64_t before = registry->config->revision;
@@ -171,7 +171,7 @@
 	registry->revisions_pending = false;
 	if (result != STORE_OK)
 		return;
-	json_array_foreach(json_object_get(reply, "rows"), i, row)
+	json_array_foreach(json_object_get(response, "rows"), i, row)
 	{
 		const char *key = json_string_value(json_array_get(row, 0));
 		const char *text = json_string_value(json_array_get(row, 1));
@@ -201,12 +201,12 @@
 		return;
 	snprintf(after, sizeof(after), REVISION_KEY_FORMAT,
 	    registry->config->revision);
-	registry->revisions_pending =
-	    store_scan(registry->store, "rev/", after, rows_read, registry);
+	registry->revisions_pending = store_scan(
+	    registry->store, "rev/", after, revisions_read, registry);
 }
 
 static void
-snapshot_take(registry_t *registry, const char *text)
+snapshot_apply(registry_t *registry, const char *text)
 {
 	json_t *snapshot = json_loads(text, 0, NULL);
 	json_t *document = json_object_get(snapshot, "document");
@@ -218,12 +218,12 @@
 	if (revision > registry->config->revision && json_is_object(document))
 		config = config_compile(document, revision, &err);
 	if (config != NULL)
-		config_take(registry, config);
+		config_replace(registry, config);
 	json_decref(snapshot);
 }
 
 static void
-head_judge(registry_t *registry, uint64_t head)
+head_check(registry_t *registry, uint64_t head)
 {
 	if (head < registry->head) {
 		counter_add(registry->process.counters,
@@ -246,22 +246,22 @@
 }
 
 static void
-head_read(void *arg, store_result_t result, const json_t *reply)
+head_read(void *arg, store_result_t result, const json_t *response)
 {
 	registry_t *registry = arg;
-	const char *head = store_response_value(reply, "head");
-	const char *epoch = store_response_value(reply, "epoch");
-	const char *snapshot = store_response_value(reply, "snapshot");
+	const char *head = store_response_value(response, "head");
+	const char *epoch = store_response_value(response, "epoch");
+	const char *snapshot = store_response_value(response, "snapshot");
 
 	registry->head_pending = false;
-	store_seen(registry, result == STORE_OK);
+	store_availability_set(registry, result == STORE_OK);
 	if (result == STORE_OK) {
 		uint64_t members_epoch =
 		    epoch != NULL ? strtoull(epoch, NULL, 10) : 0;
 
 		if (snapshot != NULL && registry->config->revision == 0)
-			snapshot_take(registry, snapshot);
-		head_judge(
+			snapshot_apply(registry, snapshot);
+		head_check(
 		    registry, head != NULL ? strtoull(head, NULL, 10) : 0);
 		if (members_epoch != registry->store_epoch || !registry->joined)
 			registry_members_read(registry);
@@ -285,7 +285,7 @@
 }
 
 static void
-head_ticked(evutil_socket_t fd, short what, void *arg)
+head_timer_run(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
@@ -294,7 +294,7 @@
 }
 
 static void
-heartbeat_ticked(evutil_socket_t fd, short what, void *arg)
+heartbeat_timer_run(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
@@ -302,7 +302,7 @@
 }
 
 static void
-handle(void *state, task_msg_t *msg)
+message_handle(void *state, task_msg_t *msg)
 {
 	registry_t *registry = state;
 
@@ -330,7 +330,7 @@
 }
 
 static struct event *
-tick_new(registry_t *registry, event_callback_fn callback, int64_t ms)
+timer_new(registry_t *registry, event_callback_fn callback, int64_t ms)
 {
 	struct timeval interval = {
 	    ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
@@ -345,25 +345,25 @@
 void
 admin_command_free(void *body)
 {
-	admin_command_t *ask = body;
+	admin_command_t *command = body;
 
-	json_decref(ask->intent);
-	free(ask);
+	json_decref(command->intent);
+	free(command);
 }
 
 void
 admin_response_free(void *body)
 {
-	admin_response_t *answer = body;
+	admin_response_t *response = body;
 
-	json_decref(answer->body);
-	free(answer);
+	json_decref(response->body);
+	free(response);
 }
 
 void
-registry_admin_submit(registry_t *registry, admin_command_t *ask)
+registry_admin_submit(registry_t *registry, admin_command_t *command)
 {
-	task_post(&registry->task, REGISTRY_ADMIN, ask, admin_command_free);
+	task_post(&registry->task, REGISTRY_ADMIN, command, admin_command_free);
 }
 
 void
@@ -373,7 +373,7 @@
 }
 
 static void
-routes_set(registry_t *registry)
+query_handlers_set(registry_t *registry)
 {
 	peers_handler_set(registry->peers, WIRE__ENVELOPE__BODY_STANDING,
 	    &registry->task, REGISTRY_HEARTBEAT_QUERY);
@@ -404,12 +404,12 @@
 	registry->members = members_new();
 	freshness_init(
 	    &registry->freshness, options->fresh_ms, options->outage_ms);
-	task_init(&registry->task, process->base, handle, registry);
-	routes_set(registry);
+	task_init(&registry->task, process->base, message_handle, registry);
+	query_handlers_set(registry);
 	registry->head_timer =
-	    tick_new(registry, head_ticked, options->head_ms);
+	    timer_new(registry, head_timer_run, options->head_ms);
 	registry->heartbeat_timer =
-	    tick_new(registry, heartbeat_ticked, options->heartbeat_ms);
+	    timer_new(registry, heartbeat_timer_run, options->heartbeat_ms);
 	registry_head_read(registry);
 	return registry;
 }
--- a/moortack/config/registry_admin.c
+++ b/moortack/config/registry_admin.c
@@ -7,15 +7,15 @@
 #include "moortack/config/plan.h"
 #include "registry_priv.h"
 
-#define CONFIRM_TRIES 6
+#define CONFIRM_TRIES_MAX 6
 #define CONFIRM_RETRY_MS 300
-#define SPREAD_CHECK_MS 50
-#define SPREAD_CHECKS 60
+#define IN_FORCE_CHECK_MS 50
+#define IN_FORCE_CHECKS_MAX 60
 
 /** An operator's command in progress. */
 typedef struct admin_job {
 	registry_t *registry;
-	admin_command_t *ask;
+	admin_command_t *command;
 	json_t *plan;	 /**< ADMIN_PLAN: computed; ADMIN_CONFIRM: as stored */
 	char *text;	 /**< ADMIN_CONFIRM: the row of the revision */
 	uint64_t number; /**< of the revision that the plan becomes */
@@ -26,22 +26,22 @@
 static void confirm_read(admin_job_t *);
 
 static void
-job_answer(admin_job_t *job, const err_t *err, json_t *body)
+job_respond(admin_job_t *job, const err_t *err, json_t *body)
 {
-	admin_response_t *answer = calloc(1, sizeof(*answer));
+	admin_response_t *response = calloc(1, sizeof(*response));
 
-	if (answer != NULL) {
-		answer->tag = job->ask->tag;
-		answer->body = body;
+	if (response != NULL) {
+		response->tag = job->command->tag;
+		response->body = body;
 		if (err != NULL)
-			answer->err = *err;
+			response->err = *err;
 		task_post(job->registry->subscribers.front_task,
-		    job->registry->subscribers.admin_kind, answer,
+		    job->registry->subscribers.admin_kind, response,
 		    admin_response_free);
 	} else {
 		json_decref(body);
 	}
-	admin_command_free(job->ask);
+	admin_command_free(job->command);
 	json_decref(job->plan);
 	free(job->text);
 	free(job);
@@ -53,26 +53,26 @@
 	err_t err;
 
 	err_set(&err, code, "%s", detail);
-	job_answer(job, &err, NULL);
+	job_respond(job, &err, NULL);
 }
 
 static void
-later(admin_job_t *job, int64_t ms, event_callback_fn callback)
+job_schedule(admin_job_t *job, int64_t ms, event_callback_fn callback)
 {
-	struct timeval wait = {ms / 1000, ms % 1000 * 1000};
+	struct timeval delay = {ms / 1000, ms % 1000 * 1000};
 
 	event_base_once(
-	    job->registry->process.base, -1, EV_TIMEOUT, callback, job, &wait);
+	    job->registry->process.base, -1, EV_TIMEOUT, callback, job, &delay);
 }
 
 /* --- plan ------------------------------------------------------------- */
 
 static void
-plan_stored(void *arg, store_result_t result, const json_t *reply)
+plan_stored(void *arg, store_result_t result, const json_t *response)
 {
 	admin_job_t *job = arg;
 
-	(void)reply;
+	(void)response;
 	/* A missing response does no harm: the confirmation reads the plan from
 	 * the store. */
 	if (result != STORE_OK) {
@@ -83,8 +83,8 @@
 	timeline_add(job->registry->process.timeline, EVENT_PLAN_MADE,
 	    json_string_value(json_object_get(job->plan, "id")),
 	    "base %" PRIu64 " by %.20s", job->registry->config->revision,
-	    job->ask->operator_name);
-	job_answer(job, NULL, json_incref(job->plan));
+	    job->command->operator_name);
+	job_respond(job, NULL, json_incref(job->plan));
 }
 
 static void
@@ -94,10 +94,10 @@
 	char *text;
 	err_t err;
 
-	job->plan = plan_compute(job->registry->config, job->ask->intent,
-	    job->ask->operator_name, &err);
+	job->plan = plan_compute(job->registry->config, job->command->intent,
+	    job->command->operator_name, &err);
 	if (job->plan == NULL) {
-		job_answer(job, &err, NULL);
+		job_respond(job, &err, NULL);
 		return;
 	}
 	snprintf(key, sizeof(key), "plan/%s",
@@ -123,7 +123,7 @@
 }
 
 static void
-spread_check(evutil_socket_t fd, short what, void *arg)
+in_force_check(evutil_socket_t fd, short what, void *arg)
 {
 	admin_job_t *job = arg;
 	registry_t *registry = job->registry;
@@ -132,28 +132,28 @@
 
 	(void)fd;
 	(void)what;
-	if (in_force < members && ++job->checks < SPREAD_CHECKS) {
-		later(job, SPREAD_CHECK_MS, spread_check);
+	if (in_force < members && ++job->checks < IN_FORCE_CHECKS_MAX) {
+		job_schedule(job, IN_FORCE_CHECK_MS, in_force_check);
 		return;
 	}
-	job_answer(job, NULL,
-	    json_pack("{s:s,s:I,s:i,s:i}", "plan", job->ask->plan_id,
+	job_respond(job, NULL,
+	    json_pack("{s:s,s:I,s:i,s:i}", "plan", job->command->plan_id,
 		"revision", (json_int_t)job->number, "in_force", (int)in_force,
 		"members", (int)members));
 }
 
 static void
-confirmed(admin_job_t *job, uint64_t number)
+confirm_complete(admin_job_t *job, uint64_t number)
 {
 	registry_t *registry = job->registry;
 
 	job->number = number;
 	timeline_add(registry->process.timeline, EVENT_PLAN_CONFIRMED,
-	    job->ask->plan_id, "revision %" PRIu64, number);
+	    job->command->plan_id, "revision %" PRIu64, number);
 	/* Peers learn of the revision from the heartbeat and query its row. */
 	registry_heartbeat(registry);
 	registry_head_read(registry);
-	spread_check(-1, 0, job);
+	in_force_check(-1, 0, job);
 }
 
 static void
@@ -165,22 +165,22 @@
 }
 
 static void
-confirm_again(admin_job_t *job)
+confirm_retry_schedule(admin_job_t *job)
 {
-	if (++job->tries >= CONFIRM_TRIES) {
+	if (++job->tries >= CONFIRM_TRIES_MAX) {
 		job_fail(job, ERR_STORE,
 		    "the store is unavailable: it is unknown whether the plan "
 		    "is in force; it is safe to confirm it again");
 		return;
 	}
-	later(job, CONFIRM_RETRY_MS, confirm_retry);
+	job_schedule(job, CONFIRM_RETRY_MS, confirm_retry);
 }
 
 static json_t *
 revision_json(admin_job_t *job)
 {
-	return json_pack("{s:s,s:s,s:s,s:I,s:O}", "plan", job->ask->plan_id,
-	    "operator", job->ask->operator_name, "planned_by",
+	return json_pack("{s:s,s:s,s:s,s:I,s:O}", "plan", job->command->plan_id,
+	    "operator", job->command->operator_name, "planned_by",
 	    json_string_value(json_object_get(job->plan, "operator")), "at_ms",
 	    (json_int_t)timespec_to_ms(
 		clock_wall(job->registry->process.clock)),
@@ -188,21 +188,21 @@
 }
 
 static void
-confirm_written(void *arg, store_result_t result, const json_t *reply)
+confirm_written(void *arg, store_result_t result, const json_t *response)
 {
 	admin_job_t *job = arg;
 
-	(void)reply;
+	(void)response;
 	if (result != STORE_OK) {
 		/* No response, or another write came first: reads the table
 		 * to find out. */
-		confirm_again(job);
+		confirm_retry_schedule(job);
 		return;
 	}
 	registry_revision_apply(job->registry, job->number, job->text);
 	if (job->number % SNAPSHOT_INTERVAL == 0)
 		registry_snapshot_write(job->registry);
-	confirmed(job, job->number);
+	confirm_complete(job, job->number);
 }
 
 static void
@@ -221,7 +221,8 @@
 	snprintf(base, sizeof(base), "%" PRIu64, head);
 	snprintf(next, sizeof(next), "%" PRIu64, job->number);
 	snprintf(row_key, sizeof(row_key), REVISION_KEY_FORMAT, job->number);
-	snprintf(done_key, sizeof(done_key), "done/%.40s", job->ask->plan_id);
+	snprintf(
+	    done_key, sizeof(done_key), "done/%.40s", job->command->plan_id);
 	if (job->text == NULL ||
 	    !store_txn(job->registry->store,
 		json_pack("[o,o]",
@@ -235,24 +236,24 @@
 }
 
 static void
-conflict_read(void *arg, store_result_t result, const json_t *reply)
+conflict_read(void *arg, store_result_t result, const json_t *response)
 {
 	admin_job_t *job = arg;
 	err_t err;
 
 	timeline_add(job->registry->process.timeline, EVENT_PLAN_REFUSED,
-	    job->ask->plan_id, "conflict");
+	    job->command->plan_id, "conflict");
 	err_set(&err, ERR_CONFLICT,
 	    "the configuration has changed since this plan was made; "
 	    "see \"changed\" and make a new plan");
-	job_answer(job, &err,
-	    result == STORE_OK
-		? json_pack("{s:O}", "changed", json_object_get(reply, "rows"))
-		: NULL);
+	job_respond(job, &err,
+	    result == STORE_OK ? json_pack("{s:O}", "changed",
+				     json_object_get(response, "rows"))
+			       : NULL);
 }
 
 static void
-conflict_answer(admin_job_t *job, uint64_t base)
+conflict_respond(admin_job_t *job, uint64_t base)
 {
 	char after[KEY_SIZE];
 
@@ -263,24 +264,24 @@
 }
 
 static void
-confirm_judge(admin_job_t *job, const json_t *reply)
+confirm_decide(admin_job_t *job, const json_t *response)
 {
 	char key[KEY_SIZE];
-	const char *head_text = store_response_value(reply, "head");
+	const char *head_text = store_response_value(response, "head");
 	uint64_t head = head_text != NULL ? strtoull(head_text, NULL, 10) : 0;
 	uint64_t base;
 	const char *done;
 	const char *plan;
 
-	snprintf(key, sizeof(key), "done/%.40s", job->ask->plan_id);
-	done = store_response_value(reply, key);
+	snprintf(key, sizeof(key), "done/%.40s", job->command->plan_id);
+	done = store_response_value(response, key);
 	if (done != NULL) {
 		registry_revisions_read(job->registry);
-		confirmed(job, strtoull(done, NULL, 10));
+		confirm_complete(job, strtoull(done, NULL, 10));
 		return;
 	}
-	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan_id);
-	plan = store_response_value(reply, key);
+	snprintf(key, sizeof(key), "plan/%.40s", job->command->plan_id);
+	plan = store_response_value(response, key);
 	json_decref(job->plan);
 	job->plan = plan != NULL ? json_loads(plan, 0, NULL) : NULL;
 	if (job->plan == NULL) {
@@ -289,20 +290,20 @@
 	}
 	base = (uint64_t)json_integer_value(json_object_get(job->plan, "base"));
 	if (base != head)
-		conflict_answer(job, base);
+		conflict_respond(job, base);
 	else
 		confirm_write(job, head);
 }
 
 static void
-confirm_was_read(void *arg, store_result_t result, const json_t *reply)
+confirm_read_done(void *arg, store_result_t result, const json_t *response)
 {
 	admin_job_t *job = arg;
 
 	if (result != STORE_OK)
-		confirm_again(job);
+		confirm_retry_schedule(job);
 	else
-		confirm_judge(job, reply);
+		confirm_decide(job, response);
 }
 
 static void
@@ -312,10 +313,12 @@
 	char done_key[KEY_SIZE];
 	json_t *keys;
 
-	snprintf(plan_key, sizeof(plan_key), "plan/%.40s", job->ask->plan_id);
-	snprintf(done_key, sizeof(done_key), "done/%.40s", job->ask->plan_id);
+	snprintf(
+	    plan_key, sizeof(plan_key), "plan/%.40s", job->command->plan_id);
+	snprintf(
+	    done_key, sizeof(done_key), "done/%.40s", job->command->plan_id);
 	keys = json_pack("[s,s,s]", "head", plan_key, done_key);
-	if (!store_get(job->registry->store, keys, confirm_was_read, job))
+	if (!store_get(job->registry->store, keys, confirm_read_done, job))
 		job_fail(job, ERR_MEMORY, "out of memory");
 }
 
@@ -339,22 +342,22 @@
 /* --- show, status, history -------------------------------------------- */
 
 static void
-shown(void *arg, store_result_t result, const json_t *reply)
+plan_read(void *arg, store_result_t result, const json_t *response)
 {
 	admin_job_t *job = arg;
 	char key[KEY_SIZE];
 	const char *text;
 	json_t *plan;
 
-	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan_id);
-	text = store_response_value(reply, key);
+	snprintf(key, sizeof(key), "plan/%.40s", job->command->plan_id);
+	text = store_response_value(response, key);
 	plan = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	if (result != STORE_OK)
 		job_fail(job, ERR_STORE, "the store is unavailable");
 	else if (plan == NULL)
 		job_fail(job, ERR_NOT_FOUND, "there is no plan with this id");
 	else
-		job_answer(job, NULL, plan);
+		job_respond(job, NULL, plan);
 }
 
 static void
@@ -362,15 +365,16 @@
 {
 	char key[KEY_SIZE];
 
-	if (*job->ask->plan_id == '\0') {
-		job_answer(job, NULL,
+	if (*job->command->plan_id == '\0') {
+		job_respond(job, NULL,
 		    json_pack("{s:I,s:O}", "revision",
 			(json_int_t)job->registry->config->revision, "document",
 			job->registry->config->document));
 		return;
 	}
-	snprintf(key, sizeof(key), "plan/%.40s", job->ask->plan_id);
-	if (!store_get(job->registry->store, json_pack("[s]", key), shown, job))
+	snprintf(key, sizeof(key), "plan/%.40s", job->command->plan_id);
+	if (!store_get(
+		job->registry->store, json_pack("[s]", key), plan_read, job))
 		job_fail(job, ERR_MEMORY, "out of memory");
 }
 
@@ -402,7 +406,7 @@
 		"revision", (json_int_t)registry->config->revision, "answers",
 		1, "draining", registry->leaving, "heard_ms_ago",
 		(json_int_t)0));
-	job_answer(job, NULL,
+	job_respond(job, NULL,
 	    json_pack("{s:I,s:I,s:i,s:i,s:b,s:I,s:b,s:o}", "accepted",
 		(json_int_t)registry->head, "held",
 		(json_int_t)registry->config->revision, "in_force",
@@ -417,7 +421,7 @@
 }
 
 static void
-history_read(void *arg, store_result_t result, const json_t *reply)
+history_read(void *arg, store_result_t result, const json_t *response)
 {
 	admin_job_t *job = arg;
 	json_t *list;
@@ -429,7 +433,7 @@
 		return;
 	}
 	list = json_array();
-	json_array_foreach(json_object_get(reply, "rows"), i, row)
+	json_array_foreach(json_object_get(response, "rows"), i, row)
 	{
 		uint64_t number = 0;
 		json_t *revision = json_loads(
@@ -441,7 +445,7 @@
 		    revision, "revision", json_integer((json_int_t)number));
 		json_array_append_new(list, revision);
 	}
-	job_answer(job, NULL, json_pack("{s:o}", "revisions", list));
+	job_respond(job, NULL, json_pack("{s:o}", "revisions", list));
 }
 
 static void
@@ -450,23 +454,23 @@
 	char after[KEY_SIZE];
 
 	snprintf(after, sizeof(after), REVISION_KEY_FORMAT,
-	    job->ask->after_revision);
+	    job->command->after_revision);
 	if (!store_scan(job->registry->store, "rev/", after, history_read, job))
 		job_fail(job, ERR_MEMORY, "out of memory");
 }
 
 void
-registry_admin_handle(registry_t *registry, admin_command_t *ask)
+registry_admin_handle(registry_t *registry, admin_command_t *command)
 {
 	admin_job_t *job = calloc(1, sizeof(*job));
 
 	if (job == NULL) {
-		admin_command_free(ask);
+		admin_command_free(command);
 		return;
 	}
 	job->registry = registry;
-	job->ask = ask;
-	switch (ask->action) {
+	job->command = command;
+	switch (command->action) {
 	case ADMIN_PLAN:
 		plan_start(job);
 		break;
--- a/moortack/config/registry_heartbeat.c
+++ b/moortack/config/registry_heartbeat.c
@@ -9,11 +9,11 @@
 /** Partners queried in one heartbeat round, starting with a random one. */
 #define HEARTBEAT_FANOUT 8
 /** Of these, the number queried for what they know of the other members. */
-#define AGES_ASKED 2
+#define AGES_FANOUT 2
 #define MEMBERS_MAX 1024
-#define BITS 8
-#define HEARTBEAT_TIMEOUTS 2
-#define ROWS_ASKED_MAX 128
+#define BITS_PER_BYTE 8
+#define HEARTBEAT_TIMEOUT_INTERVALS 2
+#define REVISIONS_PER_RESPONSE 128
 
 static void
 standing_fill(const registry_t *registry, Wire__Standing *standing)
@@ -31,13 +31,13 @@
 }
 
 static void
-member_ask(registry_t *registry, const member_t *member, bool want_ages)
+member_query(registry_t *registry, const member_t *member, bool want_ages)
 {
 	Wire__Standing standing;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	const peer_query_options_t ask = {.to = member->incarnation,
-	    .timeout_ms =
-		(int)registry->options->heartbeat_ms * HEARTBEAT_TIMEOUTS,
+	const peer_query_options_t options = {.to = member->incarnation,
+	    .timeout_ms = (int)registry->options->heartbeat_ms *
+		HEARTBEAT_TIMEOUT_INTERVALS,
 	    .task = &registry->task,
 	    .kind = REGISTRY_HEARTBEAT_RESPONSE};
 
@@ -45,7 +45,7 @@
 	standing.want_ages = want_ages;
 	envelope.body_case = WIRE__ENVELOPE__BODY_STANDING;
 	envelope.standing = &standing;
-	peers_query(registry->peers, &ask, &envelope);
+	peers_query(registry->peers, &options, &envelope);
 }
 
 void
@@ -53,24 +53,24 @@
 {
 	uint32_t count = registry->members->rows.len;
 	bool all = count <= HEARTBEAT_FANOUT;
-	uint32_t asked = all ? count : HEARTBEAT_FANOUT;
+	uint32_t query_count = all ? count : HEARTBEAT_FANOUT;
 	uint32_t first = rng_below(registry->process.rng, MEMBERS_PARTNERS_MAX);
 
 	registry->heartbeat_sequence++;
-	for (uint32_t i = 0; i < asked; i++)
-		member_ask(registry,
+	for (uint32_t i = 0; i < query_count; i++)
+		member_query(registry,
 		    members_partner_at(registry->members, first + i),
-		    i < AGES_ASKED);
+		    i < AGES_FANOUT);
 	registry_silent_member_remove(
 	    registry, clock_boottime(registry->process.clock));
 }
 
 static void
-rows_ask(registry_t *registry, uint64_t from)
+revisions_query(registry_t *registry, uint64_t from)
 {
 	Wire__RevisionsAsk rows = WIRE__REVISIONS_ASK__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	const peer_query_options_t ask = {.to = from,
+	const peer_query_options_t options = {.to = from,
 	    .timeout_ms = (int)registry->options->heartbeat_ms,
 	    .task = &registry->task,
 	    .kind = REGISTRY_REVISIONS_RESPONSE};
@@ -78,15 +78,15 @@
 	rows.after = registry->config->revision;
 	envelope.body_case = WIRE__ENVELOPE__BODY_REVISIONS_ASK;
 	envelope.revisions_ask = &rows;
-	peers_query(registry->peers, &ask, &envelope);
+	peers_query(registry->peers, &options, &envelope);
 }
 
 static void
-standing_learn(
+standing_compare(
     registry_t *registry, uint64_t from, const Wire__Standing *standing)
 {
 	if (standing->revision > registry->config->revision)
-		rows_ask(registry, from);
+		revisions_query(registry, from);
 	if (standing->epoch > registry->store_epoch)
 		registry_members_read(registry);
 }
@@ -97,57 +97,58 @@
 ages_fill(const registry_t *registry, Wire__Standing *standing, uint8_t *ages,
     uint8_t *holds)
 {
-	uint64_t ranked[MEMBERS_MAX + 1];
+	uint64_t incarnations[MEMBERS_MAX + 1];
 	uint64_t self = registry->process.incarnation;
 	uint32_t count;
 
 	if (registry->members->rows.len > MEMBERS_MAX || !registry->joined)
 		return;
-	count = members_incarnations(registry->members, self, ranked);
-	freshness_ages_encode(&registry->freshness, ranked, count, self,
+	count = members_incarnations(registry->members, self, incarnations);
+	freshness_ages_encode(&registry->freshness, incarnations, count, self,
 	    clock_boottime(registry->process.clock), ages);
-	memset(holds, 0, (count + BITS - 1) / BITS);
+	memset(holds, 0, (count + BITS_PER_BYTE - 1) / BITS_PER_BYTE);
 	for (uint32_t i = 0; i < count; i++) {
 		const member_t *member =
-		    members_find(registry->members, ranked[i]);
+		    members_find(registry->members, incarnations[i]);
 
 		if (member == NULL ||
 		    member->revision >= registry->config->revision)
-			holds[i / BITS] |= (uint8_t)(1 << i % BITS);
+			holds[i / BITS_PER_BYTE] |=
+			    (uint8_t)(1 << i % BITS_PER_BYTE);
 	}
 	standing->ages.data = ages;
 	standing->ages.len = count;
 	standing->holds.data = holds;
-	standing->holds.len = (count + BITS - 1) / BITS;
+	standing->holds.len = (count + BITS_PER_BYTE - 1) / BITS_PER_BYTE;
 }
 
 void
-registry_heartbeat_query(registry_t *registry, const peer_query_t *question)
+registry_heartbeat_query(registry_t *registry, const peer_query_t *query)
 {
-	const Wire__Standing *theirs = question->envelope->standing;
+	const Wire__Standing *received = query->envelope->standing;
 	member_t *member =
-	    members_find(registry->members, question->envelope->from);
+	    members_find(registry->members, query->envelope->from);
 	uint8_t ages[MEMBERS_MAX + 1];
-	uint8_t holds[MEMBERS_MAX / BITS + 1];
+	uint8_t holds[MEMBERS_MAX / BITS_PER_BYTE + 1];
 	Wire__Standing standing;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 
-	if (member != NULL && member->draining != theirs->draining) {
-		member->draining = theirs->draining;
+	if (member != NULL && member->draining != received->draining) {
+		member->draining = received->draining;
 		registry_members_publish(registry);
 	}
-	standing_learn(registry, question->envelope->from, theirs);
+	standing_compare(registry, query->envelope->from, received);
 	standing_fill(registry, &standing);
-	standing.sequence = theirs->sequence;
-	if (theirs->want_ages && theirs->epoch == standing.epoch)
+	standing.sequence = received->sequence;
+	if (received->want_ages && received->epoch == standing.epoch)
 		ages_fill(registry, &standing, ages, holds);
 	envelope.body_case = WIRE__ENVELOPE__BODY_STANDING;
 	envelope.standing = &standing;
-	peers_respond(registry->peers, question, &envelope);
+	peers_respond(registry->peers, query, &envelope);
 }
 
 static void
-answer_missed(registry_t *registry, member_t *member)
+response_missed(registry_t *registry, member_t *member)
 {
 	if (member == NULL || !member->responsive)
 		return;
@@ -157,10 +158,10 @@
 
 /* Applies what a response contains about the other members. */
 static void
-ages_take(registry_t *registry, const Wire__Standing *standing,
+ages_apply(registry_t *registry, const Wire__Standing *standing,
     const peer_evidence_t *evidence)
 {
-	uint64_t ranked[MEMBERS_MAX + 1];
+	uint64_t incarnations[MEMBERS_MAX + 1];
 	uint64_t self = registry->process.incarnation;
 	uint32_t count;
 	bool changed = false;
@@ -168,20 +169,21 @@
 	if (registry->members->rows.len > MEMBERS_MAX ||
 	    standing->epoch != registry->members->epoch)
 		return;
-	count = members_incarnations(registry->members, self, ranked);
+	count = members_incarnations(registry->members, self, incarnations);
 	if (standing->ages.len != count ||
-	    standing->holds.len != (count + BITS - 1) / BITS)
+	    standing->holds.len != (count + BITS_PER_BYTE - 1) / BITS_PER_BYTE)
 		return;
-	freshness_ages_merge(&registry->freshness, evidence, ranked, count,
-	    self, standing->ages.data);
+	freshness_ages_merge(&registry->freshness, evidence, incarnations,
+	    count, self, standing->ages.data);
 	for (uint32_t i = 0; i < count; i++) {
-		member_t *member = members_find(registry->members, ranked[i]);
+		member_t *member =
+		    members_find(registry->members, incarnations[i]);
 		struct timespec heard;
 
 		if (member == NULL)
 			continue;
-		heard =
-		    freshness_last_response_at(&registry->freshness, ranked[i]);
+		heard = freshness_last_response_at(
+		    &registry->freshness, incarnations[i]);
 		if (timespec_ms_between(member->last_response_at, heard) > 0) {
 			member->last_response_at = heard;
 			/* Whether a partner responds is known from this
@@ -189,7 +191,9 @@
 			changed |= !member->partner && !member->responsive;
 			member->responsive |= !member->partner;
 		}
-		if ((standing->holds.data[i / BITS] >> i % BITS & 1) != 0 &&
+		if ((standing->holds.data[i / BITS_PER_BYTE] >>
+			    i % BITS_PER_BYTE &
+			1) != 0 &&
 		    standing->revision > member->revision)
 			member->revision = standing->revision;
 	}
@@ -198,51 +202,53 @@
 }
 
 void
-registry_heartbeat_response(registry_t *registry, const peer_response_t *answer)
+registry_heartbeat_response(
+    registry_t *registry, const peer_response_t *response)
 {
-	member_t *member = members_find(registry->members, answer->from);
+	member_t *member = members_find(registry->members, response->from);
 	const Wire__Standing *standing;
 	peer_evidence_t evidence;
 	bool changed;
 
-	if (answer->envelope == NULL || answer->envelope->standing == NULL) {
-		answer_missed(registry, member);
+	if (response->envelope == NULL ||
+	    response->envelope->standing == NULL) {
+		response_missed(registry, member);
 		return;
 	}
 	if (member == NULL)
 		return;
-	standing = answer->envelope->standing;
-	evidence = (peer_evidence_t){.incarnation = answer->from,
-	    .queried_at = answer->queried_at,
+	standing = response->envelope->standing;
+	evidence = (peer_evidence_t){.incarnation = response->from,
+	    .queried_at = response->queried_at,
 	    .revision = standing->revision,
 	    .epoch = standing->epoch,
 	    .store_read = standing->store_age_ms >= 0,
 	    .store_read_at =
-		timespec_add_ms(answer->queried_at, -standing->store_age_ms)};
+		timespec_add_ms(response->queried_at, -standing->store_age_ms)};
 	freshness_peer_responded(&registry->freshness, &evidence);
 	changed = !member->responsive || member->draining != standing->draining;
 	member->responsive = true;
 	member->draining = standing->draining;
 	member->revision = standing->revision;
-	member->last_response_at = answer->queried_at;
+	member->last_response_at = response->queried_at;
 	if (changed)
 		registry_members_publish(registry);
-	ages_take(registry, standing, &evidence);
-	standing_learn(registry, answer->from, standing);
+	ages_apply(registry, standing, &evidence);
+	standing_compare(registry, response->from, standing);
 	registry_freshness_publish(registry);
 }
 
 void
-registry_revisions_query(registry_t *registry, const peer_query_t *question)
+registry_revisions_query(registry_t *registry, const peer_query_t *query)
 {
-	uint64_t after = question->envelope->revisions_ask->after;
-	Wire__Revision rows[ROWS_ASKED_MAX];
-	Wire__Revision *pointers[ROWS_ASKED_MAX];
+	uint64_t after = query->envelope->revisions_ask->after;
+	Wire__Revision rows[REVISIONS_PER_RESPONSE];
+	Wire__Revision *pointers[REVISIONS_PER_RESPONSE];
 	Wire__Revisions revisions = WIRE__REVISIONS__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 
 	revisions.revisions = pointers;
-	while (revisions.n_revisions < ROWS_ASKED_MAX) {
+	while (revisions.n_revisions < REVISIONS_PER_RESPONSE) {
 		const revision_row_t *row = registry_revision_row(
 		    registry, after + 1 + revisions.n_revisions);
 		size_t n = revisions.n_revisions;
@@ -257,17 +263,18 @@
 	}
 	envelope.body_case = WIRE__ENVELOPE__BODY_REVISIONS;
 	envelope.revisions = &revisions;
-	peers_respond(registry->peers, question, &envelope);
+	peers_respond(registry->peers, query, &envelope);
 }
 
 void
-registry_revisions_response(registry_t *registry, const peer_response_t *answer)
+registry_revisions_response(
+    registry_t *registry, const peer_response_t *response)
 {
 	const Wire__Revisions *revisions;
 
-	if (answer->envelope == NULL || answer->envelope->revisions == NULL)
+	if (response->envelope == NULL || response->envelope->revisions == NULL)
 		return;
-	revisions = answer->envelope->revisions;
+	revisions = response->envelope->revisions;
 	for (size_t i = 0; i < revisions->n_revisions; i++)
 		registry_revision_apply(registry,
 		    revisions->revisions[i]->number,
--- a/moortack/config/registry_members.c
+++ b/moortack/config/registry_members.c
@@ -27,7 +27,7 @@
 }
 
 static void
-self_key(const registry_t *registry, char *out, size_t size)
+own_key(const registry_t *registry, char *out, size_t size)
 {
 	char text[INCARNATION_TEXT_SIZE];
 
@@ -36,11 +36,11 @@
 }
 
 static void
-join_done(void *arg, store_result_t result, const json_t *reply)
+join_done(void *arg, store_result_t result, const json_t *response)
 {
 	registry_t *registry = arg;
 
-	(void)reply;
+	(void)response;
 	registry->join_pending = false;
 	/* Joined, no response, or a conflict: the list of members tells. */
 	if (result != STORE_RATE_LIMITED)
@@ -83,7 +83,7 @@
 	    registry->options->listen);
 	snprintf(
 	    self.place, sizeof(self.place), "%.47s", registry->options->place);
-	self_key(registry, key, sizeof(key));
+	own_key(registry, key, sizeof(key));
 	row = member_to_json(&self);
 	text = json_dumps(row, JSON_COMPACT);
 	json_decref(row);
@@ -94,9 +94,9 @@
 }
 
 static void
-row_changed(void *arg, store_result_t result, const json_t *reply)
+member_row_written(void *arg, store_result_t result, const json_t *response)
 {
-	(void)reply;
+	(void)response;
 	if (result == STORE_OK)
 		registry_members_read(arg);
 }
@@ -108,13 +108,13 @@
 
 	registry->leaving = true;
 	registry->joined = false;
-	self_key(registry, key, sizeof(key));
-	member_row_put(registry, key, NULL, row_changed);
+	own_key(registry, key, sizeof(key));
+	member_row_put(registry, key, NULL, member_row_written);
 	registry_heartbeat(registry);
 }
 
 static void
-member_take_over(registry_t *registry, members_t *members, member_t *row)
+member_add(registry_t *registry, members_t *members, member_t *row)
 {
 	const member_t *old = members_find(registry->members, row->incarnation);
 	member_t *added;
@@ -135,7 +135,7 @@
 }
 
 static void
-lost_forget(registry_t *registry, const members_t *members)
+removed_members_forget(registry_t *registry, const members_t *members)
 {
 	for (handle_t h = 0; h < registry->members->rows.len; h++) {
 		const member_t *old = members_at(registry->members, h);
@@ -149,7 +149,7 @@
 }
 
 static bool
-rows_take(registry_t *registry, members_t *members, const json_t *rows)
+rows_parse(registry_t *registry, members_t *members, const json_t *rows)
 {
 	bool self = false;
 	json_t *row;
@@ -165,22 +165,22 @@
 		if (member.incarnation == registry->process.incarnation)
 			self = true;
 		else
-			member_take_over(registry, members, &member);
+			member_add(registry, members, &member);
 	}
 	return self;
 }
 
 static void
-members_take(registry_t *registry, const json_t *rows)
+members_replace(registry_t *registry, const json_t *rows)
 {
 	members_t *members = members_new();
 
 	if (members == NULL)
 		return;
 	members->epoch = registry->store_epoch;
-	registry->joined = rows_take(registry, members, rows);
+	registry->joined = rows_parse(registry, members, rows);
 	members_partners_select(members, registry->process.incarnation);
-	lost_forget(registry, members);
+	removed_members_forget(registry, members);
 	members_release(registry->members);
 	registry->members = members;
 	registry->freshness.epoch = members->epoch;
@@ -201,7 +201,7 @@
 } members_read_t;
 
 static void
-read_end(members_read_t *read)
+members_read_finish(members_read_t *read)
 {
 	read->registry->members_pending = false;
 	json_decref(read->rows);
@@ -209,46 +209,47 @@
 }
 
 static uint64_t
-epoch_of(const json_t *reply)
+epoch_of(const json_t *response)
 {
-	const char *epoch = store_response_value(reply, "epoch");
+	const char *epoch = store_response_value(response, "epoch");
 
 	return epoch != NULL ? strtoull(epoch, NULL, 10) : 0;
 }
 
 static void
-epoch_read_again(void *arg, store_result_t result, const json_t *reply)
+epoch_reread(void *arg, store_result_t result, const json_t *response)
 {
 	members_read_t *read = arg;
 
-	if (result == STORE_OK && epoch_of(reply) == read->epoch) {
+	if (result == STORE_OK && epoch_of(response) == read->epoch) {
 		read->registry->store_epoch = read->epoch;
-		members_take(read->registry, read->rows);
+		members_replace(read->registry, read->rows);
 	}
-	read_end(read);
+	members_read_finish(read);
 }
 
 static void
-list_read(void *arg, store_result_t result, const json_t *reply)
+member_rows_read(void *arg, store_result_t result, const json_t *response)
 {
 	members_read_t *read = arg;
 
-	read->rows = json_incref(json_object_get(reply, "rows"));
+	read->rows = json_incref(json_object_get(response, "rows"));
 	if (result != STORE_OK ||
 	    !store_get(read->registry->store, json_pack("[s]", "epoch"),
-		epoch_read_again, read))
-		read_end(read);
+		epoch_reread, read))
+		members_read_finish(read);
 }
 
 static void
-epoch_read(void *arg, store_result_t result, const json_t *reply)
+epoch_read(void *arg, store_result_t result, const json_t *response)
 {
 	members_read_t *read = arg;
 
-	read->epoch = epoch_of(reply);
+	read->epoch = epoch_of(response);
 	if (result != STORE_OK ||
-	    !store_scan(read->registry->store, "member/", "", list_read, read))
-		read_end(read);
+	    !store_scan(
+		read->registry->store, "member/", "", member_rows_read, read))
+		members_read_finish(read);
 }
 
 void
@@ -265,11 +266,11 @@
 	registry->members_pending = true;
 	if (!store_get(
 		registry->store, json_pack("[s]", "epoch"), epoch_read, read))
-		read_end(read);
+		members_read_finish(read);
 }
 
 static void
-dead_remove(registry_t *registry, const member_t *member)
+silent_member_remove(registry_t *registry, const member_t *member)
 {
 	char incarnation[INCARNATION_TEXT_SIZE];
 	char key[KEY_SIZE];
@@ -279,7 +280,7 @@
 	log_line(LOG_WARN, LOG_CONFIG,
 	    "Removing peer %s from the membership: it does not respond.",
 	    member->peer_address);
-	member_row_put(registry, key, NULL, row_changed);
+	member_row_put(registry, key, NULL, member_row_written);
 }
 
 /* The first daemon that notices that a member doesn't respond removes it, one
@@ -299,7 +300,7 @@
 		if (member->partner &&
 		    timespec_ms_between(member->last_response_at, now) >=
 			registry->options->dead_ms) {
-			dead_remove(registry, member);
+			silent_member_remove(registry, member);
 			return;
 		}
 	}
--- a/moortack/config/registry_priv.h
+++ b/moortack/config/registry_priv.h
@@ -101,6 +101,6 @@
 
 /* registry_admin.c */
 
-void registry_admin_handle(registry_t *, admin_command_t *ask);
+void registry_admin_handle(registry_t *, admin_command_t *command);
 
 #endif
--- a/moortack/store/store.c
+++ b/moortack/store/store.c
@@ -27,8 +27,8 @@
 }
 
 const char *
-store_response_value(const json_t *reply, const char *key)
+store_response_value(const json_t *response, const char *key)
 {
 	return json_string_value(
-	    json_object_get(json_object_get(reply, "values"), key));
+	    json_object_get(json_object_get(response, "values"), key));
 }
--- a/moortack/store/store_http.c
+++ b/moortack/store/store_http.c
@@ -5,7 +5,7 @@
 
 #define STATUS_OK 200
 #define STATUS_CONFLICT 409
-#define STATUS_REFUSED 429
+#define STATUS_TOO_MANY_REQUESTS 429
 
 typedef struct store_call {
 	store_http_t *store;
@@ -14,14 +14,14 @@
 } store_call_t;
 
 static store_result_t
-result_of(int status)
+result_from_status(int status)
 {
 	switch (status) {
 	case STATUS_OK:
 		return STORE_OK;
 	case STATUS_CONFLICT:
 		return STORE_CONFLICT;
-	case STATUS_REFUSED:
+	case STATUS_TOO_MANY_REQUESTS:
 		return STORE_RATE_LIMITED;
 	default:
 		return STORE_NO_RESPONSE;
@@ -29,11 +29,11 @@
 }
 
 static void
-call_done(void *arg, const http_response_t *reply)
+call_complete(void *arg, const http_response_t *response)
 {
 	store_call_t *call = arg;
-	store_result_t result = result_of(reply->status);
-	json_t *body = http_response_json(reply);
+	store_result_t result = result_from_status(response->status);
+	json_t *body = http_response_json(response);
 
 	if (result == STORE_OK && body == NULL)
 		result = STORE_NO_RESPONSE;
@@ -63,7 +63,8 @@
 
 		*call = (store_call_t){store, done, arg};
 		counter_add(store->counters, COUNTER_STORE_CALLS, 1);
-		started = http_call_start(store->base, &http, call_done, call);
+		started =
+		    http_call_start(store->base, &http, call_complete, call);
 	}
 	free(text);
 	if (!started)
@@ -72,15 +73,15 @@
 }
 
 static bool
-get(store_t *store, json_t *keys, store_done_t done, void *arg)
+http_get(store_t *store, json_t *keys, store_done_t done, void *arg)
 {
 	return call_start((store_http_t *)store, "/table/get",
 	    json_pack("{s:o}", "keys", keys), done, arg);
 }
 
 static bool
-scan(store_t *store, const char *prefix, const char *after, store_done_t done,
-    void *arg)
+http_scan(store_t *store, const char *prefix, const char *after,
+    store_done_t done, void *arg)
 {
 	return call_start((store_http_t *)store, "/table/scan",
 	    json_pack("{s:s,s:s}", "prefix", prefix, "after", after), done,
@@ -88,13 +89,14 @@
 }
 
 static bool
-txn(store_t *store, json_t *checks, json_t *puts, store_done_t done, void *arg)
+http_txn(
+    store_t *store, json_t *checks, json_t *puts, store_done_t done, void *arg)
 {
 	return call_start((store_http_t *)store, "/table/txn",
 	    json_pack("{s:o,s:o}", "checks", checks, "puts", puts), done, arg);
 }
 
-static const store_ops_t http_ops = {get, scan, txn};
+static const store_ops_t http_ops = {http_get, http_scan, http_txn};
 
 void
 store_http_init(store_http_t *store, struct event_base *base,
