--- a/test/scenario/kill_in_outage.lua
+++ b/test/scenario/kill_in_outage.lua
@@ -13,11 +13,11 @@
   {key = "pyykki-dock-key", rate = 60, seconds = 2, tokens = 4})
 local second = lib.load(c.daemons[2].address,
   {key = "pyykki-dock-key", rate = 60, seconds = 2, tokens = 4, seed = 2})
-local whole = {}
+local complete = {}
 for _, load in ipairs({first, second}) do
   local summary, rows = lib.finish_load(load)
   lib.equal(summary.whole, summary.sent, "chats completed during the outage")
-  for _, row in ipairs(rows) do whole[row.request] = true end
+  for _, row in ipairs(rows) do complete[row.request] = true end
 end
 c.daemons[1]:kill()
 c.daemons[2]:signal("TERM")
@@ -27,6 +27,6 @@
 lib.fault(c.store.address, {down = false})
 c.daemons[1] = c.daemons[3]
 c.daemons[2] = nil
-local total = c:check_billed_once(whole)
+local total = c:check_billed_once(complete)
 lib.say("%d billing records, one for each response", total)
 lib.say("ok")
--- a/test/scenario/kills.lua
+++ b/test/scenario/kills.lua
@@ -23,16 +23,16 @@
 lib.say("chat: %s", run.encode(summary))
 lib.say("bookings: %s", run.encode(book_summary))
 
-local whole = {}
+local complete = {}
 for _, row in ipairs(rows) do
   -- When a process is killed its connections close: its callers see that, and
   -- no end mark. No response may be wrong in another way.
   lib.check(row.verdict ~= "wrong", "request %d got a wrong response", row.n)
-  if row.verdict == "whole" then whole[row.request] = true end
+  if row.verdict == "whole" then complete[row.request] = true end
 end
 for _, row in ipairs(book_rows) do
   lib.check(row.verdict ~= "wrong", "booking %d got a wrong response", row.n)
-  if row.verdict == "whole" then whole[row.request] = true end
+  if row.verdict == "whole" then complete[row.request] = true end
 end
 lib.check(summary.whole > summary.sent * 0.8, "most chats were completed")
 lib.check(book_summary.whole > book_summary.sent * 0.7,
@@ -42,15 +42,15 @@
 local runs = lib.runs(c.services[2])
 lib.check_at_most_once(book_rows, runs)
 
-local said = {}
+local failures = {}
 for _, row in ipairs(book_rows) do
   if row.verdict ~= "whole" then
-    local what = row.verdict .. "/" .. row.ran
-    said[what] = (said[what] or 0) + 1
+    local failure = row.verdict .. "/" .. row.ran
+    failures[failure] = (failures[failure] or 0) + 1
   end
 end
-lib.say("incomplete bookings: %s", run.encode(said))
+lib.say("incomplete bookings: %s", run.encode(failures))
 
 -- Each complete response has one billing record; no request has two.
-c:check_billed_once(whole)
+c:check_billed_once(complete)
 lib.say("ok")
--- a/test/scenario/operators_race.lua
+++ b/test/scenario/operators_race.lua
@@ -7,7 +7,7 @@
 
 local conflicts = 0
 for round = 1, 8 do
-  local plans, calls, won = {}, {}, 0
+  local plans, calls, confirmed = {}, {}, 0
   for i = 1, 3 do
     plans[i] = c:plan({{set = "version", name = "linen-lm@2",
       value = {state = "rolling", percent = round * 10 + i}}}, c.daemons[i])
@@ -17,16 +17,17 @@
       "/admin/confirm/" .. plans[i].id, {key = lib.OPERATOR_KEY, body = {}})
   end
   for i = 1, 3 do
-    local answer = calls[i]:finish()
-    if answer.status == 200 then
-      won = won + 1
+    local response = calls[i]:finish()
+    if response.status == 200 then
+      confirmed = confirmed + 1
     else
-      lib.equal(answer.json.error.type, "conflict", "error type of a plan that lost")
-      lib.check(#answer.json.changed >= 1, "the changes are returned")
+      lib.equal(response.json.error.type, "conflict",
+        "error type of a plan that lost")
+      lib.check(#response.json.changed >= 1, "the changes are returned")
       conflicts = conflicts + 1
     end
   end
-  lib.equal(won, 1, "plans confirmed in round " .. round)
+  lib.equal(confirmed, 1, "plans confirmed in round " .. round)
   c:wait_revision(c:status().accepted)
 end
 lib.equal(conflicts, 16, "conflicts")
--- a/test/scenario/paused.lua
+++ b/test/scenario/paused.lua
@@ -7,7 +7,7 @@
 local c = lib.standard()
 
 lib.fault(c.services[2].address, {late_ms = 6})
-local total, not_run, unknown, whole, settled = 0, {}, 0, 0, 0
+local total, not_run, unknown, complete, final = 0, {}, 0, 0, 0
 for round = 1, 6 do
   local first, tickets = {}, {}
   for i = 1, 20 do tickets[i] = lib.ticket(c.daemons[1], "fachschule") end
@@ -24,11 +24,11 @@
       body = {prompt = "r" .. round .. "b" .. i}})
   end
   for i = 1, 20 do
-    local answer = retried[i]:finish()
+    local response = retried[i]:finish()
     total = total + 1
-    if answer.status == 200 then
-      whole = whole + 1
-    elseif answer.json.error.ran == "not_run" then
+    if response.status == 200 then
+      complete = complete + 1
+    elseif response.json.error.ran == "not_run" then
       not_run["r" .. round .. "b" .. i] = true
     else
       unknown = unknown + 1
@@ -37,9 +37,9 @@
   run.sleep(400)
   c.daemons[1]:continue()
   for i = 1, 20 do
-    local answer = first[i]:finish()
-    if answer.json and answer.json.error
-      and answer.json.error.ran == "not_run" then
+    local response = first[i]:finish()
+    if response.json and response.json.error
+      and response.json.error.ran == "not_run" then
       not_run["r" .. round .. "b" .. i] = true
     end
   end
@@ -47,10 +47,10 @@
   -- Once the first daemon continues, each outcome is final: complete or not
   -- run.
   for i = 1, 20 do
-    local answer = lib.book(c.daemons[3], {ticket = tickets[i],
+    local response = lib.book(c.daemons[3], {ticket = tickets[i],
       body = {prompt = "r" .. round .. "b" .. i}})
-    settled = settled + ((answer.status == 200 or
-      answer.json.error.ran == "not_run") and 1 or 0)
+    final = final + ((response.status == 200 or
+      response.json.error.ran == "not_run") and 1 or 0)
   end
 end
 local runs = lib.runs(c.services[2])
@@ -59,14 +59,14 @@
   lib.equal(times, 1, "runs of " .. name)
   count = count + 1
 end
-local named = 0
+local not_run_count = 0
 for name in pairs(not_run) do
-  named = named + 1
+  not_run_count = not_run_count + 1
   lib.check(not runs[name], "%s was reported as not run, but ran", name)
 end
 lib.say("%d retried: %d complete, %d not run, %d unknown; %d ran, %d final " ..
-  "afterwards", total, whole, named, unknown, count, settled)
-lib.equal(settled, total, "outcomes that are final afterwards")
+  "afterwards", total, complete, not_run_count, unknown, count, final)
+lib.equal(final, total, "outcomes that are final afterwards")
 
 -- A daemon that is paused while a version is withdrawn.
 local session = lib.chat(c.daemons[1], {prompt = "before"})
@@ -87,8 +87,9 @@
 run.sleep(100)
 c.daemons[1]:continue()
 for i = 1, 10 do
-  local answer = calls[i]:finish()
-  lib.check(answer.status ~= 200, "a paused daemon served a withdrawn version")
+  local response = calls[i]:finish()
+  lib.check(response.status ~= 200,
+    "a paused daemon served a withdrawn version")
 end
 lib.equal(c:runs_of("linen-lm@1"), before,
   "runs of the withdrawn version at the end")
--- a/test/scenario/store_outage.lua
+++ b/test/scenario/store_outage.lua
@@ -19,10 +19,10 @@
 -- During the outage, well after the freshness window has passed.
 local confirm = c:confirm(plan)
 lib.equal(confirm.json.error.type, "store", "confirm during the outage")
-local keyed = lib.book(c.daemons[1], {idempotency_key = "no-store"})
-lib.equal(keyed.json.error.type, "store",
+local without_ticket = lib.book(c.daemons[1], {idempotency_key = "no-store"})
+lib.equal(without_ticket.json.error.type, "store",
   "an idempotency key without a ticket during the outage")
-lib.equal(keyed.json.error.ran, "unknown",
+lib.equal(without_ticket.json.error.ran, "unknown",
   "execution reported with this error")
 local _, during = c:bills()
 lib.fault(c.store.address, {down = false})
@@ -36,7 +36,7 @@
   "bookings with tickets completed through the outage")
 c:check_billed_once(lib.whole_of(rows, book_rows))
 -- The plan may or may not be in force; to confirm it again is safe and decides.
-local again = c:confirm(plan)
-lib.equal(again.status, 200, "confirm after the outage")
-c:wait_revision(again.json.revision)
+local confirm_again = c:confirm(plan)
+lib.equal(confirm_again.status, 200, "confirm after the outage")
+c:wait_revision(confirm_again.json.revision)
 lib.say("ok")
--- a/test/scenario/strangers.lua
+++ b/test/scenario/strangers.lua
@@ -15,9 +15,9 @@
       lib.equal(entry.answers, false, "whether it responds to daemon " .. i)
     end
   end
-  local named = lib.http("GET", c.daemons[i].address, "/v1/entries",
+  local listed = lib.http("GET", c.daemons[i].address, "/v1/entries",
     {key = lib.ORGANISATIONS["pyykki-dock"].key}).json.entries
-  for _, entry in ipairs(named) do
+  for _, entry in ipairs(listed) do
     lib.check(entry.address ~= stranger.address, "it is not listed to callers")
   end
 end
