--- a/include/moortack/member/lease.h
+++ b/include/moortack/member/lease.h
@@ -34,7 +34,7 @@
 void lease_init(lease_t *, const process_context_t *, store_t *,
     const char *name, int64_t ttl_ms);
 
-/** Requests the lease, or its renewal; lease_usable() tells the outcome. */
+/** Requests the lease, or its renewal; see lease_usable() for the outcome. */
 void lease_request(lease_t *);
 
 /** Whether this daemon holds the lease with enough time left to carry
--- a/moortack/config/registry_heartbeat.c
+++ b/moortack/config/registry_heartbeat.c
@@ -178,14 +178,15 @@
 	for (uint32_t i = 0; i < count; i++) {
 		member_t *member =
 		    members_find(registry->members, incarnations[i]);
-		struct timespec heard;
+		struct timespec responded_at;
 
 		if (member == NULL)
 			continue;
-		heard = freshness_last_response_at(
+		responded_at = freshness_last_response_at(
 		    &registry->freshness, incarnations[i]);
-		if (timespec_ms_between(member->last_response_at, heard) > 0) {
-			member->last_response_at = heard;
+		if (timespec_ms_between(
+			member->last_response_at, responded_at) > 0) {
+			member->last_response_at = responded_at;
 			/* Whether a partner responds is known from this
 			 * daemon's own heartbeats. */
 			changed |= !member->partner && !member->responsive;
--- a/moortack/config/registry_members.c
+++ b/moortack/config/registry_members.c
@@ -42,7 +42,8 @@
 
 	(void)response;
 	registry->join_pending = false;
-	/* Joined, no response, or a conflict: the list of members tells. */
+	/* Joined, no response, or a conflict: the list of members shows which.
+	 */
 	if (result != STORE_RATE_LIMITED)
 		registry_members_read(registry);
 }
--- a/moortack/member/freshness.c
+++ b/moortack/member/freshness.c
@@ -238,14 +238,14 @@
 bool
 freshness_half_responded(const freshness_t *freshness, struct timespec now)
 {
-	uint32_t answered = 0;
+	uint32_t responded = 0;
 
 	for (handle_t h = 0; h < freshness->peers.len; h++) {
 		const peer_evidence_t *peer = table_at(&freshness->peers, h);
 
 		if (timespec_ms_between(peer->queried_at, now) <
 		    freshness->window_ms)
-			answered++;
+			responded++;
 	}
-	return 2 * (answered + 1) >= freshness->member_count;
+	return 2 * (responded + 1) >= freshness->member_count;
 }
