--- a/include/moortack/route/watch.h
+++ b/include/moortack/route/watch.h
@@ -19,8 +19,8 @@
 
 typedef struct endpoint_poller endpoint_poller_t;
 
-endpoint_poller_t *endpoint_poller_new(const process_t *, const options_t *,
-    const endpoint_poller_sink_t *, err_t *err);
+endpoint_poller_t *endpoint_poller_new(const process_context_t *,
+    const options_t *, const endpoint_poller_sink_t *, err_t *err);
 void endpoint_poller_free(endpoint_poller_t *);
 
 #endif
--- a/moortack/config/registry.c
+++ b/moortack/config/registry.c
@@ -19,25 +19,26 @@
 }
 
 static void
-config_tell(registry_t *registry)
+config_publish(registry_t *registry)
 {
-	task_post(registry->ports.front, registry->ports.config,
-	    config_share(registry->config), config_body_release);
+	task_post(registry->subscribers.front_task,
+	    registry->subscribers.config_kind, config_acquire(registry->config),
+	    config_body_release);
 }
 
 void
-registry_freshness_tell(registry_t *registry)
+registry_freshness_publish(registry_t *registry)
 {
-	freshness_news_t *news = malloc(sizeof(*news));
+	freshness_update_t *update = malloc(sizeof(*update));
 	struct timespec now = clock_boottime(registry->process.clock);
 	bool fresh;
 
-	if (news == NULL)
+	if (update == NULL)
 		return;
-	news->until = freshness_until(&registry->freshness);
-	news->ready = registry->config->revision > 0;
-	news->listed = registry->joined || registry->leaving;
-	fresh = timespec_ms_between(now, news->until) > 0;
+	update->expires_at = freshness_expires_at(&registry->freshness);
+	update->has_revision = registry->config->revision > 0;
+	update->listed = registry->joined || registry->leaving;
+	fresh = timespec_ms_between(now, update->expires_at) > 0;
 	if (fresh != registry->was_fresh) {
 		registry->was_fresh = fresh;
 		timeline_add(registry->process.timeline,
@@ -47,21 +48,24 @@
 			counter_add(registry->process.counters,
 			    COUNTER_STALE_PAUSES, 1);
 	}
-	task_post(registry->ports.front, registry->ports.fresh, news, NULL);
+	task_post(registry->subscribers.front_task,
+	    registry->subscribers.freshness_kind, update, NULL);
 }
 
 const revision_row_t *
-registry_row(const registry_t *registry, uint64_t number)
+registry_revision_row(const registry_t *registry, uint64_t number)
 {
-	const revision_row_t *row = &registry->rows[number % REVISIONS_KEPT];
+	const revision_row_t *row =
+	    &registry->revision_rows[number % REVISION_ROWS_MAX];
 
 	return row->text != NULL && row->number == number ? row : NULL;
 }
 
 static void
-row_keep(registry_t *registry, uint64_t number, const char *text)
+revision_row_store(registry_t *registry, uint64_t number, const char *text)
 {
-	revision_row_t *row = &registry->rows[number % REVISIONS_KEPT];
+	revision_row_t *row =
+	    &registry->revision_rows[number % REVISION_ROWS_MAX];
 
 	free(row->text);
 	row->number = number;
@@ -69,7 +73,7 @@
 }
 
 static void
-config_take(registry_t *registry, config_t *config)
+config_replace(registry_t *registry, config_t *config)
 {
 	config_release(registry->config);
 	registry->config = config;
@@ -77,11 +81,11 @@
 	if (config->revision > registry->head)
 		registry->head = config->revision;
 	counter_add(registry->process.counters, COUNTER_REVISIONS_APPLIED, 1);
-	config_tell(registry);
+	config_publish(registry);
 }
 
 bool
-registry_take(registry_t *registry, uint64_t number, const char *text)
+registry_revision_apply(registry_t *registry, uint64_t number, const char *text)
 {
 	json_t *row;
 	json_t *document;
@@ -98,16 +102,17 @@
 		config = config_compile(document, number, &err);
 	json_decref(document);
 	if (config == NULL) {
-		/* Every confirmed plan was compiled before: a newer program
-		 * wrote it, or the table is damaged. */
+		/* Every confirmed plan was compiled before: the revision was
+		 * written by a newer version of the program, or the table is
+		 * corrupt. */
 		log_line(LOG_ERROR, LOG_CONFIG,
-		    "Revision %" PRIu64 " cannot be read: %s.", number,
+		    "Cannot apply revision %" PRIu64 ": %s.", number,
 		    err.detail);
 		json_decref(row);
 		return false;
 	}
-	row_keep(registry, number, text);
-	config_take(registry, config);
+	revision_row_store(registry, number, text);
+	config_replace(registry, config);
 	plan = json_string_value(json_object_get(row, "plan"));
 	timeline_add(registry->process.timeline, EVENT_REVISION_APPLIED,
 	    plan != NULL ? plan : "", "revision %" PRIu64, number);
@@ -116,26 +121,26 @@
 }
 
 static void
-store_seen(registry_t *registry, bool answers)
+store_availability_set(registry_t *registry, bool available)
 {
-	if (answers != registry->store_lost)
+	if (available != registry->store_unavailable)
 		return;
-	registry->store_lost = !answers;
+	registry->store_unavailable = !available;
 	timeline_add(registry->process.timeline,
-	    answers ? EVENT_STORE_AVAILABLE : EVENT_STORE_UNAVAILABLE, "store",
-	    "%s", "");
-	log_line(answers ? LOG_INFO : LOG_WARN, LOG_CONFIG, "%s",
-	    answers ? "The store answers again."
-		    : "The store does not answer.");
+	    available ? EVENT_STORE_AVAILABLE : EVENT_STORE_UNAVAILABLE,
+	    "store", "%s", "");
+	log_line(available ? LOG_INFO : LOG_WARN, LOG_CONFIG, "%s",
+	    available ? "The store is available again."
+		      : "The store is unavailable.");
 }
 
 static void
-snapshot_written(void *arg, store_result_t result, const json_t *reply)
+snapshot_written(void *arg, store_result_t result, const json_t *response)
 {
-	(void)reply;
+	(void)response;
 	(void)arg;
 	if (result != STORE_OK)
-		log_line(LOG_WARN, LOG_CONFIG, "A snapshot was not written.");
+		log_line(LOG_WARN, LOG_CONFIG, "Cannot write the snapshot.");
 }
 
 void
@@ -149,24 +154,24 @@
 	json_decref(snapshot);
 	if (text != NULL) {
 		store_txn(registry->store, json_array(),
-		    json_pack("[o]", store_row("snapshot", text)),
+		    json_pack("[o]", store_row_new("snapshot", text)),
 		    snapshot_written, registry);
 	}
 	free(text);
 }
 
 static void
-rows_read(void *arg, store_result_t result, const json_t *reply)
+revisions_read(void *arg, store_result_t result, const json_t *response)
 {
 	registry_t *registry = arg;
 	uint64_t before = registry->config->revision;
 	json_t *row;
 	size_t i;
 
-	registry->rows_pending = false;
+	registry->revisions_pending = false;
 	if (result != STORE_OK)
 		return;
-	json_array_foreach(json_object_get(reply, "rows"), i, row)
+	json_array_foreach(json_object_get(response, "rows"), i, row)
 	{
 		const char *key = json_string_value(json_array_get(row, 0));
 		const char *text = json_string_value(json_array_get(row, 1));
@@ -176,31 +181,32 @@
 		    sscanf(key, "rev/%" SCNu64, &number) != 1)
 			continue;
 		if (number > registry->config->revision &&
-		    !registry_take(registry, number, text))
+		    !registry_revision_apply(registry, number, text))
 			break;
 	}
-	/* Whoever had to read this much spares the next one. */
-	if (registry->config->revision - before >= SNAPSHOT_EVERY)
+	/* After so many revisions, a snapshot spares other daemons from
+	 * reading them. */
+	if (registry->config->revision - before >= SNAPSHOT_INTERVAL)
 		registry_snapshot_write(registry);
 	if (registry->config->revision > before)
 		registry_head_read(registry);
 }
 
 void
-registry_rows_read(registry_t *registry)
+registry_revisions_read(registry_t *registry)
 {
 	char after[KEY_SIZE];
 
-	if (registry->rows_pending)
+	if (registry->revisions_pending)
 		return;
 	snprintf(after, sizeof(after), REVISION_KEY_FORMAT,
 	    registry->config->revision);
-	registry->rows_pending =
-	    store_scan(registry->store, "rev/", after, rows_read, registry);
+	registry->revisions_pending = store_scan(
+	    registry->store, "rev/", after, revisions_read, registry);
 }
 
 static void
-snapshot_take(registry_t *registry, const char *text)
+snapshot_apply(registry_t *registry, const char *text)
 {
 	json_t *snapshot = json_loads(text, 0, NULL);
 	json_t *document = json_object_get(snapshot, "document");
@@ -212,12 +218,12 @@
 	if (revision > registry->config->revision && json_is_object(document))
 		config = config_compile(document, revision, &err);
 	if (config != NULL)
-		config_take(registry, config);
+		config_replace(registry, config);
 	json_decref(snapshot);
 }
 
 static void
-head_judge(registry_t *registry, uint64_t head)
+head_check(registry_t *registry, uint64_t head)
 {
 	if (head < registry->head) {
 		counter_add(registry->process.counters,
@@ -227,40 +233,40 @@
 		    "head %" PRIu64 ", was %" PRIu64, head, registry->head);
 		log_line(LOG_ERROR, LOG_CONFIG,
 		    "The store's head went back from %" PRIu64 " to %" PRIu64
-		    "; this daemon keeps what it holds.",
+		    "; ignoring it.",
 		    registry->head, head);
 		return;
 	}
 	registry->head = head;
 	if (head > registry->config->revision)
-		registry_rows_read(registry);
+		registry_revisions_read(registry);
 	else
 		freshness_store_read(
-		    &registry->freshness, head, registry->head_asked_at);
+		    &registry->freshness, head, registry->head_requested_at);
 }
 
 static void
-head_read(void *arg, store_result_t result, const json_t *reply)
+head_read(void *arg, store_result_t result, const json_t *response)
 {
 	registry_t *registry = arg;
-	const char *head = store_value(reply, "head");
-	const char *epoch = store_value(reply, "epoch");
-	const char *snapshot = store_value(reply, "snapshot");
+	const char *head = store_response_value(response, "head");
+	const char *epoch = store_response_value(response, "epoch");
+	const char *snapshot = store_response_value(response, "snapshot");
 
 	registry->head_pending = false;
-	store_seen(registry, result == STORE_OK);
+	store_availability_set(registry, result == STORE_OK);
 	if (result == STORE_OK) {
 		uint64_t members_epoch =
 		    epoch != NULL ? strtoull(epoch, NULL, 10) : 0;
 
 		if (snapshot != NULL && registry->config->revision == 0)
-			snapshot_take(registry, snapshot);
-		head_judge(
+			snapshot_apply(registry, snapshot);
+		head_check(
 		    registry, head != NULL ? strtoull(head, NULL, 10) : 0);
 		if (members_epoch != registry->store_epoch || !registry->joined)
 			registry_members_read(registry);
 	}
-	registry_freshness_tell(registry);
+	registry_freshness_publish(registry);
 }
 
 void
@@ -273,22 +279,22 @@
 	keys = json_pack("[s,s]", "head", "epoch");
 	if (registry->config->revision == 0)
 		json_array_append_new(keys, json_string("snapshot"));
-	registry->head_asked_at = clock_boottime(registry->process.clock);
+	registry->head_requested_at = clock_boottime(registry->process.clock);
 	registry->head_pending =
 	    store_get(registry->store, keys, head_read, registry);
 }
 
 static void
-head_ticked(evutil_socket_t fd, short what, void *arg)
+head_timer_run(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
 	registry_head_read(arg);
-	registry_freshness_tell(arg);
+	registry_freshness_publish(arg);
 }
 
 static void
-heartbeat_ticked(evutil_socket_t fd, short what, void *arg)
+heartbeat_timer_run(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
@@ -296,35 +302,35 @@
 }
 
 static void
-handle(void *state, task_msg_t *msg)
+message_handle(void *state, task_msg_t *msg)
 {
 	registry_t *registry = state;
 
 	switch ((enum registry_message)msg->kind) {
 	case REGISTRY_ADMIN:
-		registry_admin_take(registry, msg->body);
+		registry_admin_handle(registry, msg->body);
 		msg->body = NULL;
 		break;
 	case REGISTRY_LEAVE:
-		registry_leave_now(registry);
+		registry_leave_start(registry);
 		break;
-	case REGISTRY_STANDING:
-		registry_standing(registry, msg->body);
+	case REGISTRY_HEARTBEAT_QUERY:
+		registry_heartbeat_query(registry, msg->body);
 		break;
-	case REGISTRY_STOOD:
-		registry_stood(registry, msg->body);
+	case REGISTRY_HEARTBEAT_RESPONSE:
+		registry_heartbeat_response(registry, msg->body);
 		break;
-	case REGISTRY_ASKED_ROWS:
-		registry_rows_asked(registry, msg->body);
+	case REGISTRY_REVISIONS_QUERY:
+		registry_revisions_query(registry, msg->body);
 		break;
-	case REGISTRY_ROWS:
-		registry_rows_answered(registry, msg->body);
+	case REGISTRY_REVISIONS_RESPONSE:
+		registry_revisions_response(registry, msg->body);
 		break;
 	}
 }
 
 static struct event *
-tick_new(registry_t *registry, event_callback_fn callback, int64_t ms)
+timer_new(registry_t *registry, event_callback_fn callback, int64_t ms)
 {
 	struct timeval interval = {
 	    ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
@@ -337,27 +343,27 @@
 }
 
 void
-admin_ask_free(void *body)
+admin_command_free(void *body)
 {
-	admin_ask_t *ask = body;
+	admin_command_t *command = body;
 
-	json_decref(ask->intent);
-	free(ask);
+	json_decref(command->intent);
+	free(command);
 }
 
 void
-admin_answer_free(void *body)
+admin_response_free(void *body)
 {
-	admin_answer_t *answer = body;
+	admin_response_t *response = body;
 
-	json_decref(answer->body);
-	free(answer);
+	json_decref(response->body);
+	free(response);
 }
 
 void
-registry_admin(registry_t *registry, admin_ask_t *ask)
+registry_admin_submit(registry_t *registry, admin_command_t *command)
 {
-	task_post(&registry->task, REGISTRY_ADMIN, ask, admin_ask_free);
+	task_post(&registry->task, REGISTRY_ADMIN, command, admin_command_free);
 }
 
 void
@@ -367,41 +373,43 @@
 }
 
 static void
-routes_set(registry_t *registry)
+query_handlers_set(registry_t *registry)
 {
-	peers_route(registry->peers, WIRE__ENVELOPE__BODY_STANDING,
-	    &registry->task, REGISTRY_STANDING);
-	peers_route(registry->peers, WIRE__ENVELOPE__BODY_REVISIONS_ASK,
-	    &registry->task, REGISTRY_ASKED_ROWS);
+	peers_handler_set(registry->peers, WIRE__ENVELOPE__BODY_STANDING,
+	    &registry->task, REGISTRY_HEARTBEAT_QUERY);
+	peers_handler_set(registry->peers, WIRE__ENVELOPE__BODY_REVISIONS_ASK,
+	    &registry->task, REGISTRY_REVISIONS_QUERY);
 }
 
 registry_t *
-registry_new(const process_t *process, const options_t *options, store_t *store,
-    peers_t *peers, const registry_ports_t *ports, err_t *err)
+registry_new(const process_context_t *process, const options_t *options,
+    store_t *store, peers_t *peers, const registry_subscribers_t *ports,
+    err_t *err)
 {
 	registry_t *registry = calloc(1, sizeof(*registry));
-	json_t *document = document_new();
+	json_t *document = config_document_new();
 
 	if (registry == NULL) {
 		json_decref(document);
-		err_set(err, ERR_MEMORY, "no memory");
+		err_set(err, ERR_MEMORY, "out of memory");
 		return NULL;
 	}
 	registry->process = *process;
 	registry->options = options;
 	registry->store = store;
 	registry->peers = peers;
-	registry->ports = *ports;
+	registry->subscribers = *ports;
 	registry->config = config_compile(document, 0, err);
 	json_decref(document);
 	registry->members = members_new();
 	freshness_init(
 	    &registry->freshness, options->fresh_ms, options->outage_ms);
-	task_init(&registry->task, process->base, handle, registry);
-	routes_set(registry);
-	registry->head_tick = tick_new(registry, head_ticked, options->head_ms);
-	registry->heartbeat_tick =
-	    tick_new(registry, heartbeat_ticked, options->heartbeat_ms);
+	task_init(&registry->task, process->base, message_handle, registry);
+	query_handlers_set(registry);
+	registry->head_timer =
+	    timer_new(registry, head_timer_run, options->head_ms);
+	registry->heartbeat_timer =
+	    timer_new(registry, heartbeat_timer_run, options->heartbeat_ms);
 	registry_head_read(registry);
 	return registry;
 }
@@ -409,13 +417,13 @@
 void
 registry_free(registry_t *registry)
 {
-	event_free(registry->head_tick);
-	event_free(registry->heartbeat_tick);
+	event_free(registry->head_timer);
+	event_free(registry->heartbeat_timer);
 	task_finish(&registry->task);
 	freshness_finish(&registry->freshness);
 	members_release(registry->members);
 	config_release(registry->config);
-	for (int i = 0; i < REVISIONS_KEPT; i++)
-		free(registry->rows[i].text);
+	for (int i = 0; i < REVISION_ROWS_MAX; i++)
+		free(registry->revision_rows[i].text);
 	free(registry);
 }
--- a/moortack/member/lease.c
+++ b/moortack/member/lease.c
@@ -6,10 +6,10 @@
 #include <string.h>
 
 #define KEY_SIZE 48
-#define MARGIN_PARTS 3 /* the last third of a lease is not used */
+#define MARGIN_DIVISOR 3 /* the last third is the safety margin */
 
 void
-lease_init(lease_t *lease, const process_t *process, store_t *store,
+lease_init(lease_t *lease, const process_context_t *process, store_t *store,
     const char *name, int64_t ttl_ms)
 {
 	*lease =
@@ -23,59 +23,59 @@
 	struct timespec now = clock_boottime(lease->process->clock);
 
 	return lease->held &&
-	    timespec_ms_between(now, lease->until) >
-	    lease->ttl_ms / MARGIN_PARTS;
+	    timespec_ms_between(now, lease->expires_at) >
+	    lease->ttl_ms / MARGIN_DIVISOR;
 }
 
 static void
-written(void *arg, store_result_t result, const json_t *reply)
+lease_written(void *arg, store_result_t result, const json_t *response)
 {
 	lease_t *lease = arg;
 
-	(void)reply;
-	lease->asking = false;
-	/* After a lost reply it may be held or not: not using it is safe, and
-	 * the next ask finds this daemon's own row. */
+	(void)response;
+	lease->request_pending = false;
+	/* Without a response the lease may be held or not. It is safe not to
+	 * use it: the next request finds this daemon's own row. */
 	if (result != STORE_OK)
 		return;
 	lease->held = true;
-	lease->fence = lease->asked_fence;
-	lease->until = timespec_add_ms(lease->asked_at, lease->ttl_ms);
+	lease->fence = lease->requested_fence;
+	lease->expires_at = timespec_add_ms(lease->requested_at, lease->ttl_ms);
 }
 
 static json_t *
-row_new(const lease_t *lease, const char *holder)
+lease_row_new(const lease_t *lease, const char *holder)
 {
 	int64_t wall_ms = timespec_to_ms(clock_wall(lease->process->clock));
 
 	return json_pack("{s:s,s:I,s:I}", "holder", holder, "fence",
-	    (json_int_t)lease->asked_fence, "until_ms",
+	    (json_int_t)lease->requested_fence, "until_ms",
 	    (json_int_t)(wall_ms + lease->ttl_ms));
 }
 
 static bool
-row_write(lease_t *lease, const char *key, const char *before)
+lease_row_write(lease_t *lease, const char *key, const char *expected)
 {
 	char holder[INCARNATION_TEXT_SIZE];
 	json_t *row;
 	char *text;
 	bool started;
 
-	incarnation_text(lease->process->incarnation, holder);
-	row = row_new(lease, holder);
+	incarnation_format(lease->process->incarnation, holder);
+	row = lease_row_new(lease, holder);
 	text = json_dumps(row, JSON_COMPACT);
 	json_decref(row);
 	if (text == NULL)
 		return false;
-	started =
-	    store_txn(lease->store, json_pack("[o]", store_row(key, before)),
-		json_pack("[o]", store_row(key, text)), written, lease);
+	started = store_txn(lease->store,
+	    json_pack("[o]", store_row_new(key, expected)),
+	    json_pack("[o]", store_row_new(key, text)), lease_written, lease);
 	free(text);
 	return started;
 }
 
 static void
-was_read(void *arg, store_result_t result, const json_t *reply)
+lease_read(void *arg, store_result_t result, const json_t *response)
 {
 	lease_t *lease = arg;
 	char key[KEY_SIZE];
@@ -84,35 +84,35 @@
 	const char *holder;
 	json_t *row;
 	int64_t fence, until_ms;
-	bool mine, lapsed;
+	bool own, expired;
 
 	snprintf(key, sizeof(key), "lease/%s", lease->name);
-	text = store_value(reply, key);
+	text = store_response_value(response, key);
 	row = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	holder = json_string_value(json_object_get(row, "holder"));
 	fence = json_integer_value(json_object_get(row, "fence"));
 	until_ms = json_integer_value(json_object_get(row, "until_ms"));
-	incarnation_text(lease->process->incarnation, self);
-	mine = holder != NULL && strcmp(holder, self) == 0;
-	lapsed = until_ms <= timespec_to_ms(clock_wall(lease->process->clock));
-	if (!mine)
+	incarnation_format(lease->process->incarnation, self);
+	own = holder != NULL && strcmp(holder, self) == 0;
+	expired = until_ms <= timespec_to_ms(clock_wall(lease->process->clock));
+	if (!own)
 		lease->held = false;
-	lease->asked_fence = mine && !lapsed ? fence : fence + 1;
-	if (result != STORE_OK || (!mine && !lapsed) ||
-	    !row_write(lease, key, text))
-		lease->asking = false;
+	lease->requested_fence = own && !expired ? fence : fence + 1;
+	if (result != STORE_OK || (!own && !expired) ||
+	    !lease_row_write(lease, key, text))
+		lease->request_pending = false;
 	json_decref(row);
 }
 
 void
-lease_ask(lease_t *lease)
+lease_request(lease_t *lease)
 {
 	char key[KEY_SIZE];
 
-	if (lease->asking)
+	if (lease->request_pending)
 		return;
 	snprintf(key, sizeof(key), "lease/%s", lease->name);
-	lease->asked_at = clock_boottime(lease->process->clock);
-	lease->asking =
-	    store_get(lease->store, json_pack("[s]", key), was_read, lease);
+	lease->requested_at = clock_boottime(lease->process->clock);
+	lease->request_pending =
+	    store_get(lease->store, json_pack("[s]", key), lease_read, lease);
 }
--- a/moortack/route/guard.c
+++ b/moortack/route/guard.c
@@ -172,7 +172,7 @@
 		    (*state->organisation != '\0' &&
 			strcmp(state->organisation, organisation) != 0))
 			continue;
-		version = config_version(config, state->version);
+		version = config_version_find(config, state->version);
 		if (version != HANDLE_NONE)
 			version_set_add(&set, version);
 	}
--- a/moortack/route/learn.c
+++ b/moortack/route/learn.c
@@ -98,14 +98,14 @@
 	for (int m = 0; m < count; m++) {
 		const model_t *model = config_model_at(config, models[m]);
 
-		priors[m] = (double)model->quality / CONFIG_QUALITY_FULL;
+		priors[m] = (double)model->quality / CONFIG_QUALITY_MAX;
 		memcpy(row->model_names[m], model->name,
 		    sizeof(row->model_names[m]));
 	}
 	memcpy(
 	    row->organisation, organisation->name, sizeof(row->organisation));
 	cascade_init(&row->cascade, count, priors,
-	    (double)organisation->quality / CONFIG_QUALITY_FULL);
+	    (double)organisation->quality_target / CONFIG_QUALITY_MAX);
 }
 
 organisation_cascade_t *
@@ -129,7 +129,7 @@
 	row->models_revision = config->revision;
 	if (!models_match(row, config, models, count) ||
 	    row->cascade.target !=
-		(double)organisation->quality / CONFIG_QUALITY_FULL)
+		(double)organisation->quality_target / CONFIG_QUALITY_MAX)
 		cascade_rebuild(row, config, organisation, models, count);
 	return count > 0 ? row : NULL;
 }
@@ -176,7 +176,7 @@
 	for (handle_t v = 0; v < after->versions.len; v++) {
 		const version_t *new = config_version_at(after, v);
 		const version_t *old = config_version_at(
-		    before, config_version(before, new->name));
+		    before, config_version_find(before, new->name));
 
 		if (old == NULL || old->state != new->state ||
 		    old->percent != new->percent)
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -13,7 +13,7 @@
 #define READS_IN_FLIGHT_MAX 64
 
 struct endpoint_poller {
-	process_t process;
+	process_context_t process;
 	const options_t *options;
 	endpoint_poller_sink_t sink;
 	http_address_t list_address;
@@ -242,7 +242,7 @@
 }
 
 endpoint_poller_t *
-endpoint_poller_new(const process_t *process, const options_t *options,
+endpoint_poller_new(const process_context_t *process, const options_t *options,
     const endpoint_poller_sink_t *sink, err_t *err)
 {
 	endpoint_poller_t *poller = calloc(1, sizeof(*poller));
--- a/test/scenario/operators_race.lua
+++ b/test/scenario/operators_race.lua
@@ -1,12 +1,13 @@
--- Two operators confirm conflicting plans at once, many times: one wins each
--- time, the other is told what changed, and every daemon ends up the same.
+-- Conflicting plans are confirmed concurrently through three daemons, in
+-- several rounds: exactly one must succeed in each round, the others must get
+-- the changes, and all daemons must end up with the same configuration.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
 
 local conflicts = 0
 for round = 1, 8 do
-  local plans, calls, won = {}, {}, 0
+  local plans, calls, confirmed = {}, {}, 0
   for i = 1, 3 do
     plans[i] = c:plan({{set = "version", name = "linen-lm@2",
       value = {state = "rolling", percent = round * 10 + i}}}, c.daemons[i])
@@ -16,16 +17,17 @@
       "/admin/confirm/" .. plans[i].id, {key = lib.OPERATOR_KEY, body = {}})
   end
   for i = 1, 3 do
-    local answer = calls[i]:finish()
-    if answer.status == 200 then
-      won = won + 1
+    local response = calls[i]:finish()
+    if response.status == 200 then
+      confirmed = confirmed + 1
     else
-      lib.equal(answer.json.error.type, "conflict", "the loser's failure")
-      lib.check(#answer.json.changed >= 1, "what changed is told")
+      lib.equal(response.json.error.type, "conflict",
+        "error type of a plan that lost")
+      lib.check(#response.json.changed >= 1, "the changes are returned")
       conflicts = conflicts + 1
     end
   end
-  lib.equal(won, 1, "winners of round " .. round)
+  lib.equal(confirmed, 1, "plans confirmed in round " .. round)
   c:wait_revision(c:status().accepted)
 end
 lib.equal(conflicts, 16, "conflicts")
@@ -33,9 +35,9 @@
 for i = 1, 3 do
   local shown = c:admin("GET", "plan/", nil, c.daemons[i]).json
   documents[i] = shown.document.versions["linen-lm@2"].percent
-  lib.equal(documents[i], documents[1], "what daemon " .. i .. " holds")
+  lib.equal(documents[i], documents[1], "percentage held by daemon " .. i)
 end
--- Never down: each daemon's time line has its revisions in order.
+-- The revision never decreases: each daemon's timeline lists them in order.
 for i = 1, 3 do
   local last = 0
   for _, event in ipairs(c:events("revision_taken", c.daemons[i])) do
--- a/test/scenario/paused.lua
+++ b/test/scenario/paused.lua
@@ -1,12 +1,13 @@
--- A daemon is stopped with requests in hand, its callers retry at others, and
--- it goes on much later: nothing that may not be repeated runs twice, nothing
--- called "not run" ran, and it sends nothing by an old configuration.
+-- A daemon is paused with requests in flight, its callers retry through others,
+-- and it continues much later. A request that may not be repeated must not run
+-- twice, one reported as "not run" must not have run, and the daemon must not
+-- send requests by an outdated configuration.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
 
 lib.fault(c.services[2].address, {late_ms = 6})
-local total, not_run, unknown, whole, settled = 0, {}, 0, 0, 0
+local total, not_run, unknown, complete, final = 0, {}, 0, 0, 0
 for round = 1, 6 do
   local first, tickets = {}, {}
   for i = 1, 20 do tickets[i] = lib.ticket(c.daemons[1], "fachschule") end
@@ -16,18 +17,18 @@
     if i % 7 == 0 then run.sleep(round) end
   end
   c.daemons[1]:stop()
-  -- The callers give up and retry through another entry.
+  -- The callers give up and retry through other daemons.
   local retried = {}
   for i = 1, 20 do
     retried[i] = lib.book_begin(c.daemons[2 + i % 2], {ticket = tickets[i],
       body = {prompt = "r" .. round .. "b" .. i}})
   end
   for i = 1, 20 do
-    local answer = retried[i]:finish()
+    local response = retried[i]:finish()
     total = total + 1
-    if answer.status == 200 then
-      whole = whole + 1
-    elseif answer.json.error.ran == "not_run" then
+    if response.status == 200 then
+      complete = complete + 1
+    elseif response.json.error.ran == "not_run" then
       not_run["r" .. round .. "b" .. i] = true
     else
       unknown = unknown + 1
@@ -36,19 +37,20 @@
   run.sleep(400)
   c.daemons[1]:continue()
   for i = 1, 20 do
-    local answer = first[i]:finish()
-    if answer.json and answer.json.error
-      and answer.json.error.ran == "not_run" then
+    local response = first[i]:finish()
+    if response.json and response.json.error
+      and response.json.error.ran == "not_run" then
       not_run["r" .. round .. "b" .. i] = true
     end
   end
   c:wait_joined(3)
-  -- Once the first daemon is back, each is settled: whole, or never run.
+  -- Once the first daemon continues, each outcome is final: complete or not
+  -- run.
   for i = 1, 20 do
-    local answer = lib.book(c.daemons[3], {ticket = tickets[i],
+    local response = lib.book(c.daemons[3], {ticket = tickets[i],
       body = {prompt = "r" .. round .. "b" .. i}})
-    settled = settled + ((answer.status == 200 or
-      answer.json.error.ran == "not_run") and 1 or 0)
+    final = final + ((response.status == 200 or
+      response.json.error.ran == "not_run") and 1 or 0)
   end
 end
 local runs = lib.runs(c.services[2])
@@ -57,16 +59,16 @@
   lib.equal(times, 1, "runs of " .. name)
   count = count + 1
 end
-local named = 0
+local not_run_count = 0
 for name in pairs(not_run) do
-  named = named + 1
-  lib.check(not runs[name], "%s was called not run and ran", name)
+  not_run_count = not_run_count + 1
+  lib.check(not runs[name], "%s was reported as not run, but ran", name)
 end
-lib.say("%d retried: %d whole, %d not run, %d unknown; %d ran, %d settled " ..
-  "afterwards", total, whole, named, unknown, count, settled)
-lib.equal(settled, total, "settled afterwards")
+lib.say("%d retried: %d complete, %d not run, %d unknown; %d ran, %d final " ..
+  "afterwards", total, complete, not_run_count, unknown, count, final)
+lib.equal(final, total, "outcomes that are final afterwards")
 
--- Stopped across a withdrawal.
+-- A daemon that is paused while a version is withdrawn.
 local session = lib.chat(c.daemons[1], {prompt = "before"})
 lib.equal(session.status, 200, "chat before")
 c.daemons[1]:stop()
@@ -85,9 +87,10 @@
 run.sleep(100)
 c.daemons[1]:continue()
 for i = 1, 10 do
-  local answer = calls[i]:finish()
-  lib.check(answer.status ~= 200, "a paused daemon served a withdrawn version")
+  local response = calls[i]:finish()
+  lib.check(response.status ~= 200,
+    "a paused daemon served a withdrawn version")
 end
 lib.equal(c:runs_of("linen-lm@1"), before,
-  "runs of the withdrawn version in all")
+  "runs of the withdrawn version at the end")
 lib.say("ok")
--- a/test/unit/freshness_test.c
+++ b/test/unit/freshness_test.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * When a daemon may take its configuration to be in force.
+ * Until when a daemon may treat its configuration as being in force.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,145 +23,145 @@
 static int64_t
 until_ms(const freshness_t *freshness)
 {
-	return timespec_to_ms(freshness_until(freshness)) - START_MS;
+	return timespec_to_ms(freshness_expires_at(freshness)) - START_MS;
 }
 
 static void
-answer(freshness_t *freshness, uint64_t peer, int64_t asked_ms,
+peer_respond(freshness_t *freshness, uint64_t peer, int64_t queried_ms,
     uint64_t revision, uint64_t epoch)
 {
 	const peer_evidence_t evidence = {.incarnation = peer,
-	    .asked_at = at(asked_ms),
+	    .queried_at = at(queried_ms),
 	    .revision = revision,
 	    .epoch = epoch};
 
-	assert_true(freshness_peer_answered(freshness, &evidence));
+	assert_true(freshness_peer_responded(freshness, &evidence));
 }
 
 static void
-init(freshness_t *freshness, uint32_t members)
+freshness_setup(freshness_t *freshness, uint32_t members)
 {
 	freshness_init(freshness, WINDOW_MS, OUTAGE_MS);
-	freshness->members = members;
+	freshness->member_count = members;
 	freshness->revision = 5;
 	freshness->epoch = 3;
 }
 
 static void
-never_without_the_store(void **state)
+not_fresh_without_store_read(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 1);
+	freshness_setup(&freshness, 1);
 	assert_true(until_ms(&freshness) < 0);
 	freshness_finish(&freshness);
 }
 
 static void
-dated_by_the_question(void **state)
+dated_by_request_time(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(100));
 	assert_int_equal(until_ms(&freshness), 100 + WINDOW_MS);
-	/* An older read that comes late takes nothing back. */
+	/* An older read that arrives late doesn't shorten the time. */
 	freshness_store_read(&freshness, 5, at(50));
 	assert_int_equal(until_ms(&freshness), 100 + WINDOW_MS);
 	freshness_finish(&freshness);
 }
 
 static void
-a_head_not_yet_held_proves_nothing(void **state)
+head_not_held_is_no_evidence(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 6, at(100));
 	assert_true(until_ms(&freshness) < 0);
 	freshness_finish(&freshness);
 }
 
 static void
-peers_vouch_only_in_a_majority(void **state)
+peers_are_evidence_only_as_majority(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 5);
+	freshness_setup(&freshness, 5);
 	freshness_store_read(&freshness, 5, at(0));
-	answer(&freshness, 11, 20000, 5, 3);
+	peer_respond(&freshness, 11, 20000, 5, 3);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
-	answer(&freshness, 12, 19000, 5, 3);
-	/* The majority is as old as the answer it can't do without. */
+	peer_respond(&freshness, 12, 19000, 5, 3);
+	/* The majority is as old as the oldest response that it needs. */
 	assert_int_equal(until_ms(&freshness), 19000 + WINDOW_MS);
 	freshness_finish(&freshness);
 }
 
 static void
-peers_ahead_or_elsewhere_do_not_vouch(void **state)
+later_revision_or_other_epoch_does_not_count(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(0));
-	answer(&freshness, 11, 20000, 6, 3);
+	peer_respond(&freshness, 11, 20000, 6, 3);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
-	answer(&freshness, 11, 20000, 5, 4);
+	peer_respond(&freshness, 11, 20000, 5, 4);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
-	answer(&freshness, 11, 20000, 4, 3);
+	peer_respond(&freshness, 11, 20000, 4, 3);
 	assert_int_equal(until_ms(&freshness), 20000 + WINDOW_MS);
 	freshness_finish(&freshness);
 }
 
 static void
-an_outage_has_a_bound(void **state)
+store_outage_is_limited(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(0));
-	answer(&freshness, 11, 59000, 5, 3);
+	peer_respond(&freshness, 11, 59000, 5, 3);
 	assert_int_equal(until_ms(&freshness), OUTAGE_MS);
 	freshness_finish(&freshness);
 }
 
 static void
-half_may_confirm(void **state)
+half_counts_this_daemon(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 5);
-	answer(&freshness, 11, 0, 5, 3);
-	assert_false(freshness_half(&freshness, at(10)));
-	freshness.members = 4;
-	assert_true(freshness_half(&freshness, at(10)));
-	assert_false(freshness_half(&freshness, at(WINDOW_MS)));
+	freshness_setup(&freshness, 5);
+	peer_respond(&freshness, 11, 0, 5, 3);
+	assert_false(freshness_half_responded(&freshness, at(10)));
+	freshness.member_count = 4;
+	assert_true(freshness_half_responded(&freshness, at(10)));
+	assert_false(freshness_half_responded(&freshness, at(WINDOW_MS)));
 	freshness_finish(&freshness);
 }
 
 static void
-a_peer_that_left_is_forgotten(void **state)
+removed_peer_does_not_count(void **state)
 {
 	freshness_t freshness;
 
 	(void)state;
-	init(&freshness, 3);
+	freshness_setup(&freshness, 3);
 	freshness_store_read(&freshness, 5, at(0));
-	answer(&freshness, 11, 20000, 5, 3);
-	answer(&freshness, 12, 21000, 5, 3);
-	freshness_peer_forget(&freshness, 12);
+	peer_respond(&freshness, 11, 20000, 5, 3);
+	peer_respond(&freshness, 12, 21000, 5, 3);
+	freshness_peer_remove(&freshness, 12);
 	assert_int_equal(until_ms(&freshness), 20000 + WINDOW_MS);
-	freshness_peer_forget(&freshness, 11);
+	freshness_peer_remove(&freshness, 11);
 	assert_int_equal(until_ms(&freshness), WINDOW_MS);
-	freshness_peer_forget(&freshness, 11);
-	assert_false(freshness_half(&freshness, at(21000)));
+	freshness_peer_remove(&freshness, 11);
+	assert_false(freshness_half_responded(&freshness, at(21000)));
 	freshness_finish(&freshness);
 }
 
@@ -169,14 +169,14 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(never_without_the_store),
-	    cmocka_unit_test(dated_by_the_question),
-	    cmocka_unit_test(a_head_not_yet_held_proves_nothing),
-	    cmocka_unit_test(peers_vouch_only_in_a_majority),
-	    cmocka_unit_test(peers_ahead_or_elsewhere_do_not_vouch),
-	    cmocka_unit_test(an_outage_has_a_bound),
-	    cmocka_unit_test(half_may_confirm),
-	    cmocka_unit_test(a_peer_that_left_is_forgotten),
+	    cmocka_unit_test(not_fresh_without_store_read),
+	    cmocka_unit_test(dated_by_request_time),
+	    cmocka_unit_test(head_not_held_is_no_evidence),
+	    cmocka_unit_test(peers_are_evidence_only_as_majority),
+	    cmocka_unit_test(later_revision_or_other_epoch_does_not_count),
+	    cmocka_unit_test(store_outage_is_limited),
+	    cmocka_unit_test(half_counts_this_daemon),
+	    cmocka_unit_test(removed_peer_does_not_count),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit/peer_auth_test.c
+++ b/test/unit/peer_auth_test.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Only a holder of the fleet's secret key is heard, whoever knows its public
- * one.
+ * Messages are received only from clients that hold the fleet's secret key; to
+ * know its public key isn't enough.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,21 +17,21 @@
 #define TURNS 60
 #define TURN_US 10000
 
-static int heard;
+static int messages_received;
 
 static void
-count_message(peer_socket_t *socket)
+message_count(peer_socket_t *socket)
 {
 	zmq_msg_t frame;
 	bool more = true;
 
 	while (more && peer_frame_read(socket->socket, &frame, &more)) {
-		heard++;
+		messages_received++;
 		zmq_msg_close(&frame);
 	}
 }
 
-/* A server with the fleet's keys, and where it listens. */
+/* A server with the fleet's keys, and its address. */
 typedef struct server {
 	struct event_base *base;
 	void *context;
@@ -48,18 +48,18 @@
 	size_t size = sizeof(server->endpoint);
 	err_t err;
 
-	heard = 0;
+	messages_received = 0;
 	server->base = event_base_new();
 	server->context = zmq_ctx_new();
 	assert_int_equal(zmq_curve_keypair(public, secret), 0);
 	assert_true(peer_auth_init(&server->auth, secret, &err));
 	assert_true(peer_socket_open(&server->zap, server->base,
-	    server->context, ZMQ_REP, peer_auth_drain, &server->auth));
+	    server->context, ZMQ_REP, peer_auth_zap_handle, &server->auth));
 	assert_int_equal(
 	    zmq_bind(server->zap.socket, "inproc://zeromq.zap.01"), 0);
 	assert_true(peer_socket_open(&server->router, server->base,
-	    server->context, ZMQ_ROUTER, count_message, NULL));
-	peer_auth_set(&server->auth, server->router.socket, true);
+	    server->context, ZMQ_ROUTER, message_count, NULL));
+	peer_auth_apply(&server->auth, server->router.socket, true);
 	assert_int_equal(zmq_bind(server->router.socket, ADDRESS), 0);
 	zmq_getsockopt(
 	    server->router.socket, ZMQ_LAST_ENDPOINT, server->endpoint, &size);
@@ -74,9 +74,10 @@
 	event_base_free(server->base);
 }
 
-/* Send one message with these keys, and let the server run for a while. */
+/* Sends a message with the client's keys and runs the server until it receives
+ * it, or for at most TURNS * TURN_US. */
 static void
-send_as(server_t *server, const peer_auth_t *client)
+message_send_as(server_t *server, const peer_auth_t *client)
 {
 	static const int linger = 0;
 	void *context = zmq_ctx_new();
@@ -84,12 +85,12 @@
 	struct timeval turn = {0, TURN_US};
 
 	zmq_setsockopt(dealer, ZMQ_LINGER, &linger, sizeof(linger));
-	peer_auth_set(client, dealer, false);
+	peer_auth_apply(client, dealer, false);
 	zmq_setsockopt(
-	    dealer, ZMQ_CURVE_SERVERKEY, server->auth.public, Z85_KEY_SIZE);
+	    dealer, ZMQ_CURVE_SERVERKEY, server->auth.public_key, Z85_KEY_SIZE);
 	assert_int_equal(zmq_connect(dealer, server->endpoint), 0);
 	zmq_send(dealer, "x", 1, 0);
-	for (int i = 0; i < TURNS && heard == 0; i++) {
+	for (int i = 0; i < TURNS && messages_received == 0; i++) {
 		event_base_loopexit(server->base, &turn);
 		event_base_dispatch(server->base);
 	}
@@ -98,36 +99,36 @@
 }
 
 static void
-the_fleet_is_heard(void **state)
+fleet_key_is_accepted(void **state)
 {
 	server_t server;
 
 	(void)state;
 	server_start(&server);
-	send_as(&server, &server.auth);
-	assert_true(heard > 0);
+	message_send_as(&server, &server.auth);
+	assert_true(messages_received > 0);
 	server_stop(&server);
 }
 
 static void
-a_stranger_is_not(void **state)
+other_key_is_rejected(void **state)
 {
 	char public[Z85_KEY_SIZE], secret[Z85_KEY_SIZE];
-	peer_auth_t stranger;
+	peer_auth_t other;
 	server_t server;
 	err_t err;
 
 	(void)state;
 	server_start(&server);
 	assert_int_equal(zmq_curve_keypair(public, secret), 0);
-	assert_true(peer_auth_init(&stranger, secret, &err));
-	send_as(&server, &stranger);
-	assert_int_equal(heard, 0);
+	assert_true(peer_auth_init(&other, secret, &err));
+	message_send_as(&server, &other);
+	assert_int_equal(messages_received, 0);
 	server_stop(&server);
 }
 
 static void
-bad_keys_are_settings_errors(void **state)
+invalid_key_is_a_setting_error(void **state)
 {
 	peer_auth_t auth;
 	err_t err;
@@ -141,9 +142,9 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(the_fleet_is_heard),
-	    cmocka_unit_test(a_stranger_is_not),
-	    cmocka_unit_test(bad_keys_are_settings_errors),
+	    cmocka_unit_test(fleet_key_is_accepted),
+	    cmocka_unit_test(other_key_is_rejected),
+	    cmocka_unit_test(invalid_key_is_a_setting_error),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
