--- a/include/moortack/exchange/exchange.h
+++ b/include/moortack/exchange/exchange.h
@@ -38,7 +38,7 @@
 typedef struct exchange {
 	waiter_t waiter; /**< must stay first: it is cast back */
 	front_t *front;
-	uint64_t tag; /**< identifies it in messages; see front_exchange() */
+	uint64_t tag; /**< of its messages: see front_exchange_find() */
 	exchange_phase_t phase;
 	struct evhttp_request *req; /**< NULL: no caller, or disconnected */
 	deferred_job_t *job; /**< deferred request that it runs; else NULL */
--- a/include/moortack/front/front.h
+++ b/include/moortack/front/front.h
@@ -15,18 +15,18 @@
 
 /** Messages that others post to the front. */
 enum front_message {
-	FRONT_CONFIG,  /**< config_t */
-	FRONT_FRESH,   /**< freshness_news_t */
-	FRONT_MEMBERS, /**< members_t */
-	FRONT_ADMIN,   /**< admin_answer_t */
-	FRONT_WITNESS, /**< witness_news_t */
-	FRONT_BILLED,  /**< billing_news_t */
-	FRONT_ROOM,    /**< billing_room_t */
-	FRONT_VMS,     /**< a list of VMs, json_t */
-	FRONT_LOAD,    /**< load_report_t */
-	FRONT_LEFT,    /**< peer_question_t: an endpoint leaves */
-	FRONT_GUARD,   /**< peer_question_t: a version was stopped */
-	FRONT_RATINGS, /**< a list of ratings, json_t */
+	FRONT_CONFIG,	      /**< config_t */
+	FRONT_FRESHNESS,      /**< freshness_news_t */
+	FRONT_MEMBERS,	      /**< members_t */
+	FRONT_ADMIN_RESPONSE, /**< admin_answer_t */
+	FRONT_WITNESS_RESULT, /**< witness_result_t */
+	FRONT_BILLING_RESULT, /**< billing_result_t */
+	FRONT_BILLING_STATUS, /**< billing_status_t */
+	FRONT_VMS,	      /**< a list of VMs, json_t */
+	FRONT_LOAD,	      /**< load_report_t */
+	FRONT_ENDPOINT_LEFT,  /**< peer_question_t: an endpoint leaves */
+	FRONT_GUARD_STOP,     /**< peer_question_t: a version was stopped */
+	FRONT_RATINGS,	      /**< a list of ratings, json_t */
 };
 
 typedef struct front front_t;
@@ -40,16 +40,16 @@
 task_t *front_task(front_t *);
 
 /** Introduce the tasks that the front itself posts to. */
-void front_connect(front_t *, registry_t *, witness_task_t *, billing_t *);
+void front_set_tasks(front_t *, registry_t *, witness_task_t *, billing_t *);
 
 /** Finish what is in progress, take no more, then call drained. */
 void front_drain(front_t *);
 
 /** Exchanges under way. */
-uint32_t front_busy(const front_t *);
+uint32_t front_exchange_count(const front_t *);
 
 /** End every exchange with an error: the time to drain is over.
  * @return how many were cut */
-uint32_t front_cut(front_t *);
+uint32_t front_exchanges_abort(front_t *);
 
 #endif
--- a/include/moortack/ledger/bill.h
+++ b/include/moortack/ledger/bill.h
@@ -30,8 +30,8 @@
 	uint64_t sequence;
 	char request[BILL_REQUEST_SIZE];
 	char organisation[CONFIG_NAME_SIZE];
-	int64_t at_ms; /**< wall-clock */
-	bool cut;      /**< for what was delivered before a cut */
+	int64_t at_ms;	/**< wall-clock */
+	bool truncated; /**< for what was delivered before a cut */
 	uint32_t line_count;
 	bill_line_t lines[BILL_LINES_MAX];
 } bill_t;
--- a/include/moortack/ledger/bill_book.h
+++ b/include/moortack/ledger/bill_book.h
@@ -15,10 +15,10 @@
 
 typedef struct bill_book {
 	book_entry_t *entries;
-	uint64_t incarnation; /**< this daemon's */
-	uint32_t max;	      /**< records at most */
-	uint32_t own;	      /**< records of this daemon */
-	uint64_t sequence;    /**< last number given out */
+	uint64_t incarnation;	/**< this daemon's */
+	uint32_t records_max;	/**< records at most */
+	uint32_t own_count;	/**< records of this daemon */
+	uint64_t last_sequence; /**< last number given out */
 	int64_t held_ms; /**< a peer's record is flushed once held this long */
 } bill_book_t;
 
@@ -46,7 +46,7 @@
 size_t bill_book_copy(const bill_book_t *, bill_t *out, size_t max);
 
 /** The store has these numbers of the incarnation. */
-void bill_book_drop(
+void bill_book_remove(
     bill_book_t *, uint64_t incarnation, uint64_t first, uint64_t last);
 
 uint32_t bill_book_count(const bill_book_t *);
--- a/include/moortack/ledger/billing.h
+++ b/include/moortack/ledger/billing.h
@@ -12,35 +12,35 @@
 #include "moortack/store/store.h"
 
 /** How well a record is kept. */
-typedef enum bill_kept {
-	BILL_HELD,   /**< by a peer, or in the store */
-	BILL_ALONE,  /**< by this daemon only: no peer answered */
-	BILL_REFUSED /**< not at all: the book is full */
-} bill_kept_t;
+typedef enum bill_durability {
+	BILL_REPLICATED,   /**< by a peer, or in the store */
+	BILL_UNREPLICATED, /**< by this daemon only: no peer answered */
+	BILL_NOT_RECORDED  /**< not at all: the book is full */
+} bill_durability_t;
 
 /** As the front receives it. */
-typedef struct billing_news {
+typedef struct billing_result {
 	uint64_t tag;
-	bill_kept_t kept;
-} billing_news_t;
+	bill_durability_t durability;
+} billing_result_t;
 
 /** Whether new billable work may be taken, as the front receives it. */
-typedef struct billing_room {
-	uint32_t count; /**< records not yet in the store */
-	uint32_t max;
+typedef struct billing_status {
+	uint32_t unflushed_count; /**< records not yet in the store */
+	uint32_t unflushed_max;
 	bool drained; /**< draining, and nothing is left here */
-} billing_room_t;
+} billing_status_t;
 
 typedef struct billing billing_t;
 
-typedef struct billing_ports {
+typedef struct billing_listener {
 	task_t *front;
-	int news; /**< kind; body: billing_news_t */
-	int room; /**< kind; body: billing_room_t */
-} billing_ports_t;
+	int result_kind; /**< kind; body: billing_result_t */
+	int status_kind; /**< kind; body: billing_status_t */
+} billing_listener_t;
 
 billing_t *billing_new(const process_t *, const options_t *, store_t *,
-    peers_t *, const billing_ports_t *);
+    peers_t *, const billing_listener_t *);
 void billing_free(billing_t *);
 
 /** Post a record. @param tag of the answer; 0: none wanted */
--- a/include/moortack/ledger/interval_set.h
+++ b/include/moortack/ledger/interval_set.h
@@ -26,12 +26,12 @@
 
 /** @return false when memory is out */
 bool interval_set_add(interval_set_t *, uint64_t number);
-bool interval_set_has(const interval_set_t *, uint64_t number);
+bool interval_set_contains(const interval_set_t *, uint64_t number);
 
 /** Add what the text form lists. @return false when it is malformed */
 bool interval_set_parse(interval_set_t *, const char *text);
 
 /** The text form; the caller frees it. NULL when memory is out. */
-char *interval_set_text(const interval_set_t *);
+char *interval_set_format(const interval_set_t *);
 
 #endif
--- a/include/moortack/ledger/witness.h
+++ b/include/moortack/ledger/witness.h
@@ -14,49 +14,49 @@
 #include <stdint.h>
 
 #define TICKET_ID_SIZE 16
-#define WITNESS_ANSWER_MAX 4096
+#define WITNESS_BODY_MAX 4096
 
 typedef enum witness_op {
-	WITNESS_GO,	 /**< let this attempt run, once */
-	WITNESS_KILL,	 /**< it must never run any more */
-	WITNESS_OUTCOME, /**< it ran, with this answer */
-	WITNESS_UNSENT,	 /**< it was let go, but no byte was sent */
+	WITNESS_OP_GRANT,   /**< let this attempt run, once */
+	WITNESS_OP_REVOKE,  /**< it must never run any more */
+	WITNESS_OP_OUTCOME, /**< it ran, with this answer */
+	WITNESS_OP_UNSENT,  /**< it was let go, but no byte was sent */
 } witness_op_t;
 
 typedef enum witness_state {
 	WITNESS_ABSENT,
-	WITNESS_WENT,	 /**< let go; the outcome isn't known here */
-	WITNESS_DONE,	 /**< ran, with this answer */
-	WITNESS_DEAD,	 /**< can never run */
-	WITNESS_EXPIRED, /**< too old for this witness to say */
-	WITNESS_YOURS,	 /**< go */
-	WITNESS_REFUSED, /**< the table is full */
+	WITNESS_GRANTED,	   /**< let go; the outcome isn't known here */
+	WITNESS_COMPLETED,	   /**< ran, with this answer */
+	WITNESS_REVOKED,	   /**< can never run */
+	WITNESS_EXPIRED,	   /**< too old for this witness to say */
+	WITNESS_GRANTED_TO_SENDER, /**< go */
+	WITNESS_FULL,		   /**< the table is full */
 } witness_state_t;
 
-typedef struct witness_question {
+typedef struct witness_query {
 	witness_op_t op;
 	uint8_t ticket[TICKET_ID_SIZE];
 	int64_t expires_ms; /**< wall-clock */
 	uint64_t attempt;   /**< random; a repeated GO of it is one GO */
-	int status;	    /**< WITNESS_OUTCOME: of the answer */
-	const void *answer; /**< WITNESS_OUTCOME: its body */
-	size_t answer_len;  /**< bytes; over WITNESS_ANSWER_MAX it isn't kept */
-} witness_question_t;
+	int status;	    /**< WITNESS_OP_OUTCOME: of the answer */
+	const void *body;   /**< WITNESS_OP_OUTCOME: its body */
+	size_t body_len;    /**< bytes; over WITNESS_BODY_MAX it isn't kept */
+} witness_query_t;
 
 /** The body points into the table and is valid until the next call. */
-typedef struct witness_answer {
+typedef struct witness_response {
 	witness_state_t state;
 	int status;
-	const void *answer; /**< NULL when it wasn't kept */
-	size_t answer_len;
-} witness_answer_t;
+	const void *body; /**< NULL when it wasn't kept */
+	size_t body_len;
+} witness_response_t;
 
 typedef struct witness_entry witness_entry_t;
 
 typedef struct witness {
 	witness_entry_t *entries; /**< by ticket */
-	uint32_t max;		  /**< entries at most */
-	int64_t wall_ms;	  /**< latest time seen; never goes back */
+	uint32_t entries_max;	  /**< entries at most */
+	int64_t latest_wall_ms;	  /**< latest time seen; never goes back */
 	int64_t next_expiry_ms;
 } witness_t;
 
@@ -64,8 +64,8 @@
 void witness_finish(witness_t *);
 
 /** Answer one question at wall-clock time @p wall_ms. */
-witness_answer_t
-witness_ask(witness_t *, const witness_question_t *, int64_t wall_ms);
+witness_response_t
+witness_apply(witness_t *, const witness_query_t *, int64_t wall_ms);
 
 /** Tickets held. */
 uint32_t witness_count(const witness_t *);
--- a/include/moortack/ledger/witness_task.h
+++ b/include/moortack/ledger/witness_task.h
@@ -10,20 +10,20 @@
 #include "moortack/member/peers.h"
 
 /** A witness's answer, as the front receives it. */
-typedef struct witness_news {
+typedef struct witness_result {
 	uint64_t tag;
-	int which; /**< 0 or 1: of the ticket's witnesses */
-	bool lost; /**< none came in time */
+	int witness_index; /**< 0 or 1: of the ticket's witnesses */
+	bool no_response;  /**< none came in time */
 	witness_state_t state;
 	int status;
-	size_t answer_len;
-	char *answer; /**< NULL when not kept; ended by a zero */
-} witness_news_t;
+	size_t body_len;
+	char *body; /**< NULL when not kept; ended by a zero */
+} witness_result_t;
 
 typedef struct witness_task witness_task_t;
 
 /** @param max tickets held at most
- * @param front receives witness_news_t as @p kind */
+ * @param front receives witness_result_t as @p kind */
 witness_task_t *witness_task_new(
     const process_t *, peers_t *, uint32_t max, task_t *front, int kind);
 void witness_task_free(witness_task_t *);
@@ -33,9 +33,9 @@
  * @param tag the front's; 0: no answer is wanted
  * @param which 0 or 1
  */
-void witness_task_ask(witness_task_t *, uint64_t incarnation, uint64_t tag,
-    int which, const witness_question_t *question);
+void witness_task_query(witness_task_t *, uint64_t incarnation, uint64_t tag,
+    int which, const witness_query_t *question);
 
-void witness_news_free(void *);
+void witness_result_free(void *);
 
 #endif
--- a/moortack/exchange/arrival.c
+++ b/moortack/exchange/arrival.c
@@ -21,7 +21,8 @@
 		return err_set(err, ERR_OVERLOAD,
 		    "overloaded: requests of class %s are refused at present",
 		    class_name(arrival->class));
-	if (front->room.count >= front->room.max)
+	if (front->billing_status.unflushed_count >=
+	    front->billing_status.unflushed_max)
 		return err_set(
 		    err, ERR_STORE, "too many bills wait to be stored");
 	if (!rate_take(&front->rates[arrival->organisation % FRONT_RATES_MAX],
@@ -59,9 +60,9 @@
 {
 	front_t *front = arrival->front;
 
-	if (!front_may_work(front, err))
+	if (!front_is_ready(front, err))
 		return false;
-	arrival->organisation = auth_caller(front, arrival->req);
+	arrival->organisation = auth_organisation(front, arrival->req);
 	if (arrival->organisation == HANDLE_NONE)
 		return err_set(
 		    err, ERR_AUTHENTICATION, "missing or unknown API key");
@@ -83,7 +84,7 @@
 is_at_most_once(struct evhttp_request *req)
 {
 	return http_request_header(req, TICKET_HEADER) != NULL ||
-	    http_request_header(req, KEY_HEADER) != NULL;
+	    http_request_header(req, IDEMPOTENCY_KEY_HEADER) != NULL;
 }
 
 /* A request with a ticket or key may have run before, although it is refused
@@ -93,7 +94,7 @@
 {
 	timeline_add(front->process.timeline, EVENT_REQUEST_REFUSED, "", "%s",
 	    err_info(err->code)->name);
-	answer_failure(
+	failure_respond(
 	    front, req, err, is_at_most_once(req) ? "unknown" : NULL, NULL);
 }
 
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -208,7 +208,7 @@
 		return;
 	}
 	if (exchange->idempotent)
-		upstream_give(front, upstream);
+		upstream_release(front, upstream);
 	else
 		upstream_close(front, upstream);
 	upstream_response_ended(exchange, upstream_req);
@@ -262,7 +262,7 @@
 {
 	front_t *front = exchange->front;
 	struct evhttp_request *req = upstream_request(exchange);
-	upstream_t *upstream = upstream_take(
+	upstream_t *upstream = upstream_acquire(
 	    front, exchange->endpoint_address, !exchange->idempotent);
 
 	if (req == NULL || upstream == NULL) {
@@ -315,7 +315,7 @@
 resume_timer_expired(evutil_socket_t fd, short what, void *arg)
 {
 	const resume_timer_t timer = *(resume_timer_t *)arg;
-	exchange_t *exchange = front_exchange(timer.front, timer.tag);
+	exchange_t *exchange = front_exchange_find(timer.front, timer.tag);
 	char request_id[UPSTREAM_REQUEST_ID_SIZE];
 	char path[128];
 
@@ -412,7 +412,7 @@
 	    (!exchange->idempotent || exchange->at_most_once ||
 		exchange->interrupted_attempts >= INTERRUPTED_ATTEMPTS_MAX))
 		return false;
-	return retry_budget_spend(&exchange->front->retries);
+	return retry_budget_spend(&exchange->front->retry_budget);
 }
 
 void
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -15,7 +15,7 @@
 static void
 claim_completed(void *arg, uint64_t tag, const char *text)
 {
-	exchange_t *exchange = front_exchange(arg, tag);
+	exchange_t *exchange = front_exchange_find(arg, tag);
 
 	if (exchange == NULL || exchange->phase != PHASE_CLAIM)
 		return;
@@ -56,10 +56,11 @@
 
 	if (!idempotency_key_valid(key))
 		return err_set(err, ERR_BAD_REQUEST,
-		    KEY_HEADER " must consist of 1 to %d letters, digits, '.', "
-			       "'_', '-' or ':'",
+		    IDEMPOTENCY_KEY_HEADER
+		    " must consist of 1 to %d letters, digits, '.', "
+		    "'_', '-' or ':'",
 		    IDEMPOTENCY_KEY_MAX);
-	ticket_mint(exchange->front, exchange->organisation, &ticket);
+	ticket_issue(exchange->front, exchange->organisation, &ticket);
 	exchange->phase = PHASE_CLAIM;
 	if (!ticket_seal(&exchange->front->keyring, &ticket, sealed) ||
 	    !claim_start(exchange->front->store, exchange->organisation, key,
@@ -73,14 +74,15 @@
 ticket_accept(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
 	const char *ticket = http_request_header(arrival->req, TICKET_HEADER);
-	const char *key = http_request_header(arrival->req, KEY_HEADER);
+	const char *key =
+	    http_request_header(arrival->req, IDEMPOTENCY_KEY_HEADER);
 
 	exchange->phase = PHASE_QUEUED;
 	exchange->at_most_once = ticket != NULL || key != NULL;
 	if (!exchange->at_most_once && !exchange->idempotent)
 		return err_set(err, ERR_TICKET_REQUIRED,
 		    "%s is not idempotent: send a " TICKET_HEADER
-		    " or an " KEY_HEADER " header",
+		    " or an " IDEMPOTENCY_KEY_HEADER " header",
 		    exchange->model);
 	if (ticket != NULL) {
 		if (!ticket_open(
@@ -205,7 +207,7 @@
 		return NULL;
 	}
 	counter_add(front->process.counters, COUNTER_REQUESTS, 1);
-	retry_budget_earn(&front->retries);
+	retry_budget_earn(&front->retry_budget);
 	exchange->confidence = -1;
 	exchange->req = arrival->req;
 	exchange->started_at = arrival->now;
--- a/moortack/exchange/deferred.c
+++ b/moortack/exchange/deferred.c
@@ -76,7 +76,7 @@
 		err_set(&err, ERR_STORE,
 		    "it is not known whether the request was stored; send it "
 		    "again with the same idempotency key");
-		answer_failure(call->front, call->req, &err, "unknown", NULL);
+		failure_respond(call->front, call->req, &err, "unknown", NULL);
 	}
 	free(call->row);
 	free(call);
@@ -135,8 +135,8 @@
 void
 deferred_accept(front_t *front, struct evhttp_request *req)
 {
-	const organisation_t *organisation =
-	    config_organisation_at(front->config, auth_caller(front, req));
+	const organisation_t *organisation = config_organisation_at(
+	    front->config, auth_organisation(front, req));
 	accept_call_t *call;
 	json_t *body;
 	json_t *row;
@@ -145,15 +145,15 @@
 	body = http_request_json(req, &err);
 	call = calloc(1, sizeof(*call));
 	if (body == NULL || call == NULL) {
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		json_decref(body);
 		free(call);
 		return;
 	}
 	call->front = front;
 	call->req = req;
-	job_id_make(
-	    organisation->name, http_request_header(req, KEY_HEADER), call->id);
+	job_id_make(organisation->name,
+	    http_request_header(req, IDEMPOTENCY_KEY_HEADER), call->id);
 	row = json_pack("{s:s,s:s,s:o,s:s,s:I,s:i}", "id", call->id,
 	    "organisation", organisation->name, "body", body, "by", "",
 	    "until_ms", (json_int_t)0, "tries", 0);
@@ -185,7 +185,7 @@
 			json_string_value(json_object_get(failure, "type"))),
 		    "%s",
 		    json_string_value(json_object_get(failure, "message")));
-		answer_failure(call->front, call->req, &err, NULL, NULL);
+		failure_respond(call->front, call->req, &err, NULL, NULL);
 		return;
 	}
 	if (version != NULL)
@@ -208,12 +208,12 @@
 
 	if (result != STORE_OK) {
 		err_set(&err, ERR_STORE, "the store did not respond");
-		answer_failure(call->front, call->req, &err, "unknown", NULL);
+		failure_respond(call->front, call->req, &err, "unknown", NULL);
 	} else if (row == NULL ||
 	    !organisation_matches(row, call->organisation)) {
 		err_set(&err, ERR_NOT_FOUND,
 		    "there is no deferred request with this id");
-		answer_failure(call->front, call->req, &err, NULL, NULL);
+		failure_respond(call->front, call->req, &err, NULL, NULL);
 	} else if (result_text != NULL) {
 		result_send(call, row);
 	} else {
@@ -230,13 +230,13 @@
 void
 deferred_collect(front_t *front, struct evhttp_request *req, const char *id)
 {
-	handle_t organisation = auth_caller(front, req);
+	handle_t organisation = auth_organisation(front, req);
 	collect_call_t *call;
 	err_t err;
 
 	if (organisation == HANDLE_NONE) {
 		err_set(&err, ERR_AUTHENTICATION, "missing or unknown API key");
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	call = calloc(1, sizeof(*call));
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -39,7 +39,7 @@
 static void
 job_free(deferred_job_t *job)
 {
-	job->front->jobs--;
+	job->front->jobs_running--;
 	json_decref(job->row);
 	json_decref(job->commit_puts);
 	free(job->claim);
@@ -254,7 +254,7 @@
 
 	if (job == NULL)
 		return;
-	front->jobs++;
+	front->jobs_running++;
 	incarnation_text(front->process.incarnation, incarnation);
 	json_object_set_new(row, "by", json_string(incarnation));
 	json_object_set_new(
@@ -299,10 +299,10 @@
 	size_t first =
 	    count > 0 ? rng_below(front->process.rng, (uint32_t)count) : 0;
 
-	front->jobs_looking = false;
+	front->jobs_poll_pending = false;
 	if (result != STORE_OK)
 		return;
-	for (size_t i = 0; i < count && front->jobs < JOBS_MAX; i++) {
+	for (size_t i = 0; i < count && front->jobs_running < JOBS_MAX; i++) {
 		const json_t *row = json_array_get(rows, (first + i) % count);
 
 		row_claim_if_due(
@@ -316,13 +316,14 @@
 	struct timespec now = clock_boottime(front->process.clock);
 	err_t err;
 
-	if (front->jobs_looking || front->draining || front->jobs >= JOBS_MAX ||
-	    timespec_ms_between(front->jobs_looked_at, now) < 0 ||
-	    !front_may_work(front, &err))
+	if (front->jobs_poll_pending || front->draining ||
+	    front->jobs_running >= JOBS_MAX ||
+	    timespec_ms_between(front->jobs_polled_at, now) < 0 ||
+	    !front_is_ready(front, &err))
 		return;
-	front->jobs_looked_at = timespec_add_ms(now,
+	front->jobs_polled_at = timespec_add_ms(now,
 	    POLL_MIN_MS +
 		rng_below(front->process.rng, POLL_MAX_MS - POLL_MIN_MS));
-	front->jobs_looking =
+	front->jobs_poll_pending =
 	    store_scan(front->store, "defer/", "", scan_completed, front);
 }
--- a/moortack/exchange/dispatch.c
+++ b/moortack/exchange/dispatch.c
@@ -156,7 +156,7 @@
 	handle_t picked;
 	err_t err;
 
-	if (!front_may_work(front, &err) || !version_check(exchange, &err)) {
+	if (!front_is_ready(front, &err) || !version_check(exchange, &err)) {
 		exchange_fail(exchange, err.code, err.detail);
 		return;
 	}
@@ -195,7 +195,7 @@
 	    fleet_at(&front->fleet, exchange->endpoint);
 	balance_query_t query;
 
-	if (!front_may_work(front, err))
+	if (!front_is_ready(front, err))
 		return false;
 	if (timespec_ms_between(exchange->waiter.deadline,
 		clock_boottime(front->process.clock)) >= 0)
--- a/moortack/exchange/finish.c
+++ b/moortack/exchange/finish.c
@@ -31,7 +31,7 @@
 	*bill = (bill_t){
 	    .at_ms = timespec_to_ms(clock_wall(exchange->front->process.clock)),
 	    .line_count = exchange->bill_line_count,
-	    .cut = cut};
+	    .truncated = cut};
 	memcpy(bill->lines, exchange->bill_lines, sizeof(bill->lines));
 	exchange_bill_line(exchange, &bill->lines[bill->line_count++]);
 	snprintf(bill->request, sizeof(bill->request), "%s", exchange->id);
@@ -174,7 +174,7 @@
 
 	if (code != ERR_TICKET_REVOKED)
 		return NULL;
-	ticket_mint(exchange->front, exchange->organisation, &ticket);
+	ticket_issue(exchange->front, exchange->organisation, &ticket);
 	if (!ticket_seal(&exchange->front->keyring, &ticket, sealed))
 		return NULL;
 	return json_pack("{s:s}", "ticket", sealed);
@@ -189,7 +189,7 @@
 	} else {
 		http_response_add_header(
 		    exchange->req, "Moortack-Request", exchange->id);
-		answer_failure(exchange->front, exchange->req, err,
+		failure_respond(exchange->front, exchange->req, err,
 		    ran_override(exchange, err),
 		    ticket_offer(exchange, err->code));
 	}
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -32,7 +32,7 @@
 	if (!guard_observe(&front->learn.guard, &sample))
 		return;
 	stopped = guard_stopped(&front->learn.guard, config, "");
-	front_guard_tell(front, version,
+	front_guard_broadcast(front, version,
 	    version_set_has(&stopped, config_version(config, version))
 		? ""
 		: organisation);
--- a/moortack/exchange/ticketing.c
+++ b/moortack/exchange/ticketing.c
@@ -8,15 +8,15 @@
 witness_query(exchange_t *exchange, int which, witness_op_t op,
     bool want_response, int status, const char *body, size_t len)
 {
-	witness_question_t query = {.op = op,
+	witness_query_t query = {.op = op,
 	    .expires_ms = exchange->ticket.expires_ms,
 	    .attempt = exchange->attempt_id,
 	    .status = status,
-	    .answer = body,
-	    .answer_len = len};
+	    .body = body,
+	    .body_len = len};
 
 	memcpy(query.ticket, exchange->ticket.id, TICKET_ID_SIZE);
-	witness_task_ask(exchange->front->witnesses,
+	witness_task_query(exchange->front->witness_task,
 	    exchange->ticket.witnesses[which],
 	    want_response ? exchange->tag : 0, which, &query);
 }
@@ -30,16 +30,17 @@
 		    rng_u64(exchange->front->process.rng) | 1;
 	redeem_init(&exchange->redeem);
 	for (int which = 0; which < REDEEM_WITNESSES; which++)
-		witness_query(exchange, which, WITNESS_GO, true, 0, NULL, 0);
+		witness_query(
+		    exchange, which, WITNESS_OP_GRANT, true, 0, NULL, 0);
 }
 
 void
 exchange_unsent_report(exchange_t *exchange)
 {
 	for (int which = 0; which < REDEEM_WITNESSES; which++) {
-		if (redeem_may_hold(&exchange->redeem, which))
-			witness_query(
-			    exchange, which, WITNESS_UNSENT, false, 0, NULL, 0);
+		if (redeem_may_be_granted(&exchange->redeem, which))
+			witness_query(exchange, which, WITNESS_OP_UNSENT, false,
+			    0, NULL, 0);
 	}
 	exchange->granted = false;
 }
@@ -49,8 +50,8 @@
     exchange_t *exchange, int status, const char *body, size_t len)
 {
 	for (int which = 0; which < REDEEM_WITNESSES; which++)
-		witness_query(
-		    exchange, which, WITNESS_OUTCOME, false, status, body, len);
+		witness_query(exchange, which, WITNESS_OP_OUTCOME, false,
+		    status, body, len);
 }
 
 /* The request ran before: send its response again, if a witness has it. */
@@ -81,9 +82,9 @@
 {
 	redeem_result_t result = redeem_result(&exchange->redeem);
 
-	if (result == REDEEM_WAIT)
+	if (result == REDEEM_PENDING)
 		return;
-	if (result == REDEEM_GO) {
+	if (result == REDEEM_GRANTED) {
 		exchange->granted = true;
 		exchange_send(exchange);
 		return;
@@ -98,10 +99,10 @@
 		    "nothing was run under this ticket or idempotency key, "
 		    "nor will be; use a new one");
 		return;
-	case REDEEM_DONE:
+	case REDEEM_COMPLETED:
 		response_replay(exchange, status, body);
 		return;
-	case REDEEM_BUSY:
+	case REDEEM_WITNESS_FULL:
 		exchange_fail(exchange, ERR_WITNESS_FULL,
 		    "a witness has no capacity for more tickets");
 		return;
@@ -119,8 +120,8 @@
 	if (exchange->phase != PHASE_REDEEM)
 		return;
 	if (lost)
-		redeem_lost(&exchange->redeem, which);
+		redeem_record_no_response(&exchange->redeem, which);
 	else
-		redeem_answer(&exchange->redeem, which, state);
+		redeem_record_response(&exchange->redeem, which, state);
 	redeem_result_apply(exchange, status, body);
 }
--- a/moortack/exchange/upstream.c
+++ b/moortack/exchange/upstream.c
@@ -33,16 +33,16 @@
 }
 
 upstream_t *
-upstream_take(front_t *front, const char *address, bool fresh)
+upstream_acquire(front_t *front, const char *address, bool fresh)
 {
-	upstream_t **at = &front->idle;
+	upstream_t **at = &front->idle_upstreams;
 
 	while (!fresh && *at != NULL) {
 		upstream_t *upstream = *at;
 
 		if (strcmp(upstream->address, address) == 0) {
 			*at = upstream->next;
-			front->idle_count--;
+			front->idle_upstream_count--;
 			return upstream;
 		}
 		at = &upstream->next;
@@ -51,15 +51,15 @@
 }
 
 void
-upstream_give(front_t *front, upstream_t *upstream)
+upstream_release(front_t *front, upstream_t *upstream)
 {
-	if (front->idle_count >= IDLE_CONNECTIONS_MAX) {
+	if (front->idle_upstream_count >= IDLE_CONNECTIONS_MAX) {
 		upstream_close(front, upstream);
 		return;
 	}
-	upstream->next = front->idle;
-	front->idle = upstream;
-	front->idle_count++;
+	upstream->next = front->idle_upstreams;
+	front->idle_upstreams = upstream;
+	front->idle_upstream_count++;
 }
 
 static void
@@ -85,10 +85,10 @@
 void
 upstreams_free(front_t *front)
 {
-	while (front->idle != NULL) {
-		upstream_t *upstream = front->idle;
+	while (front->idle_upstreams != NULL) {
+		upstream_t *upstream = front->idle_upstreams;
 
-		front->idle = upstream->next;
+		front->idle_upstreams = upstream->next;
 		evhttp_connection_free(upstream->conn);
 		free(upstream);
 	}
--- a/moortack/front/admin.c
+++ b/moortack/front/admin.c
@@ -67,8 +67,9 @@
 	admin_ask_t *ask;
 
 	(void)rest;
-	if (intent == NULL || !operator_may(operator_row, intent, &err)) {
-		answer_failure(front, req, &err, NULL, NULL);
+	if (intent == NULL ||
+	    !operator_is_allowed(operator_row, intent, &err)) {
+		failure_respond(front, req, &err, NULL, NULL);
 		json_decref(intent);
 		return;
 	}
@@ -202,7 +203,7 @@
 
 	if (operator_row == NULL) {
 		err_set(&err, ERR_AUTHENTICATION, "no such operator's key");
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	for (size_t i = 0; i < sizeof(paths) / sizeof(*paths); i++) {
@@ -214,11 +215,11 @@
 		}
 	}
 	err_set(&err, ERR_NOT_FOUND, "there is no such admin path");
-	answer_failure(front, req, &err, NULL, NULL);
+	failure_respond(front, req, &err, NULL, NULL);
 }
 
 void
-admin_answered(front_t *front, admin_answer_t *answer)
+admin_respond(front_t *front, admin_answer_t *answer)
 {
 	admin_slot_t *slot = slot_of(front, answer->tag);
 	struct evhttp_request *req;
@@ -228,7 +229,7 @@
 	req = slot->req;
 	slot->req = NULL;
 	if (answer->err.code != ERR_NONE) {
-		answer_failure(
+		failure_respond(
 		    front, req, &answer->err, NULL, json_incref(answer->body));
 		return;
 	}
@@ -236,7 +237,7 @@
 }
 
 void
-metrics_answer(front_t *front, struct evhttp_request *req)
+metrics_respond(front_t *front, struct evhttp_request *req)
 {
 	struct evbuffer *out = evbuffer_new();
 
@@ -251,7 +252,8 @@
 	    "# TYPE moortack_bills_unflushed gauge\n"
 	    "moortack_bills_unflushed %u\n"
 	    "# TYPE moortack_revision gauge\nmoortack_revision %llu\n",
-	    front->busy, front->admission.count, front->room.count,
+	    front->exchange_count, front->admission.count,
+	    front->billing_status.unflushed_count,
 	    (unsigned long long)front->config->revision);
 	http_response_add_header(
 	    req, "Content-Type", "text/plain; version=0.0.4");
--- a/moortack/front/answer.c
+++ b/moortack/front/answer.c
@@ -32,7 +32,7 @@
 }
 
 void
-answer_failure(front_t *front, struct evhttp_request *req, const err_t *err,
+failure_respond(front_t *front, struct evhttp_request *req, const err_t *err,
     const char *ran, json_t *more)
 {
 	const err_info_t *info = err_info(err->code);
--- a/moortack/front/auth.c
+++ b/moortack/front/auth.c
@@ -20,7 +20,7 @@
 }
 
 handle_t
-auth_caller(const front_t *front, struct evhttp_request *req)
+auth_organisation(const front_t *front, struct evhttp_request *req)
 {
 	char hash[CONFIG_KEY_HASH_SIZE];
 
@@ -65,7 +65,7 @@
 }
 
 bool
-operator_may(const operator_row_t *row, const json_t *intent, err_t *err)
+operator_is_allowed(const operator_row_t *row, const json_t *intent, err_t *err)
 {
 	json_t *change;
 	size_t i;
--- a/moortack/front/entries.c
+++ b/moortack/front/entries.c
@@ -85,15 +85,15 @@
 }
 
 void
-entries_answer(front_t *front, struct evhttp_request *req)
+entries_respond(front_t *front, struct evhttp_request *req)
 {
 	entry_t entries[CANDIDATES_MAX];
 	uint32_t count = entries_list(front, entries);
 	err_t err;
 
-	if (auth_caller(front, req) == HANDLE_NONE) {
+	if (auth_organisation(front, req) == HANDLE_NONE) {
 		err_set(&err, ERR_AUTHENTICATION, "no such key");
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	entries_shuffle(front->process.rng, entries, count);
@@ -123,7 +123,7 @@
 }
 
 void
-ticket_mint(front_t *front, const char *organisation, ticket_t *out)
+ticket_issue(front_t *front, const char *organisation, ticket_t *out)
 {
 	*out = (ticket_t){
 	    .expires_ms = timespec_to_ms(clock_wall(front->process.clock)) +
@@ -135,9 +135,9 @@
 }
 
 void
-tickets_answer(front_t *front, struct evhttp_request *req)
+tickets_respond(front_t *front, struct evhttp_request *req)
 {
-	handle_t organisation = auth_caller(front, req);
+	handle_t organisation = auth_organisation(front, req);
 	json_t *list;
 	char text[16] = "1";
 	int count;
@@ -145,7 +145,7 @@
 
 	if (organisation == HANDLE_NONE) {
 		err_set(&err, ERR_AUTHENTICATION, "no such key");
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	http_request_query_param(req, "count", text, sizeof(text));
@@ -153,7 +153,7 @@
 	    count > TICKETS_MAX) {
 		err_set(&err, ERR_BAD_REQUEST, "count must be from 1 to %d",
 		    TICKETS_MAX);
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	list = json_array();
@@ -161,7 +161,7 @@
 		char sealed[TOKEN_TEXT_MAX];
 		ticket_t ticket;
 
-		ticket_mint(front,
+		ticket_issue(front,
 		    config_organisation_at(front->config, organisation)->name,
 		    &ticket);
 		if (ticket_seal(&front->keyring, &ticket, sealed))
--- a/moortack/front/front.c
+++ b/moortack/front/front.c
@@ -27,8 +27,8 @@
 {
 	err_t err;
 
-	if (!front_may_work(front, &err)) {
-		answer_failure(front, req, &err, NULL, NULL);
+	if (!front_is_ready(front, &err)) {
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	http_respond_json(req, 200, json_pack("{s:b}", "ready", 1));
@@ -37,10 +37,10 @@
 /* Sorted by path. */
 static const front_path_t paths[] = {
     {"/healthz", EVHTTP_REQ_GET, healthy},
-    {"/metrics", EVHTTP_REQ_GET, metrics_answer},
+    {"/metrics", EVHTTP_REQ_GET, metrics_respond},
     {"/v1/chat/completions", EVHTTP_REQ_POST, exchange_chat_start},
-    {"/v1/entries", EVHTTP_REQ_GET, entries_answer},
-    {"/v1/tickets", EVHTTP_REQ_POST, tickets_answer},
+    {"/v1/entries", EVHTTP_REQ_GET, entries_respond},
+    {"/v1/tickets", EVHTTP_REQ_POST, tickets_respond},
 };
 
 static void
@@ -74,19 +74,19 @@
 		deferred_collect(front, req, path + sizeof(deferred) - 1);
 	} else {
 		err_set(&err, ERR_NOT_FOUND, "there is no such path");
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 	}
 }
 
 bool
-front_may_work(const front_t *front, err_t *err)
+front_is_ready(const front_t *front, err_t *err)
 {
 	struct timespec now = clock_boottime(front->process.clock);
 
-	if (!front->fresh.ready || !front->fresh.listed)
+	if (!front->freshness.ready || !front->freshness.listed)
 		return err_set(err, ERR_NOT_READY,
 		    "this entry holds no confirmed configuration yet");
-	if (timespec_ms_between(now, front->fresh.until) <= 0)
+	if (timespec_ms_between(now, front->freshness.until) <= 0)
 		return err_set(err, ERR_CONFIG_STALE,
 		    "this entry cannot tell whether its configuration is still "
 		    "in force");
@@ -102,18 +102,19 @@
 	exchange_slot_t *slot;
 	handle_t handle = 0;
 
-	if (front->busy >= front->options->exchanges_max)
+	if (front->exchange_count >= front->options->exchanges_max)
 		return NULL;
-	while (handle < front->slots.len &&
-	    ((exchange_slot_t *)table_at(&front->slots, handle))->exchange !=
-		NULL)
+	while (handle < front->exchange_slots.len &&
+	    ((exchange_slot_t *)table_at(&front->exchange_slots, handle))
+		    ->exchange != NULL)
 		handle++;
-	if (handle == front->slots.len && table_add(&front->slots) == NULL)
+	if (handle == front->exchange_slots.len &&
+	    table_add(&front->exchange_slots) == NULL)
 		return NULL;
 	exchange = calloc(1, sizeof(*exchange));
 	if (exchange == NULL)
 		return NULL;
-	slot = table_at(&front->slots, handle);
+	slot = table_at(&front->exchange_slots, handle);
 	slot->exchange = exchange;
 	slot->generation++;
 	exchange->front = front;
@@ -122,15 +123,15 @@
 	/* Witnesses' tags need one bit more: see witness_task.c. */
 	exchange->tag =
 	    (uint64_t)(slot->generation & 0x7fffffff) << 32 | (handle + 1);
-	front->busy++;
+	front->exchange_count++;
 	return exchange;
 }
 
 exchange_t *
-front_exchange(const front_t *front, uint64_t tag)
+front_exchange_find(const front_t *front, uint64_t tag)
 {
 	const exchange_slot_t *slot =
-	    table_at(&front->slots, (handle_t)(tag & UINT32_MAX) - 1);
+	    table_at(&front->exchange_slots, (handle_t)(tag & UINT32_MAX) - 1);
 
 	if (slot == NULL || slot->exchange == NULL ||
 	    slot->exchange->tag != tag)
@@ -141,11 +142,11 @@
 void
 front_exchange_free(front_t *front, exchange_t *exchange)
 {
-	exchange_slot_t *slot =
-	    table_at(&front->slots, (handle_t)(exchange->tag & UINT32_MAX) - 1);
+	exchange_slot_t *slot = table_at(
+	    &front->exchange_slots, (handle_t)(exchange->tag & UINT32_MAX) - 1);
 
 	slot->exchange = NULL;
-	front->busy--;
+	front->exchange_count--;
 	free(exchange);
 }
 
@@ -180,8 +181,8 @@
 static void
 deadlines_check(front_t *front, struct timespec now)
 {
-	for (handle_t h = 0; h < front->slots.len; h++) {
-		exchange_slot_t *slot = table_at(&front->slots, h);
+	for (handle_t h = 0; h < front->exchange_slots.len; h++) {
+		exchange_slot_t *slot = table_at(&front->exchange_slots, h);
 		exchange_t *exchange = slot->exchange;
 
 		if (exchange == NULL || exchange->phase == PHASE_BILLING ||
@@ -198,24 +199,25 @@
 static void
 door_check(front_t *front, struct timespec now)
 {
-	if (front->bound == NULL ||
-	    timespec_ms_between(front->door_closes, now) < 0)
+	if (front->listener == NULL ||
+	    timespec_ms_between(front->listen_until, now) < 0)
 		return;
-	evhttp_del_accept_socket(front->http, front->bound);
-	front->bound = NULL;
+	evhttp_del_accept_socket(front->http, front->listener);
+	front->listener = NULL;
 	billing_drain(front->billing);
 }
 
 static void
 drained_check(front_t *front, struct timespec now)
 {
-	if (!front->draining || front->drained_told)
+	if (!front->draining || front->drained_notified)
 		return;
 	door_check(front, now);
-	if (front->bound != NULL || front->busy > 0 || !front->room.drained)
+	if (front->listener != NULL || front->exchange_count > 0 ||
+	    !front->billing_status.drained)
 		return;
-	front->drained_told = true;
-	front->drained(front->drained_arg);
+	front->drained_notified = true;
+	front->on_drained(front->on_drained_arg);
 }
 
 static void
@@ -259,9 +261,9 @@
 	evhttp_set_allowed_methods(
 	    front->http, EVHTTP_REQ_GET | EVHTTP_REQ_POST);
 	evhttp_set_gencb(front->http, request, front);
-	front->bound = evhttp_bind_socket_with_handle(
+	front->listener = evhttp_bind_socket_with_handle(
 	    front->http, address.host, address.port);
-	if (front->bound == NULL)
+	if (front->listener == NULL)
 		return err_set(err, ERR_SETTING, "cannot listen on %s",
 		    front->options->listen);
 	return true;
@@ -271,16 +273,17 @@
 tables_init(front_t *front)
 {
 	table_init(&front->operators, sizeof(operator_row_t));
-	table_init(&front->slots, sizeof(exchange_slot_t));
+	table_init(&front->exchange_slots, sizeof(exchange_slot_t));
 	table_init(&front->admin_slots, sizeof(admin_slot_t));
 	fleet_init(&front->fleet);
 	learn_init(&front->learn);
 	front->learn.guard.limit = (double)front->options->guard_limit;
-	retry_budget_init(&front->retries, front->options->retry_percent);
+	retry_budget_init(&front->retry_budget, front->options->retry_percent);
 	admission_init(&front->admission, (uint32_t)front->options->waiting_max,
 	    front->options->cutoff_ms);
 	front->members = members_new();
-	front->room.max = (uint32_t)front->options->bills_max;
+	front->billing_status.unflushed_max =
+	    (uint32_t)front->options->bills_max;
 	lease_init(&front->orders_lease, &front->process, front->store,
 	    "orders", front->options->orders_lease_ms);
 }
@@ -302,8 +305,8 @@
 	front->options = options;
 	front->store = store;
 	front->peers = peers;
-	front->drained = drained;
-	front->drained_arg = arg;
+	front->on_drained = drained;
+	front->on_drained_arg = arg;
 	tables_init(front);
 	task_init(&front->task, process->base, front_handle, front);
 	front->config = config_compile(empty, 0, err);
@@ -316,20 +319,21 @@
 		return NULL;
 	}
 	peers_route(peers, WIRE__ENVELOPE__BODY_ENDPOINT_LEFT, &front->task,
-	    FRONT_LEFT);
-	peers_route(
-	    peers, WIRE__ENVELOPE__BODY_GUARD_STOP, &front->task, FRONT_GUARD);
-	front->tick = event_new(process->base, -1, EV_PERSIST, ticked, front);
-	event_add(front->tick, &interval);
+	    FRONT_ENDPOINT_LEFT);
+	peers_route(peers, WIRE__ENVELOPE__BODY_GUARD_STOP, &front->task,
+	    FRONT_GUARD_STOP);
+	front->tick_event =
+	    event_new(process->base, -1, EV_PERSIST, ticked, front);
+	event_add(front->tick_event, &interval);
 	return front;
 }
 
 void
-front_connect(front_t *front, registry_t *registry, witness_task_t *witnesses,
+front_set_tasks(front_t *front, registry_t *registry, witness_task_t *witnesses,
     billing_t *billing)
 {
 	front->registry = registry;
-	front->witnesses = witnesses;
+	front->witness_task = witnesses;
 	front->billing = billing;
 }
 
@@ -340,29 +344,29 @@
 }
 
 uint32_t
-front_busy(const front_t *front)
+front_exchange_count(const front_t *front)
 {
-	return front->busy;
+	return front->exchange_count;
 }
 
 void
 front_drain(front_t *front)
 {
 	front->draining = true;
-	front->door_closes =
+	front->listen_until =
 	    timespec_add_ms(clock_boottime(front->process.clock),
 		front->options->entries_ttl_ms + DOOR_MARGIN_MS);
 	timeline_add(front->process.timeline, EVENT_DRAINING,
-	    front->options->listen, "%u in progress", front->busy);
+	    front->options->listen, "%u in progress", front->exchange_count);
 }
 
 uint32_t
-front_cut(front_t *front)
+front_exchanges_abort(front_t *front)
 {
 	uint32_t cut = 0;
 
-	for (handle_t h = 0; h < front->slots.len; h++) {
-		exchange_slot_t *slot = table_at(&front->slots, h);
+	for (handle_t h = 0; h < front->exchange_slots.len; h++) {
+		exchange_slot_t *slot = table_at(&front->exchange_slots, h);
 
 		if (slot->exchange == NULL)
 			continue;
@@ -379,10 +383,10 @@
 front_free(front_t *front)
 {
 	front->stopping = true;
-	if (front->tick != NULL)
-		event_free(front->tick);
-	for (handle_t h = 0; h < front->slots.len; h++) {
-		exchange_slot_t *slot = table_at(&front->slots, h);
+	if (front->tick_event != NULL)
+		event_free(front->tick_event);
+	for (handle_t h = 0; h < front->exchange_slots.len; h++) {
+		exchange_slot_t *slot = table_at(&front->exchange_slots, h);
 
 		if (slot->exchange != NULL)
 			exchange_free(slot->exchange);
@@ -392,7 +396,7 @@
 		evhttp_free(front->http);
 	tls_free(front->tls);
 	task_finish(&front->task);
-	table_finish(&front->slots);
+	table_finish(&front->exchange_slots);
 	table_finish(&front->admin_slots);
 	table_finish(&front->operators);
 	fleet_finish(&front->fleet);
--- a/moortack/front/front_priv.h
+++ b/moortack/front/front_priv.h
@@ -19,7 +19,7 @@
 #define FRONT_RATES_MAX 4096
 #define SESSION_HEADER "Moortack-Session"
 #define TICKET_HEADER "Moortack-Ticket"
-#define KEY_HEADER "Idempotency-Key"
+#define IDEMPOTENCY_KEY_HEADER "Idempotency-Key"
 #define DEADLINE_HEADER "Moortack-Deadline-Ms"
 #define RETRY_HEADER "Moortack-Retry"
 
@@ -56,48 +56,48 @@
 	peers_t *peers;
 	task_t task;
 	struct evhttp *http;
-	struct evhttp_bound_socket *bound;
+	struct evhttp_bound_socket *listener;
 	tls_t *tls; /**< NULL: callers and operators come in plain */
 	registry_t *registry;
-	witness_task_t *witnesses;
+	witness_task_t *witness_task;
 	billing_t *billing;
 
 	config_t *config;
 	members_t *members;
-	freshness_news_t fresh;
-	billing_room_t room;
+	freshness_news_t freshness;
+	billing_status_t billing_status;
 	fleet_t fleet;
 	keyring_t keyring;
 	admission_t admission;
 	rate_t rates[FRONT_RATES_MAX]; /**< by organisation handle */
 	learn_t learn;
-	retry_budget_t retries;
+	retry_budget_t retry_budget;
 	table_t operators; /**< operator_row_t */
 
-	table_t slots;	     /**< exchange_slot_t */
-	table_t admin_slots; /**< admin_slot_t */
-	uint32_t busy;
+	table_t exchange_slots; /**< exchange_slot_t */
+	table_t admin_slots;	/**< admin_slot_t */
+	uint32_t exchange_count;
 	lease_t orders_lease;
-	struct timespec ordered_at;
-	struct timespec jobs_looked_at;
-	uint32_t jobs; /**< deferred requests that run here */
-	bool jobs_looking;
-	upstream_t *idle;
-	uint32_t idle_count;
-
-	struct event *tick;
+	struct timespec orders_checked_at;
+	struct timespec jobs_polled_at;
+	uint32_t jobs_running; /**< deferred requests that run here */
+	bool jobs_poll_pending;
+	upstream_t *idle_upstreams;
+	uint32_t idle_upstream_count;
+
+	struct event *tick_event;
 	bool draining;
-	struct timespec door_closes; /**< while draining */
-	bool drained_told;
+	struct timespec listen_until; /**< while draining */
+	bool drained_notified;
 	bool stopping;
-	void (*drained)(void *);
-	void *drained_arg;
+	void (*on_drained)(void *);
+	void *on_drained_arg;
 };
 
 /* answer.c */
 
 /** Answer a failure. @param ran overrides what the type says; NULL: don't */
-void answer_failure(front_t *, struct evhttp_request *, const err_t *,
+void failure_respond(front_t *, struct evhttp_request *, const err_t *,
     const char *ran, json_t *more);
 
 /** The JSON object of a failure. */
@@ -107,13 +107,14 @@
 /* auth.c */
 
 /** The organisation whose key came with the request, or HANDLE_NONE. */
-handle_t auth_caller(const front_t *, struct evhttp_request *);
+handle_t auth_organisation(const front_t *, struct evhttp_request *);
 
 /** The operator whose key came with the request, or NULL. */
 const operator_row_t *auth_operator(const front_t *, struct evhttp_request *);
 
 /** Whether the operator may make every change of the intent. */
-bool operator_may(const operator_row_t *, const json_t *intent, err_t *err);
+bool
+operator_is_allowed(const operator_row_t *, const json_t *intent, err_t *err);
 
 /** Read the setting "operators". */
 bool operators_parse(table_t *, const char *text, err_t *err);
@@ -125,29 +126,30 @@
 
 /* entries.c */
 
-void entries_answer(front_t *, struct evhttp_request *);
-void tickets_answer(front_t *, struct evhttp_request *);
+void entries_respond(front_t *, struct evhttp_request *);
+void tickets_respond(front_t *, struct evhttp_request *);
 
 /** Fill a new ticket for the organisation. */
-void ticket_mint(front_t *, const char *organisation, ticket_t *out);
+void ticket_issue(front_t *, const char *organisation, ticket_t *out);
 
 /* admin.c */
 
 void admin_request(front_t *, struct evhttp_request *, const char *path);
-void admin_answered(front_t *, admin_answer_t *);
-void metrics_answer(front_t *, struct evhttp_request *);
+void admin_respond(front_t *, admin_answer_t *);
+void metrics_respond(front_t *, struct evhttp_request *);
 
 /* front.c */
 
 /** Whether new work may be taken or sent now; else why not, in @p err. */
-bool front_may_work(const front_t *, err_t *err);
+bool front_is_ready(const front_t *, err_t *err);
 
 /** Take one message (messages.c). */
 void front_handle(void *state, task_msg_t *msg);
 
 /** Tell every peer that the guard stopped a version.
  * @param organisation "": for all */
-void front_guard_tell(front_t *, const char *version, const char *organisation);
+void
+front_guard_broadcast(front_t *, const char *version, const char *organisation);
 
 /** Try the waiting exchanges. */
 void front_dispatch(front_t *);
@@ -157,16 +159,16 @@
 void front_exchange_free(front_t *, exchange_t *);
 
 /** Find the exchange of a tag, or NULL when it has ended. */
-exchange_t *front_exchange(const front_t *, uint64_t tag);
+exchange_t *front_exchange_find(const front_t *, uint64_t tag);
 
 /* upstream.c (exchange) */
 
 /** A connection to an address: an idle one, or a new one.
  * @param fresh never an idle one */
-upstream_t *upstream_take(front_t *, const char *address, bool fresh);
+upstream_t *upstream_acquire(front_t *, const char *address, bool fresh);
 
 /** Give it back for the next request. */
-void upstream_give(front_t *, upstream_t *);
+void upstream_release(front_t *, upstream_t *);
 
 /** Close it, once its request was cancelled or has ended. */
 void upstream_close(front_t *, upstream_t *);
--- a/moortack/front/messages.c
+++ b/moortack/front/messages.c
@@ -36,7 +36,8 @@
 }
 
 void
-front_guard_tell(front_t *front, const char *version, const char *organisation)
+front_guard_broadcast(
+    front_t *front, const char *version, const char *organisation)
 {
 	counter_add(front->process.counters, COUNTER_GUARD_STOPS, 1);
 	timeline_add(front->process.timeline, EVENT_GUARD_STOPPED, version,
@@ -214,19 +215,19 @@
 }
 
 static void
-witness_take(front_t *front, const witness_news_t *news)
+witness_take(front_t *front, const witness_result_t *news)
 {
-	exchange_t *exchange = front_exchange(front, news->tag);
+	exchange_t *exchange = front_exchange_find(front, news->tag);
 
 	if (exchange != NULL)
-		exchange_witness_responded(exchange, news->which, news->lost,
-		    news->state, news->status, news->answer);
+		exchange_witness_responded(exchange, news->witness_index,
+		    news->no_response, news->state, news->status, news->body);
 }
 
 static void
-billed_take(front_t *front, const billing_news_t *news)
+billed_take(front_t *front, const billing_result_t *news)
 {
-	exchange_t *exchange = front_exchange(front, news->tag);
+	exchange_t *exchange = front_exchange_find(front, news->tag);
 
 	if (exchange != NULL && exchange->phase == PHASE_BILLING)
 		exchange_bill_recorded(exchange);
@@ -241,23 +242,23 @@
 	case FRONT_CONFIG:
 		config_take(front, msg->body);
 		break;
-	case FRONT_FRESH:
-		front->fresh = *(freshness_news_t *)msg->body;
+	case FRONT_FRESHNESS:
+		front->freshness = *(freshness_news_t *)msg->body;
 		break;
 	case FRONT_MEMBERS:
 		members_take(front, msg->body);
 		break;
-	case FRONT_ADMIN:
-		admin_answered(front, msg->body);
+	case FRONT_ADMIN_RESPONSE:
+		admin_respond(front, msg->body);
 		break;
-	case FRONT_WITNESS:
+	case FRONT_WITNESS_RESULT:
 		witness_take(front, msg->body);
 		break;
-	case FRONT_BILLED:
+	case FRONT_BILLING_RESULT:
 		billed_take(front, msg->body);
 		break;
-	case FRONT_ROOM:
-		front->room = *(billing_room_t *)msg->body;
+	case FRONT_BILLING_STATUS:
+		front->billing_status = *(billing_status_t *)msg->body;
 		break;
 	case FRONT_VMS:
 		vms_take(front, msg->body);
@@ -265,10 +266,10 @@
 	case FRONT_LOAD:
 		load_take(front, msg->body);
 		break;
-	case FRONT_LEFT:
+	case FRONT_ENDPOINT_LEFT:
 		leave_heard(front, msg->body);
 		break;
-	case FRONT_GUARD:
+	case FRONT_GUARD_STOP:
 		guard_heard(front, msg->body);
 		break;
 	case FRONT_RATINGS:
--- a/moortack/front/orders.c
+++ b/moortack/front/orders.c
@@ -77,10 +77,11 @@
 	struct timespec now = clock_boottime(front->process.clock);
 	err_t err;
 
-	if (timespec_ms_between(front->ordered_at, now) < ORDER_EVERY_MS ||
-	    front->draining || !front_may_work(front, &err))
+	if (timespec_ms_between(front->orders_checked_at, now) <
+		ORDER_EVERY_MS ||
+	    front->draining || !front_is_ready(front, &err))
 		return;
-	front->ordered_at = now;
+	front->orders_checked_at = now;
 	for (handle_t h = 0; h < front->fleet.endpoints.len; h++) {
 		const endpoint_t *endpoint = fleet_at(&front->fleet, h);
 		const char *version = withdrawn_version(front, endpoint);
--- a/moortack/ledger/bill.c
+++ b/moortack/ledger/bill.c
@@ -33,7 +33,7 @@
 	return json_pack("{s:I,s:s,s:s,s:I,s:I,s:b,s:o}", "sequence",
 	    (json_int_t)bill->sequence, "request", bill->request,
 	    "organisation", bill->organisation, "cost", cost, "at_ms",
-	    (json_int_t)bill->at_ms, "cut", bill->cut, "lines", lines);
+	    (json_int_t)bill->at_ms, "cut", bill->truncated, "lines", lines);
 }
 
 static void
@@ -56,7 +56,7 @@
 	out->bill.request = (char *)bill->request;
 	out->bill.organisation = (char *)bill->organisation;
 	out->bill.at_ms = bill->at_ms;
-	out->bill.cut = bill->cut;
+	out->bill.cut = bill->truncated;
 	out->bill.n_lines = bill->line_count;
 	out->bill.lines = out->pointers;
 	for (uint32_t i = 0; i < bill->line_count; i++) {
@@ -92,7 +92,7 @@
 	*out = (bill_t){.incarnation = in->incarnation,
 	    .sequence = in->sequence,
 	    .at_ms = in->at_ms,
-	    .cut = in->cut};
+	    .truncated = in->cut};
 	if (in->n_lines > BILL_LINES_MAX)
 		return false;
 	for (size_t i = 0; i < in->n_lines; i++) {
--- a/moortack/ledger/bill_book.c
+++ b/moortack/ledger/bill_book.c
@@ -22,14 +22,14 @@
     bill_book_t *book, uint64_t incarnation, uint32_t max, int64_t held_ms)
 {
 	*book = (bill_book_t){
-	    .incarnation = incarnation, .max = max, .held_ms = held_ms};
+	    .incarnation = incarnation, .records_max = max, .held_ms = held_ms};
 }
 
 static void
 entry_drop(bill_book_t *book, book_entry_t *entry)
 {
 	if (entry->id.incarnation == book->incarnation)
-		book->own--;
+		book->own_count--;
 	HASH_DEL(book->entries, entry);
 	free(entry);
 }
@@ -54,7 +54,7 @@
 bool
 bill_book_has_room(const bill_book_t *book)
 {
-	return bill_book_count(book) < book->max;
+	return bill_book_count(book) < book->records_max;
 }
 
 static book_entry_t *
@@ -82,7 +82,7 @@
 	entry->since = now;
 	HASH_ADD(hh, book->entries, id, sizeof(id), entry);
 	if (id.incarnation == book->incarnation)
-		book->own++;
+		book->own_count++;
 	return true;
 }
 
@@ -92,14 +92,14 @@
 	if (!bill_book_has_room(book))
 		return false;
 	bill->incarnation = book->incarnation;
-	bill->sequence = ++book->sequence;
+	bill->sequence = ++book->last_sequence;
 	return entry_add(book, bill, now);
 }
 
 bool
 bill_book_hold(bill_book_t *book, const bill_t *bill, struct timespec now)
 {
-	if (bill_book_count(book) - book->own >= book->max / 2)
+	if (bill_book_count(book) - book->own_count >= book->records_max / 2)
 		return false;
 	return entry_add(book, bill, now);
 }
@@ -146,7 +146,7 @@
 	{
 		if (entry->id.incarnation != incarnation)
 			continue;
-		if (interval_set_has(mark, entry->id.sequence)) {
+		if (interval_set_contains(mark, entry->id.sequence)) {
 			entry_drop(book, entry);
 			continue;
 		}
@@ -175,7 +175,7 @@
 }
 
 void
-bill_book_drop(
+bill_book_remove(
     bill_book_t *book, uint64_t incarnation, uint64_t first, uint64_t last)
 {
 	book_entry_t *entry, *next;
--- a/moortack/ledger/billing.c
+++ b/moortack/ledger/billing.c
@@ -8,31 +8,33 @@
 #define US_PER_MS 1000
 
 void
-billing_news_post(billing_t *billing, uint64_t tag, bill_kept_t kept)
+billing_result_post(billing_t *billing, uint64_t tag, bill_durability_t kept)
 {
-	billing_news_t *news;
+	billing_result_t *news;
 
 	if (tag == 0)
 		return;
 	news = malloc(sizeof(*news));
 	if (news == NULL)
 		return;
-	*news = (billing_news_t){tag, kept};
-	task_post(billing->ports.front, billing->ports.news, news, NULL);
+	*news = (billing_result_t){tag, kept};
+	task_post(
+	    billing->listener.front, billing->listener.result_kind, news, NULL);
 }
 
 void
-billing_room_post(billing_t *billing)
+billing_status_post(billing_t *billing)
 {
-	billing_room_t *room = malloc(sizeof(*room));
+	billing_status_t *room = malloc(sizeof(*room));
 
 	if (room == NULL)
 		return;
-	room->count = bill_book_count(&billing->book);
-	room->max = billing->book.max;
+	room->unflushed_count = bill_book_count(&billing->book);
+	room->unflushed_max = billing->book.records_max;
 	room->drained =
 	    billing->draining && bill_book_count(&billing->book) == 0;
-	task_post(billing->ports.front, billing->ports.room, room, NULL);
+	task_post(
+	    billing->listener.front, billing->listener.status_kind, room, NULL);
 }
 
 static void
@@ -49,27 +51,27 @@
 
 	switch ((enum billing_message)msg->kind) {
 	case BILLING_RECORD:
-		billing_take(billing, msg->body);
+		billing_bill_accept(billing, msg->body);
 		break;
 	case BILLING_DRAIN:
 		billing->draining = true;
 		billing_flush(billing);
-		billing_room_post(billing);
+		billing_status_post(billing);
 		break;
 	case BILLING_MEMBERS:
 		members_take(billing, msg->body);
 		break;
-	case BILLING_PEER_HOLDS:
-		billing_peer_holds(billing, msg->body);
+	case BILLING_HOLD_QUERY:
+		billing_hold_query(billing, msg->body);
 		break;
-	case BILLING_PEER_DROPS:
-		billing_peer_drops(billing, msg->body);
+	case BILLING_DROP_MESSAGE:
+		billing_drop_message(billing, msg->body);
 		break;
-	case BILLING_HELD:
-		billing_held(billing, msg->body);
+	case BILLING_HOLD_RESPONSE:
+		billing_hold_responded(billing, msg->body);
 		break;
-	case BILLING_HANDED:
-		billing_handed(billing, msg->body);
+	case BILLING_HANDOVER_RESPONSE:
+		billing_handover_responded(billing, msg->body);
 		break;
 	}
 }
@@ -80,17 +82,17 @@
 	(void)fd;
 	(void)what;
 	billing_flush(arg);
-	billing_room_post(arg);
+	billing_status_post(arg);
 }
 
 void
 billing_record(billing_t *billing, const bill_t *bill, uint64_t tag)
 {
-	record_t *record = malloc(sizeof(*record));
+	tagged_bill_t *record = malloc(sizeof(*record));
 
 	if (record == NULL)
 		return;
-	*record = (record_t){*bill, tag};
+	*record = (tagged_bill_t){*bill, tag};
 	task_post(&billing->task, BILLING_RECORD, record, NULL);
 }
 
@@ -114,7 +116,7 @@
 
 billing_t *
 billing_new(const process_t *process, const options_t *options, store_t *store,
-    peers_t *peers, const billing_ports_t *ports)
+    peers_t *peers, const billing_listener_t *ports)
 {
 	billing_t *billing = calloc(1, sizeof(*billing));
 	struct timeval interval = {options->flush_ms / MS_PER_SEC,
@@ -126,29 +128,29 @@
 	billing->options = options;
 	billing->store = store;
 	billing->peers = peers;
-	billing->ports = *ports;
+	billing->listener = *ports;
 	billing->members = members_new();
-	table_init(&billing->holdings, sizeof(holding_t));
+	table_init(&billing->pending_holds, sizeof(pending_hold_t));
 	bill_book_init(&billing->book, process->incarnation,
 	    (uint32_t)options->bills_max, options->held_ms);
 	task_init(&billing->task, process->base, handle, billing);
 	peers_route(peers, WIRE__ENVELOPE__BODY_BILL_HOLD, &billing->task,
-	    BILLING_PEER_HOLDS);
+	    BILLING_HOLD_QUERY);
 	peers_route(peers, WIRE__ENVELOPE__BODY_BILL_DROP, &billing->task,
-	    BILLING_PEER_DROPS);
-	billing->tick =
+	    BILLING_DROP_MESSAGE);
+	billing->flush_timer =
 	    event_new(process->base, -1, EV_PERSIST, ticked, billing);
-	event_add(billing->tick, &interval);
+	event_add(billing->flush_timer, &interval);
 	return billing;
 }
 
 void
 billing_free(billing_t *billing)
 {
-	event_free(billing->tick);
+	event_free(billing->flush_timer);
 	task_finish(&billing->task);
 	bill_book_finish(&billing->book);
-	table_finish(&billing->holdings);
+	table_finish(&billing->pending_holds);
 	members_release(billing->members);
 	free(billing);
 }
--- a/moortack/ledger/billing_flush.c
+++ b/moortack/ledger/billing_flush.c
@@ -39,7 +39,7 @@
 
 	billing->flushing = false;
 	flush_free(flush);
-	billing_room_post(billing);
+	billing_status_post(billing);
 	if (more)
 		billing_flush(billing);
 }
@@ -82,7 +82,7 @@
 		return;
 	}
 	for (size_t i = 0; i < flush->count; i++)
-		bill_book_drop(&billing->book, flush->incarnation,
+		bill_book_remove(&billing->book, flush->incarnation,
 		    flush->bills[i].sequence, flush->bills[i].sequence);
 	counter_add(
 	    billing->process.counters, COUNTER_BILLS_FLUSHED, flush->count);
@@ -110,7 +110,7 @@
 	char key[KEY_SIZE];
 	json_t *batch = batch_json(flush);
 	char *text = json_dumps(batch, JSON_COMPACT);
-	char *mark = interval_set_text(&flush->mark);
+	char *mark = interval_set_format(&flush->mark);
 	bool started = false;
 
 	json_decref(batch);
@@ -139,7 +139,7 @@
 
 	if (result != STORE_OK) {
 		if (flush->billing->draining)
-			billing_hand_over(flush->billing);
+			billing_handover_start(flush->billing);
 		flush_end(flush, false);
 		return;
 	}
--- a/moortack/ledger/billing_hold.c
+++ b/moortack/ledger/billing_hold.c
@@ -14,7 +14,7 @@
 
 /* A partner that answers, elsewhere if there is one; another at each try. */
 static const member_t *
-holder_choose(const billing_t *billing, const holding_t *holding)
+holder_choose(const billing_t *billing, const pending_hold_t *holding)
 {
 	uint32_t first =
 	    (uint32_t)holding->record.bill.sequence + (uint32_t)holding->tries;
@@ -35,16 +35,16 @@
 }
 
 static void
-holding_end(billing_t *billing, holding_t *holding, bill_kept_t kept)
+holding_end(billing_t *billing, pending_hold_t *holding, bill_durability_t kept)
 {
-	billing_news_post(billing, holding->record.tag, kept);
+	billing_result_post(billing, holding->record.tag, kept);
 	holding->used = false;
 }
 
 static void
 holding_ask(billing_t *billing, handle_t handle)
 {
-	holding_t *holding = table_at(&billing->holdings, handle);
+	pending_hold_t *holding = table_at(&billing->pending_holds, handle);
 	const member_t *member = holder_choose(billing, holding);
 	bill_packed_t bill;
 	Wire__Bill *bills[1] = {&bill.bill};
@@ -52,13 +52,13 @@
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 	peer_ask_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
 	    .task = &billing->task,
-	    .kind = BILLING_HELD,
+	    .kind = BILLING_HOLD_RESPONSE,
 	    .tag = handle};
 
 	if (member == NULL || holding->tries++ >= HOLD_TRIES) {
 		counter_add(
 		    billing->process.counters, COUNTER_BILLS_UNREPLICATED, 1);
-		holding_end(billing, holding, BILL_ALONE);
+		holding_end(billing, holding, BILL_UNREPLICATED);
 		/* Nobody else holds it: the store is the next best. */
 		billing_flush(billing);
 		return;
@@ -73,46 +73,46 @@
 }
 
 static handle_t
-holding_add(billing_t *billing, const record_t *record)
+holding_add(billing_t *billing, const tagged_bill_t *record)
 {
 	handle_t handle = 0;
-	holding_t *holding;
+	pending_hold_t *holding;
 
-	while (handle < billing->holdings.len &&
-	    ((holding_t *)table_at(&billing->holdings, handle))->used)
+	while (handle < billing->pending_holds.len &&
+	    ((pending_hold_t *)table_at(&billing->pending_holds, handle))->used)
 		handle++;
-	if (handle == billing->holdings.len &&
-	    table_add(&billing->holdings) == NULL)
+	if (handle == billing->pending_holds.len &&
+	    table_add(&billing->pending_holds) == NULL)
 		return HANDLE_NONE;
-	holding = table_at(&billing->holdings, handle);
-	*holding = (holding_t){.used = true, .record = *record};
+	holding = table_at(&billing->pending_holds, handle);
+	*holding = (pending_hold_t){.used = true, .record = *record};
 	return handle;
 }
 
 void
-billing_take(billing_t *billing, record_t *record)
+billing_bill_accept(billing_t *billing, tagged_bill_t *record)
 {
 	struct timespec now = clock_boottime(billing->process.clock);
 	handle_t handle;
 
 	if (!bill_book_record(&billing->book, &record->bill, now)) {
 		log_line(LOG_ERROR, LOG_LEDGER, "The bill book is full.");
-		billing_news_post(billing, record->tag, BILL_REFUSED);
+		billing_result_post(billing, record->tag, BILL_NOT_RECORDED);
 		return;
 	}
 	counter_add(billing->process.counters, COUNTER_BILLS_RECORDED, 1);
 	handle = holding_add(billing, record);
 	if (handle == HANDLE_NONE)
-		billing_news_post(billing, record->tag, BILL_ALONE);
+		billing_result_post(billing, record->tag, BILL_UNREPLICATED);
 	else
 		holding_ask(billing, handle);
 }
 
 void
-billing_held(billing_t *billing, const peer_answer_t *answer)
+billing_hold_responded(billing_t *billing, const peer_answer_t *answer)
 {
-	holding_t *holding =
-	    table_at(&billing->holdings, (handle_t)answer->tag);
+	pending_hold_t *holding =
+	    table_at(&billing->pending_holds, (handle_t)answer->tag);
 	bool held = answer->envelope != NULL &&
 	    answer->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
 	    answer->envelope->bill_held->held;
@@ -120,13 +120,13 @@
 	if (holding == NULL || !holding->used)
 		return;
 	if (held)
-		holding_end(billing, holding, BILL_HELD);
+		holding_end(billing, holding, BILL_REPLICATED);
 	else
 		holding_ask(billing, (handle_t)answer->tag);
 }
 
 void
-billing_peer_holds(billing_t *billing, const peer_question_t *question)
+billing_hold_query(billing_t *billing, const peer_question_t *question)
 {
 	const Wire__BillHold *hold = question->envelope->bill_hold;
 	Wire__BillHeld held = WIRE__BILL_HELD__INIT;
@@ -151,62 +151,62 @@
 }
 
 void
-billing_peer_drops(billing_t *billing, const peer_question_t *question)
+billing_drop_message(billing_t *billing, const peer_question_t *question)
 {
 	const Wire__BillDrop *drop = question->envelope->bill_drop;
 
 	for (size_t i = 0; i < drop->n_ranges; i++)
-		bill_book_drop(&billing->book, drop->incarnation,
+		bill_book_remove(&billing->book, drop->incarnation,
 		    drop->ranges[i]->first, drop->ranges[i]->last);
 }
 
 /* Any member may flush any record, so one more copy does no harm. */
 void
-billing_hand_over(billing_t *billing)
+billing_handover_start(billing_t *billing)
 {
-	const holding_t turn = {.tries = billing->hand_tries++};
+	const pending_hold_t turn = {.tries = billing->handover_tries++};
 	const member_t *member = holder_choose(billing, &turn);
-	static bill_packed_t bills[HAND_MAX];
-	Wire__Bill *pointers[HAND_MAX];
+	static bill_packed_t bills[HANDOVER_MAX];
+	Wire__Bill *pointers[HANDOVER_MAX];
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 	peer_ask_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
 	    .task = &billing->task,
-	    .kind = BILLING_HANDED};
+	    .kind = BILLING_HANDOVER_RESPONSE};
 
-	if (billing->handing || member == NULL)
+	if (billing->handover_pending || member == NULL)
 		return;
-	billing->handed_count =
-	    bill_book_copy(&billing->book, billing->handed, HAND_MAX);
-	if (billing->handed_count == 0)
+	billing->handover_count = bill_book_copy(
+	    &billing->book, billing->handover_bills, HANDOVER_MAX);
+	if (billing->handover_count == 0)
 		return;
-	for (size_t i = 0; i < billing->handed_count; i++) {
-		bill_pack(&billing->handed[i], &bills[i]);
+	for (size_t i = 0; i < billing->handover_count; i++) {
+		bill_pack(&billing->handover_bills[i], &bills[i]);
 		pointers[i] = &bills[i].bill;
 	}
-	hold.n_bills = billing->handed_count;
+	hold.n_bills = billing->handover_count;
 	hold.bills = pointers;
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HOLD;
 	envelope.bill_hold = &hold;
 	ask.to = member->incarnation;
-	billing->handing = true;
+	billing->handover_pending = true;
 	peers_ask(billing->peers, &ask, &envelope);
 }
 
 void
-billing_handed(billing_t *billing, const peer_answer_t *answer)
+billing_handover_responded(billing_t *billing, const peer_answer_t *answer)
 {
-	billing->handing = false;
+	billing->handover_pending = false;
 	if (answer->envelope != NULL &&
 	    answer->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
 	    answer->envelope->bill_held->held) {
-		for (size_t i = 0; i < billing->handed_count; i++)
-			bill_book_drop(&billing->book,
-			    billing->handed[i].incarnation,
-			    billing->handed[i].sequence,
-			    billing->handed[i].sequence);
+		for (size_t i = 0; i < billing->handover_count; i++)
+			bill_book_remove(&billing->book,
+			    billing->handover_bills[i].incarnation,
+			    billing->handover_bills[i].sequence,
+			    billing->handover_bills[i].sequence);
 	}
-	billing_room_post(billing);
+	billing_status_post(billing);
 	if (bill_book_count(&billing->book) > 0)
-		billing_hand_over(billing);
+		billing_handover_start(billing);
 }
--- a/moortack/ledger/interval_set.c
+++ b/moortack/ledger/interval_set.c
@@ -63,7 +63,7 @@
 }
 
 bool
-interval_set_has(const interval_set_t *set, uint64_t number)
+interval_set_contains(const interval_set_t *set, uint64_t number)
 {
 	const interval_t *found = at(set, lower_bound(set, number));
 
@@ -123,7 +123,7 @@
 }
 
 char *
-interval_set_text(const interval_set_t *set)
+interval_set_format(const interval_set_t *set)
 {
 	size_t size = set->intervals.len * (size_t)INTERVAL_TEXT_MAX + 1;
 	char *text = malloc(size);
--- a/moortack/ledger/redeem.c
+++ b/moortack/ledger/redeem.c
@@ -7,42 +7,42 @@
 }
 
 void
-redeem_answer(redeem_t *redeem, int which, witness_state_t state)
+redeem_record_response(redeem_t *redeem, int which, witness_state_t state)
 {
-	if (redeem->answered[which])
+	if (redeem->resolved[which])
 		return;
-	redeem->answered[which] = true;
+	redeem->resolved[which] = true;
 	redeem->states[which] = state;
 }
 
 void
-redeem_lost(redeem_t *redeem, int which)
+redeem_record_no_response(redeem_t *redeem, int which)
 {
-	if (redeem->answered[which])
+	if (redeem->resolved[which])
 		return;
-	redeem->answered[which] = true;
-	redeem->lost[which] = true;
+	redeem->resolved[which] = true;
+	redeem->no_response[which] = true;
 }
 
 static bool
 granted(const redeem_t *redeem, int which)
 {
-	return redeem->answered[which] && !redeem->lost[which] &&
-	    redeem->states[which] == WITNESS_YOURS;
+	return redeem->resolved[which] && !redeem->no_response[which] &&
+	    redeem->states[which] == WITNESS_GRANTED_TO_SENDER;
 }
 
 bool
-redeem_may_hold(const redeem_t *redeem, int which)
+redeem_may_be_granted(const redeem_t *redeem, int which)
 {
-	return !redeem->answered[which] || redeem->lost[which] ||
-	    redeem->states[which] == WITNESS_YOURS;
+	return !redeem->resolved[which] || redeem->no_response[which] ||
+	    redeem->states[which] == WITNESS_GRANTED_TO_SENDER;
 }
 
 static bool
 any_state(const redeem_t *redeem, witness_state_t state)
 {
 	for (int i = 0; i < REDEEM_WITNESSES; i++) {
-		if (redeem->answered[i] && !redeem->lost[i] &&
+		if (redeem->resolved[i] && !redeem->no_response[i] &&
 		    redeem->states[i] == state)
 			return true;
 	}
@@ -52,25 +52,25 @@
 redeem_result_t
 redeem_result(const redeem_t *redeem)
 {
-	if (any_state(redeem, WITNESS_DONE))
-		return REDEEM_DONE;
-	if (any_state(redeem, WITNESS_DEAD))
+	if (any_state(redeem, WITNESS_COMPLETED))
+		return REDEEM_COMPLETED;
+	if (any_state(redeem, WITNESS_REVOKED))
 		return REDEEM_NOT_RUN;
 	for (int i = 0; i < REDEEM_WITNESSES; i++) {
-		if (!redeem->answered[i])
-			return REDEEM_WAIT;
+		if (!redeem->resolved[i])
+			return REDEEM_PENDING;
 	}
 	if (granted(redeem, 0) && granted(redeem, 1))
-		return REDEEM_GO;
+		return REDEEM_GRANTED;
 	/*
 	 * One witness let this attempt go: it had let no other go before, and
 	 * won't any more. This one isn't sent, so none ever is.
 	 */
-	if (any_state(redeem, WITNESS_YOURS))
+	if (any_state(redeem, WITNESS_GRANTED_TO_SENDER))
 		return REDEEM_NOT_RUN;
-	if (any_state(redeem, WITNESS_REFUSED) &&
-	    !any_state(redeem, WITNESS_WENT) &&
+	if (any_state(redeem, WITNESS_FULL) &&
+	    !any_state(redeem, WITNESS_GRANTED) &&
 	    !any_state(redeem, WITNESS_EXPIRED))
-		return REDEEM_BUSY;
+		return REDEEM_WITNESS_FULL;
 	return REDEEM_UNKNOWN;
 }
--- a/moortack/ledger/witness.c
+++ b/moortack/ledger/witness.c
@@ -18,7 +18,7 @@
 void
 witness_init(witness_t *witness, uint32_t max)
 {
-	*witness = (witness_t){.max = max, .next_expiry_ms = INT64_MAX};
+	*witness = (witness_t){.entries_max = max, .next_expiry_ms = INT64_MAX};
 }
 
 static void
@@ -51,12 +51,12 @@
 {
 	witness_entry_t *entry, *next;
 
-	if (witness->wall_ms < witness->next_expiry_ms)
+	if (witness->latest_wall_ms < witness->next_expiry_ms)
 		return;
 	witness->next_expiry_ms = INT64_MAX;
 	HASH_ITER(hh, witness->entries, entry, next)
 	{
-		if (entry->expires_ms <= witness->wall_ms)
+		if (entry->expires_ms <= witness->latest_wall_ms)
 			entry_drop(witness, entry);
 		else if (entry->expires_ms < witness->next_expiry_ms)
 			witness->next_expiry_ms = entry->expires_ms;
@@ -64,16 +64,16 @@
 }
 
 static witness_state_t
-entry_add(witness_t *witness, const witness_question_t *question,
-    witness_state_t state)
+entry_add(
+    witness_t *witness, const witness_query_t *question, witness_state_t state)
 {
 	witness_entry_t *entry;
 
-	if (witness_count(witness) >= witness->max)
-		return WITNESS_REFUSED;
+	if (witness_count(witness) >= witness->entries_max)
+		return WITNESS_FULL;
 	entry = calloc(1, sizeof(*entry));
 	if (entry == NULL)
-		return WITNESS_REFUSED;
+		return WITNESS_FULL;
 	memcpy(entry->ticket, question->ticket, TICKET_ID_SIZE);
 	entry->state = state;
 	entry->attempt = question->attempt;
@@ -86,70 +86,71 @@
 
 /* A ticket that this witness holds nothing of. */
 static witness_state_t
-absent_ask(witness_t *witness, const witness_question_t *question)
+absent_ask(witness_t *witness, const witness_query_t *question)
 {
 	witness_state_t state;
 
 	/* It may have been held and dropped. */
-	if (question->expires_ms <= witness->wall_ms)
+	if (question->expires_ms <= witness->latest_wall_ms)
 		return WITNESS_EXPIRED;
 	switch (question->op) {
-	case WITNESS_GO:
-		state = entry_add(witness, question, WITNESS_WENT);
-		return state == WITNESS_WENT ? WITNESS_YOURS : state;
-	case WITNESS_KILL:
-	case WITNESS_UNSENT:
-		return entry_add(witness, question, WITNESS_DEAD);
-	case WITNESS_OUTCOME:
+	case WITNESS_OP_GRANT:
+		state = entry_add(witness, question, WITNESS_GRANTED);
+		return state == WITNESS_GRANTED ? WITNESS_GRANTED_TO_SENDER
+						: state;
+	case WITNESS_OP_REVOKE:
+	case WITNESS_OP_UNSENT:
+		return entry_add(witness, question, WITNESS_REVOKED);
+	case WITNESS_OP_OUTCOME:
 		break;
 	}
 	return WITNESS_ABSENT;
 }
 
 static void
-outcome_take(witness_entry_t *entry, const witness_question_t *question)
+outcome_take(witness_entry_t *entry, const witness_query_t *question)
 {
-	entry->state = WITNESS_DONE;
+	entry->state = WITNESS_COMPLETED;
 	entry->status = question->status;
-	if (question->answer == NULL ||
-	    question->answer_len > WITNESS_ANSWER_MAX)
+	if (question->body == NULL || question->body_len > WITNESS_BODY_MAX)
 		return;
-	entry->answer = malloc(question->answer_len + 1);
+	entry->answer = malloc(question->body_len + 1);
 	if (entry->answer == NULL)
 		return;
-	memcpy(entry->answer, question->answer, question->answer_len);
-	entry->answer_len = question->answer_len;
+	memcpy(entry->answer, question->body, question->body_len);
+	entry->answer_len = question->body_len;
 }
 
 static witness_state_t
-entry_ask(witness_entry_t *entry, const witness_question_t *question)
+entry_ask(witness_entry_t *entry, const witness_query_t *question)
 {
-	if (entry->state != WITNESS_WENT || entry->attempt != question->attempt)
+	if (entry->state != WITNESS_GRANTED ||
+	    entry->attempt != question->attempt)
 		return entry->state;
 	switch (question->op) {
-	case WITNESS_GO:
-		return WITNESS_YOURS;
-	case WITNESS_UNSENT:
-		entry->state = WITNESS_DEAD;
+	case WITNESS_OP_GRANT:
+		return WITNESS_GRANTED_TO_SENDER;
+	case WITNESS_OP_UNSENT:
+		entry->state = WITNESS_REVOKED;
 		break;
-	case WITNESS_OUTCOME:
+	case WITNESS_OP_OUTCOME:
 		outcome_take(entry, question);
 		break;
-	case WITNESS_KILL:
+	case WITNESS_OP_REVOKE:
 		break;
 	}
 	return entry->state;
 }
 
-witness_answer_t
-witness_ask(
-    witness_t *witness, const witness_question_t *question, int64_t wall_ms)
+witness_response_t
+witness_apply(
+    witness_t *witness, const witness_query_t *question, int64_t wall_ms)
 {
-	witness_answer_t answer = {0};
+	witness_response_t answer = {0};
 	witness_entry_t *entry;
 
-	if (wall_ms > witness->wall_ms)
-		witness->wall_ms = wall_ms;
+	if (wall_ms > witness->latest_wall_ms)
+		witness->latest_wall_ms = wall_ms;
 	expire(witness);
 	HASH_FIND(
 	    hh, witness->entries, question->ticket, TICKET_ID_SIZE, entry);
@@ -159,7 +160,7 @@
 	}
 	answer.state = entry_ask(entry, question);
 	answer.status = entry->status;
-	answer.answer = entry->answer;
-	answer.answer_len = entry->answer_len;
+	answer.body = entry->answer;
+	answer.body_len = entry->answer_len;
 	return answer;
 }
--- a/moortack/ledger/witness_task.c
+++ b/moortack/ledger/witness_task.c
@@ -18,7 +18,7 @@
 	uint64_t incarnation;
 	uint64_t tag;
 	int which;
-	witness_question_t question;
+	witness_query_t question;
 	uint8_t *answer; /**< a copy that the question points into */
 } local_ask_t;
 
@@ -41,19 +41,19 @@
 }
 
 void
-witness_news_free(void *body)
+witness_result_free(void *body)
 {
-	witness_news_t *news = body;
+	witness_result_t *news = body;
 
-	free(news->answer);
+	free(news->body);
 	free(news);
 }
 
 static void
 news_post(witness_task_t *task, uint64_t tag, int which, bool lost,
-    const witness_answer_t *answer)
+    const witness_response_t *answer)
 {
-	witness_news_t *news;
+	witness_result_t *news;
 
 	if (tag == 0)
 		return;
@@ -61,33 +61,33 @@
 	if (news == NULL)
 		return;
 	news->tag = tag;
-	news->which = which;
-	news->lost = lost;
+	news->witness_index = which;
+	news->no_response = lost;
 	news->state = answer->state;
 	news->status = answer->status;
-	if (answer->answer != NULL)
-		news->answer = calloc(1, answer->answer_len + 1);
-	if (news->answer != NULL) {
-		memcpy(news->answer, answer->answer, answer->answer_len);
-		news->answer_len = answer->answer_len;
+	if (answer->body != NULL)
+		news->body = calloc(1, answer->body_len + 1);
+	if (news->body != NULL) {
+		memcpy(news->body, answer->body, answer->body_len);
+		news->body_len = answer->body_len;
 	}
-	task_post(task->front, task->front_kind, news, witness_news_free);
+	task_post(task->front, task->front_kind, news, witness_result_free);
 }
 
-static witness_answer_t
-ask_here(witness_task_t *task, const witness_question_t *question)
+static witness_response_t
+ask_here(witness_task_t *task, const witness_query_t *question)
 {
 	char id[TICKET_ID_SIZE * 2 + 1];
-	witness_answer_t answer = witness_ask(&task->witness, question,
+	witness_response_t answer = witness_apply(&task->witness, question,
 	    timespec_to_ms(clock_wall(task->process.clock)));
 
 	sodium_bin2hex(id, sizeof(id), question->ticket, TICKET_ID_SIZE);
-	if (answer.state == WITNESS_YOURS) {
+	if (answer.state == WITNESS_GRANTED_TO_SENDER) {
 		counter_add(task->process.counters, COUNTER_TICKETS_GRANTED, 1);
 		timeline_add(
 		    task->process.timeline, EVENT_TICKET_GRANTED, id, "%s", "");
-	} else if (question->op != WITNESS_OUTCOME &&
-	    answer.state == WITNESS_DEAD) {
+	} else if (question->op != WITNESS_OP_OUTCOME &&
+	    answer.state == WITNESS_REVOKED) {
 		counter_add(task->process.counters, COUNTER_TICKETS_REVOKED, 1);
 		timeline_add(
 		    task->process.timeline, EVENT_TICKET_REVOKED, id, "%s", "");
@@ -105,7 +105,7 @@
 static void
 ask_peer(witness_task_t *task, const local_ask_t *local)
 {
-	const witness_question_t *question = &local->question;
+	const witness_query_t *question = &local->question;
 	Wire__TicketAsk wire = WIRE__TICKET_ASK__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 	const peer_ask_t ask = {.to = local->incarnation,
@@ -121,7 +121,7 @@
 	wire.attempt = question->attempt;
 	wire.status = question->status;
 	wire.answer.data = local->answer;
-	wire.answer.len = local->answer != NULL ? question->answer_len : 0;
+	wire.answer.len = local->answer != NULL ? question->body_len : 0;
 	envelope.body_case = WIRE__ENVELOPE__BODY_TICKET_ASK;
 	envelope.ticket_ask = &wire;
 	peers_ask(task->peers, &ask, &envelope);
@@ -130,7 +130,7 @@
 static void
 local_take(witness_task_t *task, const local_ask_t *local)
 {
-	witness_answer_t answer;
+	witness_response_t answer;
 
 	if (local->incarnation != task->process.incarnation) {
 		ask_peer(task, local);
@@ -144,24 +144,24 @@
 peer_asks(witness_task_t *task, const peer_question_t *question)
 {
 	const Wire__TicketAsk *wire = question->envelope->ticket_ask;
-	witness_question_t ask = {.op = (witness_op_t)wire->op,
+	witness_query_t ask = {.op = (witness_op_t)wire->op,
 	    .expires_ms = wire->expires_ms,
 	    .attempt = wire->attempt,
 	    .status = wire->status,
-	    .answer = wire->answer.data,
-	    .answer_len = wire->answer.len};
+	    .body = wire->answer.data,
+	    .body_len = wire->answer.len};
 	Wire__TicketAnswer out = WIRE__TICKET_ANSWER__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	witness_answer_t answer;
+	witness_response_t answer;
 
-	if (wire->ticket.len != TICKET_ID_SIZE || ask.op > WITNESS_UNSENT)
+	if (wire->ticket.len != TICKET_ID_SIZE || ask.op > WITNESS_OP_UNSENT)
 		return;
 	memcpy(ask.ticket, wire->ticket.data, TICKET_ID_SIZE);
 	answer = ask_here(task, &ask);
 	out.state = (Wire__TicketAnswer__State)answer.state;
 	out.status = answer.status;
-	out.answer.data = (uint8_t *)answer.answer;
-	out.answer.len = answer.answer != NULL ? answer.answer_len : 0;
+	out.answer.data = (uint8_t *)answer.body;
+	out.answer.len = answer.body != NULL ? answer.body_len : 0;
 	envelope.body_case = WIRE__ENVELOPE__BODY_TICKET_ANSWER;
 	envelope.ticket_answer = &out;
 	peers_answer(task->peers, question, &envelope);
@@ -170,7 +170,7 @@
 static void
 peer_says(witness_task_t *task, const peer_answer_t *said)
 {
-	witness_answer_t answer = {0};
+	witness_response_t answer = {0};
 	const Wire__TicketAnswer *wire;
 	bool lost = said->envelope == NULL ||
 	    said->envelope->body_case != WIRE__ENVELOPE__BODY_TICKET_ANSWER;
@@ -179,8 +179,8 @@
 		wire = said->envelope->ticket_answer;
 		answer.state = (witness_state_t)wire->state;
 		answer.status = wire->status;
-		answer.answer = wire->answer.data;
-		answer.answer_len = wire->answer.len;
+		answer.body = wire->answer.data;
+		answer.body_len = wire->answer.len;
 	}
 	news_post(task, said->tag >> 1, (int)(said->tag & 1), lost, &answer);
 }
@@ -204,8 +204,8 @@
 }
 
 void
-witness_task_ask(witness_task_t *task, uint64_t incarnation, uint64_t tag,
-    int which, const witness_question_t *question)
+witness_task_query(witness_task_t *task, uint64_t incarnation, uint64_t tag,
+    int which, const witness_query_t *question)
 {
 	local_ask_t *ask = calloc(1, sizeof(*ask));
 
@@ -215,14 +215,12 @@
 	ask->tag = tag;
 	ask->which = which;
 	ask->question = *question;
-	if (question->answer != NULL &&
-	    question->answer_len <= WITNESS_ANSWER_MAX) {
-		ask->answer = malloc(question->answer_len + 1);
+	if (question->body != NULL && question->body_len <= WITNESS_BODY_MAX) {
+		ask->answer = malloc(question->body_len + 1);
 		if (ask->answer != NULL)
-			memcpy(ask->answer, question->answer,
-			    question->answer_len);
+			memcpy(ask->answer, question->body, question->body_len);
 	}
-	ask->question.answer = ask->answer;
+	ask->question.body = ask->answer;
 	task_post(&task->task, WITNESS_LOCAL, ask, local_ask_free);
 }
 
--- a/moortackd/main.c
+++ b/moortackd/main.c
@@ -55,7 +55,7 @@
 static void
 cut_rest(daemon_t *daemon)
 {
-	uint32_t cut = front_cut(daemon->front);
+	uint32_t cut = front_exchanges_abort(daemon->front);
 
 	log_line(
 	    LOG_WARN, LOG_MAIN, "Stopping now; %u requests were cut.", cut);
@@ -87,7 +87,7 @@
 	}
 	daemon->leaving = true;
 	log_line(LOG_INFO, LOG_MAIN, "Leaving: %u requests are in progress.",
-	    front_busy(daemon->front));
+	    front_exchange_count(daemon->front));
 	registry_leave(daemon->registry);
 	front_drain(daemon->front);
 	event_add(daemon->drain_end, &limit);
@@ -127,14 +127,14 @@
 	if (daemon->front == NULL)
 		return false;
 	daemon->billing = billing_new(process, options, store, daemon->peers,
-	    &(billing_ports_t){
-		front_task(daemon->front), FRONT_BILLED, FRONT_ROOM});
+	    &(billing_listener_t){front_task(daemon->front),
+		FRONT_BILLING_RESULT, FRONT_BILLING_STATUS});
 	daemon->witnesses = witness_task_new(process, daemon->peers,
 	    (uint32_t)options->tickets_max, front_task(daemon->front),
-	    FRONT_WITNESS);
+	    FRONT_WITNESS_RESULT);
 	daemon->registry = registry_new(process, options, store, daemon->peers,
 	    &(registry_ports_t){front_task(daemon->front), FRONT_CONFIG,
-		FRONT_FRESH, FRONT_MEMBERS, FRONT_ADMIN,
+		FRONT_FRESHNESS, FRONT_MEMBERS, FRONT_ADMIN_RESPONSE,
 		billing_task(daemon->billing), billing_members_kind()},
 	    err);
 	daemon->watch = watch_new(process, options,
@@ -143,7 +143,7 @@
 	    err);
 	if (daemon->registry == NULL || daemon->watch == NULL)
 		return false;
-	front_connect(daemon->front, daemon->registry, daemon->witnesses,
+	front_set_tasks(daemon->front, daemon->registry, daemon->witnesses,
 	    daemon->billing);
 	return true;
 }
--- a/test/fuzz/bills_fuzz.c
+++ b/test/fuzz/bills_fuzz.c
@@ -53,7 +53,7 @@
 	bill_t bill = {.line_count = 1};
 	uint32_t holders = input_below(input, 4);
 
-	if (world->dead[0] || world->books[0].sequence == RECORDS)
+	if (world->dead[0] || world->books[0].last_sequence == RECORDS)
 		return;
 	if (!bill_book_record(&world->books[0], &bill, world->now))
 		return;
@@ -100,7 +100,7 @@
 		return;
 	if (mark_unchanged(world, flush)) {
 		free(world->mark);
-		world->mark = interval_set_text(&flush->mark);
+		world->mark = interval_set_format(&flush->mark);
 		for (size_t i = 0; i < flush->count; i++) {
 			uint64_t sequence = flush->bills[i].sequence;
 
@@ -108,7 +108,7 @@
 		}
 		for (size_t i = 0;
 		     i < flush->count && !reply_lost && !world->dead[b]; i++)
-			bill_book_drop(&world->books[b],
+			bill_book_remove(&world->books[b],
 			    flush->bills[i].incarnation,
 			    flush->bills[i].sequence, flush->bills[i].sequence);
 	}
@@ -121,7 +121,7 @@
 {
 	for (uint64_t s = 1; s <= RECORDS; s++) {
 		if (world->stored[s] == 1)
-			bill_book_drop(&world->books[b], OWNER, s, s);
+			bill_book_remove(&world->books[b], OWNER, s, s);
 	}
 }
 
--- a/test/fuzz/ticket_fuzz.c
+++ b/test/fuzz/ticket_fuzz.c
@@ -69,8 +69,8 @@
 unsent_send(world_t *world, int attempt)
 {
 	for (int w = 0; w < REDEEM_WITNESSES; w++) {
-		if (redeem_may_hold(&world->attempts[attempt].redeem, w))
-			message_send(world, attempt, w, WITNESS_UNSENT);
+		if (redeem_may_be_granted(&world->attempts[attempt].redeem, w))
+			message_send(world, attempt, w, WITNESS_OP_UNSENT);
 	}
 }
 
@@ -86,7 +86,7 @@
 	attempt->ticket = (int)input_below(input, TICKETS);
 	redeem_init(&attempt->redeem);
 	for (int w = 0; w < REDEEM_WITNESSES; w++)
-		message_send(world, n, w, WITNESS_GO);
+		message_send(world, n, w, WITNESS_OP_GRANT);
 }
 
 static void
@@ -98,9 +98,9 @@
 	if (attempt->phase != ATTEMPT_ASKING)
 		return;
 	result = redeem_result(&attempt->redeem);
-	if (result == REDEEM_WAIT)
+	if (result == REDEEM_PENDING)
 		return;
-	if (result == REDEEM_GO) {
+	if (result == REDEEM_GRANTED) {
 		attempt->phase = ATTEMPT_GRANTED;
 		return;
 	}
@@ -116,11 +116,11 @@
 witness_answer(world_t *world, message_t *message)
 {
 	const attempt_t *attempt = &world->attempts[message->attempt];
-	witness_question_t question = {.op = message->op,
+	witness_query_t question = {.op = message->op,
 	    .expires_ms = world->expires_ms[attempt->ticket],
 	    .attempt = (uint64_t)message->attempt + 1,
-	    .answer = "x",
-	    .answer_len = 1};
+	    .body = "x",
+	    .body_len = 1};
 	/* The witnesses' clocks are apart. */
 	int64_t wall_ms = world->wall_ms + message->which * SKEW_MS;
 
@@ -130,10 +130,10 @@
 	}
 	question.ticket[0] = (uint8_t)attempt->ticket;
 	message->state =
-	    witness_ask(&world->witnesses[message->which], &question, wall_ms)
+	    witness_apply(&world->witnesses[message->which], &question, wall_ms)
 		.state;
 	message->answered = true;
-	if (message->op != WITNESS_GO)
+	if (message->op != WITNESS_OP_GRANT)
 		message->used = false;
 }
 
@@ -149,8 +149,8 @@
 		return;
 	}
 	message->used = false;
-	redeem_answer(&world->attempts[message->attempt].redeem, message->which,
-	    message->state);
+	redeem_record_response(&world->attempts[message->attempt].redeem,
+	    message->which, message->state);
 	attempt_judge(world, message->attempt);
 }
 
@@ -174,7 +174,7 @@
 {
 	int n = (int)input_below(input, ATTEMPTS);
 
-	redeem_lost(&world->attempts[n].redeem,
+	redeem_record_no_response(&world->attempts[n].redeem,
 	    (int)input_below(input, REDEEM_WITNESSES));
 	attempt_judge(world, n);
 }
@@ -199,7 +199,7 @@
 	FUZZ_CHECK(world->runs[attempt->ticket] <= 1);
 	FUZZ_CHECK(!world->not_run[attempt->ticket]);
 	for (int w = 0; w < REDEEM_WITNESSES; w++)
-		message_send(world, n, w, WITNESS_OUTCOME);
+		message_send(world, n, w, WITNESS_OP_OUTCOME);
 }
 
 static void
