--- a/include/moortack/ledger/bill_book.h
+++ b/include/moortack/ledger/bill_book.h
@@ -40,7 +40,7 @@
 /** Copy up to @p max records of @p incarnation that @p mark lacks, add their
  * numbers to @p mark, and drop those that it has. @return records copied */
 size_t bill_book_collect(bill_book_t *, uint64_t incarnation,
-    interval_set_t *mark, bill_t *out, size_t max);
+    interval_set_t *flushed, bill_t *out, size_t max);
 
 /** Copy any records. @return how many */
 size_t bill_book_copy(const bill_book_t *, bill_t *out, size_t max);
--- a/include/moortack/ledger/redeem.h
+++ b/include/moortack/ledger/redeem.h
@@ -31,15 +31,15 @@
 void redeem_init(redeem_t *);
 
 /** Witness @p which answered. */
-void redeem_record_response(redeem_t *, int which, witness_state_t);
+void redeem_record_response(redeem_t *, int witness, witness_state_t);
 
 /** Witness @p which did not answer in time, or is gone. */
-void redeem_record_no_response(redeem_t *, int which);
+void redeem_record_no_response(redeem_t *, int witness);
 
 redeem_result_t redeem_result(const redeem_t *);
 
 /** Whether witness @p which let this attempt go, or may have, and must be told
  * "unsent" when the attempt is given up. */
-bool redeem_may_be_granted(const redeem_t *, int which);
+bool redeem_may_be_granted(const redeem_t *, int witness);
 
 #endif
--- a/include/moortack/ledger/witness_task.h
+++ b/include/moortack/ledger/witness_task.h
@@ -34,7 +34,7 @@
  * @param which 0 or 1
  */
 void witness_task_query(witness_task_t *, uint64_t incarnation, uint64_t tag,
-    int which, const witness_query_t *question);
+    int witness_index, const witness_query_t *query);
 
 void witness_result_free(void *);
 
--- a/moortack/ledger/bill_book.c
+++ b/moortack/ledger/bill_book.c
@@ -12,7 +12,7 @@
 
 struct book_entry {
 	bill_id_t id;
-	struct timespec since;
+	struct timespec added_at;
 	UT_hash_handle hh;
 	bill_t bill; /**< must stay last: cut off after its last line */
 };
@@ -26,7 +26,7 @@
 }
 
 static void
-entry_drop(bill_book_t *book, book_entry_t *entry)
+entry_remove(bill_book_t *book, book_entry_t *entry)
 {
 	if (entry->id.incarnation == book->incarnation)
 		book->own_count--;
@@ -41,7 +41,7 @@
 
 	HASH_ITER(hh, book->entries, entry, next)
 	{
-		entry_drop(book, entry);
+		entry_remove(book, entry);
 	}
 }
 
@@ -79,7 +79,7 @@
 		return false;
 	entry->id = id;
 	memcpy(&entry->bill, bill, bill_size(bill));
-	entry->since = now;
+	entry->added_at = now;
 	HASH_ADD(hh, book->entries, id, sizeof(id), entry);
 	if (id.incarnation == book->incarnation)
 		book->own_count++;
@@ -116,7 +116,7 @@
     struct timespec now, bool all)
 {
 	return all || entry->id.incarnation == book->incarnation ||
-	    timespec_ms_between(entry->since, now) >= book->held_ms;
+	    timespec_ms_between(entry->added_at, now) >= book->held_ms;
 }
 
 bool
@@ -136,8 +136,8 @@
 }
 
 size_t
-bill_book_collect(bill_book_t *book, uint64_t incarnation, interval_set_t *mark,
-    bill_t *out, size_t max)
+bill_book_collect(bill_book_t *book, uint64_t incarnation,
+    interval_set_t *flushed, bill_t *out, size_t max)
 {
 	book_entry_t *entry, *next;
 	size_t n = 0;
@@ -146,15 +146,15 @@
 	{
 		if (entry->id.incarnation != incarnation)
 			continue;
-		if (interval_set_contains(mark, entry->id.sequence)) {
-			entry_drop(book, entry);
+		if (interval_set_contains(flushed, entry->id.sequence)) {
+			entry_remove(book, entry);
 			continue;
 		}
 		if (n < max)
 			bill_copy(&out[n++], &entry->bill);
 	}
 	for (size_t i = 0; i < n; i++) {
-		if (!interval_set_add(mark, out[i].sequence))
+		if (!interval_set_add(flushed, out[i].sequence))
 			return 0;
 	}
 	return n;
@@ -184,6 +184,6 @@
 	{
 		if (entry->id.incarnation == incarnation &&
 		    entry->id.sequence >= first && entry->id.sequence <= last)
-			entry_drop(book, entry);
+			entry_remove(book, entry);
 	}
 }
--- a/moortack/ledger/billing.c
+++ b/moortack/ledger/billing.c
@@ -8,44 +8,45 @@
 #define US_PER_MS 1000
 
 void
-billing_result_post(billing_t *billing, uint64_t tag, bill_durability_t kept)
+billing_result_post(
+    billing_t *billing, uint64_t tag, bill_durability_t durability)
 {
-	billing_result_t *news;
+	billing_result_t *result;
 
 	if (tag == 0)
 		return;
-	news = malloc(sizeof(*news));
-	if (news == NULL)
+	result = malloc(sizeof(*result));
+	if (result == NULL)
 		return;
-	*news = (billing_result_t){tag, kept};
-	task_post(
-	    billing->listener.front, billing->listener.result_kind, news, NULL);
+	*result = (billing_result_t){tag, durability};
+	task_post(billing->listener.front, billing->listener.result_kind,
+	    result, NULL);
 }
 
 void
 billing_status_post(billing_t *billing)
 {
-	billing_status_t *room = malloc(sizeof(*room));
+	billing_status_t *status = malloc(sizeof(*status));
 
-	if (room == NULL)
+	if (status == NULL)
 		return;
-	room->unflushed_count = bill_book_count(&billing->book);
-	room->unflushed_max = billing->book.records_max;
-	room->drained =
+	status->unflushed_count = bill_book_count(&billing->book);
+	status->unflushed_max = billing->book.records_max;
+	status->drained =
 	    billing->draining && bill_book_count(&billing->book) == 0;
-	task_post(
-	    billing->listener.front, billing->listener.status_kind, room, NULL);
+	task_post(billing->listener.front, billing->listener.status_kind,
+	    status, NULL);
 }
 
 static void
-members_take(billing_t *billing, members_t *members)
+members_apply(billing_t *billing, members_t *members)
 {
 	members_release(billing->members);
 	billing->members = members_share(members);
 }
 
 static void
-handle(void *state, task_msg_t *msg)
+message_handle(void *state, task_msg_t *msg)
 {
 	billing_t *billing = state;
 
@@ -59,7 +60,7 @@
 		billing_status_post(billing);
 		break;
 	case BILLING_MEMBERS:
-		members_take(billing, msg->body);
+		members_apply(billing, msg->body);
 		break;
 	case BILLING_HOLD_QUERY:
 		billing_hold_query(billing, msg->body);
@@ -77,7 +78,7 @@
 }
 
 static void
-ticked(evutil_socket_t fd, short what, void *arg)
+flush_timer_fired(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
@@ -88,12 +89,12 @@
 void
 billing_record(billing_t *billing, const bill_t *bill, uint64_t tag)
 {
-	tagged_bill_t *record = malloc(sizeof(*record));
+	tagged_bill_t *tagged_bill = malloc(sizeof(*tagged_bill));
 
-	if (record == NULL)
+	if (tagged_bill == NULL)
 		return;
-	*record = (tagged_bill_t){*bill, tag};
-	task_post(&billing->task, BILLING_RECORD, record, NULL);
+	*tagged_bill = (tagged_bill_t){*bill, tag};
+	task_post(&billing->task, BILLING_RECORD, tagged_bill, NULL);
 }
 
 void
@@ -116,7 +117,7 @@
 
 billing_t *
 billing_new(const process_t *process, const options_t *options, store_t *store,
-    peers_t *peers, const billing_listener_t *ports)
+    peers_t *peers, const billing_listener_t *listener)
 {
 	billing_t *billing = calloc(1, sizeof(*billing));
 	struct timeval interval = {options->flush_ms / MS_PER_SEC,
@@ -128,18 +129,18 @@
 	billing->options = options;
 	billing->store = store;
 	billing->peers = peers;
-	billing->listener = *ports;
+	billing->listener = *listener;
 	billing->members = members_new();
 	table_init(&billing->pending_holds, sizeof(pending_hold_t));
 	bill_book_init(&billing->book, process->incarnation,
 	    (uint32_t)options->bills_max, options->held_ms);
-	task_init(&billing->task, process->base, handle, billing);
+	task_init(&billing->task, process->base, message_handle, billing);
 	peers_route(peers, WIRE__ENVELOPE__BODY_BILL_HOLD, &billing->task,
 	    BILLING_HOLD_QUERY);
 	peers_route(peers, WIRE__ENVELOPE__BODY_BILL_DROP, &billing->task,
 	    BILLING_DROP_MESSAGE);
-	billing->flush_timer =
-	    event_new(process->base, -1, EV_PERSIST, ticked, billing);
+	billing->flush_timer = event_new(
+	    process->base, -1, EV_PERSIST, flush_timer_fired, billing);
 	event_add(billing->flush_timer, &interval);
 	return billing;
 }
--- a/moortack/ledger/billing_flush.c
+++ b/moortack/ledger/billing_flush.c
@@ -17,9 +17,9 @@
 typedef struct flush {
 	billing_t *billing;
 	uint64_t incarnation;
-	char mark_key[KEY_SIZE];
-	char *mark_before; /**< NULL: there was none */
-	interval_set_t mark;
+	char flushed_key[KEY_SIZE];
+	char *flushed_before; /**< NULL: there was none */
+	interval_set_t flushed;
 	bill_t bills[BATCH_MAX];
 	size_t count;
 } flush_t;
@@ -27,13 +27,13 @@
 static void
 flush_free(flush_t *flush)
 {
-	interval_set_finish(&flush->mark);
-	free(flush->mark_before);
+	interval_set_finish(&flush->flushed);
+	free(flush->flushed_before);
 	free(flush);
 }
 
 static void
-flush_end(flush_t *flush, bool more)
+flush_finish(flush_t *flush, bool more)
 {
 	billing_t *billing = flush->billing;
 
@@ -46,14 +46,14 @@
 
 /* Tell the holders of this daemon's records what the store has. */
 static void
-drops_tell(billing_t *billing, const interval_set_t *mark)
+drops_broadcast(billing_t *billing, const interval_set_t *flushed)
 {
 	Wire__BillDrop drop = WIRE__BILL_DROP__INIT;
 	Wire__BillRange range = WIRE__BILL_RANGE__INIT;
 	Wire__BillRange *ranges[1] = {&range};
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 	const interval_t *last =
-	    table_at(&mark->intervals, mark->intervals.len - 1);
+	    table_at(&flushed->intervals, flushed->intervals.len - 1);
 
 	if (last == NULL)
 		return;
@@ -70,15 +70,15 @@
 }
 
 static void
-flush_written(void *arg, store_result_t result, const json_t *reply)
+flush_write_done(void *arg, store_result_t result, const json_t *response)
 {
 	flush_t *flush = arg;
 	billing_t *billing = flush->billing;
 
-	(void)reply;
+	(void)response;
 	/* Lost or overtaken: the next flush reads the mark, which tells. */
 	if (result != STORE_OK) {
-		flush_end(flush, result == STORE_CONFLICT);
+		flush_finish(flush, result == STORE_CONFLICT);
 		return;
 	}
 	for (size_t i = 0; i < flush->count; i++)
@@ -87,10 +87,10 @@
 	counter_add(
 	    billing->process.counters, COUNTER_BILLS_FLUSHED, flush->count);
 	timeline_add(billing->process.timeline, EVENT_BILL_FLUSHED,
-	    flush->mark_key, "%zu records", flush->count);
+	    flush->flushed_key, "%zu records", flush->count);
 	if (flush->incarnation == billing->process.incarnation)
-		drops_tell(billing, &flush->mark);
-	flush_end(flush, true);
+		drops_broadcast(billing, &flush->flushed);
+	flush_finish(flush, true);
 }
 
 static json_t *
@@ -110,7 +110,7 @@
 	char key[KEY_SIZE];
 	json_t *batch = batch_json(flush);
 	char *text = json_dumps(batch, JSON_COMPACT);
-	char *mark = interval_set_format(&flush->mark);
+	char *flushed_text = interval_set_format(&flush->flushed);
 	bool started = false;
 
 	json_decref(batch);
@@ -118,46 +118,47 @@
 	/* A number enters the mark once, so no other batch has this key. */
 	snprintf(key, sizeof(key), "bill/%s/%012" PRIu64, incarnation,
 	    flush->bills[0].sequence);
-	if (text != NULL && mark != NULL) {
+	if (text != NULL && flushed_text != NULL) {
 		started = store_txn(flush->billing->store,
-		    json_pack(
-			"[o]", store_row(flush->mark_key, flush->mark_before)),
-		    json_pack("[o,o]", store_row(flush->mark_key, mark),
+		    json_pack("[o]",
+			store_row(flush->flushed_key, flush->flushed_before)),
+		    json_pack("[o,o]",
+			store_row(flush->flushed_key, flushed_text),
 			store_row(key, text)),
-		    flush_written, flush);
+		    flush_write_done, flush);
 	}
 	free(text);
-	free(mark);
+	free(flushed_text);
 	return started;
 }
 
 static void
-mark_read(void *arg, store_result_t result, const json_t *reply)
+flushed_read(void *arg, store_result_t result, const json_t *response)
 {
 	flush_t *flush = arg;
-	const char *mark = store_value(reply, flush->mark_key);
+	const char *flushed_text = store_value(response, flush->flushed_key);
 
 	if (result != STORE_OK) {
 		if (flush->billing->draining)
 			billing_handover_start(flush->billing);
-		flush_end(flush, false);
+		flush_finish(flush, false);
 		return;
 	}
-	if (mark != NULL) {
-		flush->mark_before = strdup(mark);
-		if (!interval_set_parse(&flush->mark, mark)) {
+	if (flushed_text != NULL) {
+		flush->flushed_before = strdup(flushed_text);
+		if (!interval_set_parse(&flush->flushed, flushed_text)) {
 			log_line(LOG_ERROR, LOG_LEDGER,
-			    "The mark %s cannot be read.", flush->mark_key);
-			flush_end(flush, false);
+			    "The mark %s cannot be read.", flush->flushed_key);
+			flush_finish(flush, false);
 			return;
 		}
 	}
 	flush->count = bill_book_collect(&flush->billing->book,
-	    flush->incarnation, &flush->mark, flush->bills, BATCH_MAX);
+	    flush->incarnation, &flush->flushed, flush->bills, BATCH_MAX);
 	if (flush->count == 0)
-		flush_end(flush, true);
+		flush_finish(flush, true);
 	else if (!flush_write(flush))
-		flush_end(flush, false);
+		flush_finish(flush, false);
 }
 
 void
@@ -176,13 +177,13 @@
 		return;
 	flush->billing = billing;
 	flush->incarnation = due;
-	interval_set_init(&flush->mark);
+	interval_set_init(&flush->flushed);
 	incarnation_text(due, incarnation);
-	snprintf(
-	    flush->mark_key, sizeof(flush->mark_key), "mark/%s", incarnation);
+	snprintf(flush->flushed_key, sizeof(flush->flushed_key), "mark/%s",
+	    incarnation);
 	billing->flushing = true;
-	if (!store_get(billing->store, json_pack("[s]", flush->mark_key),
-		mark_read, flush)) {
+	if (!store_get(billing->store, json_pack("[s]", flush->flushed_key),
+		flushed_read, flush)) {
 		billing->flushing = false;
 		flush_free(flush);
 	}
--- a/moortack/ledger/billing_hold.c
+++ b/moortack/ledger/billing_hold.c
@@ -14,10 +14,10 @@
 
 /* A partner that answers, elsewhere if there is one; another at each try. */
 static const member_t *
-holder_choose(const billing_t *billing, const pending_hold_t *holding)
+holder_select(const billing_t *billing, const pending_hold_t *pending)
 {
-	uint32_t first =
-	    (uint32_t)holding->record.bill.sequence + (uint32_t)holding->tries;
+	uint32_t first = (uint32_t)pending->tagged_bill.bill.sequence +
+	    (uint32_t)pending->tries;
 	const member_t *fallback = NULL;
 
 	for (uint32_t i = 0; i < MEMBERS_PARTNERS; i++) {
@@ -35,17 +35,18 @@
 }
 
 static void
-holding_end(billing_t *billing, pending_hold_t *holding, bill_durability_t kept)
+pending_hold_finish(
+    billing_t *billing, pending_hold_t *pending, bill_durability_t durability)
 {
-	billing_result_post(billing, holding->record.tag, kept);
-	holding->used = false;
+	billing_result_post(billing, pending->tagged_bill.tag, durability);
+	pending->used = false;
 }
 
 static void
-holding_ask(billing_t *billing, handle_t handle)
+pending_hold_query(billing_t *billing, handle_t handle)
 {
-	pending_hold_t *holding = table_at(&billing->pending_holds, handle);
-	const member_t *member = holder_choose(billing, holding);
+	pending_hold_t *pending = table_at(&billing->pending_holds, handle);
+	const member_t *member = holder_select(billing, pending);
 	bill_packed_t bill;
 	Wire__Bill *bills[1] = {&bill.bill};
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
@@ -55,15 +56,15 @@
 	    .kind = BILLING_HOLD_RESPONSE,
 	    .tag = handle};
 
-	if (member == NULL || holding->tries++ >= HOLD_TRIES) {
+	if (member == NULL || pending->tries++ >= HOLD_TRIES) {
 		counter_add(
 		    billing->process.counters, COUNTER_BILLS_UNREPLICATED, 1);
-		holding_end(billing, holding, BILL_UNREPLICATED);
+		pending_hold_finish(billing, pending, BILL_UNREPLICATED);
 		/* Nobody else holds it: the store is the next best. */
 		billing_flush(billing);
 		return;
 	}
-	bill_pack(&holding->record.bill, &bill);
+	bill_pack(&pending->tagged_bill.bill, &bill);
 	hold.n_bills = 1;
 	hold.bills = bills;
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HOLD;
@@ -73,10 +74,10 @@
 }
 
 static handle_t
-holding_add(billing_t *billing, const tagged_bill_t *record)
+pending_hold_add(billing_t *billing, const tagged_bill_t *tagged_bill)
 {
 	handle_t handle = 0;
-	pending_hold_t *holding;
+	pending_hold_t *pending;
 
 	while (handle < billing->pending_holds.len &&
 	    ((pending_hold_t *)table_at(&billing->pending_holds, handle))->used)
@@ -84,51 +85,53 @@
 	if (handle == billing->pending_holds.len &&
 	    table_add(&billing->pending_holds) == NULL)
 		return HANDLE_NONE;
-	holding = table_at(&billing->pending_holds, handle);
-	*holding = (pending_hold_t){.used = true, .record = *record};
+	pending = table_at(&billing->pending_holds, handle);
+	*pending = (pending_hold_t){.used = true, .tagged_bill = *tagged_bill};
 	return handle;
 }
 
 void
-billing_bill_accept(billing_t *billing, tagged_bill_t *record)
+billing_bill_accept(billing_t *billing, tagged_bill_t *tagged_bill)
 {
 	struct timespec now = clock_boottime(billing->process.clock);
 	handle_t handle;
 
-	if (!bill_book_record(&billing->book, &record->bill, now)) {
+	if (!bill_book_record(&billing->book, &tagged_bill->bill, now)) {
 		log_line(LOG_ERROR, LOG_LEDGER, "The bill book is full.");
-		billing_result_post(billing, record->tag, BILL_NOT_RECORDED);
+		billing_result_post(
+		    billing, tagged_bill->tag, BILL_NOT_RECORDED);
 		return;
 	}
 	counter_add(billing->process.counters, COUNTER_BILLS_RECORDED, 1);
-	handle = holding_add(billing, record);
+	handle = pending_hold_add(billing, tagged_bill);
 	if (handle == HANDLE_NONE)
-		billing_result_post(billing, record->tag, BILL_UNREPLICATED);
+		billing_result_post(
+		    billing, tagged_bill->tag, BILL_UNREPLICATED);
 	else
-		holding_ask(billing, handle);
+		pending_hold_query(billing, handle);
 }
 
 void
-billing_hold_responded(billing_t *billing, const peer_answer_t *answer)
+billing_hold_responded(billing_t *billing, const peer_answer_t *response)
 {
-	pending_hold_t *holding =
-	    table_at(&billing->pending_holds, (handle_t)answer->tag);
-	bool held = answer->envelope != NULL &&
-	    answer->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
-	    answer->envelope->bill_held->held;
+	pending_hold_t *pending =
+	    table_at(&billing->pending_holds, (handle_t)response->tag);
+	bool held = response->envelope != NULL &&
+	    response->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
+	    response->envelope->bill_held->held;
 
-	if (holding == NULL || !holding->used)
+	if (pending == NULL || !pending->used)
 		return;
 	if (held)
-		holding_end(billing, holding, BILL_REPLICATED);
+		pending_hold_finish(billing, pending, BILL_REPLICATED);
 	else
-		holding_ask(billing, (handle_t)answer->tag);
+		pending_hold_query(billing, (handle_t)response->tag);
 }
 
 void
-billing_hold_query(billing_t *billing, const peer_question_t *question)
+billing_hold_query(billing_t *billing, const peer_question_t *query)
 {
-	const Wire__BillHold *hold = question->envelope->bill_hold;
+	const Wire__BillHold *hold = query->envelope->bill_hold;
 	Wire__BillHeld held = WIRE__BILL_HELD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 	struct timespec now = clock_boottime(billing->process.clock);
@@ -147,13 +150,13 @@
 	}
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HELD;
 	envelope.bill_held = &held;
-	peers_answer(billing->peers, question, &envelope);
+	peers_answer(billing->peers, query, &envelope);
 }
 
 void
-billing_drop_message(billing_t *billing, const peer_question_t *question)
+billing_drop_message(billing_t *billing, const peer_question_t *query)
 {
-	const Wire__BillDrop *drop = question->envelope->bill_drop;
+	const Wire__BillDrop *drop = query->envelope->bill_drop;
 
 	for (size_t i = 0; i < drop->n_ranges; i++)
 		bill_book_remove(&billing->book, drop->incarnation,
@@ -164,8 +167,8 @@
 void
 billing_handover_start(billing_t *billing)
 {
-	const pending_hold_t turn = {.tries = billing->handover_tries++};
-	const member_t *member = holder_choose(billing, &turn);
+	const pending_hold_t selection = {.tries = billing->handover_tries++};
+	const member_t *member = holder_select(billing, &selection);
 	static bill_packed_t bills[HANDOVER_MAX];
 	Wire__Bill *pointers[HANDOVER_MAX];
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
@@ -194,12 +197,12 @@
 }
 
 void
-billing_handover_responded(billing_t *billing, const peer_answer_t *answer)
+billing_handover_responded(billing_t *billing, const peer_answer_t *response)
 {
 	billing->handover_pending = false;
-	if (answer->envelope != NULL &&
-	    answer->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
-	    answer->envelope->bill_held->held) {
+	if (response->envelope != NULL &&
+	    response->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
+	    response->envelope->bill_held->held) {
 		for (size_t i = 0; i < billing->handover_count; i++)
 			bill_book_remove(&billing->book,
 			    billing->handover_bills[i].incarnation,
--- a/moortack/ledger/billing_priv.h
+++ b/moortack/ledger/billing_priv.h
@@ -28,7 +28,7 @@
 /** A record that no peer holds yet. */
 typedef struct pending_hold {
 	bool used;
-	tagged_bill_t record;
+	tagged_bill_t tagged_bill;
 	int tries;
 } pending_hold_t;
 
--- a/moortack/ledger/claim.c
+++ b/moortack/ledger/claim.c
@@ -20,7 +20,7 @@
 static bool claim_read(claim_t *);
 
 static void
-claim_end(claim_t *claim, const char *ticket)
+claim_finish(claim_t *claim, const char *ticket)
 {
 	claim->done(claim->arg, claim->tag, ticket);
 	free(claim->ticket);
@@ -28,43 +28,43 @@
 }
 
 static void
-claim_written(void *arg, store_result_t result, const json_t *reply)
+claim_write_done(void *arg, store_result_t result, const json_t *response)
 {
 	claim_t *claim = arg;
 
-	(void)reply;
+	(void)response;
 	if (result == STORE_OK) {
-		claim_end(claim, claim->ticket);
+		claim_finish(claim, claim->ticket);
 		return;
 	}
 	/* Overtaken, or the reply was lost: the table tells whose it is. */
 	if (result == STORE_REFUSED || ++claim->tries >= CLAIM_TRIES ||
 	    !claim_read(claim))
-		claim_end(claim, NULL);
+		claim_finish(claim, NULL);
 }
 
 static void
-claim_was_read(void *arg, store_result_t result, const json_t *reply)
+claim_read_done(void *arg, store_result_t result, const json_t *response)
 {
 	claim_t *claim = arg;
-	const char *ticket = store_value(reply, claim->key);
+	const char *ticket = store_value(response, claim->key);
 
 	if (result != STORE_OK)
-		claim_end(claim, NULL);
+		claim_finish(claim, NULL);
 	else if (ticket != NULL)
-		claim_end(claim, ticket);
+		claim_finish(claim, ticket);
 	else if (!store_txn(claim->store,
 		     json_pack("[o]", store_row(claim->key, NULL)),
 		     json_pack("[o]", store_row(claim->key, claim->ticket)),
-		     claim_written, claim))
-		claim_end(claim, NULL);
+		     claim_write_done, claim))
+		claim_finish(claim, NULL);
 }
 
 static bool
 claim_read(claim_t *claim)
 {
 	return store_get(
-	    claim->store, json_pack("[s]", claim->key), claim_was_read, claim);
+	    claim->store, json_pack("[s]", claim->key), claim_read_done, claim);
 }
 
 bool
--- a/moortack/ledger/interval_set.c
+++ b/moortack/ledger/interval_set.c
@@ -20,7 +20,7 @@
 }
 
 static interval_t *
-at(const interval_set_t *set, handle_t handle)
+interval_at(const interval_set_t *set, handle_t handle)
 {
 	return table_at(&set->intervals, handle);
 }
@@ -35,7 +35,7 @@
 	while (low < high) {
 		handle_t middle = low + (high - low) / 2;
 
-		if (at(set, middle)->last < number)
+		if (interval_at(set, middle)->last < number)
 			low = middle + 1;
 		else
 			high = middle;
@@ -46,7 +46,7 @@
 static void
 interval_remove(interval_set_t *set, handle_t handle)
 {
-	memmove(at(set, handle), at(set, handle) + 1,
+	memmove(interval_at(set, handle), interval_at(set, handle) + 1,
 	    (set->intervals.len - handle - 1) * sizeof(interval_t));
 	set->intervals.len--;
 }
@@ -56,16 +56,16 @@
 {
 	if (table_add(&set->intervals) == NULL)
 		return false;
-	memmove(at(set, handle) + 1, at(set, handle),
+	memmove(interval_at(set, handle) + 1, interval_at(set, handle),
 	    (set->intervals.len - handle - 1) * sizeof(interval_t));
-	*at(set, handle) = (interval_t){number, number};
+	*interval_at(set, handle) = (interval_t){number, number};
 	return true;
 }
 
 bool
 interval_set_contains(const interval_set_t *set, uint64_t number)
 {
-	const interval_t *found = at(set, lower_bound(set, number));
+	const interval_t *found = interval_at(set, lower_bound(set, number));
 
 	return found != NULL && found->first <= number;
 }
@@ -74,8 +74,8 @@
 interval_set_add(interval_set_t *set, uint64_t number)
 {
 	handle_t handle = lower_bound(set, number);
-	interval_t *next = at(set, handle);
-	interval_t *before = handle > 0 ? at(set, handle - 1) : NULL;
+	interval_t *next = interval_at(set, handle);
+	interval_t *before = handle > 0 ? interval_at(set, handle - 1) : NULL;
 	bool joins_next = next != NULL && next->first == number + 1;
 	bool joins_before = before != NULL && before->last + 1 == number;
 
@@ -98,21 +98,22 @@
 interval_set_parse(interval_set_t *set, const char *text)
 {
 	while (*text != '\0') {
-		interval_t read;
-		interval_t *row;
+		interval_t interval;
+		interval_t *added;
 		int len = 0;
 
-		if (sscanf(text, "%" SCNu64 "-%" SCNu64 "%n", &read.first,
-			&read.last, &len) != 2 ||
-		    read.first > read.last)
+		if (sscanf(text, "%" SCNu64 "-%" SCNu64 "%n", &interval.first,
+			&interval.last, &len) != 2 ||
+		    interval.first > interval.last)
 			return false;
 		if (set->intervals.len > 0 &&
-		    at(set, set->intervals.len - 1)->last + 1 >= read.first)
+		    interval_at(set, set->intervals.len - 1)->last + 1 >=
+			interval.first)
 			return false;
-		row = table_add(&set->intervals);
-		if (row == NULL)
+		added = table_add(&set->intervals);
+		if (added == NULL)
 			return false;
-		*row = read;
+		*added = interval;
 		text += len;
 		if (*text == ',')
 			text++;
@@ -135,7 +136,7 @@
 	for (handle_t h = 0; h < set->intervals.len; h++) {
 		len += (size_t)snprintf(text + len, size - len,
 		    "%s%" PRIu64 "-%" PRIu64, h > 0 ? "," : "",
-		    at(set, h)->first, at(set, h)->last);
+		    interval_at(set, h)->first, interval_at(set, h)->last);
 	}
 	return text;
 }
--- a/moortack/ledger/keyring.c
+++ b/moortack/ledger/keyring.c
@@ -6,8 +6,9 @@
 #define HEADER_SIZE 2 /* key id, kind */
 #define TOKEN_BYTES_MAX 700
 
-static const char alphabet[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
-			       "abcdefghijklmnopqrstuvwxyz0123456789-_";
+static const char base64url_alphabet[] =
+    "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
+    "abcdefghijklmnopqrstuvwxyz0123456789-_";
 
 bool
 keyring_parse(keyring_t *ring, const char *text, err_t *err)
@@ -63,7 +64,7 @@
 	size_t len;
 
 	/* libsodium takes some bytes above 127 for letters. */
-	if (text[strspn(text, alphabet)] != '\0' ||
+	if (text[strspn(text, base64url_alphabet)] != '\0' ||
 	    sodium_base642bin(bytes, sizeof(bytes), text, strlen(text), NULL,
 		&len, NULL, sodium_base64_VARIANT_URLSAFE_NO_PADDING) != 0 ||
 	    len <= HEADER_SIZE + crypto_auth_BYTES || bytes[1] != kind)
--- a/moortack/ledger/redeem.c
+++ b/moortack/ledger/redeem.c
@@ -7,35 +7,35 @@
 }
 
 void
-redeem_record_response(redeem_t *redeem, int which, witness_state_t state)
+redeem_record_response(redeem_t *redeem, int witness, witness_state_t state)
 {
-	if (redeem->resolved[which])
+	if (redeem->resolved[witness])
 		return;
-	redeem->resolved[which] = true;
-	redeem->states[which] = state;
+	redeem->resolved[witness] = true;
+	redeem->states[witness] = state;
 }
 
 void
-redeem_record_no_response(redeem_t *redeem, int which)
+redeem_record_no_response(redeem_t *redeem, int witness)
 {
-	if (redeem->resolved[which])
+	if (redeem->resolved[witness])
 		return;
-	redeem->resolved[which] = true;
-	redeem->no_response[which] = true;
+	redeem->resolved[witness] = true;
+	redeem->no_response[witness] = true;
 }
 
 static bool
-granted(const redeem_t *redeem, int which)
+granted(const redeem_t *redeem, int witness)
 {
-	return redeem->resolved[which] && !redeem->no_response[which] &&
-	    redeem->states[which] == WITNESS_GRANTED_TO_SENDER;
+	return redeem->resolved[witness] && !redeem->no_response[witness] &&
+	    redeem->states[witness] == WITNESS_GRANTED_TO_SENDER;
 }
 
 bool
-redeem_may_be_granted(const redeem_t *redeem, int which)
+redeem_may_be_granted(const redeem_t *redeem, int witness)
 {
-	return !redeem->resolved[which] || redeem->no_response[which] ||
-	    redeem->states[which] == WITNESS_GRANTED_TO_SENDER;
+	return !redeem->resolved[witness] || redeem->no_response[witness] ||
+	    redeem->states[witness] == WITNESS_GRANTED_TO_SENDER;
 }
 
 static bool
--- a/moortack/ledger/ticket.c
+++ b/moortack/ledger/ticket.c
@@ -34,9 +34,9 @@
 	    token_open(ring, TOKEN_TICKET, text, payload, sizeof(payload));
 	Wire__Ticket *wire =
 	    len > 0 ? wire__ticket__unpack(NULL, len, payload) : NULL;
-	bool good = wire != NULL && wire->id.len == TICKET_ID_SIZE;
+	bool valid = wire != NULL && wire->id.len == TICKET_ID_SIZE;
 
-	if (good) {
+	if (valid) {
 		*out = (ticket_t){.expires_ms = wire->expires_ms,
 		    .witnesses = {wire->witness, wire->second}};
 		memcpy(out->id, wire->id.data, TICKET_ID_SIZE);
@@ -45,5 +45,5 @@
 	}
 	if (wire != NULL)
 		wire__ticket__free_unpacked(wire, NULL);
-	return good;
+	return valid;
 }
--- a/moortack/ledger/witness.c
+++ b/moortack/ledger/witness.c
@@ -10,8 +10,8 @@
 	uint64_t attempt;
 	int64_t expires_ms;
 	int status;
-	void *answer;
-	size_t answer_len;
+	void *body;
+	size_t body_len;
 	UT_hash_handle hh;
 };
 
@@ -22,10 +22,10 @@
 }
 
 static void
-entry_drop(witness_t *witness, witness_entry_t *entry)
+entry_remove(witness_t *witness, witness_entry_t *entry)
 {
 	HASH_DEL(witness->entries, entry);
-	free(entry->answer);
+	free(entry->body);
 	free(entry);
 }
 
@@ -36,7 +36,7 @@
 
 	HASH_ITER(hh, witness->entries, entry, next)
 	{
-		entry_drop(witness, entry);
+		entry_remove(witness, entry);
 	}
 }
 
@@ -47,7 +47,7 @@
 }
 
 static void
-expire(witness_t *witness)
+entries_expire(witness_t *witness)
 {
 	witness_entry_t *entry, *next;
 
@@ -57,7 +57,7 @@
 	HASH_ITER(hh, witness->entries, entry, next)
 	{
 		if (entry->expires_ms <= witness->latest_wall_ms)
-			entry_drop(witness, entry);
+			entry_remove(witness, entry);
 		else if (entry->expires_ms < witness->next_expiry_ms)
 			witness->next_expiry_ms = entry->expires_ms;
 	}
@@ -65,7 +65,7 @@
 
 static witness_state_t
 entry_add(
-    witness_t *witness, const witness_query_t *question, witness_state_t state)
+    witness_t *witness, const witness_query_t *query, witness_state_t state)
 {
 	witness_entry_t *entry;
 
@@ -74,10 +74,10 @@
 	entry = calloc(1, sizeof(*entry));
 	if (entry == NULL)
 		return WITNESS_FULL;
-	memcpy(entry->ticket, question->ticket, TICKET_ID_SIZE);
+	memcpy(entry->ticket, query->ticket, TICKET_ID_SIZE);
 	entry->state = state;
-	entry->attempt = question->attempt;
-	entry->expires_ms = question->expires_ms;
+	entry->attempt = query->attempt;
+	entry->expires_ms = query->expires_ms;
 	HASH_ADD(hh, witness->entries, ticket, TICKET_ID_SIZE, entry);
 	if (entry->expires_ms < witness->next_expiry_ms)
 		witness->next_expiry_ms = entry->expires_ms;
@@ -86,21 +86,21 @@
 
 /* A ticket that this witness holds nothing of. */
 static witness_state_t
-absent_ask(witness_t *witness, const witness_query_t *question)
+unknown_ticket_apply(witness_t *witness, const witness_query_t *query)
 {
 	witness_state_t state;
 
 	/* It may have been held and dropped. */
-	if (question->expires_ms <= witness->latest_wall_ms)
+	if (query->expires_ms <= witness->latest_wall_ms)
 		return WITNESS_EXPIRED;
-	switch (question->op) {
+	switch (query->op) {
 	case WITNESS_OP_GRANT:
-		state = entry_add(witness, question, WITNESS_GRANTED);
+		state = entry_add(witness, query, WITNESS_GRANTED);
 		return state == WITNESS_GRANTED ? WITNESS_GRANTED_TO_SENDER
 						: state;
 	case WITNESS_OP_REVOKE:
 	case WITNESS_OP_UNSENT:
-		return entry_add(witness, question, WITNESS_REVOKED);
+		return entry_add(witness, query, WITNESS_REVOKED);
 	case WITNESS_OP_OUTCOME:
 		break;
 	}
@@ -108,33 +108,32 @@
 }
 
 static void
-outcome_take(witness_entry_t *entry, const witness_query_t *question)
+outcome_record(witness_entry_t *entry, const witness_query_t *query)
 {
 	entry->state = WITNESS_COMPLETED;
-	entry->status = question->status;
-	if (question->body == NULL || question->body_len > WITNESS_BODY_MAX)
+	entry->status = query->status;
+	if (query->body == NULL || query->body_len > WITNESS_BODY_MAX)
 		return;
-	entry->answer = malloc(question->body_len + 1);
-	if (entry->answer == NULL)
+	entry->body = malloc(query->body_len + 1);
+	if (entry->body == NULL)
 		return;
-	memcpy(entry->answer, question->body, question->body_len);
-	entry->answer_len = question->body_len;
+	memcpy(entry->body, query->body, query->body_len);
+	entry->body_len = query->body_len;
 }
 
 static witness_state_t
-entry_ask(witness_entry_t *entry, const witness_query_t *question)
+entry_apply(witness_entry_t *entry, const witness_query_t *query)
 {
-	if (entry->state != WITNESS_GRANTED ||
-	    entry->attempt != question->attempt)
+	if (entry->state != WITNESS_GRANTED || entry->attempt != query->attempt)
 		return entry->state;
-	switch (question->op) {
+	switch (query->op) {
 	case WITNESS_OP_GRANT:
 		return WITNESS_GRANTED_TO_SENDER;
 	case WITNESS_OP_UNSENT:
 		entry->state = WITNESS_REVOKED;
 		break;
 	case WITNESS_OP_OUTCOME:
-		outcome_take(entry, question);
+		outcome_record(entry, query);
 		break;
 	case WITNESS_OP_REVOKE:
 		break;
@@ -143,24 +142,22 @@
 }
 
 witness_response_t
-witness_apply(
-    witness_t *witness, const witness_query_t *question, int64_t wall_ms)
+witness_apply(witness_t *witness, const witness_query_t *query, int64_t wall_ms)
 {
-	witness_response_t answer = {0};
+	witness_response_t response = {0};
 	witness_entry_t *entry;
 
 	if (wall_ms > witness->latest_wall_ms)
 		witness->latest_wall_ms = wall_ms;
-	expire(witness);
-	HASH_FIND(
-	    hh, witness->entries, question->ticket, TICKET_ID_SIZE, entry);
+	entries_expire(witness);
+	HASH_FIND(hh, witness->entries, query->ticket, TICKET_ID_SIZE, entry);
 	if (entry == NULL) {
-		answer.state = absent_ask(witness, question);
-		return answer;
+		response.state = unknown_ticket_apply(witness, query);
+		return response;
 	}
-	answer.state = entry_ask(entry, question);
-	answer.status = entry->status;
-	answer.body = entry->answer;
-	answer.body_len = entry->answer_len;
-	return answer;
+	response.state = entry_apply(entry, query);
+	response.status = entry->status;
+	response.body = entry->body;
+	response.body_len = entry->body_len;
+	return response;
 }
--- a/moortack/ledger/witness_task.c
+++ b/moortack/ledger/witness_task.c
@@ -9,18 +9,18 @@
 #define WITNESS_TIMEOUT_MS 400
 
 enum witness_message {
-	WITNESS_LOCAL, /**< a local_ask_t */
-	WITNESS_PEER_ASKS,
-	WITNESS_PEER_SAYS,
+	WITNESS_FRONT_QUERY, /**< a local_ask_t */
+	WITNESS_PEER_QUERY,
+	WITNESS_PEER_RESPONSE,
 };
 
-typedef struct local_ask {
+typedef struct front_query {
 	uint64_t incarnation;
 	uint64_t tag;
-	int which;
-	witness_query_t question;
-	uint8_t *answer; /**< a copy that the question points into */
-} local_ask_t;
+	int witness_index;
+	witness_query_t query;
+	uint8_t *body; /**< a copy that the question points into */
+} front_query_t;
 
 struct witness_task {
 	process_t process;
@@ -32,196 +32,201 @@
 };
 
 static void
-local_ask_free(void *body)
+front_query_free(void *body)
 {
-	local_ask_t *ask = body;
+	front_query_t *front_query = body;
 
-	free(ask->answer);
-	free(ask);
+	free(front_query->body);
+	free(front_query);
 }
 
 void
 witness_result_free(void *body)
 {
-	witness_result_t *news = body;
+	witness_result_t *result = body;
 
-	free(news->body);
-	free(news);
+	free(result->body);
+	free(result);
 }
 
 static void
-news_post(witness_task_t *task, uint64_t tag, int which, bool lost,
-    const witness_response_t *answer)
+result_post(witness_task_t *task, uint64_t tag, int witness_index,
+    bool no_response, const witness_response_t *response)
 {
-	witness_result_t *news;
+	witness_result_t *result;
 
 	if (tag == 0)
 		return;
-	news = calloc(1, sizeof(*news));
-	if (news == NULL)
+	result = calloc(1, sizeof(*result));
+	if (result == NULL)
 		return;
-	news->tag = tag;
-	news->witness_index = which;
-	news->no_response = lost;
-	news->state = answer->state;
-	news->status = answer->status;
-	if (answer->body != NULL)
-		news->body = calloc(1, answer->body_len + 1);
-	if (news->body != NULL) {
-		memcpy(news->body, answer->body, answer->body_len);
-		news->body_len = answer->body_len;
+	result->tag = tag;
+	result->witness_index = witness_index;
+	result->no_response = no_response;
+	result->state = response->state;
+	result->status = response->status;
+	if (response->body != NULL)
+		result->body = calloc(1, response->body_len + 1);
+	if (result->body != NULL) {
+		memcpy(result->body, response->body, response->body_len);
+		result->body_len = response->body_len;
 	}
-	task_post(task->front, task->front_kind, news, witness_result_free);
+	task_post(task->front, task->front_kind, result, witness_result_free);
 }
 
 static witness_response_t
-ask_here(witness_task_t *task, const witness_query_t *question)
+query_apply(witness_task_t *task, const witness_query_t *query)
 {
 	char id[TICKET_ID_SIZE * 2 + 1];
-	witness_response_t answer = witness_apply(&task->witness, question,
+	witness_response_t response = witness_apply(&task->witness, query,
 	    timespec_to_ms(clock_wall(task->process.clock)));
 
-	sodium_bin2hex(id, sizeof(id), question->ticket, TICKET_ID_SIZE);
-	if (answer.state == WITNESS_GRANTED_TO_SENDER) {
+	sodium_bin2hex(id, sizeof(id), query->ticket, TICKET_ID_SIZE);
+	if (response.state == WITNESS_GRANTED_TO_SENDER) {
 		counter_add(task->process.counters, COUNTER_TICKETS_GRANTED, 1);
 		timeline_add(
 		    task->process.timeline, EVENT_TICKET_GRANTED, id, "%s", "");
-	} else if (question->op != WITNESS_OP_OUTCOME &&
-	    answer.state == WITNESS_REVOKED) {
+	} else if (query->op != WITNESS_OP_OUTCOME &&
+	    response.state == WITNESS_REVOKED) {
 		counter_add(task->process.counters, COUNTER_TICKETS_REVOKED, 1);
 		timeline_add(
 		    task->process.timeline, EVENT_TICKET_REVOKED, id, "%s", "");
 	}
-	return answer;
+	return response;
 }
 
 /* The tag of a question to a peer holds which witness it is. */
 static uint64_t
-peer_tag(uint64_t tag, int which)
+peer_tag(uint64_t tag, int witness_index)
 {
-	return tag << 1 | (uint64_t)which;
+	return tag << 1 | (uint64_t)witness_index;
 }
 
 static void
-ask_peer(witness_task_t *task, const local_ask_t *local)
+query_send(witness_task_t *task, const front_query_t *front_query)
 {
-	const witness_query_t *question = &local->question;
+	const witness_query_t *query = &front_query->query;
 	Wire__TicketAsk wire = WIRE__TICKET_ASK__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	const peer_ask_t ask = {.to = local->incarnation,
+	const peer_ask_t peer_query = {.to = front_query->incarnation,
 	    .timeout_ms = WITNESS_TIMEOUT_MS,
-	    .task = local->tag != 0 ? &task->task : NULL,
-	    .kind = WITNESS_PEER_SAYS,
-	    .tag = peer_tag(local->tag, local->which)};
+	    .task = front_query->tag != 0 ? &task->task : NULL,
+	    .kind = WITNESS_PEER_RESPONSE,
+	    .tag = peer_tag(front_query->tag, front_query->witness_index)};
 
-	wire.op = (Wire__TicketAsk__Op)question->op;
-	wire.ticket.data = (uint8_t *)question->ticket;
+	wire.op = (Wire__TicketAsk__Op)query->op;
+	wire.ticket.data = (uint8_t *)query->ticket;
 	wire.ticket.len = TICKET_ID_SIZE;
-	wire.expires_ms = question->expires_ms;
-	wire.attempt = question->attempt;
-	wire.status = question->status;
-	wire.answer.data = local->answer;
-	wire.answer.len = local->answer != NULL ? question->body_len : 0;
+	wire.expires_ms = query->expires_ms;
+	wire.attempt = query->attempt;
+	wire.status = query->status;
+	wire.answer.data = front_query->body;
+	wire.answer.len = front_query->body != NULL ? query->body_len : 0;
 	envelope.body_case = WIRE__ENVELOPE__BODY_TICKET_ASK;
 	envelope.ticket_ask = &wire;
-	peers_ask(task->peers, &ask, &envelope);
+	peers_ask(task->peers, &peer_query, &envelope);
 }
 
 static void
-local_take(witness_task_t *task, const local_ask_t *local)
+front_query_handle(witness_task_t *task, const front_query_t *front_query)
 {
-	witness_response_t answer;
+	witness_response_t response;
 
-	if (local->incarnation != task->process.incarnation) {
-		ask_peer(task, local);
+	if (front_query->incarnation != task->process.incarnation) {
+		query_send(task, front_query);
 		return;
 	}
-	answer = ask_here(task, &local->question);
-	news_post(task, local->tag, local->which, false, &answer);
+	response = query_apply(task, &front_query->query);
+	result_post(task, front_query->tag, front_query->witness_index, false,
+	    &response);
 }
 
 static void
-peer_asks(witness_task_t *task, const peer_question_t *question)
+peer_query_handle(witness_task_t *task, const peer_question_t *peer_query)
 {
-	const Wire__TicketAsk *wire = question->envelope->ticket_ask;
-	witness_query_t ask = {.op = (witness_op_t)wire->op,
+	const Wire__TicketAsk *wire = peer_query->envelope->ticket_ask;
+	witness_query_t query = {.op = (witness_op_t)wire->op,
 	    .expires_ms = wire->expires_ms,
 	    .attempt = wire->attempt,
 	    .status = wire->status,
 	    .body = wire->answer.data,
 	    .body_len = wire->answer.len};
-	Wire__TicketAnswer out = WIRE__TICKET_ANSWER__INIT;
+	Wire__TicketAnswer wire_response = WIRE__TICKET_ANSWER__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	witness_response_t answer;
+	witness_response_t response;
 
-	if (wire->ticket.len != TICKET_ID_SIZE || ask.op > WITNESS_OP_UNSENT)
+	if (wire->ticket.len != TICKET_ID_SIZE || query.op > WITNESS_OP_UNSENT)
 		return;
-	memcpy(ask.ticket, wire->ticket.data, TICKET_ID_SIZE);
-	answer = ask_here(task, &ask);
-	out.state = (Wire__TicketAnswer__State)answer.state;
-	out.status = answer.status;
-	out.answer.data = (uint8_t *)answer.body;
-	out.answer.len = answer.body != NULL ? answer.body_len : 0;
+	memcpy(query.ticket, wire->ticket.data, TICKET_ID_SIZE);
+	response = query_apply(task, &query);
+	wire_response.state = (Wire__TicketAnswer__State)response.state;
+	wire_response.status = response.status;
+	wire_response.answer.data = (uint8_t *)response.body;
+	wire_response.answer.len =
+	    response.body != NULL ? response.body_len : 0;
 	envelope.body_case = WIRE__ENVELOPE__BODY_TICKET_ANSWER;
-	envelope.ticket_answer = &out;
-	peers_answer(task->peers, question, &envelope);
+	envelope.ticket_answer = &wire_response;
+	peers_answer(task->peers, peer_query, &envelope);
 }
 
 static void
-peer_says(witness_task_t *task, const peer_answer_t *said)
+peer_response_handle(witness_task_t *task, const peer_answer_t *peer_response)
 {
-	witness_response_t answer = {0};
+	witness_response_t response = {0};
 	const Wire__TicketAnswer *wire;
-	bool lost = said->envelope == NULL ||
-	    said->envelope->body_case != WIRE__ENVELOPE__BODY_TICKET_ANSWER;
-
-	if (!lost) {
-		wire = said->envelope->ticket_answer;
-		answer.state = (witness_state_t)wire->state;
-		answer.status = wire->status;
-		answer.body = wire->answer.data;
-		answer.body_len = wire->answer.len;
+	bool no_response = peer_response->envelope == NULL ||
+	    peer_response->envelope->body_case !=
+		WIRE__ENVELOPE__BODY_TICKET_ANSWER;
+
+	if (!no_response) {
+		wire = peer_response->envelope->ticket_answer;
+		response.state = (witness_state_t)wire->state;
+		response.status = wire->status;
+		response.body = wire->answer.data;
+		response.body_len = wire->answer.len;
 	}
-	news_post(task, said->tag >> 1, (int)(said->tag & 1), lost, &answer);
+	result_post(task, peer_response->tag >> 1,
+	    (int)(peer_response->tag & 1), no_response, &response);
 }
 
 static void
-handle(void *state, task_msg_t *msg)
+message_handle(void *state, task_msg_t *msg)
 {
 	witness_task_t *task = state;
 
 	switch ((enum witness_message)msg->kind) {
-	case WITNESS_LOCAL:
-		local_take(task, msg->body);
+	case WITNESS_FRONT_QUERY:
+		front_query_handle(task, msg->body);
 		break;
-	case WITNESS_PEER_ASKS:
-		peer_asks(task, msg->body);
+	case WITNESS_PEER_QUERY:
+		peer_query_handle(task, msg->body);
 		break;
-	case WITNESS_PEER_SAYS:
-		peer_says(task, msg->body);
+	case WITNESS_PEER_RESPONSE:
+		peer_response_handle(task, msg->body);
 		break;
 	}
 }
 
 void
 witness_task_query(witness_task_t *task, uint64_t incarnation, uint64_t tag,
-    int which, const witness_query_t *question)
+    int witness_index, const witness_query_t *query)
 {
-	local_ask_t *ask = calloc(1, sizeof(*ask));
+	front_query_t *front_query = calloc(1, sizeof(*front_query));
 
-	if (ask == NULL)
+	if (front_query == NULL)
 		return;
-	ask->incarnation = incarnation;
-	ask->tag = tag;
-	ask->which = which;
-	ask->question = *question;
-	if (question->body != NULL && question->body_len <= WITNESS_BODY_MAX) {
-		ask->answer = malloc(question->body_len + 1);
-		if (ask->answer != NULL)
-			memcpy(ask->answer, question->body, question->body_len);
+	front_query->incarnation = incarnation;
+	front_query->tag = tag;
+	front_query->witness_index = witness_index;
+	front_query->query = *query;
+	if (query->body != NULL && query->body_len <= WITNESS_BODY_MAX) {
+		front_query->body = malloc(query->body_len + 1);
+		if (front_query->body != NULL)
+			memcpy(front_query->body, query->body, query->body_len);
 	}
-	ask->question.body = ask->answer;
-	task_post(&task->task, WITNESS_LOCAL, ask, local_ask_free);
+	front_query->query.body = front_query->body;
+	task_post(
+	    &task->task, WITNESS_FRONT_QUERY, front_query, front_query_free);
 }
 
 witness_task_t *
@@ -237,9 +242,9 @@
 	task->front = front;
 	task->front_kind = kind;
 	witness_init(&task->witness, max);
-	task_init(&task->task, process->base, handle, task);
+	task_init(&task->task, process->base, message_handle, task);
 	peers_route(peers, WIRE__ENVELOPE__BODY_TICKET_ASK, &task->task,
-	    WITNESS_PEER_ASKS);
+	    WITNESS_PEER_QUERY);
 	return task;
 }
 
