--- a/moortack/front/admin.c
+++ b/moortack/front/admin.c
@@ -12,11 +12,11 @@
 	const char *path;
 	enum evhttp_cmd_type method;
 	void (*serve)(front_t *, struct evhttp_request *,
-	    const operator_row_t *, const char *rest);
+	    const operator_row_t *, const char *path_rest);
 } admin_path_t;
 
 static uint64_t
-slot_take(front_t *front, struct evhttp_request *req)
+slot_acquire(front_t *front, struct evhttp_request *req)
 {
 	handle_t handle = 0;
 	admin_slot_t *slot;
@@ -35,7 +35,7 @@
 }
 
 static admin_slot_t *
-slot_of(front_t *front, uint64_t tag)
+slot_find(front_t *front, uint64_t tag)
 {
 	admin_slot_t *slot =
 	    table_at(&front->admin_slots, (handle_t)(tag & UINT32_MAX) - 1);
@@ -44,95 +44,98 @@
 }
 
 static admin_ask_t *
-ask_new(front_t *front, struct evhttp_request *req,
+request_new(front_t *front, struct evhttp_request *req,
     const operator_row_t *operator_row, admin_action_t action)
 {
-	admin_ask_t *ask = calloc(1, sizeof(*ask));
+	admin_ask_t *request = calloc(1, sizeof(*request));
 
-	if (ask == NULL)
+	if (request == NULL)
 		return NULL;
-	ask->action = action;
-	ask->tag = slot_take(front, req);
-	memcpy(
-	    ask->operator_name, operator_row->name, sizeof(ask->operator_name));
-	return ask;
+	request->action = action;
+	request->tag = slot_acquire(front, req);
+	memcpy(request->operator_name, operator_row->name,
+	    sizeof(request->operator_name));
+	return request;
 }
 
 static void
-plan(front_t *front, struct evhttp_request *req,
-    const operator_row_t *operator_row, const char *rest)
+plan_create(front_t *front, struct evhttp_request *req,
+    const operator_row_t *operator_row, const char *path_rest)
 {
 	err_t err;
 	json_t *intent = http_request_json(req, &err);
-	admin_ask_t *ask;
+	admin_ask_t *request;
 
-	(void)rest;
+	(void)path_rest;
 	if (intent == NULL ||
 	    !operator_is_allowed(operator_row, intent, &err)) {
 		failure_respond(front, req, &err, NULL, NULL);
 		json_decref(intent);
 		return;
 	}
-	ask = ask_new(front, req, operator_row, ADMIN_PLAN);
-	ask->intent = intent;
-	registry_admin(front->registry, ask);
+	request = request_new(front, req, operator_row, ADMIN_PLAN);
+	request->intent = intent;
+	registry_admin(front->registry, request);
 }
 
 static void
-show(front_t *front, struct evhttp_request *req,
-    const operator_row_t *operator_row, const char *rest)
+plan_show(front_t *front, struct evhttp_request *req,
+    const operator_row_t *operator_row, const char *path_rest)
 {
-	admin_ask_t *ask = ask_new(front, req, operator_row, ADMIN_SHOW);
+	admin_ask_t *request =
+	    request_new(front, req, operator_row, ADMIN_SHOW);
 
-	snprintf(ask->plan, sizeof(ask->plan), "%.40s", rest);
-	registry_admin(front->registry, ask);
+	snprintf(request->plan, sizeof(request->plan), "%.40s", path_rest);
+	registry_admin(front->registry, request);
 }
 
 static void
-confirm(front_t *front, struct evhttp_request *req,
-    const operator_row_t *operator_row, const char *rest)
+plan_confirm(front_t *front, struct evhttp_request *req,
+    const operator_row_t *operator_row, const char *path_rest)
 {
-	admin_ask_t *ask = ask_new(front, req, operator_row, ADMIN_CONFIRM);
+	admin_ask_t *request =
+	    request_new(front, req, operator_row, ADMIN_CONFIRM);
 
-	snprintf(ask->plan, sizeof(ask->plan), "%.40s", rest);
-	registry_admin(front->registry, ask);
+	snprintf(request->plan, sizeof(request->plan), "%.40s", path_rest);
+	registry_admin(front->registry, request);
 }
 
 static void
-status(front_t *front, struct evhttp_request *req,
-    const operator_row_t *operator_row, const char *rest)
+status_show(front_t *front, struct evhttp_request *req,
+    const operator_row_t *operator_row, const char *path_rest)
 {
-	(void)rest;
-	registry_admin(
-	    front->registry, ask_new(front, req, operator_row, ADMIN_STATUS));
+	(void)path_rest;
+	registry_admin(front->registry,
+	    request_new(front, req, operator_row, ADMIN_STATUS));
 }
 
 static void
-history(front_t *front, struct evhttp_request *req,
-    const operator_row_t *operator_row, const char *rest)
+history_show(front_t *front, struct evhttp_request *req,
+    const operator_row_t *operator_row, const char *path_rest)
 {
-	admin_ask_t *ask = ask_new(front, req, operator_row, ADMIN_HISTORY);
+	admin_ask_t *request =
+	    request_new(front, req, operator_row, ADMIN_HISTORY);
 	char after[24] = "0";
 
-	(void)rest;
+	(void)path_rest;
 	http_request_query_param(req, "after", after, sizeof(after));
-	ask->after = strtoull(after, NULL, 10);
-	registry_admin(front->registry, ask);
+	request->after = strtoull(after, NULL, 10);
+	registry_admin(front->registry, request);
 }
 
 static void
-timeline(front_t *front, struct evhttp_request *req,
-    const operator_row_t *operator_row, const char *rest)
+timeline_show(front_t *front, struct evhttp_request *req,
+    const operator_row_t *operator_row, const char *path_rest)
 {
 	char subject[TIMELINE_SUBJECT_SIZE] = "";
 	json_t *events = json_array();
 	const timeline_event_t *event;
 
 	(void)operator_row;
-	(void)rest;
+	(void)path_rest;
 	http_request_query_param(req, "subject", subject, sizeof(subject));
-	for (uint64_t back = EVENTS_MAX; back-- > 0;) {
-		event = timeline_get(front->process.timeline, back);
+	for (uint64_t age = EVENTS_MAX; age-- > 0;) {
+		event = timeline_get(front->process.timeline, age);
 		if (event == NULL ||
 		    (*subject != '\0' && strcmp(subject, event->subject) != 0))
 			continue;
@@ -159,13 +162,13 @@
 }
 
 static void
-endpoints(front_t *front, struct evhttp_request *req,
-    const operator_row_t *operator_row, const char *rest)
+endpoints_list(front_t *front, struct evhttp_request *req,
+    const operator_row_t *operator_row, const char *path_rest)
 {
 	json_t *list = json_array();
 
 	(void)operator_row;
-	(void)rest;
+	(void)path_rest;
 	for (handle_t h = 0; h < front->fleet.endpoints.len; h++)
 		json_array_append_new(
 		    list, endpoint_json(fleet_at(&front->fleet, h)));
@@ -174,13 +177,13 @@
 
 /* Sorted by path. */
 static const admin_path_t paths[] = {
-    {"confirm/", EVHTTP_REQ_POST, confirm},
-    {"endpoints", EVHTTP_REQ_GET, endpoints},
-    {"history", EVHTTP_REQ_GET, history},
-    {"plan", EVHTTP_REQ_POST, plan},
-    {"plan/", EVHTTP_REQ_GET, show},
-    {"status", EVHTTP_REQ_GET, status},
-    {"timeline", EVHTTP_REQ_GET, timeline},
+    {"confirm/", EVHTTP_REQ_POST, plan_confirm},
+    {"endpoints", EVHTTP_REQ_GET, endpoints_list},
+    {"history", EVHTTP_REQ_GET, history_show},
+    {"plan", EVHTTP_REQ_POST, plan_create},
+    {"plan/", EVHTTP_REQ_GET, plan_show},
+    {"status", EVHTTP_REQ_GET, status_show},
+    {"timeline", EVHTTP_REQ_GET, timeline_show},
 };
 
 /* A path that ends in '/' takes what follows; any other stands alone. */
@@ -219,21 +222,21 @@
 }
 
 void
-admin_respond(front_t *front, admin_answer_t *answer)
+admin_respond(front_t *front, admin_answer_t *response)
 {
-	admin_slot_t *slot = slot_of(front, answer->tag);
+	admin_slot_t *slot = slot_find(front, response->tag);
 	struct evhttp_request *req;
 
 	if (slot == NULL || slot->req == NULL)
 		return;
 	req = slot->req;
 	slot->req = NULL;
-	if (answer->err.code != ERR_NONE) {
-		failure_respond(
-		    front, req, &answer->err, NULL, json_incref(answer->body));
+	if (response->err.code != ERR_NONE) {
+		failure_respond(front, req, &response->err, NULL,
+		    json_incref(response->body));
 		return;
 	}
-	http_respond_json(req, 200, json_incref(answer->body));
+	http_respond_json(req, 200, json_incref(response->body));
 }
 
 void
--- a/moortack/front/answer.c
+++ b/moortack/front/answer.c
@@ -7,7 +7,7 @@
 #define MS_PER_SEC 1000
 
 static int64_t
-retry_after(const front_t *front, const err_info_t *info)
+retry_delay_ms(const front_t *front, const err_info_t *info)
 {
 	if (!info->retryable)
 		return 0;
@@ -17,32 +17,32 @@
 }
 
 json_t *
-failure_json(
-    front_t *front, const err_t *err, const char *ran, int64_t retry_after_ms)
+failure_json(front_t *front, const err_t *err, const char *execution,
+    int64_t retry_after_ms)
 {
 	const err_info_t *info = err_info(err->code);
 
 	counter_add_failure(front->process.counters, err->code);
-	if (ran == NULL)
-		ran =
+	if (execution == NULL)
+		execution =
 		    info->execution == ERR_NOT_EXECUTED ? "not_run" : "unknown";
 	return json_pack("{s:{s:s,s:s,s:s,s:b,s:I}}", "error", "type",
-	    info->name, "message", err->detail, "ran", ran, "retry",
+	    info->name, "message", err->detail, "ran", execution, "retry",
 	    info->retryable, "retry_after_ms", (json_int_t)retry_after_ms);
 }
 
 void
 failure_respond(front_t *front, struct evhttp_request *req, const err_t *err,
-    const char *ran, json_t *more)
+    const char *execution, json_t *extra)
 {
 	const err_info_t *info = err_info(err->code);
-	int64_t after_ms = retry_after(front, info);
-	json_t *body = failure_json(front, err, ran, after_ms);
+	int64_t after_ms = retry_delay_ms(front, info);
+	json_t *body = failure_json(front, err, execution, after_ms);
 	char seconds[24];
 
-	if (more != NULL) {
-		json_object_update(body, more);
-		json_decref(more);
+	if (extra != NULL) {
+		json_object_update(body, extra);
+		json_decref(extra);
 	}
 	if (after_ms > 0) {
 		snprintf(seconds, sizeof(seconds), "%" PRId64,
--- a/moortack/front/auth.c
+++ b/moortack/front/auth.c
@@ -5,17 +5,18 @@
 #include "common/http_server.h"
 #include "front_priv.h"
 
-static const char bearer[] = "Bearer ";
+static const char bearer_prefix[] = "Bearer ";
 
 /* The hash of the key that came with the request; false: none came. */
 static bool
-key_hash_of(struct evhttp_request *req, char out[CONFIG_KEY_HASH_SIZE])
+bearer_key_hash(struct evhttp_request *req, char out[CONFIG_KEY_HASH_SIZE])
 {
 	const char *header = http_request_header(req, "Authorization");
 
-	if (header == NULL || strncmp(header, bearer, sizeof(bearer) - 1) != 0)
+	if (header == NULL ||
+	    strncmp(header, bearer_prefix, sizeof(bearer_prefix) - 1) != 0)
 		return false;
-	key_hash(header + sizeof(bearer) - 1, out);
+	key_hash(header + sizeof(bearer_prefix) - 1, out);
 	return true;
 }
 
@@ -24,7 +25,7 @@
 {
 	char hash[CONFIG_KEY_HASH_SIZE];
 
-	if (!key_hash_of(req, hash))
+	if (!bearer_key_hash(req, hash))
 		return HANDLE_NONE;
 	return config_organisation_by_key(front->config, hash);
 }
@@ -34,7 +35,7 @@
 {
 	char hash[CONFIG_KEY_HASH_SIZE];
 
-	if (!key_hash_of(req, hash))
+	if (!bearer_key_hash(req, hash))
 		return NULL;
 	for (handle_t h = 0; h < front->operators.len; h++) {
 		const operator_row_t *row = table_at(&front->operators, h);
@@ -49,17 +50,17 @@
 static bool
 kind_allowed(const operator_row_t *row, const char *kind)
 {
-	const char *p = row->kinds;
+	const char *kinds = row->kinds;
 	size_t len = strlen(kind);
 
-	if (strcmp(p, "*") == 0)
+	if (strcmp(kinds, "*") == 0)
 		return true;
-	while (*p != '\0') {
-		size_t word = strcspn(p, "+");
+	while (*kinds != '\0') {
+		size_t word = strcspn(kinds, "+");
 
-		if (word == len && strncmp(p, kind, len) == 0)
+		if (word == len && strncmp(kinds, kind, len) == 0)
 			return true;
-		p += word + (p[word] == '+');
+		kinds += word + (kinds[word] == '+');
 	}
 	return false;
 }
--- a/moortack/front/entries.c
+++ b/moortack/front/entries.c
@@ -16,7 +16,7 @@
 
 /* Every member that answers and stays, this daemon too. */
 static uint32_t
-entries_list(const front_t *front, entry_t *out)
+entries_collect(const front_t *front, entry_t *out)
 {
 	uint32_t count = 0;
 
@@ -47,7 +47,7 @@
 }
 
 static bool
-place_taken(const json_t *list, const char *place)
+place_listed(const json_t *list, const char *place)
 {
 	json_t *item;
 	size_t i;
@@ -64,7 +64,7 @@
 /* First one in each place, so that a caller can leave a place that is cut
  * off; then any others. */
 static json_t *
-entries_pick(const entry_t *entries, uint32_t count)
+entries_select(const entry_t *entries, uint32_t count)
 {
 	json_t *list = json_array();
 	bool used[CANDIDATES_MAX] = {false};
@@ -73,7 +73,8 @@
 		for (uint32_t i = 0;
 		     i < count && json_array_size(list) < ENTRIES_MAX; i++) {
 			if (used[i] ||
-			    (round == 0 && place_taken(list, entries[i].place)))
+			    (round == 0 &&
+				place_listed(list, entries[i].place)))
 				continue;
 			used[i] = true;
 			json_array_append_new(list,
@@ -88,7 +89,7 @@
 entries_respond(front_t *front, struct evhttp_request *req)
 {
 	entry_t entries[CANDIDATES_MAX];
-	uint32_t count = entries_list(front, entries);
+	uint32_t count = entries_collect(front, entries);
 	err_t err;
 
 	if (auth_organisation(front, req) == HANDLE_NONE) {
@@ -98,13 +99,13 @@
 	}
 	entries_shuffle(front->process.rng, entries, count);
 	http_respond_json(req, 200,
-	    json_pack("{s:o,s:I}", "entries", entries_pick(entries, count),
+	    json_pack("{s:o,s:I}", "entries", entries_select(entries, count),
 		"ttl_ms", (json_int_t)front->options->entries_ttl_ms));
 }
 
 /* A partner in another place if there is one; this daemon if it is alone. */
 static uint64_t
-second_witness(front_t *front)
+second_witness_select(front_t *front)
 {
 	uint32_t first = rng_below(front->process.rng, MEMBERS_PARTNERS);
 	uint64_t fallback = front->process.incarnation;
@@ -128,7 +129,8 @@
 	*out = (ticket_t){
 	    .expires_ms = timespec_to_ms(clock_wall(front->process.clock)) +
 		front->options->ticket_ttl_ms,
-	    .witnesses = {front->process.incarnation, second_witness(front)}};
+	    .witnesses = {
+		front->process.incarnation, second_witness_select(front)}};
 	randombytes_buf(out->id, sizeof(out->id));
 	snprintf(
 	    out->organisation, sizeof(out->organisation), "%s", organisation);
--- a/moortack/front/front.c
+++ b/moortack/front/front.c
@@ -13,8 +13,8 @@
 
 #define TICK_US 10000
 #define HEADERS_MAX 16384
-#define IDLE_CALLER_S 60
-#define DOOR_MARGIN_MS 200 /* for the list to spread */
+#define CALLER_IDLE_TIMEOUT_S 60
+#define LISTEN_MARGIN_MS 200 /* for the list to spread */
 
 typedef struct front_path {
 	const char *path;
@@ -23,7 +23,7 @@
 } front_path_t;
 
 static void
-healthy(front_t *front, struct evhttp_request *req)
+healthz_respond(front_t *front, struct evhttp_request *req)
 {
 	err_t err;
 
@@ -36,7 +36,7 @@
 
 /* Sorted by path. */
 static const front_path_t paths[] = {
-    {"/healthz", EVHTTP_REQ_GET, healthy},
+    {"/healthz", EVHTTP_REQ_GET, healthz_respond},
     {"/metrics", EVHTTP_REQ_GET, metrics_respond},
     {"/v1/chat/completions", EVHTTP_REQ_POST, exchange_chat_start},
     {"/v1/entries", EVHTTP_REQ_GET, entries_respond},
@@ -44,7 +44,7 @@
 };
 
 static void
-request(struct evhttp_request *req, void *arg)
+request_handle(struct evhttp_request *req, void *arg)
 {
 	static const char admin[] = "/admin/";
 	static const char services[] = "/v1/services/";
@@ -164,22 +164,22 @@
 }
 
 static void
-overdue_end(front_t *front, struct timespec now)
+overdue_fail(front_t *front, struct timespec now)
 {
 	waiter_t *waiter;
 
 	while ((waiter = admission_overdue(&front->admission, now)) != NULL) {
-		bool late = timespec_ms_between(waiter->deadline, now) >= 0;
+		bool expired = timespec_ms_between(waiter->deadline, now) >= 0;
 
 		exchange_fail((exchange_t *)waiter,
-		    late ? ERR_DEADLINE : ERR_OVERLOAD,
-		    late ? "the deadline passed while it waited"
-			 : "its class waited longer than it may");
+		    expired ? ERR_DEADLINE : ERR_OVERLOAD,
+		    expired ? "the deadline passed while it waited"
+			    : "its class waited longer than it may");
 	}
 }
 
 static void
-deadlines_check(front_t *front, struct timespec now)
+deadlines_enforce(front_t *front, struct timespec now)
 {
 	for (handle_t h = 0; h < front->exchange_slots.len; h++) {
 		exchange_slot_t *slot = table_at(&front->exchange_slots, h);
@@ -197,7 +197,7 @@
 /* Callers keep the list of entries for a while: until then, those who still
  * come are served. */
 static void
-door_check(front_t *front, struct timespec now)
+listener_close_when_due(front_t *front, struct timespec now)
 {
 	if (front->listener == NULL ||
 	    timespec_ms_between(front->listen_until, now) < 0)
@@ -212,7 +212,7 @@
 {
 	if (!front->draining || front->drained_notified)
 		return;
-	door_check(front, now);
+	listener_close_when_due(front, now);
 	if (front->listener != NULL || front->exchange_count > 0 ||
 	    !front->billing_status.drained)
 		return;
@@ -221,7 +221,7 @@
 }
 
 static void
-ticked(evutil_socket_t fd, short what, void *arg)
+tick(evutil_socket_t fd, short what, void *arg)
 {
 	front_t *front = arg;
 	struct timespec now = clock_boottime(front->process.clock);
@@ -230,8 +230,8 @@
 	(void)what;
 	deferred_tick(front);
 	orders_tick(front);
-	overdue_end(front, now);
-	deadlines_check(front, now);
+	overdue_fail(front, now);
+	deadlines_enforce(front, now);
 	front_dispatch(front);
 	drained_check(front, now);
 }
@@ -239,7 +239,7 @@
 /* --- life ------------------------------------------------------------- */
 
 static bool
-http_open(front_t *front, err_t *err)
+http_listen(front_t *front, err_t *err)
 {
 	http_address_t address;
 
@@ -257,10 +257,10 @@
 	evhttp_set_max_body_size(
 	    front->http, (ev_ssize_t)front->options->body_max);
 	evhttp_set_max_headers_size(front->http, HEADERS_MAX);
-	evhttp_set_timeout(front->http, IDLE_CALLER_S);
+	evhttp_set_timeout(front->http, CALLER_IDLE_TIMEOUT_S);
 	evhttp_set_allowed_methods(
 	    front->http, EVHTTP_REQ_GET | EVHTTP_REQ_POST);
-	evhttp_set_gencb(front->http, request, front);
+	evhttp_set_gencb(front->http, request_handle, front);
 	front->listener = evhttp_bind_socket_with_handle(
 	    front->http, address.host, address.port);
 	if (front->listener == NULL)
@@ -314,7 +314,7 @@
 	if (front->config == NULL ||
 	    !keyring_parse(&front->keyring, options->token_keys, err) ||
 	    !operators_parse(&front->operators, options->operators, err) ||
-	    !http_open(front, err)) {
+	    !http_listen(front, err)) {
 		front_free(front);
 		return NULL;
 	}
@@ -323,17 +323,17 @@
 	peers_route(peers, WIRE__ENVELOPE__BODY_GUARD_STOP, &front->task,
 	    FRONT_GUARD_STOP);
 	front->tick_event =
-	    event_new(process->base, -1, EV_PERSIST, ticked, front);
+	    event_new(process->base, -1, EV_PERSIST, tick, front);
 	event_add(front->tick_event, &interval);
 	return front;
 }
 
 void
-front_set_tasks(front_t *front, registry_t *registry, witness_task_t *witnesses,
-    billing_t *billing)
+front_set_tasks(front_t *front, registry_t *registry,
+    witness_task_t *witness_task, billing_t *billing)
 {
 	front->registry = registry;
-	front->witness_task = witnesses;
+	front->witness_task = witness_task;
 	front->billing = billing;
 }
 
@@ -355,7 +355,7 @@
 	front->draining = true;
 	front->listen_until =
 	    timespec_add_ms(clock_boottime(front->process.clock),
-		front->options->entries_ttl_ms + DOOR_MARGIN_MS);
+		front->options->entries_ttl_ms + LISTEN_MARGIN_MS);
 	timeline_add(front->process.timeline, EVENT_DRAINING,
 	    front->options->listen, "%u in progress", front->exchange_count);
 }
@@ -363,20 +363,20 @@
 uint32_t
 front_exchanges_abort(front_t *front)
 {
-	uint32_t cut = 0;
+	uint32_t aborted = 0;
 
 	for (handle_t h = 0; h < front->exchange_slots.len; h++) {
 		exchange_slot_t *slot = table_at(&front->exchange_slots, h);
 
 		if (slot->exchange == NULL)
 			continue;
-		cut++;
+		aborted++;
 		exchange_fail(slot->exchange,
 		    slot->exchange->may_have_run ? ERR_UNKNOWN_OUTCOME
 						 : ERR_DRAINING,
 		    "this entry leaves");
 	}
-	return cut;
+	return aborted;
 }
 
 void
--- a/moortack/front/front_priv.h
+++ b/moortack/front/front_priv.h
@@ -98,11 +98,11 @@
 
 /** Answer a failure. @param ran overrides what the type says; NULL: don't */
 void failure_respond(front_t *, struct evhttp_request *, const err_t *,
-    const char *ran, json_t *more);
+    const char *execution, json_t *extra);
 
 /** The JSON object of a failure. */
-json_t *
-failure_json(front_t *, const err_t *, const char *ran, int64_t retry_after_ms);
+json_t *failure_json(
+    front_t *, const err_t *, const char *execution, int64_t retry_after_ms);
 
 /* auth.c */
 
@@ -165,7 +165,7 @@
 
 /** A connection to an address: an idle one, or a new one.
  * @param fresh never an idle one */
-upstream_t *upstream_acquire(front_t *, const char *address, bool fresh);
+upstream_t *upstream_acquire(front_t *, const char *address, bool new_only);
 
 /** Give it back for the next request. */
 void upstream_release(front_t *, upstream_t *);
--- a/moortack/front/messages.c
+++ b/moortack/front/messages.c
@@ -8,10 +8,10 @@
 #include "common/log.h"
 #include "front_priv.h"
 
-#define RATING_GOOD 0.5
+#define RATING_GOOD_MIN 0.5
 
 static void
-config_take(front_t *front, config_t *config)
+config_apply(front_t *front, config_t *config)
 {
 	learn_config(&front->learn, front->config, config);
 	config_release(front->config);
@@ -21,7 +21,7 @@
 }
 
 static void
-guard_tell_one(front_t *front, uint64_t to, const char *version,
+guard_stop_send(front_t *front, uint64_t to, const char *version,
     const char *organisation, uint64_t revision)
 {
 	Wire__GuardStop stop = WIRE__GUARD_STOP__INIT;
@@ -46,15 +46,15 @@
 	log_line(LOG_WARN, LOG_ROUTE, "The guard stopped %s%s%s.", version,
 	    *organisation != '\0' ? " for " : "", organisation);
 	for (handle_t h = 0; h < front->members->rows.len; h++)
-		guard_tell_one(front,
+		guard_stop_send(front,
 		    members_at(front->members, h)->incarnation, version,
 		    organisation, front->config->revision);
 }
 
 static void
-guard_heard(front_t *front, const peer_question_t *question)
+guard_stop_receive(front_t *front, const peer_question_t *message)
 {
-	const Wire__GuardStop *stop = question->envelope->guard_stop;
+	const Wire__GuardStop *stop = message->envelope->guard_stop;
 
 	if (!front->options->guard ||
 	    !guard_stop(&front->learn.guard, stop->version, stop->organisation,
@@ -67,7 +67,7 @@
 /* A daemon that is new, or was out of reach, knows of no stop. It is told once
  * it answers: before that its link isn't up. */
 static void
-newcomers_tell(front_t *front, const members_t *members)
+guard_stops_resend(front_t *front, const members_t *members)
 {
 	for (handle_t h = 0; h < members->rows.len; h++) {
 		const member_t *member = members_at(members, h);
@@ -81,14 +81,14 @@
 			    table_at(&front->learn.guard.rows, r);
 
 			if (row->stopped)
-				guard_tell_one(front, to, row->version,
+				guard_stop_send(front, to, row->version,
 				    row->organisation, row->stopped_at);
 		}
 	}
 }
 
 static void
-rating_take(front_t *front, const json_t *rating)
+rating_apply(front_t *front, const json_t *rating)
 {
 	const char *request =
 	    json_string_value(json_object_get(rating, "request"));
@@ -96,8 +96,8 @@
 	    json_string_value(json_object_get(rating, "version"));
 	const char *organisation =
 	    json_string_value(json_object_get(rating, "organisation"));
-	bool good =
-	    json_number_value(json_object_get(rating, "score")) >= RATING_GOOD;
+	bool good = json_number_value(json_object_get(rating, "score")) >=
+	    RATING_GOOD_MIN;
 	const learn_recent_t *recent;
 
 	if (request == NULL || version == NULL || organisation == NULL)
@@ -110,27 +110,27 @@
 }
 
 static void
-ratings_take(front_t *front, const json_t *ratings)
+ratings_apply(front_t *front, const json_t *ratings)
 {
 	json_t *rating;
 	size_t i;
 
 	json_array_foreach(ratings, i, rating)
 	{
-		rating_take(front, rating);
+		rating_apply(front, rating);
 	}
 }
 
 static void
-members_take(front_t *front, members_t *members)
+members_apply(front_t *front, members_t *members)
 {
-	newcomers_tell(front, members);
+	guard_stops_resend(front, members);
 	members_release(front->members);
 	front->members = members_share(members);
 }
 
 static void
-vm_take(front_t *front, const json_t *vm)
+vm_apply(front_t *front, const json_t *vm)
 {
 	const char *address = json_string_value(json_object_get(vm, "address"));
 	const char *place = json_string_value(json_object_get(vm, "place"));
@@ -160,7 +160,7 @@
 }
 
 static void
-vms_take(front_t *front, const json_t *vms)
+vms_apply(front_t *front, const json_t *vms)
 {
 	json_t *vm;
 	size_t i;
@@ -168,7 +168,7 @@
 	fleet_list_begin(&front->fleet);
 	json_array_foreach(vms, i, vm)
 	{
-		vm_take(front, vm);
+		vm_apply(front, vm);
 	}
 	fleet_list_end(&front->fleet);
 	fleet_resolve(&front->fleet, front->config);
@@ -176,7 +176,7 @@
 
 /* The list lags: what one daemon hears of a leave, all hear. */
 static void
-leave_tell(front_t *front, const char *address)
+endpoint_left_broadcast(front_t *front, const char *address)
 {
 	Wire__EndpointLeft left = WIRE__ENDPOINT_LEFT__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
@@ -192,9 +192,9 @@
 }
 
 static void
-leave_heard(front_t *front, const peer_question_t *question)
+endpoint_left_receive(front_t *front, const peer_question_t *message)
 {
-	const char *address = question->envelope->endpoint_left->address;
+	const char *address = message->envelope->endpoint_left->address;
 	endpoint_t *endpoint =
 	    fleet_at(&front->fleet, fleet_find(&front->fleet, address));
 
@@ -206,28 +206,29 @@
 }
 
 static void
-load_take(front_t *front, const load_report_t *report)
+load_apply(front_t *front, const load_report_t *report)
 {
 	if (fleet_report(&front->fleet, report, front->config))
-		leave_tell(front, report->address);
+		endpoint_left_broadcast(front, report->address);
 	if (front->admission.count > 0)
 		front_dispatch(front);
 }
 
 static void
-witness_take(front_t *front, const witness_result_t *news)
+witness_result_apply(front_t *front, const witness_result_t *result)
 {
-	exchange_t *exchange = front_exchange_find(front, news->tag);
+	exchange_t *exchange = front_exchange_find(front, result->tag);
 
 	if (exchange != NULL)
-		exchange_witness_responded(exchange, news->witness_index,
-		    news->no_response, news->state, news->status, news->body);
+		exchange_witness_responded(exchange, result->witness_index,
+		    result->no_response, result->state, result->status,
+		    result->body);
 }
 
 static void
-billed_take(front_t *front, const billing_result_t *news)
+billing_result_apply(front_t *front, const billing_result_t *result)
 {
-	exchange_t *exchange = front_exchange_find(front, news->tag);
+	exchange_t *exchange = front_exchange_find(front, result->tag);
 
 	if (exchange != NULL && exchange->phase == PHASE_BILLING)
 		exchange_bill_recorded(exchange);
@@ -240,40 +241,40 @@
 
 	switch ((enum front_message)msg->kind) {
 	case FRONT_CONFIG:
-		config_take(front, msg->body);
+		config_apply(front, msg->body);
 		break;
 	case FRONT_FRESHNESS:
 		front->freshness = *(freshness_news_t *)msg->body;
 		break;
 	case FRONT_MEMBERS:
-		members_take(front, msg->body);
+		members_apply(front, msg->body);
 		break;
 	case FRONT_ADMIN_RESPONSE:
 		admin_respond(front, msg->body);
 		break;
 	case FRONT_WITNESS_RESULT:
-		witness_take(front, msg->body);
+		witness_result_apply(front, msg->body);
 		break;
 	case FRONT_BILLING_RESULT:
-		billed_take(front, msg->body);
+		billing_result_apply(front, msg->body);
 		break;
 	case FRONT_BILLING_STATUS:
 		front->billing_status = *(billing_status_t *)msg->body;
 		break;
 	case FRONT_VMS:
-		vms_take(front, msg->body);
+		vms_apply(front, msg->body);
 		break;
 	case FRONT_LOAD:
-		load_take(front, msg->body);
+		load_apply(front, msg->body);
 		break;
 	case FRONT_ENDPOINT_LEFT:
-		leave_heard(front, msg->body);
+		endpoint_left_receive(front, msg->body);
 		break;
 	case FRONT_GUARD_STOP:
-		guard_heard(front, msg->body);
+		guard_stop_receive(front, msg->body);
 		break;
 	case FRONT_RATINGS:
-		ratings_take(front, msg->body);
+		ratings_apply(front, msg->body);
 		break;
 	}
 }
--- a/moortack/front/orders.c
+++ b/moortack/front/orders.c
@@ -13,13 +13,13 @@
 #include "common/log.h"
 #include "front_priv.h"
 
-#define ORDER_EVERY_MS 1000
+#define ORDERS_INTERVAL_MS 1000
 
 static void
-order_done(void *arg, const http_response_t *reply)
+order_done(void *arg, const http_response_t *response)
 {
 	(void)arg;
-	(void)reply;
+	(void)response;
 }
 
 static void
@@ -49,7 +49,7 @@
 
 /* What the endpoint still has and must not; NULL: nothing. */
 static const char *
-withdrawn_version(const front_t *front, const endpoint_t *endpoint)
+withdrawn_version_find(const front_t *front, const endpoint_t *endpoint)
 {
 	for (uint32_t i = 0; i < endpoint->version_count; i++) {
 		const version_t *version = config_version_at(front->config,
@@ -62,7 +62,7 @@
 }
 
 static bool
-is_engine(const front_t *front, const char *version)
+version_is_engine(const front_t *front, const char *version)
 {
 	const version_t *row = config_version_at(
 	    front->config, config_version(front->config, version));
@@ -78,16 +78,16 @@
 	err_t err;
 
 	if (timespec_ms_between(front->orders_checked_at, now) <
-		ORDER_EVERY_MS ||
+		ORDERS_INTERVAL_MS ||
 	    front->draining || !front_is_ready(front, &err))
 		return;
 	front->orders_checked_at = now;
 	for (handle_t h = 0; h < front->fleet.endpoints.len; h++) {
 		const endpoint_t *endpoint = fleet_at(&front->fleet, h);
-		const char *version = withdrawn_version(front, endpoint);
+		const char *version = withdrawn_version_find(front, endpoint);
 
 		if (version == NULL || endpoint->state == ENDPOINT_GONE ||
-		    !is_engine(front, version))
+		    !version_is_engine(front, version))
 			continue;
 		if (!lease_usable(&front->orders_lease)) {
 			lease_ask(&front->orders_lease);
