--- a/test/fuzz/bills_fuzz.c
+++ b/test/fuzz/bills_fuzz.c
@@ -22,17 +22,17 @@
 /** A flush between its read and its write. */
 typedef struct flush {
 	bool open;
-	char *mark_before;
-	interval_set_t mark;
+	char *flushed_before;
+	interval_set_t flushed;
 	bill_t bills[BATCH];
 	size_t count;
 } flush_t;
 
 typedef struct world {
 	bill_book_t books[BOOKS];
-	bool dead[BOOKS];
+	bool down[BOOKS];
 	flush_t flushes[BOOKS];
-	char *mark; /**< the table's */
+	char *flushed; /**< the table's */
 	int stored[RECORDS + 1];
 	struct timespec now;
 } world_t;
@@ -42,23 +42,23 @@
 {
 	if (!flush->open)
 		return;
-	free(flush->mark_before);
-	interval_set_finish(&flush->mark);
+	free(flush->flushed_before);
+	interval_set_finish(&flush->flushed);
 	flush->open = false;
 }
 
 static void
-record(world_t *world, input_t *input)
+record_bill(world_t *world, input_t *input)
 {
 	bill_t bill = {.line_count = 1};
 	uint32_t holders = input_below(input, 4);
 
-	if (world->dead[0] || world->books[0].last_sequence == RECORDS)
+	if (world->down[0] || world->books[0].last_sequence == RECORDS)
 		return;
 	if (!bill_book_record(&world->books[0], &bill, world->now))
 		return;
 	for (int b = 1; b < BOOKS; b++) {
-		if ((holders >> (b - 1) & 1) != 0 && !world->dead[b])
+		if ((holders >> (b - 1) & 1) != 0 && !world->down[b])
 			bill_book_hold(&world->books[b], &bill, world->now);
 	}
 }
@@ -69,45 +69,46 @@
 	flush_t *flush = &world->flushes[b];
 	uint64_t incarnation;
 
-	if (world->dead[b] || flush->open ||
+	if (world->down[b] || flush->open ||
 	    !bill_book_due(&world->books[b], world->now, all, &incarnation))
 		return;
 	flush->open = true;
-	flush->mark_before = world->mark != NULL ? strdup(world->mark) : NULL;
-	interval_set_init(&flush->mark);
-	if (world->mark != NULL)
-		FUZZ_CHECK(interval_set_parse(&flush->mark, world->mark));
-	flush->count = bill_book_collect(
-	    &world->books[b], incarnation, &flush->mark, flush->bills, BATCH);
+	flush->flushed_before =
+	    world->flushed != NULL ? strdup(world->flushed) : NULL;
+	interval_set_init(&flush->flushed);
+	if (world->flushed != NULL)
+		FUZZ_CHECK(interval_set_parse(&flush->flushed, world->flushed));
+	flush->count = bill_book_collect(&world->books[b], incarnation,
+	    &flush->flushed, flush->bills, BATCH);
 	if (flush->count == 0)
 		flush_close(flush);
 }
 
 static bool
-mark_unchanged(const world_t *world, const flush_t *flush)
+flushed_unchanged(const world_t *world, const flush_t *flush)
 {
-	if (world->mark == NULL || flush->mark_before == NULL)
-		return world->mark == NULL && flush->mark_before == NULL;
-	return strcmp(world->mark, flush->mark_before) == 0;
+	if (world->flushed == NULL || flush->flushed_before == NULL)
+		return world->flushed == NULL && flush->flushed_before == NULL;
+	return strcmp(world->flushed, flush->flushed_before) == 0;
 }
 
 static void
-flush_write(world_t *world, int b, bool reply_lost)
+flush_write(world_t *world, int b, bool response_lost)
 {
 	flush_t *flush = &world->flushes[b];
 
 	if (!flush->open)
 		return;
-	if (mark_unchanged(world, flush)) {
-		free(world->mark);
-		world->mark = interval_set_format(&flush->mark);
+	if (flushed_unchanged(world, flush)) {
+		free(world->flushed);
+		world->flushed = interval_set_format(&flush->flushed);
 		for (size_t i = 0; i < flush->count; i++) {
 			uint64_t sequence = flush->bills[i].sequence;
 
 			FUZZ_CHECK(++world->stored[sequence] == 1);
 		}
 		for (size_t i = 0;
-		     i < flush->count && !reply_lost && !world->dead[b]; i++)
+		     i < flush->count && !response_lost && !world->down[b]; i++)
 			bill_book_remove(&world->books[b],
 			    flush->bills[i].incarnation,
 			    flush->bills[i].sequence, flush->bills[i].sequence);
@@ -117,7 +118,7 @@
 
 /* The owner tells holders what the table has. */
 static void
-drop_tell(world_t *world, int b)
+drops_receive(world_t *world, int b)
 {
 	for (uint64_t s = 1; s <= RECORDS; s++) {
 		if (world->stored[s] == 1)
@@ -133,7 +134,7 @@
 	switch (input_below(input, 8)) {
 	case 0:
 	case 1:
-		record(world, input);
+		record_bill(world, input);
 		break;
 	case 2:
 	case 3:
@@ -145,12 +146,12 @@
 		flush_write(world, b, input_below(input, 3) == 0);
 		break;
 	case 6:
-		drop_tell(world, (int)input_below(input, BOOKS));
+		drops_receive(world, (int)input_below(input, BOOKS));
 		break;
 	default:
 		/* A write of one that died may still reach the table. */
 		if (input_below(input, 10) == 0)
-			world->dead[input_below(input, BOOKS)] = true;
+			world->down[input_below(input, BOOKS)] = true;
 		else
 			world->now = timespec_add_ms(
 			    world->now, input_below(input, HELD_MS));
@@ -159,13 +160,13 @@
 }
 
 static void
-settle(world_t *world)
+flush_all(world_t *world)
 {
 	static bill_t left[RECORDS];
 
 	for (int b = 0; b < BOOKS; b++) {
 		while (
-		    !world->dead[b] && bill_book_count(&world->books[b]) > 0) {
+		    !world->down[b] && bill_book_count(&world->books[b]) > 0) {
 			size_t count =
 			    bill_book_copy(&world->books[b], left, RECORDS);
 
@@ -193,11 +194,11 @@
 		    &world.books[b], OWNER + (uint64_t)b, 2 * RECORDS, HELD_MS);
 	while (!input_at_end(&input))
 		step(&world, &input);
-	settle(&world);
+	flush_all(&world);
 	for (int b = 0; b < BOOKS; b++) {
 		flush_close(&world.flushes[b]);
 		bill_book_finish(&world.books[b]);
 	}
-	free(world.mark);
+	free(world.flushed);
 	return 0;
 }
--- a/test/fuzz/ticket_fuzz.c
+++ b/test/fuzz/ticket_fuzz.c
@@ -21,7 +21,7 @@
 
 typedef enum attempt_phase {
 	ATTEMPT_NONE,
-	ATTEMPT_ASKING,
+	ATTEMPT_QUERYING,
 	ATTEMPT_GRANTED, /**< may be sent; it may also stop here for long */
 	ATTEMPT_ENDED,
 } attempt_phase_t;
@@ -35,38 +35,40 @@
 /** On its way to a witness, or, once asked, back. */
 typedef struct message {
 	bool used;
-	bool answered;
+	bool responded;
 	int attempt;
-	int which;
+	int witness;
 	witness_op_t op;
 	witness_state_t state;
 } message_t;
 
 typedef struct world {
 	witness_t witnesses[REDEEM_WITNESSES];
-	bool dead[REDEEM_WITNESSES];
+	bool down[REDEEM_WITNESSES];
 	int64_t wall_ms;
 	int64_t expires_ms[TICKETS];
 	attempt_t attempts[ATTEMPTS];
 	message_t messages[MESSAGES];
 	int runs[TICKETS];
-	bool not_run[TICKETS]; /**< was said */
+	bool reported_not_run[TICKETS]; /**< was said */
 } world_t;
 
 static void
-message_send(world_t *world, int attempt, int which, witness_op_t op)
+message_send(world_t *world, int attempt, int witness, witness_op_t op)
 {
 	for (int i = 0; i < MESSAGES; i++) {
 		if (world->messages[i].used)
 			continue;
-		world->messages[i] = (message_t){
-		    .used = true, .attempt = attempt, .which = which, .op = op};
+		world->messages[i] = (message_t){.used = true,
+		    .attempt = attempt,
+		    .witness = witness,
+		    .op = op};
 		return;
 	}
 }
 
 static void
-unsent_send(world_t *world, int attempt)
+unsent_report(world_t *world, int attempt)
 {
 	for (int w = 0; w < REDEEM_WITNESSES; w++) {
 		if (redeem_may_be_granted(&world->attempts[attempt].redeem, w))
@@ -75,14 +77,14 @@
 }
 
 static void
-attempt_begin(world_t *world, input_t *input)
+attempt_start(world_t *world, input_t *input)
 {
 	int n = (int)input_below(input, ATTEMPTS);
 	attempt_t *attempt = &world->attempts[n];
 
 	if (attempt->phase != ATTEMPT_NONE)
 		return;
-	attempt->phase = ATTEMPT_ASKING;
+	attempt->phase = ATTEMPT_QUERYING;
 	attempt->ticket = (int)input_below(input, TICKETS);
 	redeem_init(&attempt->redeem);
 	for (int w = 0; w < REDEEM_WITNESSES; w++)
@@ -90,12 +92,12 @@
 }
 
 static void
-attempt_judge(world_t *world, int n)
+attempt_evaluate(world_t *world, int n)
 {
 	attempt_t *attempt = &world->attempts[n];
 	redeem_result_t result;
 
-	if (attempt->phase != ATTEMPT_ASKING)
+	if (attempt->phase != ATTEMPT_QUERYING)
 		return;
 	result = redeem_result(&attempt->redeem);
 	if (result == REDEEM_PENDING)
@@ -107,32 +109,32 @@
 	attempt->phase = ATTEMPT_ENDED;
 	if (result == REDEEM_NOT_RUN) {
 		FUZZ_CHECK(world->runs[attempt->ticket] == 0);
-		world->not_run[attempt->ticket] = true;
+		world->reported_not_run[attempt->ticket] = true;
 	}
-	unsent_send(world, n);
+	unsent_report(world, n);
 }
 
 static void
-witness_answer(world_t *world, message_t *message)
+witness_respond(world_t *world, message_t *message)
 {
 	const attempt_t *attempt = &world->attempts[message->attempt];
-	witness_query_t question = {.op = message->op,
+	witness_query_t query = {.op = message->op,
 	    .expires_ms = world->expires_ms[attempt->ticket],
 	    .attempt = (uint64_t)message->attempt + 1,
 	    .body = "x",
 	    .body_len = 1};
 	/* The witnesses' clocks are apart. */
-	int64_t wall_ms = world->wall_ms + message->which * SKEW_MS;
+	int64_t wall_ms = world->wall_ms + message->witness * SKEW_MS;
 
-	if (world->dead[message->which]) {
+	if (world->down[message->witness]) {
 		message->used = false;
 		return;
 	}
-	question.ticket[0] = (uint8_t)attempt->ticket;
+	query.ticket[0] = (uint8_t)attempt->ticket;
 	message->state =
-	    witness_apply(&world->witnesses[message->which], &question, wall_ms)
+	    witness_apply(&world->witnesses[message->witness], &query, wall_ms)
 		.state;
-	message->answered = true;
+	message->responded = true;
 	if (message->op != WITNESS_OP_GRANT)
 		message->used = false;
 }
@@ -144,19 +146,19 @@
 
 	if (!message->used)
 		return;
-	if (!message->answered) {
-		witness_answer(world, message);
+	if (!message->responded) {
+		witness_respond(world, message);
 		return;
 	}
 	message->used = false;
 	redeem_record_response(&world->attempts[message->attempt].redeem,
-	    message->which, message->state);
-	attempt_judge(world, message->attempt);
+	    message->witness, message->state);
+	attempt_evaluate(world, message->attempt);
 }
 
 /* Asked, and the answer is lost or repeated. */
 static void
-message_spoil(world_t *world, input_t *input, bool repeat)
+message_lose_or_repeat(world_t *world, input_t *input, bool repeat)
 {
 	message_t *message = &world->messages[input_below(input, MESSAGES)];
 
@@ -164,7 +166,7 @@
 		return;
 	if (repeat)
 		message_send(
-		    world, message->attempt, message->which, message->op);
+		    world, message->attempt, message->witness, message->op);
 	else
 		message->used = false;
 }
@@ -176,11 +178,11 @@
 
 	redeem_record_no_response(&world->attempts[n].redeem,
 	    (int)input_below(input, REDEEM_WITNESSES));
-	attempt_judge(world, n);
+	attempt_evaluate(world, n);
 }
 
 static void
-attempt_go(world_t *world, input_t *input, bool send)
+attempt_finish(world_t *world, input_t *input, bool send)
 {
 	int n = (int)input_below(input, ATTEMPTS);
 	attempt_t *attempt = &world->attempts[n];
@@ -191,13 +193,13 @@
 	if (!send) {
 		/* It was let go, and is given up unsent: that is "not run". */
 		FUZZ_CHECK(world->runs[attempt->ticket] == 0);
-		world->not_run[attempt->ticket] = true;
-		unsent_send(world, n);
+		world->reported_not_run[attempt->ticket] = true;
+		unsent_report(world, n);
 		return;
 	}
 	world->runs[attempt->ticket]++;
 	FUZZ_CHECK(world->runs[attempt->ticket] <= 1);
-	FUZZ_CHECK(!world->not_run[attempt->ticket]);
+	FUZZ_CHECK(!world->reported_not_run[attempt->ticket]);
 	for (int w = 0; w < REDEEM_WITNESSES; w++)
 		message_send(world, n, w, WITNESS_OP_OUTCOME);
 }
@@ -208,7 +210,7 @@
 	switch (input_below(input, 12)) {
 	case 0:
 	case 1:
-		attempt_begin(world, input);
+		attempt_start(world, input);
 		break;
 	case 2:
 	case 3:
@@ -218,20 +220,21 @@
 		message_deliver(world, input);
 		break;
 	case 7:
-		message_spoil(world, input, input_below(input, 2) == 0);
+		message_lose_or_repeat(
+		    world, input, input_below(input, 2) == 0);
 		break;
 	case 8:
 		attempt_time_out(world, input);
 		break;
 	case 9:
-		attempt_go(world, input, true);
+		attempt_finish(world, input, true);
 		break;
 	case 10:
-		attempt_go(world, input, false);
+		attempt_finish(world, input, false);
 		break;
 	default:
 		if (input_below(input, 8) == 0)
-			world->dead[input_below(input, REDEEM_WITNESSES)] =
+			world->down[input_below(input, REDEEM_WITNESSES)] =
 			    true;
 		else
 			world->wall_ms += input_below(input, TTL_MS);
