--- a/include/moortack/ledger/billing.h
+++ b/include/moortack/ledger/billing.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The task that sees each billing record into the store exactly once: it has a
- * peer hold a copy before the last byte goes to the caller, and flushes.
+ * The task that writes each billing record to the store exactly once. Before
+ * the last byte of a response goes to the caller, a peer holds a copy of its
+ * record; the records are flushed to the store in batches.
  */
 #ifndef MOORTACK_LEDGER_BILLING_H
 #define MOORTACK_LEDGER_BILLING_H
@@ -11,46 +12,48 @@
 #include "moortack/options.h"
 #include "moortack/store/store.h"
 
-/** How well a record is kept. */
+/** Where a record is held after it was posted. */
 typedef enum bill_durability {
-	BILL_REPLICATED,   /**< by a peer, or in the store */
-	BILL_UNREPLICATED, /**< by this daemon only: no peer answered */
-	BILL_NOT_RECORDED  /**< not at all: the book is full */
+	BILL_REPLICATED,   /**< by a peer, too, or in the store */
+	BILL_UNREPLICATED, /**< by this daemon only: no peer responded */
+	BILL_NOT_RECORDED  /**< nowhere: the book is full */
 } bill_durability_t;
 
-/** As the front receives it. */
+/** The result of billing_record(), as the front receives it. */
 typedef struct billing_result {
 	uint64_t tag;
 	bill_durability_t durability;
 } billing_result_t;
 
-/** Whether new billable work may be taken, as the front receives it. */
+/** How many records are not flushed yet, as the front receives it. No billable
+ * requests are accepted at the limit. */
 typedef struct billing_status {
 	uint32_t unflushed_count; /**< records not yet in the store */
 	uint32_t unflushed_max;
-	bool drained; /**< draining, and nothing is left here */
+	bool drained; /**< draining, and no record is left here */
 } billing_status_t;
 
 typedef struct billing billing_t;
 
+/** The task that receives results and the status, and their message kinds. */
 typedef struct billing_listener {
 	task_t *front;
-	int result_kind; /**< kind; body: billing_result_t */
-	int status_kind; /**< kind; body: billing_status_t */
+	int result_kind; /**< body: billing_result_t */
+	int status_kind; /**< body: billing_status_t */
 } billing_listener_t;
 
 billing_t *billing_new(const process_t *, const options_t *, store_t *,
     peers_t *, const billing_listener_t *);
 void billing_free(billing_t *);
 
-/** Post a record. @param tag of the answer; 0: none wanted */
+/** Post a record. @param tag of the result; 0: no result is posted */
 void billing_record(billing_t *, const bill_t *, uint64_t tag);
 
-/** Post that this daemon leaves: everything is flushed at once or, when the
- * store is out, handed over to a peer. */
+/** Post that this daemon shuts down: all records are flushed at once or, while
+ * the store is unavailable, handed over to a peer. */
 void billing_drain(billing_t *);
 
-/** Where the registry posts a members_t, and as what. */
+/** The task to which the registry posts a members_t, and the message kind. */
 task_t *billing_task(billing_t *);
 int billing_members_kind(void);
 
--- a/include/moortack/ledger/interval_set.h
+++ b/include/moortack/ledger/interval_set.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A set of sequence numbers, kept as ranges: which billing records of one
- * incarnation the store has. Its text form is "1-57,60-60".
+ * A set of sequence numbers, stored as ranges: the billing records of one
+ * incarnation that the store has. Its text form is "1-57,60-60".
  */
 #ifndef MOORTACK_LEDGER_INTERVAL_SET_H
 #define MOORTACK_LEDGER_INTERVAL_SET_H
@@ -11,14 +11,15 @@
 
 #include "common/table.h"
 
-/** Both ends are in the range. */
+/** A range of numbers, with both ends included. */
 typedef struct interval {
 	uint64_t first;
 	uint64_t last;
 } interval_t;
 
 typedef struct interval_set {
-	table_t intervals; /**< interval_t, in order, none touching */
+	table_t intervals; /**< interval_t, in order; neither overlapping
+				nor adjacent */
 } interval_set_t;
 
 void interval_set_init(interval_set_t *);
@@ -28,7 +29,8 @@
 bool interval_set_add(interval_set_t *, uint64_t number);
 bool interval_set_contains(const interval_set_t *, uint64_t number);
 
-/** Add what the text form lists. @return false when it is malformed */
+/** Add the ranges of a text form, which must lie above those in the set.
+ * @return false when it is malformed or memory is out */
 bool interval_set_parse(interval_set_t *, const char *text);
 
 /** The text form; the caller frees it. NULL when memory is out. */
--- a/include/moortack/ledger/keyring.h
+++ b/include/moortack/ledger/keyring.h
@@ -1,7 +1,8 @@
 /**
  * @file
  * The keys that authenticate tokens, by id, so that they can be rotated: the
- * first seals, all open.
+ * first key seals new tokens, and every key opens those that it sealed. A
+ * sealed token is authenticated, not encrypted.
  */
 #ifndef MOORTACK_LEDGER_KEYRING_H
 #define MOORTACK_LEDGER_KEYRING_H
@@ -15,7 +16,7 @@
 #define KEYRING_MAX 4
 #define TOKEN_TEXT_MAX 1024
 
-/** What a token is for; one never passes as another. */
+/** What a token is for. A token of one kind isn't accepted as another. */
 typedef enum token_kind {
 	TOKEN_SESSION = 1,
 	TOKEN_TICKET = 2,
@@ -29,15 +30,18 @@
 	int count;
 } keyring_t;
 
-/** Read "ID:HEX,ID:HEX", ids 0 to 255, keys of 32 bytes. */
+/** Parse "ID:HEX,ID:HEX", with ids from 0 to 255 and keys of 32 bytes. */
 bool keyring_parse(keyring_t *, const char *text, err_t *err);
 
-/** Seal a payload into text. @return false when it doesn't fit */
+/** Encode a payload with its authenticator as text.
+ * @return false when it doesn't fit */
 bool token_seal(const keyring_t *, token_kind_t, const void *payload,
     size_t len, char out[TOKEN_TEXT_MAX]);
 
-/** Check a text and copy its payload out.
- * @param size room in @p out, bytes @return length; 0: not genuine */
+/** Verify a token and copy out its payload.
+ * @param size of @p out, bytes
+ * @return length of the payload, bytes; 0 when the token isn't genuine or its
+ * payload doesn't fit */
 size_t token_open(const keyring_t *, token_kind_t, const char *text,
     uint8_t *out, size_t size);
 
--- a/include/moortack/ledger/redeem.h
+++ b/include/moortack/ledger/redeem.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Redeeming one single-use ticket: what the answers of its two witnesses add up
- * to. Pure: the caller sends the questions and feeds the answers.
+ * Redeeming one single-use ticket: derives the result from the responses of its
+ * two witnesses. It does no input or output: the caller sends the queries and
+ * records the responses.
  */
 #ifndef MOORTACK_LEDGER_REDEEM_H
 #define MOORTACK_LEDGER_REDEEM_H
@@ -12,34 +13,34 @@
 
 #define REDEEM_WITNESSES 2
 
-/** What is known so far. */
+/** The result so far. */
 typedef enum redeem_result {
-	REDEEM_PENDING,	     /**< an answer is still needed */
-	REDEEM_GRANTED,	     /**< send it: nobody else may */
-	REDEEM_NOT_RUN,	     /**< no attempt ran, or ever will */
-	REDEEM_COMPLETED,    /**< an attempt ran; a witness has its answer */
+	REDEEM_PENDING,	     /**< a response is still needed */
+	REDEEM_GRANTED,	     /**< send the request: no other attempt may */
+	REDEEM_NOT_RUN,	     /**< no attempt ran, and none will */
+	REDEEM_COMPLETED,    /**< an attempt ran; a witness has its response */
 	REDEEM_UNKNOWN,	     /**< an attempt may have run */
-	REDEEM_WITNESS_FULL, /**< a witness is full: not run by this attempt */
+	REDEEM_WITNESS_FULL, /**< a witness is full; this attempt doesn't run */
 } redeem_result_t;
 
 typedef struct redeem {
-	bool resolved[REDEEM_WITNESSES];    /**< or given up on */
-	bool no_response[REDEEM_WITNESSES]; /**< no answer came in time */
+	bool resolved[REDEEM_WITNESSES];    /**< responded, or given up on */
+	bool no_response[REDEEM_WITNESSES]; /**< no response came in time */
 	witness_state_t states[REDEEM_WITNESSES];
 } redeem_t;
 
 void redeem_init(redeem_t *);
 
-/** Witness @p which answered. */
+/** Record that @p witness responded. */
 void redeem_record_response(redeem_t *, int witness, witness_state_t);
 
-/** Witness @p which did not answer in time, or is gone. */
+/** Record that @p witness did not respond in time, or is down. */
 void redeem_record_no_response(redeem_t *, int witness);
 
 redeem_result_t redeem_result(const redeem_t *);
 
-/** Whether witness @p which let this attempt go, or may have, and must be told
- * "unsent" when the attempt is given up. */
+/** Whether @p witness granted this attempt, or may have, so that
+ * WITNESS_OP_UNSENT must be sent to it when the attempt is given up. */
 bool redeem_may_be_granted(const redeem_t *, int witness);
 
 #endif
--- a/include/moortack/ledger/ticket.h
+++ b/include/moortack/ledger/ticket.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * A single-use ticket: a sealed text that names the two daemons, by
- * incarnation, that may say whether it was used. No daemon's view of the
- * membership matters for it.
+ * A single-use ticket: a sealed text that names its two witnesses, the daemons
+ * that record whether it was used, by their incarnations. Hence it doesn't
+ * depend on any daemon's view of the membership.
  */
 #ifndef MOORTACK_LEDGER_TICKET_H
 #define MOORTACK_LEDGER_TICKET_H
@@ -14,13 +14,14 @@
 typedef struct ticket {
 	uint8_t id[TICKET_ID_SIZE];
 	char organisation[CONFIG_NAME_SIZE];
-	int64_t expires_ms; /**< wall-clock */
-	uint64_t witnesses[REDEEM_WITNESSES];
+	int64_t expires_ms;		      /**< wall-clock */
+	uint64_t witnesses[REDEEM_WITNESSES]; /**< incarnations */
 } ticket_t;
 
+/** @return false when it doesn't fit */
 bool ticket_seal(const keyring_t *, const ticket_t *, char out[TOKEN_TEXT_MAX]);
 
-/** @return false: not a genuine ticket */
+/** @return false when the text isn't a genuine ticket */
 bool ticket_open(const keyring_t *, const char *text, ticket_t *out);
 
 #endif
--- a/include/moortack/ledger/witness_task.h
+++ b/include/moortack/ledger/witness_task.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The task that owns this daemon's witness table and answers for it, to peers
- * and to this daemon's own front.
+ * The task that owns this daemon's witness table, and applies the queries of
+ * peers and of this daemon's own front to it.
  */
 #ifndef MOORTACK_LEDGER_WITNESS_TASK_H
 #define MOORTACK_LEDGER_WITNESS_TASK_H
@@ -9,7 +9,7 @@
 #include "moortack/ledger/witness.h"
 #include "moortack/member/peers.h"
 
-/** A witness's answer, as the front receives it. */
+/** A witness's response, as the front receives it. */
 typedef struct witness_result {
 	uint64_t tag;
 	int witness_index; /**< 0 or 1: of the ticket's witnesses */
@@ -17,7 +17,7 @@
 	witness_state_t state;
 	int status;
 	size_t body_len;
-	char *body; /**< NULL when not kept; ended by a zero */
+	char *body; /**< NULL when not stored; ends with a zero byte */
 } witness_result_t;
 
 typedef struct witness_task witness_task_t;
@@ -29,9 +29,9 @@
 void witness_task_free(witness_task_t *);
 
 /**
- * Ask the witness @p incarnation, here or at a peer.
- * @param tag the front's; 0: no answer is wanted
- * @param which 0 or 1
+ * Query the witness @p incarnation, which is this daemon or a peer.
+ * @param tag of the result; 0: no result is posted
+ * @param witness_index 0 or 1
  */
 void witness_task_query(witness_task_t *, uint64_t incarnation, uint64_t tag,
     int witness_index, const witness_query_t *query);
--- a/moortack/ledger/bill_book.c
+++ b/moortack/ledger/bill_book.c
@@ -14,7 +14,7 @@
 	bill_id_t id;
 	struct timespec added_at;
 	UT_hash_handle hh;
-	bill_t bill; /**< must stay last: cut off after its last line */
+	bill_t bill; /**< the last field: allocated only up to its last line */
 };
 
 void
--- a/moortack/ledger/billing_flush.c
+++ b/moortack/ledger/billing_flush.c
@@ -1,6 +1,9 @@
 /**
  * @file
- * Flushing: the table has a record once its mark says so.
+ * Flushing. For each incarnation the row "mark/INCARNATION" holds the set of
+ * flushed sequence numbers. It is written in one transaction with the records,
+ * provided that it is as it was read: a record is in the table if, and only if,
+ * its number is in the set.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -18,7 +21,7 @@
 	billing_t *billing;
 	uint64_t incarnation;
 	char flushed_key[KEY_SIZE];
-	char *flushed_before; /**< NULL: there was none */
+	char *flushed_before; /**< as it was read; NULL: there was no row */
 	interval_set_t flushed;
 	bill_t bills[BATCH_MAX];
 	size_t count;
@@ -44,7 +47,8 @@
 		billing_flush(billing);
 }
 
-/* Tell the holders of this daemon's records what the store has. */
+/* Send the last range of flushed records to all members: any of them may hold
+ * copies. */
 static void
 drops_broadcast(billing_t *billing, const interval_set_t *flushed)
 {
@@ -76,7 +80,8 @@
 	billing_t *billing = flush->billing;
 
 	(void)response;
-	/* Lost or overtaken: the next flush reads the mark, which tells. */
+	/* The response was lost, or another daemon wrote first: the next flush
+	 * reads the set again and skips what it has. */
 	if (result != STORE_OK) {
 		flush_finish(flush, result == STORE_CONFLICT);
 		return;
@@ -115,7 +120,7 @@
 
 	json_decref(batch);
 	incarnation_text(flush->incarnation, incarnation);
-	/* A number enters the mark once, so no other batch has this key. */
+	/* A number enters the set only once, so no other batch has this key. */
 	snprintf(key, sizeof(key), "bill/%s/%012" PRIu64, incarnation,
 	    flush->bills[0].sequence);
 	if (text != NULL && flushed_text != NULL) {
@@ -148,7 +153,9 @@
 		flush->flushed_before = strdup(flushed_text);
 		if (!interval_set_parse(&flush->flushed, flushed_text)) {
 			log_line(LOG_ERROR, LOG_LEDGER,
-			    "The mark %s cannot be read.", flush->flushed_key);
+			    "The set of flushed records in row %s is "
+			    "malformed.",
+			    flush->flushed_key);
 			flush_finish(flush, false);
 			return;
 		}
--- a/moortack/ledger/billing_hold.c
+++ b/moortack/ledger/billing_hold.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Holding: a peer keeps a copy of each record; and handing over, when this
- * daemon leaves while the table is out.
+ * Has a peer hold a copy of each record, and hands the records over to a peer
+ * when this daemon shuts down while the store is unavailable.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -12,7 +12,8 @@
 #define HOLD_TIMEOUT_MS 400
 #define HOLD_TRIES 3
 
-/* A partner that answers, elsewhere if there is one; another at each try. */
+/* A partner that responds, in another place if there is one. Each try starts at
+ * the next partner. */
 static const member_t *
 holder_select(const billing_t *billing, const pending_hold_t *pending)
 {
@@ -60,7 +61,7 @@
 		counter_add(
 		    billing->process.counters, COUNTER_BILLS_UNREPLICATED, 1);
 		pending_hold_finish(billing, pending, BILL_UNREPLICATED);
-		/* Nobody else holds it: the store is the next best. */
+		/* No peer holds it, so it is flushed to the store at once. */
 		billing_flush(billing);
 		return;
 	}
@@ -97,7 +98,8 @@
 	handle_t handle;
 
 	if (!bill_book_record(&billing->book, &tagged_bill->bill, now)) {
-		log_line(LOG_ERROR, LOG_LEDGER, "The bill book is full.");
+		log_line(LOG_ERROR, LOG_LEDGER,
+		    "A bill was not recorded: the bill book is full.");
 		billing_result_post(
 		    billing, tagged_bill->tag, BILL_NOT_RECORDED);
 		return;
@@ -163,7 +165,8 @@
 		    drop->ranges[i]->first, drop->ranges[i]->last);
 }
 
-/* Any member may flush any record, so one more copy does no harm. */
+/* Any daemon may flush any record, so a copy that another one holds, too, does
+ * no harm. */
 void
 billing_handover_start(billing_t *billing)
 {
--- a/moortack/ledger/claim.c
+++ b/moortack/ledger/claim.c
@@ -37,7 +37,8 @@
 		claim_finish(claim, claim->ticket);
 		return;
 	}
-	/* Overtaken, or the reply was lost: the table tells whose it is. */
+	/* Another claim came first, or the response was lost: reading the row
+	 * again shows which ticket is bound. */
 	if (result == STORE_REFUSED || ++claim->tries >= CLAIM_TRIES ||
 	    !claim_read(claim))
 		claim_finish(claim, NULL);
--- a/moortack/ledger/interval_set.c
+++ b/moortack/ledger/interval_set.c
@@ -25,7 +25,7 @@
 	return table_at(&set->intervals, handle);
 }
 
-/* The first interval that ends at or after the number. */
+/* Binary search for the first interval that ends at or after the number. */
 static handle_t
 lower_bound(const interval_set_t *set, uint64_t number)
 {
--- a/moortack/ledger/keyring.c
+++ b/moortack/ledger/keyring.c
@@ -27,14 +27,14 @@
 			NULL, &len, &after) != 0 ||
 		    len != crypto_auth_KEYBYTES)
 			return err_set(err, ERR_SETTING,
-			    "token-keys: want 1 to %d of ID:HEX, 64 digits "
-			    "each",
+			    "token-keys: expected 1 to %d keys as ID:HEX, "
+			    "with 64 hex digits each",
 			    KEYRING_MAX);
 		ring->keys[ring->count++].id = (uint8_t)id;
 		text = after + (*after == ',');
 	}
 	if (ring->count == 0)
-		return err_set(err, ERR_SETTING, "token-keys: none is given");
+		return err_set(err, ERR_SETTING, "token-keys: no key is given");
 	return true;
 }
 
@@ -63,7 +63,7 @@
 	uint8_t bytes[TOKEN_BYTES_MAX];
 	size_t len;
 
-	/* libsodium takes some bytes above 127 for letters. */
+	/* libsodium accepts some bytes above 127 as letters. */
 	if (text[strspn(text, base64url_alphabet)] != '\0' ||
 	    sodium_base642bin(bytes, sizeof(bytes), text, strlen(text), NULL,
 		&len, NULL, sodium_base64_VARIANT_URLSAFE_NO_PADDING) != 0 ||
--- a/moortack/ledger/redeem.c
+++ b/moortack/ledger/redeem.c
@@ -63,8 +63,8 @@
 	if (granted(redeem, 0) && granted(redeem, 1))
 		return REDEEM_GRANTED;
 	/*
-	 * One witness let this attempt go: it had let no other go before, and
-	 * won't any more. This one isn't sent, so none ever is.
+	 * One witness granted this attempt: it granted no other before, and
+	 * won't grant one later. This attempt isn't sent, so none ever runs.
 	 */
 	if (any_state(redeem, WITNESS_GRANTED_TO_SENDER))
 		return REDEEM_NOT_RUN;
--- a/moortack/ledger/witness.c
+++ b/moortack/ledger/witness.c
@@ -6,7 +6,7 @@
 
 struct witness_entry {
 	uint8_t ticket[TICKET_ID_SIZE];
-	witness_state_t state; /**< WENT, DONE or DEAD */
+	witness_state_t state; /**< WITNESS_GRANTED, _COMPLETED or _REVOKED */
 	uint64_t attempt;
 	int64_t expires_ms;
 	int status;
@@ -84,13 +84,13 @@
 	return state;
 }
 
-/* A ticket that this witness holds nothing of. */
+/* Apply a query on a ticket that is not in the table. */
 static witness_state_t
 unknown_ticket_apply(witness_t *witness, const witness_query_t *query)
 {
 	witness_state_t state;
 
-	/* It may have been held and dropped. */
+	/* It may have been in the table and was removed. */
 	if (query->expires_ms <= witness->latest_wall_ms)
 		return WITNESS_EXPIRED;
 	switch (query->op) {
--- a/moortack/ledger/witness_task.c
+++ b/moortack/ledger/witness_task.c
@@ -9,17 +9,18 @@
 #define WITNESS_TIMEOUT_MS 400
 
 enum witness_message {
-	WITNESS_FRONT_QUERY, /**< a local_ask_t */
+	WITNESS_FRONT_QUERY, /**< front_query_t */
 	WITNESS_PEER_QUERY,
 	WITNESS_PEER_RESPONSE,
 };
 
+/** A query of this daemon's front, to any witness. */
 typedef struct front_query {
 	uint64_t incarnation;
 	uint64_t tag;
 	int witness_index;
 	witness_query_t query;
-	uint8_t *body; /**< a copy that the question points into */
+	uint8_t *body; /**< a copy, to which query.body points */
 } front_query_t;
 
 struct witness_task {
@@ -95,7 +96,7 @@
 	return response;
 }
 
-/* The tag of a question to a peer holds which witness it is. */
+/* The tag of a query to a peer: the lowest bit is the witness's index. */
 static uint64_t
 peer_tag(uint64_t tag, int witness_index)
 {
