--- a/include/moortack/front/front.h
+++ b/include/moortack/front/front.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The task that faces callers and operators over HTTP, and owns the exchanges
- * and what they are decided by.
+ * The task that serves callers and operators over HTTP. It owns the exchanges
+ * and the state by which they are routed.
  */
 #ifndef MOORTACK_FRONT_FRONT_H
 #define MOORTACK_FRONT_FRONT_H
@@ -13,7 +13,7 @@
 #include "moortack/options.h"
 #include "moortack/store/store.h"
 
-/** Messages that others post to the front. */
+/** Messages that other tasks post to the front. */
 enum front_message {
 	FRONT_CONFIG,	      /**< config_t */
 	FRONT_FRESHNESS,      /**< freshness_news_t */
@@ -24,32 +24,34 @@
 	FRONT_BILLING_STATUS, /**< billing_status_t */
 	FRONT_VMS,	      /**< a list of VMs, json_t */
 	FRONT_LOAD,	      /**< load_report_t */
-	FRONT_ENDPOINT_LEFT,  /**< peer_question_t: an endpoint leaves */
+	FRONT_ENDPOINT_LEFT,  /**< peer_question_t: an endpoint is leaving */
 	FRONT_GUARD_STOP,     /**< peer_question_t: a version was stopped */
 	FRONT_RATINGS,	      /**< a list of ratings, json_t */
 };
 
 typedef struct front front_t;
 
-/** @param drained called once, after front_drain(), when nothing is left */
+/** @param drained called once, after front_drain(), when no exchange and no
+ * unflushed billing record is left */
 front_t *front_new(const process_t *, const options_t *, store_t *, peers_t *,
     void (*drained)(void *), void *arg, err_t *err);
 void front_free(front_t *);
 
-/** Where others post to. */
+/** The task to which the messages are posted. */
 task_t *front_task(front_t *);
 
-/** Introduce the tasks that the front itself posts to. */
+/** Set the tasks to which the front itself posts. */
 void front_set_tasks(front_t *, registry_t *, witness_task_t *, billing_t *);
 
-/** Finish what is in progress, take no more, then call drained. */
+/** Stop accepting requests once the entry lists that callers hold have expired,
+ * finish those in flight, then call the callback for being drained. */
 void front_drain(front_t *);
 
-/** Exchanges under way. */
+/** The number of exchanges in progress. */
 uint32_t front_exchange_count(const front_t *);
 
-/** End every exchange with an error: the time to drain is over.
- * @return how many were cut */
+/** Fail every exchange, as the time to drain is over.
+ * @return exchanges that were failed */
 uint32_t front_exchanges_abort(front_t *);
 
 #endif
--- a/moortack/front/admin.c
+++ b/moortack/front/admin.c
@@ -186,7 +186,7 @@
     {"timeline", EVHTTP_REQ_GET, timeline_show},
 };
 
-/* A path that ends in '/' takes what follows; any other stands alone. */
+/* A path that ends in '/' matches as a prefix, any other as a whole. */
 static bool
 path_matches(const admin_path_t *row, const char *path)
 {
@@ -205,7 +205,8 @@
 	err_t err;
 
 	if (operator_row == NULL) {
-		err_set(&err, ERR_AUTHENTICATION, "no such operator's key");
+		err_set(
+		    &err, ERR_AUTHENTICATION, "the key is not an operator's");
 		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
@@ -217,7 +218,7 @@
 			return;
 		}
 	}
-	err_set(&err, ERR_NOT_FOUND, "there is no such admin path");
+	err_set(&err, ERR_NOT_FOUND, "no such admin path");
 	failure_respond(front, req, &err, NULL, NULL);
 }
 
--- a/moortack/front/auth.c
+++ b/moortack/front/auth.c
@@ -7,7 +7,7 @@
 
 static const char bearer_prefix[] = "Bearer ";
 
-/* The hash of the key that came with the request; false: none came. */
+/* Hash the request's bearer key. Returns false when it has none. */
 static bool
 bearer_key_hash(struct evhttp_request *req, char out[CONFIG_KEY_HASH_SIZE])
 {
@@ -87,7 +87,7 @@
 	return true;
 }
 
-/* NAME:HASH:KINDS */
+/* Parse NAME:HASH:KINDS. */
 static bool
 operator_parse(operator_row_t *row, const char *text, size_t len)
 {
@@ -123,8 +123,8 @@
 
 		if (row == NULL || !operator_parse(row, text, len))
 			return err_set(err, ERR_SETTING,
-			    "operators: want NAME:KEYHASH:KINDS joined by ',', "
-			    "with KINDS '*' or kinds joined by '+'");
+			    "operators: expected NAME:KEYHASH:KINDS joined by "
+			    "',', with KINDS '*' or kinds joined by '+'");
 		text += len + (text[len] == ',');
 	}
 	return true;
--- a/moortack/front/entries.c
+++ b/moortack/front/entries.c
@@ -14,7 +14,7 @@
 	const char *place;
 } entry_t;
 
-/* Every member that answers and stays, this daemon too. */
+/* Collect the members that respond and aren't draining, and this daemon. */
 static uint32_t
 entries_collect(const front_t *front, entry_t *out)
 {
@@ -61,8 +61,8 @@
 	return false;
 }
 
-/* First one in each place, so that a caller can leave a place that is cut
- * off; then any others. */
+/* Select one entry in each place first, so that a caller has another one when a
+ * place is cut off; then any others. */
 static json_t *
 entries_select(const entry_t *entries, uint32_t count)
 {
@@ -103,7 +103,8 @@
 		"ttl_ms", (json_int_t)front->options->entries_ttl_ms));
 }
 
-/* A partner in another place if there is one; this daemon if it is alone. */
+/* A partner in another place if there is one, else one in the same place; this
+ * daemon if no partner responds. */
 static uint64_t
 second_witness_select(front_t *front)
 {
--- a/moortack/front/front.c
+++ b/moortack/front/front.c
@@ -14,7 +14,8 @@
 #define TICK_US 10000
 #define HEADERS_MAX 16384
 #define CALLER_IDLE_TIMEOUT_S 60
-#define LISTEN_MARGIN_MS 200 /* for the list to spread */
+#define LISTEN_MARGIN_MS \
+	200 /* time for draining to reach the other daemons' lists */
 
 typedef struct front_path {
 	const char *path;
@@ -73,7 +74,7 @@
 	    method == EVHTTP_REQ_GET) {
 		deferred_collect(front, req, path + sizeof(deferred) - 1);
 	} else {
-		err_set(&err, ERR_NOT_FOUND, "there is no such path");
+		err_set(&err, ERR_NOT_FOUND, "no such path");
 		failure_respond(front, req, &err, NULL, NULL);
 	}
 }
@@ -88,7 +89,7 @@
 		    "this entry holds no confirmed configuration yet");
 	if (timespec_ms_between(now, front->freshness.until) <= 0)
 		return err_set(err, ERR_CONFIG_STALE,
-		    "this entry cannot tell whether its configuration is still "
+		    "this entry cannot confirm that its configuration is still "
 		    "in force");
 	return true;
 }
@@ -120,7 +121,7 @@
 	exchange->front = front;
 	exchange->endpoint = HANDLE_NONE;
 	exchange->first_byte_ms = -1;
-	/* Witnesses' tags need one bit more: see witness_task.c. */
+	/* One bit is left free for peer_tag() in witness_task.c. */
 	exchange->tag =
 	    (uint64_t)(slot->generation & 0x7fffffff) << 32 | (handle + 1);
 	front->exchange_count++;
@@ -173,8 +174,9 @@
 
 		exchange_fail((exchange_t *)waiter,
 		    expired ? ERR_DEADLINE : ERR_OVERLOAD,
-		    expired ? "the deadline passed while it waited"
-			    : "its class waited longer than it may");
+		    expired ? "the deadline passed while the request was queued"
+			    : "the request was queued longer than its class "
+			      "allows");
 	}
 }
 
@@ -194,8 +196,8 @@
 	}
 }
 
-/* Callers keep the list of entries for a while: until then, those who still
- * come are served. */
+/* Stop accepting connections. Callers hold the list of entries until its TTL
+ * has passed, and are served until then. */
 static void
 listener_close_when_due(front_t *front, struct timespec now)
 {
@@ -236,7 +238,7 @@
 	drained_check(front, now);
 }
 
-/* --- life ------------------------------------------------------------- */
+/* --- start and stop --------------------------------------------------- */
 
 static bool
 http_listen(front_t *front, err_t *err)
@@ -374,7 +376,7 @@
 		exchange_fail(slot->exchange,
 		    slot->exchange->may_have_run ? ERR_UNKNOWN_OUTCOME
 						 : ERR_DRAINING,
-		    "this entry leaves");
+		    "this entry is shutting down");
 	}
 	return aborted;
 }
--- a/moortack/front/front_priv.h
+++ b/moortack/front/front_priv.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What the files of the front and of the exchanges share.
+ * Declarations shared by the files of the front and of the exchanges.
  */
 #ifndef MOORTACK_FRONT_FRONT_PRIV_H
 #define MOORTACK_FRONT_FRONT_PRIV_H
@@ -23,26 +23,27 @@
 #define DEADLINE_HEADER "Moortack-Deadline-Ms"
 #define RETRY_HEADER "Moortack-Retry"
 
-/** A place for an exchange; the generation tells a late message apart. */
+/** A slot for an exchange. Its generation is part of the exchange's tag, so
+ * that a late message for a former exchange is recognised. */
 typedef struct exchange_slot {
 	exchange_t *exchange;
 	uint32_t generation;
 } exchange_slot_t;
 
-/** An operator's question that waits for the registry. */
+/** An operator's request that waits for the registry's response. */
 typedef struct admin_slot {
 	struct evhttp_request *req;
 	uint32_t generation;
 } admin_slot_t;
 
-/** One operator: who may change what. */
+/** One operator and the kinds of rows that it may change. */
 typedef struct operator_row {
 	char name[CONFIG_NAME_SIZE];
 	char key_hash[CONFIG_KEY_HASH_SIZE];
 	char kinds[CONFIG_NAME_SIZE]; /**< "*" or kinds joined by '+' */
 } operator_row_t;
 
-/** A connection to an endpoint, kept between requests. */
+/** A connection to an endpoint, idle between requests. */
 struct upstream {
 	struct evhttp_connection *conn;
 	char address[ENDPOINT_ADDRESS_SIZE];
@@ -57,7 +58,7 @@
 	task_t task;
 	struct evhttp *http;
 	struct evhttp_bound_socket *listener;
-	tls_t *tls; /**< NULL: callers and operators come in plain */
+	tls_t *tls; /**< NULL: plain HTTP for callers and operators */
 	registry_t *registry;
 	witness_task_t *witness_task;
 	billing_t *billing;
@@ -80,7 +81,7 @@
 	lease_t orders_lease;
 	struct timespec orders_checked_at;
 	struct timespec jobs_polled_at;
-	uint32_t jobs_running; /**< deferred requests that run here */
+	uint32_t jobs_running; /**< deferred requests */
 	bool jobs_poll_pending;
 	upstream_t *idle_upstreams;
 	uint32_t idle_upstream_count;
@@ -96,11 +97,13 @@
 
 /* answer.c */
 
-/** Answer a failure. @param ran overrides what the type says; NULL: don't */
+/** Respond with a failure.
+ * @param execution replaces the failure type's "ran" value; NULL: it doesn't
+ * @param extra members to add to the body, taken over; NULL: none */
 void failure_respond(front_t *, struct evhttp_request *, const err_t *,
     const char *execution, json_t *extra);
 
-/** The JSON object of a failure. */
+/** The JSON object of a failure, which is counted. */
 json_t *failure_json(
     front_t *, const err_t *, const char *execution, int64_t retry_after_ms);
 
@@ -116,12 +119,12 @@
 bool
 operator_is_allowed(const operator_row_t *, const json_t *intent, err_t *err);
 
-/** Read the setting "operators". */
+/** Parse the setting "operators". */
 bool operators_parse(table_t *, const char *text, err_t *err);
 
 /* orders.c */
 
-/** Order what is due, now and then. */
+/** Send the orders that are due, at most once a second. */
 void orders_tick(front_t *);
 
 /* entries.c */
@@ -129,7 +132,7 @@
 void entries_respond(front_t *, struct evhttp_request *);
 void tickets_respond(front_t *, struct evhttp_request *);
 
-/** Fill a new ticket for the organisation. */
+/** Issue a new ticket for the organisation. */
 void ticket_issue(front_t *, const char *organisation, ticket_t *out);
 
 /* admin.c */
@@ -140,21 +143,23 @@
 
 /* front.c */
 
-/** Whether new work may be taken or sent now; else why not, in @p err. */
+/** Whether requests may be accepted and sent now, because the configuration is
+ * known to be in force. @param err set to the reason when not */
 bool front_is_ready(const front_t *, err_t *err);
 
-/** Take one message (messages.c). */
+/** Handle one message (messages.c). */
 void front_handle(void *state, task_msg_t *msg);
 
-/** Tell every peer that the guard stopped a version.
+/** Record that the guard stopped a version, and send it to every peer.
  * @param organisation "": for all */
 void
 front_guard_broadcast(front_t *, const char *version, const char *organisation);
 
-/** Try the waiting exchanges. */
+/** Try to dispatch the queued exchanges. */
 void front_dispatch(front_t *);
 
-/** A slot for an exchange, or NULL when there are too many. */
+/** A new exchange with a slot; NULL when there are too many or memory is out.
+ */
 exchange_t *front_exchange_new(front_t *);
 void front_exchange_free(front_t *, exchange_t *);
 
@@ -163,11 +168,11 @@
 
 /* upstream.c (exchange) */
 
-/** A connection to an address: an idle one, or a new one.
- * @param fresh never an idle one */
+/** Acquire a connection to an address: an idle one, or a new one.
+ * @param new_only never an idle one */
 upstream_t *upstream_acquire(front_t *, const char *address, bool new_only);
 
-/** Give it back for the next request. */
+/** Release it, idle, for the next request. */
 void upstream_release(front_t *, upstream_t *);
 
 /** Close it, once its request was cancelled or has ended. */
--- a/moortack/front/messages.c
+++ b/moortack/front/messages.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * What the other tasks and the peers tell the front.
+ * Handles the messages that other tasks and peers send to the front.
  */
 #include <string.h>
 
@@ -61,11 +61,11 @@
 		stop->revision))
 		return;
 	timeline_add(front->process.timeline, EVENT_GUARD_STOPPED,
-	    stop->version, "%s", "a peer said so");
+	    stop->version, "%s", "reported by a peer");
 }
 
-/* A daemon that is new, or was out of reach, knows of no stop. It is told once
- * it answers: before that its link isn't up. */
+/* A daemon that is new or was unreachable has missed the guard's stops. They
+ * are sent once it responds: before that its link isn't up. */
 static void
 guard_stops_resend(front_t *front, const members_t *members)
 {
@@ -174,7 +174,8 @@
 	fleet_resolve(&front->fleet, front->config);
 }
 
-/* The list lags: what one daemon hears of a leave, all hear. */
+/* The VM list lags behind, so a daemon that learns from a load report that an
+ * endpoint is leaving sends it to all. */
 static void
 endpoint_left_broadcast(front_t *front, const char *address)
 {
@@ -182,7 +183,7 @@
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 
 	timeline_add(front->process.timeline, EVENT_ENDPOINT_LEAVING, address,
-	    "%s", "it said so");
+	    "%s", "reported by the endpoint");
 	left.address = (char *)address;
 	envelope.body_case = WIRE__ENVELOPE__BODY_ENDPOINT_LEFT;
 	envelope.endpoint_left = &left;
@@ -202,7 +203,7 @@
 		return;
 	endpoint_leave(endpoint);
 	timeline_add(front->process.timeline, EVENT_ENDPOINT_LEAVING, address,
-	    "%s", "a peer said so");
+	    "%s", "reported by a peer");
 }
 
 static void
--- a/moortack/front/orders.c
+++ b/moortack/front/orders.c
@@ -1,8 +1,9 @@
 /**
  * @file
  * Orders to engines: a version that was withdrawn is unloaded wherever it is
- * still reported. One daemon at a time orders, under a lease; it repeats until
- * the reports no longer name the version, so nothing hangs on one order.
+ * still reported. One daemon at a time sends orders, under a lease. It repeats
+ * them until the reports no longer name the version, so a lost order does no
+ * harm.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -47,7 +48,7 @@
 	free(text);
 }
 
-/* What the endpoint still has and must not; NULL: nothing. */
+/* A withdrawn version that the endpoint still reports, or NULL. */
 static const char *
 withdrawn_version_find(const front_t *front, const endpoint_t *endpoint)
 {
