--- a/moortack/ledger/billing_hold.c
+++ b/moortack/ledger/billing_hold.c
@@ -52,7 +52,7 @@
 	Wire__Bill *bills[1] = {&bill.bill};
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	peer_ask_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
+	peer_ask_t peer_query = {.timeout_ms = HOLD_TIMEOUT_MS,
 	    .task = &billing->task,
 	    .kind = BILLING_HOLD_RESPONSE,
 	    .tag = handle};
@@ -70,8 +70,8 @@
 	hold.bills = bills;
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HOLD;
 	envelope.bill_hold = &hold;
-	ask.to = member->incarnation;
-	peers_ask(billing->peers, &ask, &envelope);
+	peer_query.to = member->incarnation;
+	peers_ask(billing->peers, &peer_query, &envelope);
 }
 
 static handle_t
@@ -156,9 +156,9 @@
 }
 
 void
-billing_drop_message(billing_t *billing, const peer_question_t *query)
+billing_drop_message(billing_t *billing, const peer_question_t *message)
 {
-	const Wire__BillDrop *drop = query->envelope->bill_drop;
+	const Wire__BillDrop *drop = message->envelope->bill_drop;
 
 	for (size_t i = 0; i < drop->n_ranges; i++)
 		bill_book_remove(&billing->book, drop->incarnation,
@@ -176,7 +176,7 @@
 	Wire__Bill *pointers[HANDOVER_MAX];
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	peer_ask_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
+	peer_ask_t peer_query = {.timeout_ms = HOLD_TIMEOUT_MS,
 	    .task = &billing->task,
 	    .kind = BILLING_HANDOVER_RESPONSE};
 
@@ -194,9 +194,9 @@
 	hold.bills = pointers;
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HOLD;
 	envelope.bill_hold = &hold;
-	ask.to = member->incarnation;
+	peer_query.to = member->incarnation;
 	billing->handover_pending = true;
-	peers_ask(billing->peers, &ask, &envelope);
+	peers_ask(billing->peers, &peer_query, &envelope);
 }
 
 void
