--- a/moortack/wire/generate.sh
+++ b/moortack/wire/generate.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Makes peer.pb-c.[ch] anew from peer.proto. The result is committed, so that
-# the build needs no protoc-c.
+# Generates peer.pb-c.[ch] from peer.proto. The result is committed, so that the
+# build doesn't need protoc-c.
 set -eu
 cd "$(dirname "$0")"
 protoc-c --c_out=. peer.proto
