--- a/test/fuzz/bills_fuzz.c
+++ b/test/fuzz/bills_fuzz.c
@@ -1,12 +1,13 @@
 /**
  * @file
- * Stateful fuzzing of billing: one owner and two holders, each with a book,
- * flushing to one table by read-the-mark, then write-if-unchanged, in any
- * interleaving, with replies lost after the write took effect, and with any of
- * them dying at any point.
+ * Stateful fuzzing of billing: one owner and two holders, each with a book.
+ * They flush to one table by reading the set of flushed numbers, then writing
+ * it and the records if it is unchanged, in any interleaving. Responses are
+ * lost after the write took effect, and any of the three goes down at any
+ * point.
  *
- * The oracle is a count for each record: never two in the table, and, once the
- * living have flushed, one for each that any living one had.
+ * The oracle is a count for each record in the table: never two, and, after
+ * those that are alive have flushed, one for each record that any of them had.
  */
 #include <string.h>
 
@@ -32,7 +33,7 @@
 	bill_book_t books[BOOKS];
 	bool down[BOOKS];
 	flush_t flushes[BOOKS];
-	char *flushed; /**< the table's */
+	char *flushed; /**< the set in the table, as text */
 	int stored[RECORDS + 1];
 	struct timespec now;
 } world_t;
@@ -116,7 +117,7 @@
 	flush_close(flush);
 }
 
-/* The owner tells holders what the table has. */
+/* The owner's messages on the records in the table arrive at one daemon. */
 static void
 drops_receive(world_t *world, int b)
 {
@@ -149,7 +150,8 @@
 		drops_receive(world, (int)input_below(input, BOOKS));
 		break;
 	default:
-		/* A write of one that died may still reach the table. */
+		/* A write by a daemon that is now down may still reach the
+		 * table. */
 		if (input_below(input, 10) == 0)
 			world->down[input_below(input, BOOKS)] = true;
 		else
--- a/test/fuzz/ticket_fuzz.c
+++ b/test/fuzz/ticket_fuzz.c
@@ -1,11 +1,11 @@
 /**
  * @file
- * Stateful fuzzing of single-use tickets: two witnesses, attempts at any daemon
- * and in any order, with messages lost, repeated, late and out of order, with
- * witnesses that die, attempts that stop for long, and clocks that differ.
+ * Stateful fuzzing of single-use tickets: two witnesses, and attempts at any
+ * daemon and in any order. Messages are lost, repeated, late and out of order,
+ * witnesses go down, attempts are suspended for long, and clocks differ.
  *
- * The oracle is two counts: a ticket runs at most once, and one that was
- * answered "not run" never ran before and never does after.
+ * The oracle is a count and a flag for each ticket: it runs at most once, and
+ * if "not run" was reported, it never ran before and never runs after.
  */
 #include <string.h>
 
@@ -22,7 +22,8 @@
 typedef enum attempt_phase {
 	ATTEMPT_NONE,
 	ATTEMPT_QUERYING,
-	ATTEMPT_GRANTED, /**< may be sent; it may also stop here for long */
+	ATTEMPT_GRANTED, /**< may be sent, or be suspended for long before that
+			  */
 	ATTEMPT_ENDED,
 } attempt_phase_t;
 
@@ -32,7 +33,7 @@
 	redeem_t redeem;
 } attempt_t;
 
-/** On its way to a witness, or, once asked, back. */
+/** In flight to a witness or, after that, its response. */
 typedef struct message {
 	bool used;
 	bool responded;
@@ -50,7 +51,7 @@
 	attempt_t attempts[ATTEMPTS];
 	message_t messages[MESSAGES];
 	int runs[TICKETS];
-	bool reported_not_run[TICKETS]; /**< was said */
+	bool reported_not_run[TICKETS]; /**< "not run" was reported */
 } world_t;
 
 static void
@@ -123,7 +124,7 @@
 	    .attempt = (uint64_t)message->attempt + 1,
 	    .body = "x",
 	    .body_len = 1};
-	/* The witnesses' clocks are apart. */
+	/* The witnesses' clocks differ. */
 	int64_t wall_ms = world->wall_ms + message->witness * SKEW_MS;
 
 	if (world->down[message->witness]) {
@@ -156,7 +157,7 @@
 	attempt_evaluate(world, message->attempt);
 }
 
-/* Asked, and the answer is lost or repeated. */
+/* A query or a response is lost, or a query is repeated. */
 static void
 message_lose_or_repeat(world_t *world, input_t *input, bool repeat)
 {
@@ -191,7 +192,7 @@
 		return;
 	attempt->phase = ATTEMPT_ENDED;
 	if (!send) {
-		/* It was let go, and is given up unsent: that is "not run". */
+		/* It was granted and is given up unsent, which is "not run". */
 		FUZZ_CHECK(world->runs[attempt->ticket] == 0);
 		world->reported_not_run[attempt->ticket] = true;
 		unsent_report(world, n);
