--- a/test/scenario/bad_input.lua
+++ b/test/scenario/bad_input.lua
@@ -1,4 +1,5 @@
--- Bad input gets a typed error that says whether it ran, and ends nothing.
+-- Invalid input gets a typed error, which says whether the request ran, and ends no
+-- daemon.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
@@ -6,13 +7,13 @@
 local d = c.daemons[1]
 
 local function refused(what, type, status, method, path, options)
-  local answer = lib.http(method, d.address, path, options)
-  lib.equal(answer.status, status, what .. ": status")
-  lib.check(answer.json and answer.json.error, "%s: no error in %s", what,
-    answer.body)
-  lib.equal(answer.json.error.type, type, what .. ": type")
-  lib.check(answer.json.error.message ~= "", "%s: no message", what)
-  return answer
+  local response = lib.http(method, d.address, path, options)
+  lib.equal(response.status, status, what .. ": status")
+  lib.check(response.json and response.json.error, "%s: no error in %s", what,
+    response.body)
+  lib.equal(response.json.error.type, type, what .. ": type")
+  lib.check(response.json.error.message ~= "", "%s: no message", what)
+  return response
 end
 local function chat(what, type, status, body, headers, key)
   return refused(what, type, status, "POST", "/v1/chat/completions",
@@ -21,10 +22,10 @@
 local good = {model = "linen-lm",
   messages = {{role = "user", content = "x"}}}
 
-chat("no JSON", "bad_request", 400, "{\"model\": ")
-chat("no object", "bad_request", 400, "[1]")
-chat("twice the same field", "bad_request", 400, "{\"model\":1,\"model\":2}")
-chat("empty", "bad_request", 400, "")
+chat("malformed JSON", "bad_request", 400, "{\"model\": ")
+chat("not an object", "bad_request", 400, "[1]")
+chat("duplicate field", "bad_request", 400, "{\"model\":1,\"model\":2}")
+chat("empty body", "bad_request", 400, "")
 chat("no messages", "bad_request", 400, {model = "linen-lm"})
 chat("unknown model", "not_allowed", 403,
   {model = "nothing", messages = good.messages})
@@ -39,22 +40,22 @@
   {["Moortack-Ticket"] = "no"})
 chat("bad deadline", "bad_request", 400, good,
   {["Moortack-Deadline-Ms"] = "soon"})
-chat("bad key for idempotency", "bad_request", 400, good,
+chat("bad idempotency key", "bad_request", 400, good,
   {["Idempotency-Key"] = "a/b c"})
-refused("no path", "not_found", 404, "GET", "/nothing", {})
-refused("no ticket for a booking", "ticket_required", 400, "POST",
+refused("unknown path", "not_found", 404, "GET", "/nothing", {})
+refused("booking without a ticket", "ticket_required", 400, "POST",
   "/v1/services/buchungsdienst/book",
   {key = lib.ORGANISATIONS["fachschule"].key, body = {kiln = 1}})
-refused("another's service", "not_allowed", 403, "POST",
+refused("another organisation's service", "not_allowed", 403, "POST",
   "/v1/services/buchungsdienst/book", {key = KEY, body = {kiln = 1}})
 
--- A ticket and a session of one organisation are nothing to another.
+-- A ticket and a session of one organisation aren't valid for another.
 local ticket = lib.ticket(d, "fachschule")
-chat("another's ticket", "ticket_invalid", 400, good,
+chat("another organisation's ticket", "ticket_invalid", 400, good,
   {["Moortack-Ticket"] = ticket})
 local school = lib.chat(c.daemons[3], {organisation = "fachschule",
   model = "ofenrat"})
-chat("another's session", "session_token", 400, good,
+chat("another organisation's session", "session_token", 400, good,
   {["Moortack-Session"] = school.headers["Moortack-Session"]})
 
 -- Operators.
@@ -69,7 +70,7 @@
   {changes = {{set = "place", name = "x", value = {colour = "red"}}}})
 plan("an undeclared place", "bad_request", 400, {changes = {{
   set = "organisation", name = "pyykki-dock", value = {places = {"moon"}}}}})
-plan("over 100 per cent", "bad_request", 400, {changes = {
+plan("more than 100 percent", "bad_request", 400, {changes = {
   {set = "version", name = "linen-lm@1",
     value = {state = "rolling", percent = 60}},
   {set = "version", name = "linen-lm@2",
@@ -78,17 +79,17 @@
   {changes = {{remove = "place", name = "x"}}}, KEY)
 plan("a place in use", "bad_request", 400,
   {changes = {{remove = "place", name = "vantaa-hall"}}})
-plan("beyond the operator's key", "forbidden", 403, {changes = {{
+plan("a kind that the operator's key excludes", "forbidden", 403, {changes = {{
   set = "version", name = "linen-lm@1", value = {state = "withdrawn"}}}},
   lib.LIMITED_KEY)
-refused("no such plan", "not_found", 404, "POST", "/admin/confirm/0123",
+refused("unknown plan", "not_found", 404, "POST", "/admin/confirm/0123",
   {key = lib.OPERATOR_KEY, body = {}})
 
--- Too large a body and too large a header: refused by the library, and the
--- daemon goes on.
+-- A body and a header that are too large are refused by the HTTP library, and the
+-- daemon goes on serving.
 local big = lib.http("POST", d.address, "/v1/chat/completions",
   {key = KEY, body = string.rep("x", 2 * 1024 * 1024)})
-lib.check(big.status == 413 or big.status == 0, "too large a body: %d",
+lib.check(big.status == 413 or big.status == 0, "a body that is too large: %d",
   big.status)
 local socket = run.connect(d.address)
 run.write(socket, "GET / HTTP/1.1\r\nX: " .. string.rep("y", 40000) ..
@@ -98,7 +99,7 @@
 run.sleep(200)
 lib.equal(lib.chat(d, {}).status, 200, "the next chat")
 
--- A setting that is wrong keeps the daemon from starting, and is named.
+-- An invalid setting keeps the daemon from starting, and the error names it.
 local function setting(what, name, value, expected)
   local daemon = c:daemon_start(9, "vantaa-hall", {[name] = value})
   c.daemons[9] = nil
--- a/test/scenario/graceful.lua
+++ b/test/scenario/graceful.lua
@@ -1,5 +1,5 @@
--- Every daemon is replaced in turn, gracefully, under traffic: nothing is cut,
--- nothing fails, and every answer is billed once.
+-- Every daemon is replaced in turn, gracefully, under traffic: no response is
+-- truncated, no chat fails, and every response is billed once.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
@@ -12,7 +12,7 @@
 run.sleep(1000)
 local places = {"vantaa-hall", "espoo-depot", "halle-nord"}
 for i = 1, 3 do
-  -- The newcomer first, as an operator would; then the old one goes.
+  -- The new daemon starts first, as an operator would do it; then the old one stops.
   c:daemon_start(i + 3, places[i])
   c:wait_joined(4)
   c:wait_ready()
@@ -26,9 +26,9 @@
 local book_summary, book_rows = lib.finish_load(bookings)
 lib.say("chat: %s", run.encode(summary))
 lib.say("bookings: %s", run.encode(book_summary))
-lib.equal(summary.bad + book_summary.bad, 0, "answers cut")
+lib.equal(summary.bad + book_summary.bad, 0, "truncated responses")
 lib.equal(summary.whole, summary.sent, "chats served")
--- A ticket whose witness left is refused as not run, never as unknown.
+-- A ticket whose witness has stopped is refused as not run, never as unknown.
 for _, row in ipairs(book_rows) do
   lib.check(row.verdict == "whole" or row.ran == "not_run",
     "booking %s: %s", row.prompt, run.encode(row))
--- a/test/scenario/lost_reply.lua
+++ b/test/scenario/lost_reply.lua
@@ -1,24 +1,25 @@
--- The table takes a write and its reply is lost: every kind of write is settled
--- by reading back, and nothing happens twice.
+-- The table applies a write and the response is lost. Each kind of write is resolved
+-- by reading the rows back. Guards against a change, a run or a bill that is applied
+-- twice.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
 
--- A confirmation.
+-- The confirmation of a plan.
 local plan = c:plan({{set = "place", name = "kerava-hall",
   value = {region = "uusimaa"}}})
 local before = c:status().accepted
 lib.fault(c.store.address, {lose_replies = 1})
-local answer = c:confirm(plan)
-lib.equal(answer.status, 200, "confirm with a lost reply")
-lib.equal(answer.json.revision, before + 1, "revision")
+local response = c:confirm(plan)
+lib.equal(response.status, 200, "confirm with a lost response")
+lib.equal(response.json.revision, before + 1, "revision")
 local again = c:confirm(plan, c.daemons[2])
 lib.equal(again.status, 200, "the same plan confirmed again")
 lib.equal(again.json.revision, before + 1, "the same revision")
 c:wait_revision(before + 1)
 lib.equal(c:status().accepted, before + 1, "accepted")
 
--- A key's claim.
+-- The claim of an idempotency key.
 for i = 1, 5 do
   lib.fault(c.store.address, {lose_replies = 1})
   local booked = lib.book(c.daemons[1], {idempotency_key = "k" .. i,
@@ -32,7 +33,7 @@
   lib.equal(times, 1, "runs of " .. name)
 end
 
--- Flushes of bills, again and again.
+-- Repeated flushes of bills.
 local load = lib.load(c:entries(),
   {key = "pyykki-dock-key", rate = 60, seconds = 5, tokens = 4})
 for _ = 1, 10 do
--- a/test/scenario/orders.lua
+++ b/test/scenario/orders.lua
@@ -1,6 +1,6 @@
--- A withdrawn version is unloaded at every engine, by one daemon at a time under
--- a lease; a holder that was stopped past its lease does no harm, also where an
--- engine ignores fencing numbers.
+-- A withdrawn version is unloaded at every engine, by one daemon at a time under a
+-- lease. Guards against late orders of a daemon that was suspended until its lease
+-- had expired: they do no harm, even at an engine that ignores fencing numbers.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local c = lib.standard()
@@ -10,9 +10,9 @@
   return lib.http("GET", engine.address, "/load").json.versions[version] ~= nil
 end
 local function holder()
-  local answer = lib.http("POST", c.store.address, "/table/get",
+  local response = lib.http("POST", c.store.address, "/table/get",
     {body = {keys = {"lease/orders"}}})
-  local text = answer.json.values["lease/orders"]
+  local text = response.json.values["lease/orders"]
   return text and run.decode(text)
 end
 c:set_version("linen-lm@2", "withdrawn")
@@ -20,31 +20,31 @@
   lib.wait_until("engine " .. i .. " unloaded the version", function()
     return not has(c.engines[i], "linen-lm@2")
   end)
-  lib.check(has(c.engines[i], "linen-lm@1"), "the other version stays")
+  lib.check(has(c.engines[i], "linen-lm@1"), "the other version stays loaded")
 end
 local first = holder()
 lib.equal(first.fence, 1, "fence of the first holder")
-local ordered = 0
+local sender = 0
 for i = 1, 3 do
-  if #c:events("order_sent", c.daemons[i]) > 0 then ordered = i end
+  if #c:events("order_sent", c.daemons[i]) > 0 then sender = i end
 end
-lib.check(ordered > 0, "somebody ordered")
+lib.check(sender > 0, "a daemon sent an order")
 
--- The holder is stopped; the version is put back at the engines (as an engine
--- that restarts might have it), another daemon takes over with a higher fence.
-c.daemons[ordered]:stop()
+-- The holder is suspended, and the version is loaded again at the engines, as it may
+-- be at an engine that restarts. Another daemon takes over with a higher fence.
+c.daemons[sender]:stop()
 for i = 1, 2 do
   lib.http("POST", c.engines[i].address, "/orders",
     {body = {op = "load", version = "linen-lm@2", fence = 1}})
 end
-local other = c.daemons[ordered % 3 + 1]
+local other = c.daemons[sender % 3 + 1]
 for i = 1, 2 do
   lib.wait_until("engine " .. i .. " unloaded it again", function()
     return not has(c.engines[i], "linen-lm@2")
   end, 40000)
 end
-lib.check(holder().fence > first.fence, "the fence grew")
-c.daemons[ordered]:continue()
+lib.check(holder().fence > first.fence, "the fence increased")
+c.daemons[sender]:continue()
 run.sleep(1500)
 for i = 1, 2 do
   lib.check(has(c.engines[i], "linen-lm@1"), "the live version stays loaded")
--- a/test/scenario/tls.lua
+++ b/test/scenario/tls.lua
@@ -1,5 +1,5 @@
--- TLS for callers and operators, with a certificate made for this run; a client
--- that doesn't trust it, or speaks plainly, gets nothing.
+-- TLS for callers and operators, with a certificate made for this run. A client that
+-- doesn't trust it, or that uses plain HTTP, gets no response.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local dir = build .. "/scenario-logs/" .. network
@@ -12,7 +12,7 @@
     " 2>/dev/null")
 end
 certificate(other, network .. "100")
-lib.check(certificate(cert, network .. "100"), "a certificate is made")
+lib.check(certificate(cert, network .. "100"), "openssl makes a certificate")
 local c = lib.cluster({places = {}})
 local d = c:daemon_start(1, "vantaa-hall",
   {["tls-cert"] = cert, ["tls-key"] = key})
@@ -23,12 +23,12 @@
     ca and "MOORTACKCTL_CA=" .. ca or "MOORTACKCTL_CA="}, "ctl.log")
   return process:wait()
 end
-lib.wait_until("an operator's call over TLS", function()
+lib.wait_until("an operator's request over TLS", function()
   return ctl(cert, {"status"}) == 0
 end)
 lib.equal(ctl(other, {"status"}), 1, "a certificate that isn't trusted")
-lib.equal(ctl(nil, {"status"}), 1, "a plain call")
--- A caller's ordinary client.
+lib.equal(ctl(nil, {"status"}), 1, "a request over plain HTTP")
+-- An ordinary HTTP client of a caller.
 local code = os.execute("curl -s --max-time 5 --cacert " .. cert ..
   " https://" .. d.address .. "/metrics | grep -q moortack_requests_total")
 lib.check(code, "curl over TLS")
