--- a/include/moortack/ledger/claim.h
+++ b/include/moortack/ledger/claim.h
@@ -11,8 +11,8 @@
 
 #include "moortack/store/store.h"
 
-/** @param ticket the sealed ticket that the key is bound to; NULL when the
- * store didn't respond */
+/** @param ticket the sealed ticket that the key is bound to; NULL when
+ * the store's responses didn't show which it is */
 typedef void (*claim_done_t)(void *arg, uint64_t tag, const char *ticket);
 
 /**
--- a/include/moortack/ledger/witness.h
+++ b/include/moortack/ledger/witness.h
@@ -24,7 +24,7 @@
 } witness_op_t;
 
 typedef enum witness_state {
-	WITNESS_ABSENT,
+	WITNESS_ABSENT,		   /**< not in the table */
 	WITNESS_GRANTED,	   /**< to an attempt; its outcome isn't
 					known here */
 	WITNESS_COMPLETED,	   /**< ran, with this response */
