--- a/moortack/front/front_priv.h
+++ b/moortack/front/front_priv.h
@@ -80,8 +80,8 @@
 	uint32_t exchange_count;
 	lease_t orders_lease;
 	struct timespec orders_checked_at;
-	struct timespec jobs_polled_at;
-	uint32_t jobs_running; /**< deferred requests */
+	struct timespec jobs_polled_at; /**< time of the next poll for jobs */
+	uint32_t jobs_running;		/**< deferred requests */
 	bool jobs_poll_pending;
 	upstream_t *idle_upstreams;
 	uint32_t idle_upstream_count;
