--- a/include/moortack/wire/peer.pb-c.h
+++ b/include/moortack/wire/peer.pb-c.h
@@ -43,15 +43,15 @@
    */
   WIRE__TICKET_ASK__OP__GO = 0,
   /*
-   * settle: it must never run any more
+   * revoke the ticket: it must never run from now on
    */
   WIRE__TICKET_ASK__OP__KILL = 1,
   /*
-   * it ran, with this answer
+   * the attempt ran, with this response
    */
   WIRE__TICKET_ASK__OP__OUTCOME = 2,
   /*
-   * it was let go, but no byte was sent
+   * it was granted, but no byte was sent
    */
   WIRE__TICKET_ASK__OP__UNSENT = 3
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(WIRE__TICKET_ASK__OP)
@@ -59,27 +59,27 @@
 typedef enum _Wire__TicketAnswer__State {
   WIRE__TICKET_ANSWER__STATE__ABSENT = 0,
   /*
-   * let go; the outcome isn't known here
+   * granted; the outcome isn't known here
    */
   WIRE__TICKET_ANSWER__STATE__WENT = 1,
   /*
-   * ran, with this answer
+   * ran, with this response
    */
   WIRE__TICKET_ANSWER__STATE__DONE = 2,
   /*
-   * can never run
+   * revoked: can never run
    */
   WIRE__TICKET_ANSWER__STATE__DEAD = 3,
   /*
-   * too old for this witness to say
+   * expired: its record may have been removed
    */
   WIRE__TICKET_ANSWER__STATE__EXPIRED = 4,
   /*
-   * go
+   * granted to the attempt that sent the query
    */
   WIRE__TICKET_ANSWER__STATE__YOURS = 5,
   /*
-   * the witness holds no more, try later
+   * the witness is full, try later
    */
   WIRE__TICKET_ANSWER__STATE__REFUSED = 6
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(WIRE__TICKET_ANSWER__STATE)
@@ -88,17 +88,17 @@
 /* --- messages --- */
 
 /*
- * What each side says of itself in a heartbeat.
+ * The sender's state, which each side reports in a heartbeat.
  */
 struct  Wire__Standing
 {
   ProtobufCMessage base;
   /*
-   * configuration held
+   * of the configuration held
    */
   uint64_t revision;
   /*
-   * membership held
+   * of the membership held
    */
   uint64_t epoch;
   /*
@@ -111,15 +111,15 @@
    */
   uint64_t sequence;
   /*
-   * in a ping: answer with the two below
+   * in a ping: requests the two fields below in the pong
    */
   protobuf_c_boolean want_ages;
   /*
-   * a byte a member, see freshness.h
+   * one byte for each member, see freshness.h
    */
   ProtobufCBinaryData ages;
   /*
-   * a bit a member: it holds this revision
+   * one bit for each member: it holds this revision
    */
   ProtobufCBinaryData holds;
 };
@@ -164,7 +164,7 @@
 
 
 /*
- * What is asked of a ticket's witness.
+ * A query to a ticket's witness.
  */
 struct  Wire__TicketAsk
 {
@@ -182,7 +182,13 @@
    * random; a repeated GO of one attempt is one GO
    */
   uint64_t attempt;
+  /*
+   * OUTCOME: of the response
+   */
   int32_t status;
+  /*
+   * OUTCOME: the response's body
+   */
   ProtobufCBinaryData answer;
 };
 #define WIRE__TICKET_ASK__INIT \
@@ -203,7 +209,7 @@
 
 
 /*
- * One run that a request needed; a cascade has several.
+ * One execution of a request; a cascade has several.
  */
 struct  Wire__BillLine
 {
@@ -236,7 +242,7 @@
    */
   int64_t at_ms;
   /*
-   * billed for what was delivered before a cut
+   * billed for what was delivered before truncation
    */
   protobuf_c_boolean cut;
 };
@@ -245,6 +251,9 @@
     , 0, 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0,NULL, 0, 0 }
 
 
+/*
+ * A query to hold copies of these records.
+ */
 struct  Wire__BillHold
 {
   ProtobufCMessage base;
@@ -278,7 +287,7 @@
 
 
 /*
- * The store has these; a holder may drop them.
+ * The store has these records: whoever holds copies may remove them.
  */
 struct  Wire__BillDrop
 {
@@ -321,7 +330,7 @@
 
 
 /*
- * What a session's token holds.
+ * The payload of a session's token.
  */
 struct  Wire__Session
 {
@@ -342,7 +351,8 @@
 
 
 /*
- * What a single-use ticket holds: who may say whether it was used.
+ * The payload of a single-use ticket. Its two witnesses record whether it was
+ * used.
  */
 struct  Wire__Ticket
 {
@@ -351,9 +361,12 @@
   char *organisation;
   int64_t expires_ms;
   /*
-   * incarnations
+   * incarnation of the first witness
    */
   uint64_t witness;
+  /*
+   * incarnation of the second witness
+   */
   uint64_t second;
 };
 #define WIRE__TICKET__INIT \
@@ -384,16 +397,19 @@
    */
   uint64_t from;
   /*
-   * of the question; the answer repeats it
+   * of the query; the response repeats it
    */
   uint64_t id;
+  /*
+   * this is the response
+   */
   protobuf_c_boolean answer;
   /*
    * hybrid logical clock
    */
   uint64_t stamp;
   /*
-   * incarnation meant; 0: whoever is there
+   * incarnation of the recipient; 0: any at the address
    */
   uint64_t to;
   Wire__Envelope__BodyCase body_case;
@@ -416,8 +432,8 @@
 
 
 /*
- * A prompt that was just sent to an endpoint, in a datagram to the daemons that
- * choose among the same endpoints; or requests under which one crashed.
+ * A datagram to the daemons that select among the same endpoints, on a prompt that
+ * was just sent to an endpoint or on requests during which one crashed.
  */
 struct  Wire__GossipMessage
 {
@@ -427,38 +443,38 @@
    */
   uint32_t endpoint;
   /*
-   * that reading it ought to take
+   * expected time to read the prompt
    */
   uint32_t read_ms;
   /*
-   * hashes of the beginnings that others share,
+   * hashes of the prompt's beginnings that other
    */
   size_t n_prefixes;
   uint32_t *prefixes;
   /*
-   * the shortest first
+   * prompts share, the shortest first
    */
   /*
-   * 0: sent, 1: question, 2: answer, 3: crash,
+   * 0: sent, 1: query, 2: response, 3: crash,
    */
   uint32_t kind;
   /*
    * 4: held, 5: cleared
    */
   /*
-   * of a question; its answer repeats it
+   * of a query; its response repeats it
    */
   uint32_t number;
   /*
-   * answer: until the endpoint reads one more
+   * response: until the endpoint starts another prompt
    */
   uint32_t wait_ms;
   /*
-   * answer: how many of the beginnings it keeps
+   * response: how many of the beginnings it has cached
    */
   uint32_t kept;
   /*
-   * of requests that ran as the endpoint crashed,
+   * of requests that ran when the endpoint crashed,
    */
   size_t n_digests;
   uint64_t *digests;
--- a/moortack/front/auth.c
+++ b/moortack/front/auth.c
@@ -5,26 +5,27 @@
 #include "common/http_server.h"
 #include "front_priv.h"
 
-static const char bearer[] = "Bearer ";
+static const char bearer_prefix[] = "Bearer ";
 
-/* The hash of the key that came with the request; false: none came. */
+/* Hash the request's bearer key. Returns false when it has none. */
 static bool
-key_hash_of(struct evhttp_request *req, char out[CONFIG_KEY_HASH_SIZE])
+bearer_key_hash(struct evhttp_request *req, char out[CONFIG_KEY_HASH_SIZE])
 {
 	const char *header = http_request_header(req, "Authorization");
 
-	if (header == NULL || strncmp(header, bearer, sizeof(bearer) - 1) != 0)
+	if (header == NULL ||
+	    strncmp(header, bearer_prefix, sizeof(bearer_prefix) - 1) != 0)
 		return false;
-	api_key_hash(header + sizeof(bearer) - 1, out);
+	api_key_hash(header + sizeof(bearer_prefix) - 1, out);
 	return true;
 }
 
 handle_t
-auth_caller(const front_t *front, struct evhttp_request *req)
+auth_organisation(const front_t *front, struct evhttp_request *req)
 {
 	char hash[CONFIG_KEY_HASH_SIZE];
 
-	if (!key_hash_of(req, hash))
+	if (!bearer_key_hash(req, hash))
 		return HANDLE_NONE;
 	return config_organisation_find_by_key(front->config, hash);
 }
@@ -34,7 +35,7 @@
 {
 	char hash[CONFIG_KEY_HASH_SIZE];
 
-	if (!key_hash_of(req, hash))
+	if (!bearer_key_hash(req, hash))
 		return NULL;
 	for (handle_t h = 0; h < front->operators.len; h++) {
 		const operator_row_t *row = table_at(&front->operators, h);
@@ -49,23 +50,23 @@
 static bool
 kind_allowed(const operator_row_t *row, const char *kind)
 {
-	const char *p = row->kinds;
+	const char *kinds = row->kinds;
 	size_t len = strlen(kind);
 
-	if (strcmp(p, "*") == 0)
+	if (strcmp(kinds, "*") == 0)
 		return true;
-	while (*p != '\0') {
-		size_t word = strcspn(p, "+");
+	while (*kinds != '\0') {
+		size_t word = strcspn(kinds, "+");
 
-		if (word == len && strncmp(p, kind, len) == 0)
+		if (word == len && strncmp(kinds, kind, len) == 0)
 			return true;
-		p += word + (p[word] == '+');
+		kinds += word + (kinds[word] == '+');
 	}
 	return false;
 }
 
 bool
-operator_may(const operator_row_t *row, const json_t *intent, err_t *err)
+operator_is_allowed(const operator_row_t *row, const json_t *intent, err_t *err)
 {
 	json_t *change;
 	size_t i;
@@ -86,7 +87,7 @@
 	return true;
 }
 
-/* NAME:HASH:KINDS */
+/* Parse NAME:HASH:KINDS. */
 static bool
 operator_parse(operator_row_t *row, const char *text, size_t len)
 {
@@ -122,8 +123,8 @@
 
 		if (row == NULL || !operator_parse(row, text, len))
 			return err_set(err, ERR_SETTING,
-			    "operators: want NAME:KEYHASH:KINDS joined by ',', "
-			    "with KINDS '*' or kinds joined by '+'");
+			    "operators: expected NAME:KEYHASH:KINDS joined by "
+			    "',', with KINDS '*' or kinds joined by '+'");
 		text += len + (text[len] == ',');
 	}
 	return true;
--- a/moortack/front/entries.c
+++ b/moortack/front/entries.c
@@ -14,9 +14,9 @@
 	const char *place;
 } entry_t;
 
-/* Every member that answers and stays, this daemon too. */
+/* Collect the members that respond and aren't draining, and this daemon. */
 static uint32_t
-entries_list(const front_t *front, entry_t *out)
+entries_collect(const front_t *front, entry_t *out)
 {
 	uint32_t count = 0;
 
@@ -47,7 +47,7 @@
 }
 
 static bool
-place_taken(const json_t *list, const char *place)
+place_listed(const json_t *list, const char *place)
 {
 	json_t *item;
 	size_t i;
@@ -61,10 +61,10 @@
 	return false;
 }
 
-/* First one in each place, so that a caller can leave a place that is cut
- * off; then any others. */
+/* Select one entry in each place first, so that a caller has another one when a
+ * place is cut off; then any others. */
 static json_t *
-entries_pick(const entry_t *entries, uint32_t count)
+entries_select(const entry_t *entries, uint32_t count)
 {
 	json_t *list = json_array();
 	bool used[CANDIDATES_MAX] = {false};
@@ -73,7 +73,8 @@
 		for (uint32_t i = 0;
 		     i < count && json_array_size(list) < ENTRIES_MAX; i++) {
 			if (used[i] ||
-			    (round == 0 && place_taken(list, entries[i].place)))
+			    (round == 0 &&
+				place_listed(list, entries[i].place)))
 				continue;
 			used[i] = true;
 			json_array_append_new(list,
@@ -85,26 +86,27 @@
 }
 
 void
-entries_answer(front_t *front, struct evhttp_request *req)
+entries_respond(front_t *front, struct evhttp_request *req)
 {
 	entry_t entries[CANDIDATES_MAX];
-	uint32_t count = entries_list(front, entries);
+	uint32_t count = entries_collect(front, entries);
 	err_t err;
 
-	if (auth_caller(front, req) == HANDLE_NONE) {
+	if (auth_organisation(front, req) == HANDLE_NONE) {
 		err_set(&err, ERR_AUTHENTICATION, "no such key");
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	entries_shuffle(front->process.rng, entries, count);
 	http_respond_json(req, 200,
-	    json_pack("{s:o,s:I}", "entries", entries_pick(entries, count),
+	    json_pack("{s:o,s:I}", "entries", entries_select(entries, count),
 		"ttl_ms", (json_int_t)front->options->entries_ttl_ms));
 }
 
-/* A partner in another place if there is one; this daemon if it is alone. */
+/* A partner in another place if there is one, else one in the same place; this
+ * daemon if no partner responds. */
 static uint64_t
-second_witness(front_t *front)
+second_witness_select(front_t *front)
 {
 	uint32_t first = rng_below(front->process.rng, MEMBERS_PARTNERS_MAX);
 	uint64_t fallback = front->process.incarnation;
@@ -123,21 +125,22 @@
 }
 
 void
-ticket_mint(front_t *front, const char *organisation, ticket_t *out)
+ticket_issue(front_t *front, const char *organisation, ticket_t *out)
 {
 	*out = (ticket_t){
 	    .expires_ms = timespec_to_ms(clock_wall(front->process.clock)) +
 		front->options->ticket_ttl_ms,
-	    .witnesses = {front->process.incarnation, second_witness(front)}};
+	    .witnesses = {
+		front->process.incarnation, second_witness_select(front)}};
 	randombytes_buf(out->id, sizeof(out->id));
 	snprintf(
 	    out->organisation, sizeof(out->organisation), "%s", organisation);
 }
 
 void
-tickets_answer(front_t *front, struct evhttp_request *req)
+tickets_respond(front_t *front, struct evhttp_request *req)
 {
-	handle_t organisation = auth_caller(front, req);
+	handle_t organisation = auth_organisation(front, req);
 	json_t *list;
 	char text[16] = "1";
 	int count;
@@ -145,7 +148,7 @@
 
 	if (organisation == HANDLE_NONE) {
 		err_set(&err, ERR_AUTHENTICATION, "no such key");
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	http_request_query_param(req, "count", text, sizeof(text));
@@ -153,7 +156,7 @@
 	    count > TICKETS_MAX) {
 		err_set(&err, ERR_BAD_REQUEST, "count must be from 1 to %d",
 		    TICKETS_MAX);
-		answer_failure(front, req, &err, NULL, NULL);
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	list = json_array();
@@ -161,7 +164,7 @@
 		char sealed[TOKEN_TEXT_MAX];
 		ticket_t ticket;
 
-		ticket_mint(front,
+		ticket_issue(front,
 		    config_organisation_at(front->config, organisation)->name,
 		    &ticket);
 		if (ticket_seal(&front->keyring, &ticket, sealed))
--- a/moortack/front/front.c
+++ b/moortack/front/front.c
@@ -13,8 +13,9 @@
 
 #define TICK_US 10000
 #define HEADERS_MAX 16384
-#define IDLE_CALLER_S 60
-#define DOOR_MARGIN_MS 200 /* for the list to spread */
+#define CALLER_IDLE_TIMEOUT_S 60
+#define LISTEN_MARGIN_MS \
+	200 /* time for draining to reach the other daemons' lists */
 
 typedef struct front_path {
 	const char *path;
@@ -23,12 +24,12 @@
 } front_path_t;
 
 static void
-healthy(front_t *front, struct evhttp_request *req)
+healthz_respond(front_t *front, struct evhttp_request *req)
 {
 	err_t err;
 
-	if (!front_may_work(front, &err)) {
-		answer_failure(front, req, &err, NULL, NULL);
+	if (!front_is_ready(front, &err)) {
+		failure_respond(front, req, &err, NULL, NULL);
 		return;
 	}
 	http_respond_json(req, 200, json_pack("{s:b}", "ready", 1));
@@ -36,15 +37,15 @@
 
 /* Sorted by path. */
 static const front_path_t paths[] = {
-    {"/healthz", EVHTTP_REQ_GET, healthy},
-    {"/metrics", EVHTTP_REQ_GET, metrics_answer},
+    {"/healthz", EVHTTP_REQ_GET, healthz_respond},
+    {"/metrics", EVHTTP_REQ_GET, metrics_respond},
     {"/v1/chat/completions", EVHTTP_REQ_POST, exchange_chat_start},
-    {"/v1/entries", EVHTTP_REQ_GET, entries_answer},
-    {"/v1/tickets", EVHTTP_REQ_POST, tickets_answer},
+    {"/v1/entries", EVHTTP_REQ_GET, entries_respond},
+    {"/v1/tickets", EVHTTP_REQ_POST, tickets_respond},
 };
 
 static void
-request(struct evhttp_request *req, void *arg)
+request_handle(struct evhttp_request *req, void *arg)
 {
 	static const char admin[] = "/admin/";
 	static const char services[] = "/v1/services/";
@@ -73,22 +74,22 @@
 	    method == EVHTTP_REQ_GET) {
 		deferred_collect(front, req, path + sizeof(deferred) - 1);
 	} else {
-		err_set(&err, ERR_NOT_FOUND, "there is no such path");
-		answer_failure(front, req, &err, NULL, NULL);
+		err_set(&err, ERR_NOT_FOUND, "no such path");
+		failure_respond(front, req, &err, NULL, NULL);
 	}
 }
 
 bool
-front_may_work(const front_t *front, err_t *err)
+front_is_ready(const front_t *front, err_t *err)
 {
 	struct timespec now = clock_boottime(front->process.clock);
 
-	if (!front->fresh.has_revision || !front->fresh.listed)
+	if (!front->freshness.has_revision || !front->freshness.listed)
 		return err_set(err, ERR_NOT_READY,
 		    "this entry holds no confirmed configuration yet");
-	if (timespec_ms_between(now, front->fresh.expires_at) <= 0)
+	if (timespec_ms_between(now, front->freshness.expires_at) <= 0)
 		return err_set(err, ERR_CONFIG_STALE,
-		    "this entry cannot tell whether its configuration is still "
+		    "this entry cannot confirm that its configuration is still "
 		    "in force");
 	return true;
 }
@@ -102,35 +103,36 @@
 	exchange_slot_t *slot;
 	handle_t handle = 0;
 
-	if (front->busy >= front->options->exchanges_max)
+	if (front->exchange_count >= front->options->exchanges_max)
 		return NULL;
-	while (handle < front->slots.len &&
-	    ((exchange_slot_t *)table_at(&front->slots, handle))->exchange !=
-		NULL)
+	while (handle < front->exchange_slots.len &&
+	    ((exchange_slot_t *)table_at(&front->exchange_slots, handle))
+		    ->exchange != NULL)
 		handle++;
-	if (handle == front->slots.len && table_add(&front->slots) == NULL)
+	if (handle == front->exchange_slots.len &&
+	    table_add(&front->exchange_slots) == NULL)
 		return NULL;
 	exchange = calloc(1, sizeof(*exchange));
 	if (exchange == NULL)
 		return NULL;
-	slot = table_at(&front->slots, handle);
+	slot = table_at(&front->exchange_slots, handle);
 	slot->exchange = exchange;
 	slot->generation++;
 	exchange->front = front;
 	exchange->endpoint = HANDLE_NONE;
 	exchange->first_byte_ms = -1;
-	/* Witnesses' tags need one bit more: see witness_task.c. */
+	/* One bit is left free for peer_tag() in witness_task.c. */
 	exchange->tag =
 	    (uint64_t)(slot->generation & 0x7fffffff) << 32 | (handle + 1);
-	front->busy++;
+	front->exchange_count++;
 	return exchange;
 }
 
 exchange_t *
-front_exchange(const front_t *front, uint64_t tag)
+front_exchange_find(const front_t *front, uint64_t tag)
 {
 	const exchange_slot_t *slot =
-	    table_at(&front->slots, (handle_t)(tag & UINT32_MAX) - 1);
+	    table_at(&front->exchange_slots, (handle_t)(tag & UINT32_MAX) - 1);
 
 	if (slot == NULL || slot->exchange == NULL ||
 	    slot->exchange->tag != tag)
@@ -141,11 +143,11 @@
 void
 front_exchange_free(front_t *front, exchange_t *exchange)
 {
-	exchange_slot_t *slot =
-	    table_at(&front->slots, (handle_t)(exchange->tag & UINT32_MAX) - 1);
+	exchange_slot_t *slot = table_at(
+	    &front->exchange_slots, (handle_t)(exchange->tag & UINT32_MAX) - 1);
 
 	slot->exchange = NULL;
-	front->busy--;
+	front->exchange_count--;
 	free(exchange);
 }
 
@@ -163,25 +165,26 @@
 }
 
 static void
-overdue_end(front_t *front, struct timespec now)
+overdue_fail(front_t *front, struct timespec now)
 {
 	waiter_t *waiter;
 
 	while ((waiter = admission_overdue(&front->admission, now)) != NULL) {
-		bool late = timespec_ms_between(waiter->deadline, now) >= 0;
+		bool expired = timespec_ms_between(waiter->deadline, now) >= 0;
 
 		exchange_fail((exchange_t *)waiter,
-		    late ? ERR_DEADLINE : ERR_OVERLOAD,
-		    late ? "the deadline passed while it waited"
-			 : "its class waited longer than it may");
+		    expired ? ERR_DEADLINE : ERR_OVERLOAD,
+		    expired ? "the deadline passed while the request was queued"
+			    : "the request was queued longer than its class "
+			      "allows");
 	}
 }
 
 static void
-deadlines_check(front_t *front, struct timespec now)
+deadlines_enforce(front_t *front, struct timespec now)
 {
-	for (handle_t h = 0; h < front->slots.len; h++) {
-		exchange_slot_t *slot = table_at(&front->slots, h);
+	for (handle_t h = 0; h < front->exchange_slots.len; h++) {
+		exchange_slot_t *slot = table_at(&front->exchange_slots, h);
 		exchange_t *exchange = slot->exchange;
 
 		if (exchange == NULL || exchange->phase == PHASE_BILLING ||
@@ -193,33 +196,34 @@
 	}
 }
 
-/* Callers keep the list of entries for a while: until then, those who still
- * come are served. */
+/* Stop accepting connections. Callers hold the list of entries until its TTL
+ * has passed, and are served until then. */
 static void
-door_check(front_t *front, struct timespec now)
+listener_close_when_due(front_t *front, struct timespec now)
 {
-	if (front->bound == NULL ||
-	    timespec_ms_between(front->door_closes, now) < 0)
+	if (front->listener == NULL ||
+	    timespec_ms_between(front->listen_until, now) < 0)
 		return;
-	evhttp_del_accept_socket(front->http, front->bound);
-	front->bound = NULL;
+	evhttp_del_accept_socket(front->http, front->listener);
+	front->listener = NULL;
 	billing_drain(front->billing);
 }
 
 static void
 drained_check(front_t *front, struct timespec now)
 {
-	if (!front->draining || front->drained_told)
+	if (!front->draining || front->drained_notified)
 		return;
-	door_check(front, now);
-	if (front->bound != NULL || front->busy > 0 || !front->room.drained)
+	listener_close_when_due(front, now);
+	if (front->listener != NULL || front->exchange_count > 0 ||
+	    !front->billing_status.drained)
 		return;
-	front->drained_told = true;
-	front->drained(front->drained_arg);
+	front->drained_notified = true;
+	front->on_drained(front->on_drained_arg);
 }
 
 static void
-ticked(evutil_socket_t fd, short what, void *arg)
+tick(evutil_socket_t fd, short what, void *arg)
 {
 	front_t *front = arg;
 	struct timespec now = clock_boottime(front->process.clock);
@@ -228,16 +232,16 @@
 	(void)what;
 	deferred_tick(front);
 	orders_tick(front);
-	overdue_end(front, now);
-	deadlines_check(front, now);
+	overdue_fail(front, now);
+	deadlines_enforce(front, now);
 	front_dispatch(front);
 	drained_check(front, now);
 }
 
-/* --- life ------------------------------------------------------------- */
+/* --- start and stop --------------------------------------------------- */
 
 static bool
-http_open(front_t *front, err_t *err)
+http_listen(front_t *front, err_t *err)
 {
 	http_address_t address;
 
@@ -255,13 +259,13 @@
 	evhttp_set_max_body_size(
 	    front->http, (ev_ssize_t)front->options->body_max);
 	evhttp_set_max_headers_size(front->http, HEADERS_MAX);
-	evhttp_set_timeout(front->http, IDLE_CALLER_S);
+	evhttp_set_timeout(front->http, CALLER_IDLE_TIMEOUT_S);
 	evhttp_set_allowed_methods(
 	    front->http, EVHTTP_REQ_GET | EVHTTP_REQ_POST);
-	evhttp_set_gencb(front->http, request, front);
-	front->bound = evhttp_bind_socket_with_handle(
+	evhttp_set_gencb(front->http, request_handle, front);
+	front->listener = evhttp_bind_socket_with_handle(
 	    front->http, address.host, address.port);
-	if (front->bound == NULL)
+	if (front->listener == NULL)
 		return err_set(err, ERR_SETTING, "cannot listen on %s",
 		    front->options->listen);
 	return true;
@@ -271,16 +275,17 @@
 tables_init(front_t *front)
 {
 	table_init(&front->operators, sizeof(operator_row_t));
-	table_init(&front->slots, sizeof(exchange_slot_t));
+	table_init(&front->exchange_slots, sizeof(exchange_slot_t));
 	table_init(&front->admin_slots, sizeof(admin_slot_t));
 	endpoint_table_init(&front->fleet);
 	feedback_init(&front->learn);
 	front->learn.guard.threshold = (double)front->options->guard_limit;
-	retry_budget_init(&front->retries, front->options->retry_percent);
+	retry_budget_init(&front->retry_budget, front->options->retry_percent);
 	admission_init(&front->admission, (uint32_t)front->options->waiting_max,
 	    front->options->cutoff_ms);
 	front->members = members_new();
-	front->room.max = (uint32_t)front->options->bills_max;
+	front->billing_status.unflushed_max =
+	    (uint32_t)front->options->bills_max;
 	lease_init(&front->orders_lease, &front->process, front->store,
 	    "orders", front->options->orders_lease_ms);
 }
@@ -303,8 +308,8 @@
 	front->options = options;
 	front->store = store;
 	front->peers = peers;
-	front->drained = drained;
-	front->drained_arg = arg;
+	front->on_drained = drained;
+	front->on_drained_arg = arg;
 	tables_init(front);
 	task_init(&front->task, process->base, front_handle, front);
 	front->config = config_compile(empty, 0, err);
@@ -312,25 +317,26 @@
 	if (front->config == NULL ||
 	    !keyring_parse(&front->keyring, options->token_keys, err) ||
 	    !operators_parse(&front->operators, options->operators, err) ||
-	    !http_open(front, err)) {
+	    !http_listen(front, err)) {
 		front_free(front);
 		return NULL;
 	}
 	peers_handler_set(peers, WIRE__ENVELOPE__BODY_ENDPOINT_LEFT,
-	    &front->task, FRONT_LEFT);
-	peers_handler_set(
-	    peers, WIRE__ENVELOPE__BODY_GUARD_STOP, &front->task, FRONT_GUARD);
-	front->tick = event_new(process->base, -1, EV_PERSIST, ticked, front);
-	event_add(front->tick, &interval);
+	    &front->task, FRONT_ENDPOINT_LEFT);
+	peers_handler_set(peers, WIRE__ENVELOPE__BODY_GUARD_STOP, &front->task,
+	    FRONT_GUARD_STOP);
+	front->tick_event =
+	    event_new(process->base, -1, EV_PERSIST, tick, front);
+	event_add(front->tick_event, &interval);
 	return front;
 }
 
 void
-front_connect(front_t *front, registry_t *registry, witness_task_t *witnesses,
-    billing_t *billing)
+front_set_tasks(front_t *front, registry_t *registry,
+    witness_task_t *witness_task, billing_t *billing)
 {
 	front->registry = registry;
-	front->witnesses = witnesses;
+	front->witness_task = witness_task;
 	front->billing = billing;
 }
 
@@ -341,49 +347,49 @@
 }
 
 uint32_t
-front_busy(const front_t *front)
+front_exchange_count(const front_t *front)
 {
-	return front->busy;
+	return front->exchange_count;
 }
 
 void
 front_drain(front_t *front)
 {
 	front->draining = true;
-	front->door_closes =
+	front->listen_until =
 	    timespec_add_ms(clock_boottime(front->process.clock),
-		front->options->entries_ttl_ms + DOOR_MARGIN_MS);
+		front->options->entries_ttl_ms + LISTEN_MARGIN_MS);
 	timeline_add(front->process.timeline, EVENT_DRAINING,
-	    front->options->listen, "%u in progress", front->busy);
+	    front->options->listen, "%u in progress", front->exchange_count);
 }
 
 uint32_t
-front_cut(front_t *front)
+front_exchanges_abort(front_t *front)
 {
-	uint32_t cut = 0;
+	uint32_t aborted = 0;
 
-	for (handle_t h = 0; h < front->slots.len; h++) {
-		exchange_slot_t *slot = table_at(&front->slots, h);
+	for (handle_t h = 0; h < front->exchange_slots.len; h++) {
+		exchange_slot_t *slot = table_at(&front->exchange_slots, h);
 
 		if (slot->exchange == NULL)
 			continue;
-		cut++;
+		aborted++;
 		exchange_fail(slot->exchange,
 		    slot->exchange->may_have_run ? ERR_UNKNOWN_OUTCOME
 						 : ERR_DRAINING,
-		    "this entry leaves");
+		    "this entry is shutting down");
 	}
-	return cut;
+	return aborted;
 }
 
 void
 front_free(front_t *front)
 {
 	front->stopping = true;
-	if (front->tick != NULL)
-		event_free(front->tick);
-	for (handle_t h = 0; h < front->slots.len; h++) {
-		exchange_slot_t *slot = table_at(&front->slots, h);
+	if (front->tick_event != NULL)
+		event_free(front->tick_event);
+	for (handle_t h = 0; h < front->exchange_slots.len; h++) {
+		exchange_slot_t *slot = table_at(&front->exchange_slots, h);
 
 		if (slot->exchange != NULL)
 			exchange_free(slot->exchange);
@@ -393,7 +399,7 @@
 		evhttp_free(front->http);
 	tls_free(front->tls);
 	task_finish(&front->task);
-	table_finish(&front->slots);
+	table_finish(&front->exchange_slots);
 	table_finish(&front->admin_slots);
 	table_finish(&front->operators);
 	endpoint_table_finish(&front->fleet);
--- a/moortack/front/orders.c
+++ b/moortack/front/orders.c
@@ -1,8 +1,9 @@
 /**
  * @file
  * Orders to engines: a version that was withdrawn is unloaded wherever it is
- * still reported. One daemon at a time orders, under a lease; it repeats until
- * the reports no longer name the version, so nothing hangs on one order.
+ * still reported. One daemon at a time sends orders, under a lease. It repeats
+ * them until the reports no longer name the version, so a lost order does no
+ * harm.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,13 +14,13 @@
 #include "common/log.h"
 #include "front_priv.h"
 
-#define ORDER_EVERY_MS 1000
+#define ORDERS_INTERVAL_MS 1000
 
 static void
-order_done(void *arg, const http_response_t *reply)
+order_done(void *arg, const http_response_t *response)
 {
 	(void)arg;
-	(void)reply;
+	(void)response;
 }
 
 static void
@@ -47,9 +48,9 @@
 	free(text);
 }
 
-/* What the endpoint still has and must not; NULL: nothing. */
+/* A withdrawn version that the endpoint still reports, or NULL. */
 static const char *
-withdrawn_version(const front_t *front, const endpoint_t *endpoint)
+withdrawn_version_find(const front_t *front, const endpoint_t *endpoint)
 {
 	for (uint32_t i = 0; i < endpoint->version_count; i++) {
 		const version_t *version = config_version_at(front->config,
@@ -63,7 +64,7 @@
 }
 
 static bool
-is_engine(const front_t *front, const char *version)
+version_is_engine(const front_t *front, const char *version)
 {
 	const version_t *row = config_version_at(
 	    front->config, config_version_find(front->config, version));
@@ -78,17 +79,18 @@
 	struct timespec now = clock_boottime(front->process.clock);
 	err_t err;
 
-	if (timespec_ms_between(front->ordered_at, now) < ORDER_EVERY_MS ||
-	    front->draining || !front_may_work(front, &err))
+	if (timespec_ms_between(front->orders_checked_at, now) <
+		ORDERS_INTERVAL_MS ||
+	    front->draining || !front_is_ready(front, &err))
 		return;
-	front->ordered_at = now;
+	front->orders_checked_at = now;
 	for (handle_t h = 0; h < front->fleet.endpoints.len; h++) {
 		const endpoint_t *endpoint =
 		    endpoint_table_at(&front->fleet, h);
-		const char *version = withdrawn_version(front, endpoint);
+		const char *version = withdrawn_version_find(front, endpoint);
 
 		if (version == NULL || endpoint->state == ENDPOINT_REMOVED ||
-		    !is_engine(front, version))
+		    !version_is_engine(front, version))
 			continue;
 		if (!lease_usable(&front->orders_lease)) {
 			lease_request(&front->orders_lease);
--- a/moortack/ledger/bill_book.c
+++ b/moortack/ledger/bill_book.c
@@ -12,9 +12,9 @@
 
 struct book_entry {
 	bill_id_t id;
-	struct timespec since;
+	struct timespec added_at;
 	UT_hash_handle hh;
-	bill_t bill; /**< must stay last: cut off after its last line */
+	bill_t bill; /**< the last field: allocated only up to its last line */
 };
 
 void
@@ -22,14 +22,14 @@
     bill_book_t *book, uint64_t incarnation, uint32_t max, int64_t held_ms)
 {
 	*book = (bill_book_t){
-	    .incarnation = incarnation, .max = max, .held_ms = held_ms};
+	    .incarnation = incarnation, .records_max = max, .held_ms = held_ms};
 }
 
 static void
-entry_drop(bill_book_t *book, book_entry_t *entry)
+entry_remove(bill_book_t *book, book_entry_t *entry)
 {
 	if (entry->id.incarnation == book->incarnation)
-		book->own--;
+		book->own_count--;
 	HASH_DEL(book->entries, entry);
 	free(entry);
 }
@@ -41,7 +41,7 @@
 
 	HASH_ITER(hh, book->entries, entry, next)
 	{
-		entry_drop(book, entry);
+		entry_remove(book, entry);
 	}
 }
 
@@ -54,7 +54,7 @@
 bool
 bill_book_has_room(const bill_book_t *book)
 {
-	return bill_book_count(book) < book->max;
+	return bill_book_count(book) < book->records_max;
 }
 
 static book_entry_t *
@@ -79,10 +79,10 @@
 		return false;
 	entry->id = id;
 	memcpy(&entry->bill, bill, bill_size(bill));
-	entry->since = now;
+	entry->added_at = now;
 	HASH_ADD(hh, book->entries, id, sizeof(id), entry);
 	if (id.incarnation == book->incarnation)
-		book->own++;
+		book->own_count++;
 	return true;
 }
 
@@ -92,14 +92,14 @@
 	if (!bill_book_has_room(book))
 		return false;
 	bill->incarnation = book->incarnation;
-	bill->sequence = ++book->sequence;
+	bill->sequence = ++book->last_sequence;
 	return entry_add(book, bill, now);
 }
 
 bool
 bill_book_hold(bill_book_t *book, const bill_t *bill, struct timespec now)
 {
-	if (bill_book_count(book) - book->own >= book->max / 2)
+	if (bill_book_count(book) - book->own_count >= book->records_max / 2)
 		return false;
 	return entry_add(book, bill, now);
 }
@@ -116,7 +116,7 @@
     struct timespec now, bool all)
 {
 	return all || entry->id.incarnation == book->incarnation ||
-	    timespec_ms_between(entry->since, now) >= book->held_ms;
+	    timespec_ms_between(entry->added_at, now) >= book->held_ms;
 }
 
 bool
@@ -136,8 +136,8 @@
 }
 
 size_t
-bill_book_collect(bill_book_t *book, uint64_t incarnation, interval_set_t *mark,
-    bill_t *out, size_t max)
+bill_book_collect(bill_book_t *book, uint64_t incarnation,
+    interval_set_t *flushed, bill_t *out, size_t max)
 {
 	book_entry_t *entry, *next;
 	size_t n = 0;
@@ -146,15 +146,15 @@
 	{
 		if (entry->id.incarnation != incarnation)
 			continue;
-		if (interval_set_has(mark, entry->id.sequence)) {
-			entry_drop(book, entry);
+		if (interval_set_contains(flushed, entry->id.sequence)) {
+			entry_remove(book, entry);
 			continue;
 		}
 		if (n < max)
 			bill_copy(&out[n++], &entry->bill);
 	}
 	for (size_t i = 0; i < n; i++) {
-		if (!interval_set_add(mark, out[i].sequence))
+		if (!interval_set_add(flushed, out[i].sequence))
 			return 0;
 	}
 	return n;
@@ -175,7 +175,7 @@
 }
 
 void
-bill_book_drop(
+bill_book_remove(
     bill_book_t *book, uint64_t incarnation, uint64_t first, uint64_t last)
 {
 	book_entry_t *entry, *next;
@@ -184,6 +184,6 @@
 	{
 		if (entry->id.incarnation == incarnation &&
 		    entry->id.sequence >= first && entry->id.sequence <= last)
-			entry_drop(book, entry);
+			entry_remove(book, entry);
 	}
 }
--- a/moortack/ledger/billing_hold.c
+++ b/moortack/ledger/billing_hold.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Holding: a peer keeps a copy of each record; and handing over, when this
- * daemon leaves while the table is out.
+ * Has a peer hold a copy of each record, and hands the records over to a peer
+ * when this daemon shuts down while the store is unavailable.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -12,12 +12,13 @@
 #define HOLD_TIMEOUT_MS 400
 #define HOLD_TRIES 3
 
-/* A partner that answers, elsewhere if there is one; another at each try. */
+/* A partner that responds, in another place if there is one. Each try starts at
+ * the next partner. */
 static const member_t *
-holder_choose(const billing_t *billing, const holding_t *holding)
+holder_select(const billing_t *billing, const pending_hold_t *pending)
 {
-	uint32_t first =
-	    (uint32_t)holding->record.bill.sequence + (uint32_t)holding->tries;
+	uint32_t first = (uint32_t)pending->tagged_bill.bill.sequence +
+	    (uint32_t)pending->tries;
 	const member_t *fallback = NULL;
 
 	for (uint32_t i = 0; i < MEMBERS_PARTNERS_MAX; i++) {
@@ -35,100 +36,104 @@
 }
 
 static void
-holding_end(billing_t *billing, holding_t *holding, bill_kept_t kept)
+pending_hold_finish(
+    billing_t *billing, pending_hold_t *pending, bill_durability_t durability)
 {
-	billing_news_post(billing, holding->record.tag, kept);
-	holding->used = false;
+	billing_result_post(billing, pending->tagged_bill.tag, durability);
+	pending->used = false;
 }
 
 static void
-holding_ask(billing_t *billing, handle_t handle)
+pending_hold_query(billing_t *billing, handle_t handle)
 {
-	holding_t *holding = table_at(&billing->holdings, handle);
-	const member_t *member = holder_choose(billing, holding);
+	pending_hold_t *pending = table_at(&billing->pending_holds, handle);
+	const member_t *member = holder_select(billing, pending);
 	bill_packed_t bill;
 	Wire__Bill *bills[1] = {&bill.bill};
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	peer_query_options_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
+	peer_query_options_t peer_query = {.timeout_ms = HOLD_TIMEOUT_MS,
 	    .task = &billing->task,
-	    .kind = BILLING_HELD,
+	    .kind = BILLING_HOLD_RESPONSE,
 	    .tag = handle};
 
-	if (member == NULL || holding->tries++ >= HOLD_TRIES) {
+	if (member == NULL || pending->tries++ >= HOLD_TRIES) {
 		counter_add(
 		    billing->process.counters, COUNTER_BILLS_UNREPLICATED, 1);
-		holding_end(billing, holding, BILL_ALONE);
-		/* Nobody else holds it: the store is the next best. */
+		pending_hold_finish(billing, pending, BILL_UNREPLICATED);
+		/* No peer holds it, so it is flushed to the store at once. */
 		billing_flush(billing);
 		return;
 	}
-	bill_pack(&holding->record.bill, &bill);
+	bill_pack(&pending->tagged_bill.bill, &bill);
 	hold.n_bills = 1;
 	hold.bills = bills;
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HOLD;
 	envelope.bill_hold = &hold;
-	ask.to = member->incarnation;
-	peers_query(billing->peers, &ask, &envelope);
+	peer_query.to = member->incarnation;
+	peers_query(billing->peers, &peer_query, &envelope);
 }
 
 static handle_t
-holding_add(billing_t *billing, const record_t *record)
+pending_hold_add(billing_t *billing, const tagged_bill_t *tagged_bill)
 {
 	handle_t handle = 0;
-	holding_t *holding;
+	pending_hold_t *pending;
 
-	while (handle < billing->holdings.len &&
-	    ((holding_t *)table_at(&billing->holdings, handle))->used)
+	while (handle < billing->pending_holds.len &&
+	    ((pending_hold_t *)table_at(&billing->pending_holds, handle))->used)
 		handle++;
-	if (handle == billing->holdings.len &&
-	    table_add(&billing->holdings) == NULL)
+	if (handle == billing->pending_holds.len &&
+	    table_add(&billing->pending_holds) == NULL)
 		return HANDLE_NONE;
-	holding = table_at(&billing->holdings, handle);
-	*holding = (holding_t){.used = true, .record = *record};
+	pending = table_at(&billing->pending_holds, handle);
+	*pending = (pending_hold_t){.used = true, .tagged_bill = *tagged_bill};
 	return handle;
 }
 
 void
-billing_take(billing_t *billing, record_t *record)
+billing_bill_accept(billing_t *billing, tagged_bill_t *tagged_bill)
 {
 	struct timespec now = clock_boottime(billing->process.clock);
 	handle_t handle;
 
-	if (!bill_book_record(&billing->book, &record->bill, now)) {
-		log_line(LOG_ERROR, LOG_LEDGER, "The bill book is full.");
-		billing_news_post(billing, record->tag, BILL_REFUSED);
+	if (!bill_book_record(&billing->book, &tagged_bill->bill, now)) {
+		log_line(LOG_ERROR, LOG_LEDGER,
+		    "A bill was not recorded: the bill book is full.");
+		billing_result_post(
+		    billing, tagged_bill->tag, BILL_NOT_RECORDED);
 		return;
 	}
 	counter_add(billing->process.counters, COUNTER_BILLS_RECORDED, 1);
-	handle = holding_add(billing, record);
+	handle = pending_hold_add(billing, tagged_bill);
 	if (handle == HANDLE_NONE)
-		billing_news_post(billing, record->tag, BILL_ALONE);
+		billing_result_post(
+		    billing, tagged_bill->tag, BILL_UNREPLICATED);
 	else
-		holding_ask(billing, handle);
+		pending_hold_query(billing, handle);
 }
 
 void
-billing_held(billing_t *billing, const peer_response_t *answer)
+billing_hold_responded(billing_t *billing, const peer_response_t *response)
 {
-	holding_t *holding =
-	    table_at(&billing->holdings, (handle_t)answer->tag);
-	bool held = answer->envelope != NULL &&
-	    answer->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
-	    answer->envelope->bill_held->held;
+	pending_hold_t *pending =
+	    table_at(&billing->pending_holds, (handle_t)response->tag);
+	bool held = response->envelope != NULL &&
+	    response->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
+	    response->envelope->bill_held->held;
 
-	if (holding == NULL || !holding->used)
+	if (pending == NULL || !pending->used)
 		return;
 	if (held)
-		holding_end(billing, holding, BILL_HELD);
+		pending_hold_finish(billing, pending, BILL_REPLICATED);
 	else
-		holding_ask(billing, (handle_t)answer->tag);
+		pending_hold_query(billing, (handle_t)response->tag);
 }
 
 void
-billing_peer_holds(billing_t *billing, const peer_query_t *question)
+billing_hold_query(billing_t *billing, const peer_query_t *query)
 {
-	const Wire__BillHold *hold = question->envelope->bill_hold;
+	const Wire__BillHold *hold = query->envelope->bill_hold;
 	Wire__BillHeld held = WIRE__BILL_HELD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
 	struct timespec now = clock_boottime(billing->process.clock);
@@ -147,66 +152,67 @@
 	}
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HELD;
 	envelope.bill_held = &held;
-	peers_respond(billing->peers, question, &envelope);
+	peers_respond(billing->peers, query, &envelope);
 }
 
 void
-billing_peer_drops(billing_t *billing, const peer_query_t *question)
+billing_drop_message(billing_t *billing, const peer_query_t *message)
 {
-	const Wire__BillDrop *drop = question->envelope->bill_drop;
+	const Wire__BillDrop *drop = message->envelope->bill_drop;
 
 	for (size_t i = 0; i < drop->n_ranges; i++)
-		bill_book_drop(&billing->book, drop->incarnation,
+		bill_book_remove(&billing->book, drop->incarnation,
 		    drop->ranges[i]->first, drop->ranges[i]->last);
 }
 
-/* Any member may flush any record, so one more copy does no harm. */
+/* Any daemon may flush any record, so a copy that another one holds, too, does
+ * no harm. */
 void
-billing_hand_over(billing_t *billing)
+billing_handover_start(billing_t *billing)
 {
-	const holding_t turn = {.tries = billing->hand_tries++};
-	const member_t *member = holder_choose(billing, &turn);
-	static bill_packed_t bills[HAND_MAX];
-	Wire__Bill *pointers[HAND_MAX];
+	const pending_hold_t selection = {.tries = billing->handover_tries++};
+	const member_t *member = holder_select(billing, &selection);
+	static bill_packed_t bills[HANDOVER_MAX];
+	Wire__Bill *pointers[HANDOVER_MAX];
 	Wire__BillHold hold = WIRE__BILL_HOLD__INIT;
 	Wire__Envelope envelope = WIRE__ENVELOPE__INIT;
-	peer_query_options_t ask = {.timeout_ms = HOLD_TIMEOUT_MS,
+	peer_query_options_t peer_query = {.timeout_ms = HOLD_TIMEOUT_MS,
 	    .task = &billing->task,
-	    .kind = BILLING_HANDED};
+	    .kind = BILLING_HANDOVER_RESPONSE};
 
-	if (billing->handing || member == NULL)
+	if (billing->handover_pending || member == NULL)
 		return;
-	billing->handed_count =
-	    bill_book_copy(&billing->book, billing->handed, HAND_MAX);
-	if (billing->handed_count == 0)
+	billing->handover_count = bill_book_copy(
+	    &billing->book, billing->handover_bills, HANDOVER_MAX);
+	if (billing->handover_count == 0)
 		return;
-	for (size_t i = 0; i < billing->handed_count; i++) {
-		bill_pack(&billing->handed[i], &bills[i]);
+	for (size_t i = 0; i < billing->handover_count; i++) {
+		bill_pack(&billing->handover_bills[i], &bills[i]);
 		pointers[i] = &bills[i].bill;
 	}
-	hold.n_bills = billing->handed_count;
+	hold.n_bills = billing->handover_count;
 	hold.bills = pointers;
 	envelope.body_case = WIRE__ENVELOPE__BODY_BILL_HOLD;
 	envelope.bill_hold = &hold;
-	ask.to = member->incarnation;
-	billing->handing = true;
-	peers_query(billing->peers, &ask, &envelope);
+	peer_query.to = member->incarnation;
+	billing->handover_pending = true;
+	peers_query(billing->peers, &peer_query, &envelope);
 }
 
 void
-billing_handed(billing_t *billing, const peer_response_t *answer)
+billing_handover_responded(billing_t *billing, const peer_response_t *response)
 {
-	billing->handing = false;
-	if (answer->envelope != NULL &&
-	    answer->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
-	    answer->envelope->bill_held->held) {
-		for (size_t i = 0; i < billing->handed_count; i++)
-			bill_book_drop(&billing->book,
-			    billing->handed[i].incarnation,
-			    billing->handed[i].sequence,
-			    billing->handed[i].sequence);
+	billing->handover_pending = false;
+	if (response->envelope != NULL &&
+	    response->envelope->body_case == WIRE__ENVELOPE__BODY_BILL_HELD &&
+	    response->envelope->bill_held->held) {
+		for (size_t i = 0; i < billing->handover_count; i++)
+			bill_book_remove(&billing->book,
+			    billing->handover_bills[i].incarnation,
+			    billing->handover_bills[i].sequence,
+			    billing->handover_bills[i].sequence);
 	}
-	billing_room_post(billing);
+	billing_status_post(billing);
 	if (bill_book_count(&billing->book) > 0)
-		billing_hand_over(billing);
+		billing_handover_start(billing);
 }
