--- a/include/standin/engine_stream.h
+++ b/include/standin/engine_stream.h
@@ -13,7 +13,7 @@
 #define ENGINE_ID_SIZE 80
 #define ENGINE_PROMPT_SIZE 4096
 #define ENGINE_LOAD_SAMPLES 512
-#define ENGINE_PREFIXES 64
+#define ENGINE_PREFIXES_MAX 64
 
 typedef struct engine engine_t;
 
@@ -23,24 +23,24 @@
 	char id[ENGINE_ID_SIZE];
 	char version[ENGINE_ID_SIZE];
 	char prompt[ENGINE_PROMPT_SIZE];
-	int64_t tokens; /**< to generate */
-	int64_t made;	/**< generated so far */
-	int64_t sent;	/**< sent on the connection */
-	int64_t prefill;
+	int64_t token_count; /**< to generate */
+	int64_t generated;   /**< generated so far */
+	int64_t sent;	     /**< sent on the connection */
+	int64_t prefill_ticks;
 	bool running;
 	bool done;
-	bool plain;		    /**< one JSON answer in place of events */
+	bool json_response;	    /**< one JSON answer in place of events */
 	struct evhttp_request *req; /**< NULL when nobody listens */
-	struct event *tick;
+	struct event *timer;
 	UT_hash_handle hh;
 } stream_t;
 
 struct engine {
 	fake_t fake;
 	stream_t *streams;
-	json_t *runs;	  /**< every run: id, version, organisation */
-	json_t *versions; /**< loaded: version to fence */
-	int64_t fence;	  /**< highest number seen in an order */
+	json_t *runs;	       /**< every run: id, version, organisation */
+	json_t *versions;      /**< loaded: version to fence */
+	int64_t highest_fence; /**< highest number seen in an order */
 	int64_t running;
 	int64_t queued;
 	int64_t token_ms;
@@ -50,20 +50,21 @@
 	bool ends_cleanly; /**< a cut looks like an end, without its mark */
 	bool ignore_fence;
 	bool leaving;
-	bool takes_all;			       /**< also while it leaves */
-	int64_t loads[ENGINE_LOAD_SAMPLES][2]; /**< ring of running, queued */
-	uint64_t sampled;
-	uint64_t prefixes[ENGINE_PREFIXES]; /**< hashes of cached prompts */
+	bool takes_all; /**< also while it leaves */
+	int64_t load_samples[ENGINE_LOAD_SAMPLES]
+			    [2]; /**< ring of running, queued */
+	uint64_t sample_count;
+	uint64_t prefixes[ENGINE_PREFIXES_MAX]; /**< hashes of cached prompts */
 	uint64_t prefix_count;
 	int64_t prefix_hits;
 };
 
 /** Start what may run now. */
-void engine_queue_next(engine_t *);
+void engine_queue_run(engine_t *);
 /** The answer goes to this caller from now on. */
 void engine_stream_attach(stream_t *, struct evhttp_request *);
 /** Send what its caller has not had yet. */
-void engine_stream_catch_up(stream_t *);
+void engine_stream_flush(stream_t *);
 /** Answer whole, or end the events. */
 void engine_stream_end(stream_t *);
 /** One token more; the argument is the stream. */
--- a/include/standin/fake.h
+++ b/include/standin/fake.h
@@ -19,7 +19,7 @@
 typedef struct faults {
 	bool down;	 /**< connections are dropped */
 	int64_t slow_ms; /**< every answer waits this long */
-	json_t *all;	 /**< the last object sent to /fault */
+	json_t *latest;	 /**< the last object sent to /fault */
 } faults_t;
 
 typedef struct fake {
@@ -28,9 +28,9 @@
 	clock_source_t clock;
 	faults_t faults;
 	char listen[SETTING_TEXT_SIZE];
-	void (*request)(struct fake *, struct evhttp_request *);
+	void (*handle_request)(struct fake *, struct evhttp_request *);
 	/** Take over faults of its own; may be NULL. */
-	void (*fault)(struct fake *, const json_t *);
+	void (*handle_fault)(struct fake *, const json_t *);
 	/** Every sample_ms; may be NULL. */
 	void (*sample)(struct fake *);
 	int64_t sample_ms;
@@ -41,9 +41,9 @@
 int fake_main(fake_t *, int argc, const char **argv);
 
 /** Drop the caller's connection without an answer. */
-void fake_drop(fake_t *, struct evhttp_request *);
+void fake_connection_drop(fake_t *, struct evhttp_request *);
 
 /** The integer @p name of @p object, or @p fallback. */
-int64_t fake_int(const json_t *object, const char *name, int64_t fallback);
+int64_t fake_json_int(const json_t *object, const char *name, int64_t fallback);
 
 #endif
--- a/moortackctl/client.c
+++ b/moortackctl/client.c
@@ -95,7 +95,7 @@
 }
 
 int
-client_call_entry(const command_context_t *context, const http_address_t *entry,
+client_entry_get(const command_context_t *context, const http_address_t *entry,
     const char *path, json_t **out)
 {
 	answer_t answer =
@@ -107,7 +107,7 @@
 }
 
 char *
-client_text(const command_context_t *context, const http_address_t *entry,
+client_text_get(const command_context_t *context, const http_address_t *entry,
     const char *path)
 {
 	answer_t answer =
@@ -120,7 +120,7 @@
 }
 
 void
-client_print(const json_t *value)
+client_json_print(const json_t *value)
 {
 	char *text = json_dumps(value, JSON_INDENT(2));
 
@@ -182,7 +182,8 @@
 }
 
 command_status_t
-client_plan(const command_context_t *context, json_t *changes, err_t *err)
+client_plan_create(
+    const command_context_t *context, json_t *changes, err_t *err)
 {
 	json_t *plan;
 	command_status_t status = client_call(context, "/admin/plan",
@@ -190,7 +191,7 @@
 
 	if (status == COMMAND_OK) {
 		if (context->json)
-			client_print(plan);
+			client_json_print(plan);
 		else
 			plan_print(plan);
 	}
--- a/moortackctl/command.h
+++ b/moortackctl/command.h
@@ -21,19 +21,19 @@
 	COMMAND_USAGE = 2,    /**< the words or settings are wrong */
 	COMMAND_CONFLICT = 3, /**< the plan was overtaken */
 	COMMAND_UNKNOWN = 4,  /**< whether it took effect is not known */
-	COMMAND_PARTLY = 5,   /**< accepted, not yet in force everywhere */
+	COMMAND_PARTIAL = 5,  /**< accepted, not yet in force everywhere */
 } command_status_t;
 
 /** What a sub-command is given. */
 typedef struct command_context {
 	http_address_t entries[ENTRIES_MAX]; /**< tried in this order */
 	int entry_count;
-	const char *key;    /**< the operator's */
-	tls_t *tls;	    /**< NULL: plain */
-	bool json;	    /**< print what was answered, as it is */
-	bool yes;	    /**< don't ask */
-	const char **words; /**< after the sub-command */
-	int word_count;
+	const char *key;   /**< the operator's */
+	tls_t *tls;	   /**< NULL: plain */
+	bool json;	   /**< print what was answered, as it is */
+	bool assume_yes;   /**< don't ask */
+	const char **args; /**< after the sub-command */
+	int arg_count;
 } command_context_t;
 
 typedef command_status_t (*command_run_t)(
--- a/moortackctl/confirm.c
+++ b/moortackctl/confirm.c
@@ -11,9 +11,9 @@
 {
 	char answer[8] = "";
 
-	if (context->yes)
+	if (context->assume_yes)
 		return true;
-	printf("Put plan %s in force? [y/N] ", context->words[0]);
+	printf("Put plan %s in force? [y/N] ", context->args[0]);
 	fflush(stdout);
 	return fgets(answer, sizeof(answer), stdin) != NULL &&
 	    (answer[0] == 'y' || answer[0] == 'Y');
@@ -77,7 +77,7 @@
 	command_status_t status;
 	spread_t spread;
 
-	if (context->word_count != 1) {
+	if (context->arg_count != 1) {
 		err_set(err, ERR_BAD_REQUEST, "usage: confirm PLAN");
 		return COMMAND_USAGE;
 	}
@@ -85,7 +85,7 @@
 		err_set(err, ERR_BAD_REQUEST, "not confirmed");
 		return COMMAND_FAILED;
 	}
-	snprintf(path, sizeof(path), "/admin/confirm/%.64s", context->words[0]);
+	snprintf(path, sizeof(path), "/admin/confirm/%.64s", context->args[0]);
 	status = client_call(context, path, json_object(), &reply, err);
 	if (status != COMMAND_OK) {
 		changed_print(reply);
@@ -95,12 +95,12 @@
 	spread = (spread_t){number(reply, "revision"),
 	    number(reply, "in_force"), number(reply, "members")};
 	if (context->json) {
-		client_print(reply);
+		client_json_print(reply);
 	} else {
 		spread_follow(context, &spread);
 		printf("Accepted as revision %lld; in force at %lld of %lld.\n",
 		    spread.revision, spread.in_force, spread.members);
 	}
 	json_decref(reply);
-	return spread.in_force < spread.members ? COMMAND_PARTLY : COMMAND_OK;
+	return spread.in_force < spread.members ? COMMAND_PARTIAL : COMMAND_OK;
 }
--- a/moortackctl/counters.c
+++ b/moortackctl/counters.c
@@ -10,7 +10,7 @@
 
 	for (int i = 0; i < context->entry_count; i++) {
 		char *text =
-		    client_text(context, &context->entries[i], "/metrics");
+		    client_text_get(context, &context->entries[i], "/metrics");
 
 		if (text == NULL)
 			continue;
--- a/moortackctl/endpoints.c
+++ b/moortackctl/endpoints.c
@@ -25,7 +25,7 @@
 	    client_call(context, "/admin/endpoints", NULL, &reply, err);
 
 	if (status == COMMAND_OK && context->json)
-		client_print(reply);
+		client_json_print(reply);
 	if (status == COMMAND_OK && !context->json) {
 		json_array_foreach(json_object_get(reply, "endpoints"), i, row)
 		{
--- a/moortackctl/entries.c
+++ b/moortackctl/entries.c
@@ -12,7 +12,7 @@
 	    client_call(context, "/admin/status", NULL, &reply, err);
 
 	if (status == COMMAND_OK && context->json)
-		client_print(json_object_get(reply, "entries"));
+		client_json_print(json_object_get(reply, "entries"));
 	if (status == COMMAND_OK && !context->json) {
 		json_array_foreach(json_object_get(reply, "entries"), i, row)
 		{
--- a/moortackctl/history.c
+++ b/moortackctl/history.c
@@ -34,12 +34,12 @@
 	size_t i;
 	command_status_t status;
 
-	if (context->word_count > 0)
+	if (context->arg_count > 0)
 		snprintf(path, sizeof(path), "/admin/history?after=%.20s",
-		    context->words[0]);
+		    context->args[0]);
 	status = client_call(context, path, NULL, &reply, err);
 	if (status == COMMAND_OK && context->json)
-		client_print(reply);
+		client_json_print(reply);
 	if (status == COMMAND_OK && !context->json) {
 		json_array_foreach(json_object_get(reply, "revisions"), i, row)
 		{
--- a/moortackctl/key.c
+++ b/moortackctl/key.c
@@ -54,7 +54,7 @@
 command_status_t
 command_key(const command_context_t *context, err_t *err)
 {
-	const char *kind = context->word_count > 0 ? context->words[0] : "";
+	const char *kind = context->arg_count > 0 ? context->args[0] : "";
 	unsigned char bytes[KEY_BYTES];
 	char key[KEY_TEXT];
 
--- a/moortackctl/main.c
+++ b/moortackctl/main.c
@@ -72,7 +72,7 @@
 	const char *ca = getenv(CA_VARIABLE);
 
 	context->json = flags->json != 0;
-	context->yes = flags->yes != 0;
+	context->assume_yes = flags->yes != 0;
 	context->key = key != NULL ? key : "";
 	if (ca != NULL && *ca != '\0') {
 		context->tls = tls_client_new(ca, err);
@@ -102,9 +102,9 @@
 		    "no entries: give --entries or set " ENTRIES_VARIABLE);
 		return COMMAND_USAGE;
 	}
-	context.words = words + 1;
-	while (context.words[context.word_count] != NULL)
-		context.word_count++;
+	context.args = words + 1;
+	while (context.args[context.arg_count] != NULL)
+		context.arg_count++;
 	status = command->run(&context, err);
 	tls_free(context.tls);
 	return status;
--- a/moortackctl/organisation.c
+++ b/moortackctl/organisation.c
@@ -14,17 +14,17 @@
 {
 	json_t *value;
 
-	if (context->word_count < 3 || context->word_count % 2 != 1) {
+	if (context->arg_count < 3 || context->arg_count % 2 != 1) {
 		err_set(err, ERR_BAD_REQUEST,
 		    "usage: organisation NAME FIELD VALUE [FIELD VALUE]...");
 		return COMMAND_USAGE;
 	}
 	value = json_object();
-	for (int i = 1; i < context->word_count; i += 2)
-		json_object_set_new(value, context->words[i],
-		    field_value(context->words[i + 1]));
-	return client_plan(context,
+	for (int i = 1; i < context->arg_count; i += 2)
+		json_object_set_new(
+		    value, context->args[i], field_value(context->args[i + 1]));
+	return client_plan_create(context,
 	    json_pack("[{s:s,s:s,s:o}]", "set", "organisation", "name",
-		context->words[0], "value", value),
+		context->args[0], "value", value),
 	    err);
 }
--- a/moortackctl/plan.c
+++ b/moortackctl/plan.c
@@ -10,18 +10,18 @@
 	json_t *intent;
 	json_t *changes;
 
-	if (context->word_count != 1) {
+	if (context->arg_count != 1) {
 		err_set(err, ERR_BAD_REQUEST,
 		    "usage: plan FILE, or - for standard input");
 		return COMMAND_USAGE;
 	}
-	intent = strcmp(context->words[0], "-") == 0
+	intent = strcmp(context->args[0], "-") == 0
 	    ? json_loadf(stdin, JSON_REJECT_DUPLICATES, &failure)
 	    : json_load_file(
-		  context->words[0], JSON_REJECT_DUPLICATES, &failure);
+		  context->args[0], JSON_REJECT_DUPLICATES, &failure);
 	if (intent == NULL) {
 		err_set(err, ERR_BAD_REQUEST, "%s line %d: %s",
-		    context->words[0], failure.line, failure.text);
+		    context->args[0], failure.line, failure.text);
 		return COMMAND_USAGE;
 	}
 	changes = json_incref(json_object_get(intent, "changes"));
@@ -30,5 +30,5 @@
 		err_set(err, ERR_BAD_REQUEST, "the intent has no \"changes\"");
 		return COMMAND_USAGE;
 	}
-	return client_plan(context, changes, err);
+	return client_plan_create(context, changes, err);
 }
--- a/moortackctl/settings.c
+++ b/moortackctl/settings.c
@@ -7,14 +7,13 @@
 command_status_t
 command_settings(const command_context_t *context, err_t *err)
 {
-	if (context->word_count != 1 ||
-	    strcmp(context->words[0], "check") != 0) {
+	if (context->arg_count != 1 || strcmp(context->args[0], "check") != 0) {
 		err_set(err, ERR_BAD_REQUEST, "usage: settings check");
 		return COMMAND_USAGE;
 	}
 	for (int i = 0; i < context->entry_count; i++) {
 		json_t *reply;
-		int status = client_call_entry(
+		int status = client_entry_get(
 		    context, &context->entries[i], "/admin/status", &reply);
 
 		json_decref(reply);
--- a/moortackctl/show.c
+++ b/moortackctl/show.c
@@ -9,12 +9,12 @@
 	json_t *reply;
 	command_status_t status;
 
-	if (context->word_count > 0)
+	if (context->arg_count > 0)
 		snprintf(
-		    path, sizeof(path), "/admin/plan/%.64s", context->words[0]);
+		    path, sizeof(path), "/admin/plan/%.64s", context->args[0]);
 	status = client_call(context, path, NULL, &reply, err);
 	if (status == COMMAND_OK)
-		client_print(reply);
+		client_json_print(reply);
 	json_decref(reply);
 	return status;
 }
--- a/moortackctl/status.c
+++ b/moortackctl/status.c
@@ -17,7 +17,7 @@
 	in_force = json_integer_value(json_object_get(reply, "in_force"));
 	members = json_integer_value(json_object_get(reply, "members"));
 	if (context->json)
-		client_print(reply);
+		client_json_print(reply);
 	else
 		printf("Revision %lld accepted, in force at %lld of %lld.\n"
 		       "The configuration is %s here%s.\n",
@@ -30,5 +30,5 @@
 			? "; the store does not answer"
 			: "");
 	json_decref(reply);
-	return in_force < members ? COMMAND_PARTLY : COMMAND_OK;
+	return in_force < members ? COMMAND_PARTIAL : COMMAND_OK;
 }
--- a/moortackctl/timeline.c
+++ b/moortackctl/timeline.c
@@ -26,10 +26,10 @@
 		char path[256] = "/admin/timeline";
 		json_t *reply;
 
-		if (context->word_count > 0)
+		if (context->arg_count > 0)
 			snprintf(path, sizeof(path),
-			    "/admin/timeline?subject=%.64s", context->words[0]);
-		client_call_entry(context, &context->entries[i], path, &reply);
+			    "/admin/timeline?subject=%.64s", context->args[0]);
+		client_entry_get(context, &context->entries[i], path, &reply);
 		json_array_extend(all, json_object_get(reply, "events"));
 		json_decref(reply);
 	}
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -32,13 +32,13 @@
 
 	for (const char *p = prompt; *p != '\0' && *p != '|'; p++)
 		hash = hash * 33 + (unsigned char)*p;
-	for (size_t i = 0; i < ENGINE_PREFIXES; i++) {
+	for (size_t i = 0; i < ENGINE_PREFIXES_MAX; i++) {
 		if (engine->prefixes[i] == hash) {
 			engine->prefix_hits++;
 			return true;
 		}
 	}
-	engine->prefixes[engine->prefix_count++ % ENGINE_PREFIXES] = hash;
+	engine->prefixes[engine->prefix_count++ % ENGINE_PREFIXES_MAX] = hash;
 	return false;
 }
 
@@ -68,8 +68,8 @@
 static bool
 version_bad(const engine_t *engine, const char *version)
 {
-	const char *bad =
-	    json_string_value(json_object_get(engine->fake.faults.all, "bad"));
+	const char *bad = json_string_value(
+	    json_object_get(engine->fake.faults.latest, "bad"));
 
 	return bad != NULL && strcmp(bad, version) == 0;
 }
@@ -78,7 +78,7 @@
 crashes(const engine_t *engine, const char *prompt)
 {
 	const char *text = json_string_value(
-	    json_object_get(engine->fake.faults.all, "crash_on"));
+	    json_object_get(engine->fake.faults.latest, "crash_on"));
 
 	return text != NULL && strncmp(prompt, text, strlen(text)) == 0;
 }
@@ -114,17 +114,17 @@
 	snprintf(stream->id, sizeof(stream->id), "%s", id);
 	snprintf(stream->version, sizeof(stream->version), "%s", version);
 	snprintf(stream->prompt, sizeof(stream->prompt), "%s", prompt);
-	stream->tokens = fake_int(body, "max_tokens", DEFAULT_TOKENS);
-	if (stream->tokens < 1 || stream->tokens > MAX_TOKENS)
-		stream->tokens = DEFAULT_TOKENS;
-	stream->plain = !json_is_true(json_object_get(body, "stream"));
-	stream->prefill = prefix_hit(engine, prompt) ? 0 : PREFILL_TICKS;
-	stream->tick =
+	stream->token_count = fake_json_int(body, "max_tokens", DEFAULT_TOKENS);
+	if (stream->token_count < 1 || stream->token_count > MAX_TOKENS)
+		stream->token_count = DEFAULT_TOKENS;
+	stream->json_response = !json_is_true(json_object_get(body, "stream"));
+	stream->prefill_ticks = prefix_hit(engine, prompt) ? 0 : PREFILL_TICKS;
+	stream->timer =
 	    event_new(engine->fake.base, -1, 0, engine_stream_tick, stream);
 	HASH_ADD_STR(engine->streams, id, stream);
 	engine->queued++;
 	engine_stream_attach(stream, req);
-	engine_queue_next(engine);
+	engine_queue_run(engine);
 }
 
 static void
@@ -134,14 +134,14 @@
 	char from[32] = "0";
 
 	HASH_FIND_STR(engine->streams, id, stream);
-	if (stream == NULL || stream->plain || stream->req != NULL) {
+	if (stream == NULL || stream->json_response || stream->req != NULL) {
 		http_respond_json(req, 404, json_object());
 		return;
 	}
 	http_request_query_param(req, "from", from, sizeof(from));
 	stream->sent = strtoll(from, NULL, 10);
 	engine_stream_attach(stream, req);
-	engine_stream_catch_up(stream);
+	engine_stream_flush(stream);
 	if (stream->done)
 		engine_stream_end(stream);
 }
@@ -153,7 +153,7 @@
 
 	HASH_FIND_STR(engine->streams, id, stream);
 	if (stream != NULL && !stream->done) {
-		event_del(stream->tick);
+		event_del(stream->timer);
 		if (stream->running)
 			engine->running--;
 		else
@@ -162,7 +162,7 @@
 		stream->running = false;
 		if (stream->req != NULL)
 			engine_stream_end(stream);
-		engine_queue_next(engine);
+		engine_queue_run(engine);
 	}
 	http_respond_json(req, 200, json_object());
 }
@@ -173,17 +173,17 @@
 	const char *op = json_string_value(json_object_get(body, "op"));
 	const char *version =
 	    json_string_value(json_object_get(body, "version"));
-	int64_t fence = fake_int(body, "fence", 0);
+	int64_t fence = fake_json_int(body, "fence", 0);
 
 	if (op == NULL || version == NULL) {
 		http_respond_json(req, 400, json_object());
 		return;
 	}
-	if (!engine->ignore_fence && fence < engine->fence) {
+	if (!engine->ignore_fence && fence < engine->highest_fence) {
 		http_respond_json(req, 412, json_object());
 		return;
 	}
-	engine->fence = fence;
+	engine->highest_fence = fence;
 	if (strcmp(op, "load") == 0)
 		json_object_set_new(
 		    engine->versions, version, json_integer(fence));
@@ -196,8 +196,9 @@
 load_report(engine_t *engine, struct evhttp_request *req)
 {
 	uint64_t back = (uint64_t)(engine->lag_ms / SAMPLE_MS);
-	uint64_t at = engine->sampled > back ? engine->sampled - back : 0;
-	const int64_t *load = engine->loads[at % ENGINE_LOAD_SAMPLES];
+	uint64_t at =
+	    engine->sample_count > back ? engine->sample_count - back : 0;
+	const int64_t *load = engine->load_samples[at % ENGINE_LOAD_SAMPLES];
 
 	http_respond_json(req, 200,
 	    json_pack("{s:I,s:I,s:I,s:b,s:O,s:I}", "running",
@@ -242,10 +243,10 @@
 	const json_t *leaving = json_object_get(body, "leaving");
 	const json_t *ignore = json_object_get(body, "ignore_fence");
 
-	engine->token_ms = fake_int(body, "token_ms", engine->token_ms);
-	engine->slots = fake_int(body, "slots", engine->slots);
-	engine->lag_ms = fake_int(body, "lag_ms", engine->lag_ms);
-	engine->cut_after = fake_int(body, "cut_after", engine->cut_after);
+	engine->token_ms = fake_json_int(body, "token_ms", engine->token_ms);
+	engine->slots = fake_json_int(body, "slots", engine->slots);
+	engine->lag_ms = fake_json_int(body, "lag_ms", engine->lag_ms);
+	engine->cut_after = fake_json_int(body, "cut_after", engine->cut_after);
 	if (leaving != NULL)
 		engine->leaving = json_is_true(leaving);
 	engine->ends_cleanly =
@@ -253,14 +254,15 @@
 	engine->takes_all = json_is_true(json_object_get(body, "takes_all"));
 	if (ignore != NULL)
 		engine->ignore_fence = json_is_true(ignore);
-	engine_queue_next(engine);
+	engine_queue_run(engine);
 }
 
 static void
 sample(fake_t *fake)
 {
 	engine_t *engine = (engine_t *)fake;
-	int64_t *load = engine->loads[++engine->sampled % ENGINE_LOAD_SAMPLES];
+	int64_t *load =
+	    engine->load_samples[++engine->sample_count % ENGINE_LOAD_SAMPLES];
 
 	load[0] = engine->running;
 	load[1] = engine->queued;
@@ -269,8 +271,8 @@
 int
 main(int argc, const char **argv)
 {
-	static engine_t engine = {.fake = {.request = request,
-				      .fault = fault,
+	static engine_t engine = {.fake = {.handle_request = request,
+				      .handle_fault = fault,
 				      .sample = sample,
 				      .sample_ms = SAMPLE_MS,
 				      .name = "engine"},
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -22,7 +22,7 @@
 
 	return json_pack("{s:i,s:I,s:f}", "prompt_tokens",
 	    (int)strlen(stream->prompt), "completion_tokens",
-	    (json_int_t)stream->made, "confidence", unsure ? 0.05 : 0.95);
+	    (json_int_t)stream->generated, "confidence", unsure ? 0.05 : 0.95);
 }
 
 static void
@@ -51,9 +51,9 @@
 }
 
 void
-engine_stream_catch_up(stream_t *stream)
+engine_stream_flush(stream_t *stream)
 {
-	for (; stream->sent < stream->made; stream->sent++)
+	for (; stream->sent < stream->generated; stream->sent++)
 		token_send(stream, stream->sent);
 }
 
@@ -62,10 +62,10 @@
 {
 	char piece[ENGINE_PROMPT_SIZE];
 	char *text =
-	    calloc(1, ENGINE_PROMPT_SIZE + (size_t)stream->tokens * 16);
+	    calloc(1, ENGINE_PROMPT_SIZE + (size_t)stream->token_count * 16);
 	size_t len = 0;
 
-	for (int64_t i = 0; i < stream->tokens; i++) {
+	for (int64_t i = 0; i < stream->token_count; i++) {
 		token_text(stream, i, piece, sizeof(piece));
 		len += (size_t)sprintf(text + len, "%s", piece);
 	}
@@ -97,7 +97,7 @@
 	if (stream->req == NULL)
 		return;
 	http_request_unwatch_close(stream->req);
-	if (stream->plain) {
+	if (stream->json_response) {
 		plain_send(stream);
 		return;
 	}
@@ -118,11 +118,11 @@
 	int64_t ms = stream->engine->token_ms;
 	struct timeval wait = {ms / 1000, ms % 1000 * 1000};
 
-	event_add(stream->tick, &wait);
+	event_add(stream->timer, &wait);
 }
 
 void
-engine_queue_next(engine_t *engine)
+engine_queue_run(engine_t *engine)
 {
 	stream_t *next;
 
@@ -147,7 +147,7 @@
 	stream->running = false;
 	stream->engine->running--;
 	engine_stream_end(stream);
-	engine_queue_next(stream->engine);
+	engine_queue_run(stream->engine);
 }
 
 static bool
@@ -155,7 +155,7 @@
 {
 	engine_t *engine = stream->engine;
 
-	if (engine->cut_after <= 0 || stream->made < engine->cut_after ||
+	if (engine->cut_after <= 0 || stream->generated < engine->cut_after ||
 	    stream->req == NULL)
 		return false;
 	engine->cut_after = 0;
@@ -165,7 +165,7 @@
 		stream->req = NULL;
 		return true;
 	}
-	fake_drop(&engine->fake, stream->req);
+	fake_connection_drop(&engine->fake, stream->req);
 	stream->req = NULL;
 	return true;
 }
@@ -177,15 +177,15 @@
 
 	(void)fd;
 	(void)what;
-	if (stream->prefill > 0) {
-		stream->prefill--;
+	if (stream->prefill_ticks > 0) {
+		stream->prefill_ticks--;
 		tick_after(stream);
 		return;
 	}
-	stream->made++;
-	if (!cut_due(stream) && stream->req != NULL && !stream->plain)
-		engine_stream_catch_up(stream);
-	if (stream->made >= stream->tokens)
+	stream->generated++;
+	if (!cut_due(stream) && stream->req != NULL && !stream->json_response)
+		engine_stream_flush(stream);
+	if (stream->generated >= stream->token_count)
 		stream_finish(stream);
 	else
 		tick_after(stream);
@@ -196,7 +196,7 @@
 {
 	stream->req = req;
 	http_request_watch_close(req, stream_detach, stream);
-	if (stream->plain)
+	if (stream->json_response)
 		return;
 	http_response_add_header(req, "Content-Type", "text/event-stream");
 	evhttp_send_reply_start(req, 200, "OK");
--- a/standin/fake.c
+++ b/standin/fake.c
@@ -23,7 +23,7 @@
 };
 
 int64_t
-fake_int(const json_t *object, const char *name, int64_t fallback)
+fake_json_int(const json_t *object, const char *name, int64_t fallback)
 {
 	const json_t *value = json_object_get(object, name);
 
@@ -64,7 +64,7 @@
 }
 
 void
-fake_drop(fake_t *fake, struct evhttp_request *req)
+fake_connection_drop(fake_t *fake, struct evhttp_request *req)
 {
 	static const struct timeval soon = {0, 1000};
 	drop_t *drop = calloc(1, sizeof(*drop));
@@ -89,11 +89,12 @@
 	}
 	if (down != NULL)
 		fake->faults.down = json_is_true(down);
-	fake->faults.slow_ms = fake_int(body, "slow_ms", fake->faults.slow_ms);
-	if (fake->fault != NULL)
-		fake->fault(fake, body);
-	json_decref(fake->faults.all);
-	fake->faults.all = json_incref(body);
+	fake->faults.slow_ms =
+	    fake_json_int(body, "slow_ms", fake->faults.slow_ms);
+	if (fake->handle_fault != NULL)
+		fake->handle_fault(fake, body);
+	json_decref(fake->faults.latest);
+	fake->faults.latest = json_incref(body);
 	http_respond_json(req, 200, body);
 }
 
@@ -104,7 +105,7 @@
 
 	(void)fd;
 	(void)what;
-	held->fake->request(held->fake, held->req);
+	held->fake->handle_request(held->fake, held->req);
 	free(held);
 }
 
@@ -121,11 +122,11 @@
 		return;
 	}
 	if (fake->faults.down && strcmp(uri, "/runs") != 0) {
-		fake_drop(fake, req);
+		fake_connection_drop(fake, req);
 		return;
 	}
 	if (fake->faults.slow_ms == 0) {
-		fake->request(fake, req);
+		fake->handle_request(fake, req);
 		return;
 	}
 	held = malloc(sizeof(*held));
@@ -204,7 +205,7 @@
 	if (tick != NULL)
 		event_free(tick);
 	event_free(term);
-	json_decref(fake->faults.all);
+	json_decref(fake->faults.latest);
 	evhttp_free(fake->http);
 	event_base_free(fake->base);
 	return 0;
--- a/standin/rating.c
+++ b/standin/rating.c
@@ -22,8 +22,8 @@
 static int64_t
 answer_score(const rating_t *rating, const char *version)
 {
-	const char *bad =
-	    json_string_value(json_object_get(rating->fake.faults.all, "bad"));
+	const char *bad = json_string_value(
+	    json_object_get(rating->fake.faults.latest, "bad"));
 
 	return bad != NULL && version != NULL && strcmp(bad, version) == 0 ? 0
 									   : 1;
@@ -72,14 +72,15 @@
 {
 	rating_t *rating = (rating_t *)fake;
 
-	rating->share = fake_int(body, "share", rating->share);
+	rating->share = fake_json_int(body, "share", rating->share);
 }
 
 int
 main(int argc, const char **argv)
 {
-	rating_t rating = {
-	    .fake = {.request = request, .fault = fault, .name = "rating"},
+	rating_t rating = {.fake = {.handle_request = request,
+			       .handle_fault = fault,
+			       .name = "rating"},
 	    .share = ALL_PERCENT};
 
 	rating.ratings = json_array();
--- a/standin/relay.c
+++ b/standin/relay.c
@@ -48,7 +48,7 @@
 	size_t i;
 
 	json_array_foreach(
-	    json_object_get(relay->fake.faults.all, fault), i, item)
+	    json_object_get(relay->fake.faults.latest, fault), i, item)
 	{
 		const char *ip = json_string_value(item);
 
@@ -80,7 +80,7 @@
 static bool
 drops(const pair_t *pair, int from)
 {
-	const json_t *faults = pair->relay->fake.faults.all;
+	const json_t *faults = pair->relay->fake.faults.latest;
 
 	return pair->silent || listed(pair->relay, "stall", pair->source) ||
 	    (from == 1 && json_is_true(json_object_get(faults, "one_way")));
@@ -119,7 +119,7 @@
 	pair_t *pair = arg;
 	int from = pair->sides[1] == bev;
 	json_int_t ms = json_integer_value(
-	    json_object_get(pair->relay->fake.faults.all, "delay_ms"));
+	    json_object_get(pair->relay->fake.faults.latest, "delay_ms"));
 	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
 	if (ms <= 0)
@@ -268,8 +268,8 @@
 int
 main(int argc, const char **argv)
 {
-	relay_t relay = {.fake = {.request = request,
-			     .fault = fault,
+	relay_t relay = {.fake = {.handle_request = request,
+			     .handle_fault = fault,
 			     .sample = sample,
 			     .sample_ms = 10,
 			     .name = "relay"}};
--- a/standin/service.c
+++ b/standin/service.c
@@ -66,12 +66,12 @@
 	}
 	if (name == NULL)
 		name = id;
-	count = fake_int(service->runs, name, 0) + 1;
+	count = fake_json_int(service->runs, name, 0) + 1;
 	json_object_set_new(service->runs, name, json_integer(count));
 	if (service->cut > 0) {
 		service->cut--;
 		json_decref(body);
-		fake_drop(&service->fake, req);
+		fake_connection_drop(&service->fake, req);
 		return;
 	}
 	answer(service, req, json_pack("{s:s,s:o*}", "ran", id, "body", body));
@@ -101,8 +101,8 @@
 	service_t *service = (service_t *)fake;
 	const json_t *leaving = json_object_get(body, "leaving");
 
-	service->cut = fake_int(body, "cut", service->cut);
-	service->late_ms = fake_int(body, "late_ms", service->late_ms);
+	service->cut = fake_json_int(body, "cut", service->cut);
+	service->late_ms = fake_json_int(body, "late_ms", service->late_ms);
 	if (leaving != NULL)
 		service->leaving = json_is_true(leaving);
 }
@@ -110,8 +110,9 @@
 int
 main(int argc, const char **argv)
 {
-	service_t service = {
-	    .fake = {.request = request, .fault = fault, .name = "service"}};
+	service_t service = {.fake = {.handle_request = request,
+				 .handle_fault = fault,
+				 .name = "service"}};
 
 	service.runs = json_object();
 	return fake_main(&service.fake, argc, argv);
--- a/standin/store.c
+++ b/standin/store.c
@@ -139,7 +139,7 @@
 	store->writes_total++;
 	if (store->lose_replies > 0) {
 		store->lose_replies--;
-		fake_drop(&store->fake, req);
+		fake_connection_drop(&store->fake, req);
 		return;
 	}
 	http_respond_json(req, 200, json_object());
@@ -235,16 +235,17 @@
 	store_t *store = (store_t *)fake;
 
 	store->lose_replies =
-	    fake_int(body, "lose_replies", store->lose_replies);
+	    fake_json_int(body, "lose_replies", store->lose_replies);
 	store->writes_per_s =
-	    fake_int(body, "writes_per_s", store->writes_per_s);
+	    fake_json_int(body, "writes_per_s", store->writes_per_s);
 }
 
 int
 main(int argc, const char **argv)
 {
-	store_t store = {
-	    .fake = {.request = request, .fault = fault, .name = "store"}};
+	store_t store = {.fake = {.handle_request = request,
+			     .handle_fault = fault,
+			     .name = "store"}};
 
 	return fake_main(&store.fake, argc, argv);
 }
--- a/standin/vmlist.c
+++ b/standin/vmlist.c
@@ -72,7 +72,7 @@
 	vmlist_t *list = (vmlist_t *)fake;
 	const json_t *silent = json_object_get(body, "silent");
 
-	list->lag_ms = fake_int(body, "lag_ms", list->lag_ms);
+	list->lag_ms = fake_json_int(body, "lag_ms", list->lag_ms);
 	if (silent != NULL)
 		list->silent = json_is_true(silent);
 }
@@ -80,8 +80,9 @@
 int
 main(int argc, const char **argv)
 {
-	vmlist_t list = {
-	    .fake = {.request = request, .fault = fault, .name = "vmlist"}};
+	vmlist_t list = {.fake = {.handle_request = request,
+			     .handle_fault = fault,
+			     .name = "vmlist"}};
 
 	return fake_main(&list.fake, argc, argv);
 }
--- a/test/platform/standin_replica.c
+++ b/test/platform/standin_replica.c
@@ -53,7 +53,7 @@
 static int64_t
 fault_int(const char *name, int64_t fallback)
 {
-	return fake_int(replica.faults, name, fallback);
+	return fake_json_int(replica.faults, name, fallback);
 }
 
 static bool
@@ -152,7 +152,7 @@
 	}
 	if (stream->cut != 0 && stream->next > stream->cut) {
 		http_request_unwatch_close(stream->req);
-		fake_drop(&replica.fake, stream->req);
+		fake_connection_drop(&replica.fake, stream->req);
 		stream_free(stream);
 		return;
 	}
@@ -333,8 +333,8 @@
 {
 	replica.runs = json_array();
 	replica.faults = json_object();
-	replica.fake.request = serve;
-	replica.fake.fault = fault;
+	replica.fake.handle_request = serve;
+	replica.fake.handle_fault = fault;
 	replica.fake.name = "standin-platform-replica";
 	return fake_main(&replica.fake, argc, argv);
 }
--- a/test/platform/standin_store.c
+++ b/test/platform/standin_store.c
@@ -416,7 +416,7 @@
 fault(struct fake *fake, const json_t *faults)
 {
 	(void)fake;
-	store.page = (size_t)fake_int(faults, "page", PAGE);
+	store.page = (size_t)fake_json_int(faults, "page", PAGE);
 	if (json_is_true(json_object_get(faults, "save"))) {
 		rows_free(&store.saved);
 		store.saved = rows_copy(store.rows);
@@ -436,8 +436,8 @@
 	store.version = 1;
 	store.page = PAGE;
 	store.calls = json_object();
-	store.fake.request = serve;
-	store.fake.fault = fault;
+	store.fake.handle_request = serve;
+	store.fake.handle_fault = fault;
 	store.fake.sample = held_flush;
 	store.fake.sample_ms = 20;
 	store.fake.name = "standin-platform-store";
