--- a/moortackctl/client.c
+++ b/moortackctl/client.c
@@ -9,21 +9,22 @@
 #define STATUS_OK 200
 #define STATUS_CONFLICT 409
 
-typedef struct answer {
-	int status;
+/** An entry's response. */
+typedef struct response {
+	int status; /**< 0: none */
 	char *text;
-} answer_t;
+} response_t;
 
 static void
-answer_take(void *arg, const http_response_t *reply)
+response_store(void *arg, const http_response_t *received)
 {
-	answer_t *answer = arg;
+	response_t *response = arg;
 
-	answer->status = reply->status;
-	answer->text = reply->body != NULL ? strdup(reply->body) : NULL;
+	response->status = received->status;
+	response->text = received->body != NULL ? strdup(received->body) : NULL;
 }
 
-static answer_t
+static response_t
 entry_call(const command_context_t *context, const http_address_t *entry,
     enum evhttp_cmd_type method, const char *path, const char *body)
 {
@@ -38,18 +39,18 @@
 	    .body_len = body != NULL ? strlen(body) : 0,
 	    .timeout_ms = CALL_TIMEOUT_MS,
 	    .tls = context->tls};
-	answer_t answer = {0};
+	response_t response = {0};
 
 	snprintf(
 	    authorization, sizeof(authorization), "Bearer %s", context->key);
-	http_call_sync(&call, answer_take, &answer);
-	return answer;
+	http_call_sync(&call, response_store, &response);
+	return response;
 }
 
 static command_status_t
-failure_take(const json_t *reply, int status, err_t *err)
+error_decode(const json_t *response, int status, err_t *err)
 {
-	const json_t *error = json_object_get(reply, "error");
+	const json_t *error = json_object_get(response, "error");
 	const char *type = json_string_value(json_object_get(error, "type"));
 	const char *text = json_string_value(json_object_get(error, "message"));
 	err_code_t code =
@@ -73,21 +74,22 @@
 	json_decref(body);
 	*out = NULL;
 	err_set(err, ERR_PEERS_UNAVAILABLE,
-	    "no entry answers; see --entries and whether the daemons run");
+	    "no entry responds; check --entries and that the daemons run");
 	for (int i = 0; i < context->entry_count; i++) {
-		answer_t answer = entry_call(context, &context->entries[i],
+		response_t response = entry_call(context, &context->entries[i],
 		    text != NULL ? EVHTTP_REQ_POST : EVHTTP_REQ_GET, path,
 		    text);
 
-		if (answer.status == 0)
+		if (response.status == 0)
 			continue;
-		*out = answer.text != NULL ? json_loads(answer.text, 0, NULL)
-					   : NULL;
-		free(answer.text);
+		*out = response.text != NULL
+		    ? json_loads(response.text, 0, NULL)
+		    : NULL;
+		free(response.text);
 		*err = (err_t){0};
-		status = answer.status == STATUS_OK
+		status = response.status == STATUS_OK
 		    ? COMMAND_OK
-		    : failure_take(*out, answer.status, err);
+		    : error_decode(*out, response.status, err);
 		break;
 	}
 	free(text);
@@ -98,24 +100,25 @@
 client_entry_get(const command_context_t *context, const http_address_t *entry,
     const char *path, json_t **out)
 {
-	answer_t answer =
+	response_t response =
 	    entry_call(context, entry, EVHTTP_REQ_GET, path, NULL);
 
-	*out = answer.text != NULL ? json_loads(answer.text, 0, NULL) : NULL;
-	free(answer.text);
-	return answer.status;
+	*out =
+	    response.text != NULL ? json_loads(response.text, 0, NULL) : NULL;
+	free(response.text);
+	return response.status;
 }
 
 char *
 client_text_get(const command_context_t *context, const http_address_t *entry,
     const char *path)
 {
-	answer_t answer =
+	response_t response =
 	    entry_call(context, entry, EVHTTP_REQ_GET, path, NULL);
 
-	if (answer.status == STATUS_OK)
-		return answer.text;
-	free(answer.text);
+	if (response.status == STATUS_OK)
+		return response.text;
+	free(response.text);
 	return NULL;
 }
 
--- a/moortackctl/command.c
+++ b/moortackctl/command.c
@@ -9,10 +9,11 @@
     {"counters", "", "print the counters of every entry", command_counters},
     {"endpoints", "", "list the endpoints that an entry knows",
 	command_endpoints},
-    {"entries", "", "list the entries and what they hold", command_entries},
+    {"entries", "", "list the entries and the revision that each holds",
+	command_entries},
     {"history", "[AFTER]", "list the confirmed revisions", command_history},
-    {"key", "[-|peer|token]", "make a key, hash one, or make a fleet's key",
-	command_key},
+    {"key", "[-|peer|token]",
+	"create a key, hash one, or create a key of the fleet", command_key},
     {"organisation", "NAME FIELD VALUE...", "plan a change of an organisation",
 	command_organisation},
     {"plan", "FILE", "plan the intent in a file", command_plan},
@@ -20,9 +21,9 @@
 	command_settings},
     {"show", "[PLAN]", "print a plan, or the configuration in force",
 	command_show},
-    {"status", "", "tell what is accepted and where it is in force",
+    {"status", "", "print the accepted revision and where it is in force",
 	command_status},
-    {"timeline", "[SUBJECT]", "merge the time lines of all entries",
+    {"timeline", "[SUBJECT]", "print the merged time lines of all entries",
 	command_timeline},
     {"version", "MODEL@VERSION STATE [PERCENT]",
 	"plan a change of a version's state", command_version},
@@ -30,7 +31,7 @@
 };
 
 static int
-name_order(const void *name, const void *row)
+name_compare(const void *name, const void *row)
 {
 	return strcmp(name, ((const command_t *)row)->name);
 }
@@ -39,7 +40,7 @@
 command_find(const char *name)
 {
 	return bsearch(name, commands, sizeof(commands) / sizeof(*commands),
-	    sizeof(*commands), name_order);
+	    sizeof(*commands), name_compare);
 }
 
 const command_t *
--- a/moortackctl/command.h
+++ b/moortackctl/command.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What every sub-command of moortackctl is built from.
+ * The sub-commands of moortackctl, their context and their exit statuses.
  */
 #ifndef MOORTACKCTL_COMMAND_H
 #define MOORTACKCTL_COMMAND_H
@@ -17,22 +17,23 @@
 /** Exit statuses, as the man page lists them. */
 typedef enum command_status {
 	COMMAND_OK = 0,
-	COMMAND_FAILED = 1,   /**< the system refused or could not */
-	COMMAND_USAGE = 2,    /**< the words or settings are wrong */
-	COMMAND_CONFLICT = 3, /**< the plan was overtaken */
-	COMMAND_UNKNOWN = 4,  /**< whether it took effect is not known */
+	COMMAND_FAILED = 1,   /**< the request was refused or failed */
+	COMMAND_USAGE = 2,    /**< the arguments or settings are invalid */
+	COMMAND_CONFLICT = 3, /**< the plan was superseded by another one */
+	COMMAND_UNKNOWN = 4,  /**< it is unknown whether it took effect */
 	COMMAND_PARTIAL = 5,  /**< accepted, not yet in force everywhere */
 } command_status_t;
 
-/** What a sub-command is given. */
+/** Settings and arguments of a sub-command. */
 typedef struct command_context {
 	http_address_t entries[ENTRIES_MAX]; /**< tried in this order */
 	int entry_count;
-	const char *key;   /**< the operator's */
-	tls_t *tls;	   /**< NULL: plain */
-	bool json;	   /**< print what was answered, as it is */
-	bool assume_yes;   /**< don't ask */
-	const char **args; /**< after the sub-command */
+	const char *key;   /**< the operator's key */
+	tls_t *tls;	   /**< NULL: plain HTTP */
+	bool json;	   /**< print the response as JSON */
+	bool assume_yes;   /**< confirm without asking */
+	const char **args; /**< arguments after the name of the sub-command;
+			      NULL ends them */
 	int arg_count;
 } command_context_t;
 
@@ -42,7 +43,7 @@
 /** One row of the sorted table of sub-commands. */
 typedef struct command {
 	const char *name;
-	const char *usage; /**< of its words */
+	const char *usage; /**< of its arguments */
 	const char *help;
 	command_run_t run;
 } command_t;
@@ -53,7 +54,7 @@
 /** All sub-commands, sorted by name. */
 const command_t *commands_all(size_t *count);
 
-/* One file each. */
+/* Each stands in the file of its name. */
 command_status_t command_confirm(const command_context_t *, err_t *);
 command_status_t command_counters(const command_context_t *, err_t *);
 command_status_t command_endpoints(const command_context_t *, err_t *);
--- a/moortackctl/confirm.c
+++ b/moortackctl/confirm.c
@@ -3,67 +3,70 @@
 
 #include "client.h"
 
-#define SPREAD_EVERY_NS 500000000
-#define SPREAD_TURNS 24 /* 12 s, in which a change is to be in force */
+#define POLL_INTERVAL_NS 500000000
+#define POLLS_MAX 24 /* 12 s, within which a change must be in force */
 
 static bool
-asked(const command_context_t *context)
+user_confirms(const command_context_t *context)
 {
-	char answer[8] = "";
+	char input[8] = "";
 
 	if (context->assume_yes)
 		return true;
 	printf("Put plan %s in force? [y/N] ", context->args[0]);
 	fflush(stdout);
-	return fgets(answer, sizeof(answer), stdin) != NULL &&
-	    (answer[0] == 'y' || answer[0] == 'Y');
+	return fgets(input, sizeof(input), stdin) != NULL &&
+	    (input[0] == 'y' || input[0] == 'Y');
 }
 
 static void
-changed_print(const json_t *reply)
+conflicts_print(const json_t *response)
 {
 	json_t *row;
 	size_t i;
 
-	json_array_foreach(json_object_get(reply, "changed"), i, row)
+	json_array_foreach(json_object_get(response, "changed"), i, row)
 	{
 		fprintf(stderr, "  changed since: %s\n",
 		    json_string_value(json_array_get(row, 1)));
 	}
 }
 
-typedef struct spread {
+/** At how many members a revision is in force. */
+typedef struct propagation {
 	long long revision;
 	long long in_force;
 	long long members;
-} spread_t;
+} propagation_t;
 
 static long long
-number(const json_t *reply, const char *name)
+integer_get(const json_t *response, const char *name)
 {
-	return json_integer_value(json_object_get(reply, name));
+	return json_integer_value(json_object_get(response, name));
 }
 
-/* Ask on until every member holds it, and show how far it is. */
+/* Poll until every member has the revision in force, and print progress. */
 static void
-spread_follow(const command_context_t *context, spread_t *spread)
+propagation_wait(const command_context_t *context, propagation_t *propagation)
 {
-	static const struct timespec wait = {0, SPREAD_EVERY_NS};
+	static const struct timespec wait = {0, POLL_INTERVAL_NS};
 	err_t err;
 
-	for (int i = 0; i < SPREAD_TURNS && spread->in_force < spread->members;
+	for (int i = 0;
+	     i < POLLS_MAX && propagation->in_force < propagation->members;
 	     i++) {
 		json_t *status;
 
 		printf("Revision %lld is in force at %lld of %lld ...\n",
-		    spread->revision, spread->in_force, spread->members);
+		    propagation->revision, propagation->in_force,
+		    propagation->members);
 		fflush(stdout);
 		nanosleep(&wait, NULL);
 		if (client_call(context, "/admin/status", NULL, &status,
 			&err) == COMMAND_OK &&
-		    number(status, "held") >= spread->revision) {
-			spread->in_force = number(status, "in_force");
-			spread->members = number(status, "members");
+		    integer_get(status, "held") >= propagation->revision) {
+			propagation->in_force = integer_get(status, "in_force");
+			propagation->members = integer_get(status, "members");
 		}
 		json_decref(status);
 	}
@@ -73,34 +76,37 @@
 command_confirm(const command_context_t *context, err_t *err)
 {
 	char path[128];
-	json_t *reply;
+	json_t *response;
 	command_status_t status;
-	spread_t spread;
+	propagation_t propagation;
 
 	if (context->arg_count != 1) {
 		err_set(err, ERR_BAD_REQUEST, "usage: confirm PLAN");
 		return COMMAND_USAGE;
 	}
-	if (!asked(context)) {
+	if (!user_confirms(context)) {
 		err_set(err, ERR_BAD_REQUEST, "not confirmed");
 		return COMMAND_FAILED;
 	}
 	snprintf(path, sizeof(path), "/admin/confirm/%.64s", context->args[0]);
-	status = client_call(context, path, json_object(), &reply, err);
+	status = client_call(context, path, json_object(), &response, err);
 	if (status != COMMAND_OK) {
-		changed_print(reply);
-		json_decref(reply);
+		conflicts_print(response);
+		json_decref(response);
 		return status;
 	}
-	spread = (spread_t){number(reply, "revision"),
-	    number(reply, "in_force"), number(reply, "members")};
+	propagation = (propagation_t){integer_get(response, "revision"),
+	    integer_get(response, "in_force"),
+	    integer_get(response, "members")};
 	if (context->json) {
-		client_json_print(reply);
+		client_json_print(response);
 	} else {
-		spread_follow(context, &spread);
+		propagation_wait(context, &propagation);
 		printf("Accepted as revision %lld; in force at %lld of %lld.\n",
-		    spread.revision, spread.in_force, spread.members);
+		    propagation.revision, propagation.in_force,
+		    propagation.members);
 	}
-	json_decref(reply);
-	return spread.in_force < spread.members ? COMMAND_PARTIAL : COMMAND_OK;
+	json_decref(response);
+	return propagation.in_force < propagation.members ? COMMAND_PARTIAL
+							  : COMMAND_OK;
 }
--- a/moortackctl/counters.c
+++ b/moortackctl/counters.c
@@ -21,6 +21,6 @@
 	}
 	if (any)
 		return COMMAND_OK;
-	err_set(err, ERR_PEERS_UNAVAILABLE, "no entry answers");
+	err_set(err, ERR_PEERS_UNAVAILABLE, "no entry responds");
 	return COMMAND_FAILED;
 }
--- a/moortackctl/endpoints.c
+++ b/moortackctl/endpoints.c
@@ -18,20 +18,21 @@
 command_status_t
 command_endpoints(const command_context_t *context, err_t *err)
 {
-	json_t *reply;
+	json_t *response;
 	json_t *row;
 	size_t i;
 	command_status_t status =
-	    client_call(context, "/admin/endpoints", NULL, &reply, err);
+	    client_call(context, "/admin/endpoints", NULL, &response, err);
 
 	if (status == COMMAND_OK && context->json)
-		client_json_print(reply);
+		client_json_print(response);
 	if (status == COMMAND_OK && !context->json) {
-		json_array_foreach(json_object_get(reply, "endpoints"), i, row)
+		json_array_foreach(
+		    json_object_get(response, "endpoints"), i, row)
 		{
 			endpoint_print(row);
 		}
 	}
-	json_decref(reply);
+	json_decref(response);
 	return status;
 }
--- a/moortackctl/entries.c
+++ b/moortackctl/entries.c
@@ -5,16 +5,16 @@
 command_status_t
 command_entries(const command_context_t *context, err_t *err)
 {
-	json_t *reply;
+	json_t *response;
 	json_t *row;
 	size_t i;
 	command_status_t status =
-	    client_call(context, "/admin/status", NULL, &reply, err);
+	    client_call(context, "/admin/status", NULL, &response, err);
 
 	if (status == COMMAND_OK && context->json)
-		client_json_print(json_object_get(reply, "entries"));
+		client_json_print(json_object_get(response, "entries"));
 	if (status == COMMAND_OK && !context->json) {
-		json_array_foreach(json_object_get(reply, "entries"), i, row)
+		json_array_foreach(json_object_get(response, "entries"), i, row)
 		{
 			printf("%-22s %-16s revision %lld%s%s\n",
 			    json_string_value(json_object_get(row, "entry")),
@@ -23,12 +23,12 @@
 				json_object_get(row, "revision")),
 			    json_is_true(json_object_get(row, "answers"))
 				? ""
-				: ", silent",
+				: ", no response",
 			    json_is_true(json_object_get(row, "draining"))
 				? ", draining"
 				: "");
 		}
 	}
-	json_decref(reply);
+	json_decref(response);
 	return status;
 }
--- a/moortackctl/history.c
+++ b/moortackctl/history.c
@@ -29,7 +29,7 @@
 command_history(const command_context_t *context, err_t *err)
 {
 	char path[64] = "/admin/history";
-	json_t *reply;
+	json_t *response;
 	json_t *row;
 	size_t i;
 	command_status_t status;
@@ -37,15 +37,16 @@
 	if (context->arg_count > 0)
 		snprintf(path, sizeof(path), "/admin/history?after=%.20s",
 		    context->args[0]);
-	status = client_call(context, path, NULL, &reply, err);
+	status = client_call(context, path, NULL, &response, err);
 	if (status == COMMAND_OK && context->json)
-		client_json_print(reply);
+		client_json_print(response);
 	if (status == COMMAND_OK && !context->json) {
-		json_array_foreach(json_object_get(reply, "revisions"), i, row)
+		json_array_foreach(
+		    json_object_get(response, "revisions"), i, row)
 		{
 			revision_print(row);
 		}
 	}
-	json_decref(reply);
+	json_decref(response);
 	return status;
 }
--- a/moortackctl/key.c
+++ b/moortackctl/key.c
@@ -7,18 +7,18 @@
 #include "moortack/config/config.h"
 
 #define KEY_BYTES 24
-#define KEY_TEXT 96
+#define KEY_TEXT_SIZE 96
 #define TOKEN_KEY_BYTES 32
-#define CURVE_TEXT 41
+#define CURVE_TEXT_SIZE 41
 
 static command_status_t
-peer_key(err_t *err)
+peer_key_create(err_t *err)
 {
-	char public[CURVE_TEXT];
-	char secret[CURVE_TEXT];
+	char public[CURVE_TEXT_SIZE];
+	char secret[CURVE_TEXT_SIZE];
 
 	if (zmq_curve_keypair(public, secret) != 0) {
-		err_set(err, ERR_INTERNAL, "this ZeroMQ has no CURVE");
+		err_set(err, ERR_INTERNAL, "libzmq was built without CURVE");
 		return COMMAND_FAILED;
 	}
 	printf("%s\n", secret);
@@ -26,7 +26,7 @@
 }
 
 static command_status_t
-token_key(void)
+token_key_create(void)
 {
 	unsigned char bytes[TOKEN_KEY_BYTES];
 	char text[2 * TOKEN_KEY_BYTES + 1];
@@ -50,18 +50,18 @@
 	return COMMAND_OK;
 }
 
-/* A new key is printed once; only its hash goes into the configuration. */
+/* A new key is only printed here; the configuration holds its hash alone. */
 command_status_t
 command_key(const command_context_t *context, err_t *err)
 {
 	const char *kind = context->arg_count > 0 ? context->args[0] : "";
 	unsigned char bytes[KEY_BYTES];
-	char key[KEY_TEXT];
+	char key[KEY_TEXT_SIZE];
 
 	if (strcmp(kind, "peer") == 0)
-		return peer_key(err);
+		return peer_key_create(err);
 	if (strcmp(kind, "token") == 0)
-		return token_key();
+		return token_key_create();
 	if (strcmp(kind, "-") == 0) {
 		if (fgets(key, sizeof(key), stdin) == NULL) {
 			err_set(
--- a/moortackctl/main.c
+++ b/moortackctl/main.c
@@ -28,21 +28,21 @@
 	const command_t *commands = commands_all(&count);
 
 	fprintf(out,
-	    "Usage: moortackctl [FLAG]... COMMAND [WORD]...\n\n"
+	    "Usage: moortackctl [FLAG]... COMMAND [ARGUMENT]...\n\n"
 	    "  --entries, " ENTRIES_VARIABLE
 	    "\n      Entries as IP:PORT joined by ','\n"
 	    "  " KEY_VARIABLE "\n      The operator's key\n"
 	    "  " CA_VARIABLE
-	    "\n      File with the certificates to trust, PEM; none: no TLS\n"
-	    "  --json\n      Print what was answered, as JSON\n"
-	    "  --yes\n      Don't ask before a plan is put in force\n\n");
+	    "\n      File with the trusted certificates, PEM; unset: no TLS\n"
+	    "  --json\n      Print the response as JSON\n"
+	    "  --yes\n      Don't ask before a plan is put into force\n\n");
 	for (size_t i = 0; i < count; i++)
 		fprintf(out, "  %-13s %-30s %s\n", commands[i].name,
 		    commands[i].usage, commands[i].help);
 	fprintf(out,
-	    "\nExit status: 0 done, 1 refused, 2 wrong words or settings, 3 "
-	    "overtaken by another\nplan, 4 outcome not known (safe to repeat), "
-	    "5 accepted but not yet everywhere.\n");
+	    "\nExit status: 0 done, 1 refused, 2 wrong arguments or settings, "
+	    "3 superseded\nby another plan, 4 outcome unknown (safe to "
+	    "repeat), 5 accepted, not yet everywhere.\n");
 }
 
 static bool
@@ -50,21 +50,21 @@
 {
 	while (*text != '\0') {
 		size_t len = strcspn(text, ",");
-		char one[80];
+		char entry[80];
 
-		snprintf(one, sizeof(one), "%.*s", (int)len, text);
+		snprintf(entry, sizeof(entry), "%.*s", (int)len, text);
 		if (context->entry_count == ENTRIES_MAX ||
 		    !http_address_parse(
-			one, &context->entries[context->entry_count++]))
+			entry, &context->entries[context->entry_count++]))
 			return err_set(err, ERR_SETTING,
-			    "entries: '%.40s' is not IP:PORT", one);
+			    "entries: '%.40s' is not IP:PORT", entry);
 		text += len + (text[len] == ',');
 	}
 	return true;
 }
 
 static bool
-context_fill(const flags_t *flags, command_context_t *context, err_t *err)
+context_init(const flags_t *flags, command_context_t *context, err_t *err)
 {
 	const char *entries =
 	    flags->entries != NULL ? flags->entries : getenv(ENTRIES_VARIABLE);
@@ -83,26 +83,25 @@
 }
 
 static command_status_t
-command_start(const flags_t *flags, const char **words, err_t *err)
+command_execute(const flags_t *flags, const char **args, err_t *err)
 {
 	command_context_t context = {0};
 	command_status_t status;
-	const command_t *command =
-	    words != NULL ? command_find(words[0]) : NULL;
+	const command_t *command = args != NULL ? command_find(args[0]) : NULL;
 
 	if (command == NULL) {
 		err_set(err, ERR_BAD_REQUEST, "%s; see moortackctl --help",
-		    words != NULL ? "no such command" : "no command is given");
+		    args != NULL ? "unknown command" : "no command given");
 		return COMMAND_USAGE;
 	}
-	if (!context_fill(flags, &context, err))
+	if (!context_init(flags, &context, err))
 		return COMMAND_USAGE;
 	if (context.entry_count == 0 && command->run != command_key) {
 		err_set(err, ERR_SETTING,
 		    "no entries: give --entries or set " ENTRIES_VARIABLE);
 		return COMMAND_USAGE;
 	}
-	context.args = words + 1;
+	context.args = args + 1;
 	while (context.args[context.arg_count] != NULL)
 		context.arg_count++;
 	status = command->run(&context, err);
@@ -135,7 +134,7 @@
 		usage_print(stdout);
 		status = COMMAND_OK;
 	} else {
-		status = command_start(&flags, poptGetArgs(popt), &err);
+		status = command_execute(&flags, poptGetArgs(popt), &err);
 	}
 	if (status != COMMAND_OK && err.code != ERR_NONE)
 		fprintf(stderr, "moortackctl: %s: %s\n",
--- a/moortackctl/plan.c
+++ b/moortackctl/plan.c
@@ -6,7 +6,7 @@
 command_status_t
 command_plan(const command_context_t *context, err_t *err)
 {
-	json_error_t failure;
+	json_error_t parse_error;
 	json_t *intent;
 	json_t *changes;
 
@@ -16,12 +16,12 @@
 		return COMMAND_USAGE;
 	}
 	intent = strcmp(context->args[0], "-") == 0
-	    ? json_loadf(stdin, JSON_REJECT_DUPLICATES, &failure)
+	    ? json_loadf(stdin, JSON_REJECT_DUPLICATES, &parse_error)
 	    : json_load_file(
-		  context->args[0], JSON_REJECT_DUPLICATES, &failure);
+		  context->args[0], JSON_REJECT_DUPLICATES, &parse_error);
 	if (intent == NULL) {
 		err_set(err, ERR_BAD_REQUEST, "%s line %d: %s",
-		    context->args[0], failure.line, failure.text);
+		    context->args[0], parse_error.line, parse_error.text);
 		return COMMAND_USAGE;
 	}
 	changes = json_incref(json_object_get(intent, "changes"));
--- a/moortackctl/settings.c
+++ b/moortackctl/settings.c
@@ -3,7 +3,8 @@
 
 #include "client.h"
 
-/* Reaching this far means that they were all read and checked. */
+/* main() has read and checked the settings; this checks the key at the entries.
+ */
 command_status_t
 command_settings(const command_context_t *context, err_t *err)
 {
@@ -12,16 +13,16 @@
 		return COMMAND_USAGE;
 	}
 	for (int i = 0; i < context->entry_count; i++) {
-		json_t *reply;
+		json_t *response;
 		int status = client_entry_get(
-		    context, &context->entries[i], "/admin/status", &reply);
+		    context, &context->entries[i], "/admin/status", &response);
 
-		json_decref(reply);
+		json_decref(response);
 		printf("%s:%u %s\n", context->entries[i].host,
 		    context->entries[i].port,
-		    status == 200     ? "takes the key"
-			: status == 0 ? "does not answer"
-				      : "refuses the key");
+		    status == 200     ? "accepts the key"
+			: status == 0 ? "does not respond"
+				      : "rejects the key");
 	}
 	return COMMAND_OK;
 }
