--- a/include/moortack/options.h
+++ b/include/moortack/options.h
@@ -25,16 +25,18 @@
 	int64_t log_level;
 	int64_t head_ms;      /**< between reads of the store's head */
 	int64_t heartbeat_ms; /**< between heartbeats to a peer */
-	int64_t fresh_ms;     /**< how long evidence of freshness counts */
-	int64_t outage_ms;    /**< how long peers may vouch in an outage */
-	int64_t dead_ms;      /**< silence after which a peer is taken off */
+	int64_t fresh_ms;     /**< how long proof of freshness is valid */
+	int64_t outage_ms;    /**< how long peers may confirm freshness in an
+				 outage of the store */
+	int64_t dead_ms;      /**< time without a message after which a peer is
+				 removed */
 	int64_t store_timeout_ms;
-	int64_t load_ms;       /**< between load reports of an endpoint */
-	int64_t load_reads;    /**< of them in a round */
+	int64_t load_ms;       /**< between rounds of reading load reports */
+	int64_t load_reads;    /**< load reports read in a round */
 	int64_t list_ms;       /**< between reads of the VM list */
 	int64_t rating_ms;     /**< between reads of ratings */
-	int64_t rate_percent;  /**< of answers sent to be rated */
-	int64_t slow_first_ms; /**< a later first token is bad */
+	int64_t rate_percent;  /**< share of responses sent to be rated */
+	int64_t slow_first_ms; /**< a later first token counts as bad */
 	int64_t flush_ms;
 	int64_t held_ms;
 	int64_t bills_max;
@@ -45,7 +47,7 @@
 	int64_t exchanges_max;
 	int64_t waiting_max;
 	int64_t cutoff_ms;
-	int64_t deadline_ms; /**< of a request that names none */
+	int64_t deadline_ms; /**< of a request that sets none */
 	int64_t upstream_idle_ms;
 	int64_t drain_ms; /**< to finish after SIGTERM */
 	int64_t orders_lease_ms;
--- a/moortackd/main.c
+++ b/moortackd/main.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * moortackd: the entry daemon, with every role.
+ * moortackd: the entry daemon, which has every role.
  */
 #include <inttypes.h>
 #include <signal.h>
@@ -34,63 +34,63 @@
 	billing_t *billing;
 	witness_task_t *witnesses;
 	watch_t *watch;
-	struct event *term;
-	struct event *interrupt;
-	struct event *drain_end;
-	bool leaving;
+	struct event *sigterm;
+	struct event *sigint;
+	struct event *drain_timer;
+	bool draining;
 	int status;
 } daemon_t;
 
 static void
-drained(void *arg)
+drain_done(void *arg)
 {
 	daemon_t *daemon = arg;
 
 	timeline_add(&daemon->timeline, EVENT_STOPPED, daemon->options.listen,
 	    "%s", "drained");
-	log_line(LOG_INFO, LOG_MAIN, "Drained; nothing was cut.");
+	log_line(LOG_INFO, LOG_MAIN, "Drained; no request was aborted.");
 	event_base_loopbreak(daemon->process.base);
 }
 
 static void
-cut_rest(daemon_t *daemon)
+requests_abort(daemon_t *daemon)
 {
-	uint32_t cut = front_cut(daemon->front);
+	uint32_t aborted = front_cut(daemon->front);
 
-	log_line(
-	    LOG_WARN, LOG_MAIN, "Stopping now; %u requests were cut.", cut);
-	daemon->status = cut > 0 ? EXIT_FAILURE : EXIT_SUCCESS;
+	log_line(LOG_WARN, LOG_MAIN, "Stopping now; %u requests were aborted.",
+	    aborted);
+	daemon->status = aborted > 0 ? EXIT_FAILURE : EXIT_SUCCESS;
 	event_base_loopexit(daemon->process.base, NULL);
 }
 
 static void
-drain_over(evutil_socket_t fd, short what, void *arg)
+drain_timeout(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	cut_rest(arg);
+	requests_abort(arg);
 }
 
-/* The first signal drains, a second one stops. */
+/* The first SIGTERM or SIGINT starts draining; a second one stops at once. */
 static void
-signalled(evutil_socket_t fd, short what, void *arg)
+signal_handle(evutil_socket_t fd, short what, void *arg)
 {
 	daemon_t *daemon = arg;
-	struct timeval limit = {daemon->options.drain_ms / 1000,
+	struct timeval timeout = {daemon->options.drain_ms / 1000,
 	    daemon->options.drain_ms % 1000 * 1000};
 
 	(void)fd;
 	(void)what;
-	if (daemon->leaving) {
-		cut_rest(daemon);
+	if (daemon->draining) {
+		requests_abort(daemon);
 		return;
 	}
-	daemon->leaving = true;
-	log_line(LOG_INFO, LOG_MAIN, "Leaving: %u requests are in progress.",
+	daemon->draining = true;
+	log_line(LOG_INFO, LOG_MAIN, "Draining: %u requests are in flight.",
 	    front_busy(daemon->front));
 	registry_leave(daemon->registry);
 	front_drain(daemon->front);
-	event_add(daemon->drain_end, &limit);
+	event_add(daemon->drain_timer, &timeout);
 }
 
 static void
@@ -123,7 +123,7 @@
 	if (daemon->peers == NULL)
 		return false;
 	daemon->front = front_new(
-	    process, options, store, daemon->peers, drained, daemon, err);
+	    process, options, store, daemon->peers, drain_done, daemon, err);
 	if (daemon->front == NULL)
 		return false;
 	daemon->billing = billing_new(process, options, store, daemon->peers,
@@ -149,24 +149,24 @@
 }
 
 static void
-signals_watch(daemon_t *daemon)
+signals_init(daemon_t *daemon)
 {
 	struct event_base *base = daemon->process.base;
 
 	signal(SIGPIPE, SIG_IGN);
-	daemon->term = evsignal_new(base, SIGTERM, signalled, daemon);
-	daemon->interrupt = evsignal_new(base, SIGINT, signalled, daemon);
-	daemon->drain_end = event_new(base, -1, 0, drain_over, daemon);
-	event_add(daemon->term, NULL);
-	event_add(daemon->interrupt, NULL);
+	daemon->sigterm = evsignal_new(base, SIGTERM, signal_handle, daemon);
+	daemon->sigint = evsignal_new(base, SIGINT, signal_handle, daemon);
+	daemon->drain_timer = event_new(base, -1, 0, drain_timeout, daemon);
+	event_add(daemon->sigterm, NULL);
+	event_add(daemon->sigint, NULL);
 }
 
 static void
 daemon_stop(daemon_t *daemon)
 {
-	event_free(daemon->term);
-	event_free(daemon->interrupt);
-	event_free(daemon->drain_end);
+	event_free(daemon->sigterm);
+	event_free(daemon->sigint);
+	event_free(daemon->drain_timer);
 	http_calls_cancel(daemon->process.base);
 	watch_free(daemon->watch);
 	registry_free(daemon->registry);
@@ -202,7 +202,7 @@
 		fprintf(stderr, "moortackd: %s\n", err.detail);
 		return EXIT_SETTINGS;
 	}
-	signals_watch(&daemon);
+	signals_init(&daemon);
 	incarnation_text(daemon.process.incarnation, incarnation);
 	timeline_add(&daemon.timeline, EVENT_STARTED, daemon.options.listen,
 	    "%s %.24s", incarnation, daemon.options.place);
--- a/moortackd/options.h
+++ b/moortackd/options.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The table of the daemon's settings.
+ * Reads the daemon's settings from flags and the environment.
  */
 #ifndef MOORTACKD_OPTIONS_H
 #define MOORTACKD_OPTIONS_H
@@ -9,7 +9,7 @@
 
 #define OPTIONS_PREFIX "MOORTACK"
 
-/** Load and check the settings, also against each other. */
+/** Load the settings, and check each of them and that they are consistent. */
 settings_result_t
 options_load(options_t *, int argc, const char **argv, err_t *err);
 
