--- a/include/standin/engine_stream.h
+++ b/include/standin/engine_stream.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * The engine's requests: queued, running, answered by events or as one.
+ * The requests of the fake engine: queued, running, and answered by a stream of
+ * events or by one JSON response.
  */
 #ifndef STANDIN_ENGINE_STREAM_H
 #define STANDIN_ENGINE_STREAM_H
@@ -23,14 +24,14 @@
 	char id[ENGINE_ID_SIZE];
 	char version[ENGINE_ID_SIZE];
 	char prompt[ENGINE_PROMPT_SIZE];
-	int64_t token_count; /**< to generate */
-	int64_t generated;   /**< generated so far */
-	int64_t sent;	     /**< sent on the connection */
-	int64_t prefill_ticks;
+	int64_t token_count;   /**< to generate */
+	int64_t generated;     /**< tokens generated so far */
+	int64_t sent;	       /**< tokens sent to the caller */
+	int64_t prefill_ticks; /**< left until the first token */
 	bool running;
 	bool done;
-	bool json_response;	    /**< one JSON answer in place of events */
-	struct evhttp_request *req; /**< NULL when nobody listens */
+	bool json_response;	    /**< one JSON response in place of events */
+	struct evhttp_request *req; /**< NULL: no caller is connected */
 	struct event *timer;
 	UT_hash_handle hh;
 } stream_t;
@@ -39,35 +40,36 @@
 	fake_t fake;
 	stream_t *streams;
 	json_t *runs;	       /**< every run: id, version, organisation */
-	json_t *versions;      /**< loaded: version to fence */
-	int64_t highest_fence; /**< highest number seen in an order */
+	json_t *versions;      /**< those loaded; version to fencing number */
+	int64_t highest_fence; /**< highest fencing number seen in an order */
 	int64_t running;
 	int64_t queued;
 	int64_t token_ms;
 	int64_t slots;
 	int64_t cut_after;
 	int64_t lag_ms;
-	bool ends_cleanly; /**< a cut looks like an end, without its mark */
+	bool ends_cleanly; /**< a truncated stream ends without a
+			      connection error, but also without [DONE] */
 	bool ignore_fence;
 	bool leaving;
-	bool takes_all; /**< also while it leaves */
-	int64_t load_samples[ENGINE_LOAD_SAMPLES]
-			    [2]; /**< ring of running, queued */
+	bool takes_all; /**< accept requests even while leaving */
+	/** Ring of running, queued. */
+	int64_t load_samples[ENGINE_LOAD_SAMPLES][2];
 	uint64_t sample_count;
 	uint64_t prefixes[ENGINE_PREFIXES_MAX]; /**< hashes of cached prompts */
 	uint64_t prefix_count;
 	int64_t prefix_hits;
 };
 
-/** Start what may run now. */
+/** Start queued requests while a slot is free. */
 void engine_queue_run(engine_t *);
-/** The answer goes to this caller from now on. */
+/** Send the response to this caller from now on. */
 void engine_stream_attach(stream_t *, struct evhttp_request *);
-/** Send what its caller has not had yet. */
+/** Send the generated tokens that the caller has not received. */
 void engine_stream_flush(stream_t *);
-/** Answer whole, or end the events. */
+/** Send the JSON response, or the last events of the stream. */
 void engine_stream_end(stream_t *);
-/** One token more; the argument is the stream. */
+/** Generate one token; the argument is the stream. */
 void engine_stream_tick(evutil_socket_t, short what, void *stream);
 
 #endif
--- a/include/standin/fake.h
+++ b/include/standin/fake.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What the small fakes share: a server on one address, and faults that a test
- * switches by POST /fault.
+ * What the fake servers share: an HTTP server on one address, and faults that a
+ * test sets by POST /fault.
  */
 #ifndef STANDIN_FAKE_H
 #define STANDIN_FAKE_H
@@ -17,9 +17,10 @@
 
 /** Faults common to all fakes. */
 typedef struct faults {
-	bool down;	 /**< connections are dropped */
-	int64_t slow_ms; /**< every answer waits this long */
-	json_t *latest;	 /**< the last object sent to /fault */
+	bool down;	 /**< close the connection of every request but
+			    /fault and /runs */
+	int64_t slow_ms; /**< delay before a request is handled */
+	json_t *latest;	 /**< the latest object sent to /fault */
 } faults_t;
 
 typedef struct fake {
@@ -29,21 +30,22 @@
 	faults_t faults;
 	char listen[SETTING_TEXT_SIZE];
 	void (*handle_request)(struct fake *, struct evhttp_request *);
-	/** Take over faults of its own; may be NULL. */
+	/** Apply the faults that only this fake has; may be NULL. */
 	void (*handle_fault)(struct fake *, const json_t *);
-	/** Every sample_ms; may be NULL. */
+	/** Called every sample_ms; may be NULL. */
 	void (*sample)(struct fake *);
 	int64_t sample_ms;
 	const char *name;
 } fake_t;
 
-/** Read the flags, listen, and serve until SIGTERM. @return the exit status */
+/** Load the settings, listen, and serve until SIGTERM.
+ * @return the exit status */
 int fake_main(fake_t *, int argc, const char **argv);
 
-/** Drop the caller's connection without an answer. */
+/** Close the connection of a request without a response. */
 void fake_connection_drop(fake_t *, struct evhttp_request *);
 
-/** The integer @p name of @p object, or @p fallback. */
+/** The integer @p name of @p object, or @p fallback if it has none. */
 int64_t fake_json_int(const json_t *object, const char *name, int64_t fallback);
 
 #endif
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -1,16 +1,16 @@
 /**
  * @file
- * A model engine: an OpenAI-compatible completion path with a limited number of
- * slots, a prefix cache, a load report with a lag, orders with a fencing
- * number, and streams that can be resumed at an offset or cancelled.
+ * A fake model engine: an OpenAI-compatible completion path with a limited
+ * number of slots, a prefix cache, a load report with a lag, orders with a
+ * fencing number, and streams that can be resumed at an offset or cancelled.
  *
- * The answer to a prompt is "PROMPT w1 w2 ... wN", so that a test can tell
- * whether a whole answer came to its own caller.
+ * The response to a prompt is "PROMPT w1 w2 ... wN", so that a test can check
+ * that a complete response reached the caller that asked for it.
  *
- * Faults: "down", "slow_ms", "token_ms", "slots", "lag_ms", "cut_after" (cut
- * the next stream after so many tokens), "bad" (a version that fails),
- * "ignore_fence", "leaving", "takes_all" (also while it leaves), "crash_on"
- * (the process ends once it runs a prompt that begins so).
+ * Faults: "down", "slow_ms", "token_ms", "slots", "lag_ms", "cut_after"
+ * (truncate the next stream after so many tokens), "bad" (a version that
+ * fails), "ignore_fence", "leaving", "takes_all" (accept requests even while
+ * leaving), "crash_on" (exit on a prompt that begins with this text).
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,7 +23,8 @@
 #define MAX_TOKENS 100000
 #define DEFAULT_SLOTS 8
 #define SAMPLE_MS 5
-#define PREFILL_TICKS 2 /* before the first token on a cache miss */
+/* Token intervals before the first token if the prefix is uncached. */
+#define PREFILL_TICKS 2
 
 static bool
 prefix_hit(engine_t *engine, const char *prompt)
@@ -43,7 +44,7 @@
 }
 
 static const char *
-prompt_of(const json_t *body)
+prompt_get(const json_t *body)
 {
 	const json_t *messages = json_object_get(body, "messages");
 	const json_t *last =
@@ -53,7 +54,7 @@
 }
 
 static void
-run_note(engine_t *engine, struct evhttp_request *req, const char *id,
+run_record(engine_t *engine, struct evhttp_request *req, const char *id,
     const char *version)
 {
 	const char *organisation = http_request_header(req, "X-Organisation");
@@ -66,7 +67,7 @@
 }
 
 static bool
-version_bad(const engine_t *engine, const char *version)
+version_fails(const engine_t *engine, const char *version)
 {
 	const char *bad = json_string_value(
 	    json_object_get(engine->fake.faults.latest, "bad"));
@@ -75,7 +76,7 @@
 }
 
 static bool
-crashes(const engine_t *engine, const char *prompt)
+prompt_crashes(const engine_t *engine, const char *prompt)
 {
 	const char *text = json_string_value(
 	    json_object_get(engine->fake.faults.latest, "crash_on"));
@@ -84,11 +85,12 @@
 }
 
 static void
-completion(engine_t *engine, struct evhttp_request *req, const json_t *body)
+completion_handle(
+    engine_t *engine, struct evhttp_request *req, const json_t *body)
 {
 	const char *id = http_request_header(req, "X-Request-Id");
 	const char *version = json_string_value(json_object_get(body, "model"));
-	const char *prompt = prompt_of(body);
+	const char *prompt = prompt_get(body);
 	stream_t *stream;
 
 	if (id == NULL || version == NULL || prompt == NULL) {
@@ -97,15 +99,15 @@
 	}
 	if ((engine->leaving && !engine->takes_all) ||
 	    json_object_get(engine->versions, version) == NULL) {
-		/* Refused before it ran: the caller may say "not run". */
+		/* Refused before it ran: the caller may report "not run". */
 		http_response_add_header(req, "X-Not-Run", "1");
 		http_respond_json(req, 503, json_object());
 		return;
 	}
-	run_note(engine, req, id, version);
-	if (crashes(engine, prompt))
+	run_record(engine, req, id, version);
+	if (prompt_crashes(engine, prompt))
 		_exit(EXIT_FAILURE);
-	if (version_bad(engine, version)) {
+	if (version_fails(engine, version)) {
 		http_respond_json(req, 500, json_object());
 		return;
 	}
@@ -168,7 +170,7 @@
 }
 
 static void
-order(engine_t *engine, struct evhttp_request *req, const json_t *body)
+order_handle(engine_t *engine, struct evhttp_request *req, const json_t *body)
 {
 	const char *op = json_string_value(json_object_get(body, "op"));
 	const char *version =
@@ -193,7 +195,7 @@
 }
 
 static void
-load_report(engine_t *engine, struct evhttp_request *req)
+load_respond(engine_t *engine, struct evhttp_request *req)
 {
 	uint64_t back = (uint64_t)(engine->lag_ms / SAMPLE_MS);
 	uint64_t at =
@@ -219,16 +221,16 @@
 	json_t *body = http_request_json(req, NULL);
 
 	if (strcmp(path, "/v1/chat/completions") == 0)
-		completion(engine, req, body);
+		completion_handle(engine, req, body);
 	else if (strncmp(path, streams, sizeof(streams) - 1) == 0 &&
 	    method == EVHTTP_REQ_DELETE)
 		stream_cancel(engine, req, path + sizeof(streams) - 1);
 	else if (strncmp(path, streams, sizeof(streams) - 1) == 0)
 		stream_resume(engine, req, path + sizeof(streams) - 1);
 	else if (strcmp(path, "/load") == 0)
-		load_report(engine, req);
+		load_respond(engine, req);
 	else if (strcmp(path, "/orders") == 0)
-		order(engine, req, body);
+		order_handle(engine, req, body);
 	else if (strcmp(path, "/runs") == 0)
 		http_respond_json(req, 200, json_incref(engine->runs));
 	else
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -17,12 +17,14 @@
 static json_t *
 usage_json(const stream_t *stream)
 {
-	/* A prompt that begins with "hard" leaves a cheap model unsure. */
-	bool unsure = strncmp(stream->prompt, "hard", 4) == 0;
+	/* A prompt that begins with "hard" gets a low confidence, so that a
+	 * cheap model's response is escalated. */
+	bool low_confidence = strncmp(stream->prompt, "hard", 4) == 0;
 
 	return json_pack("{s:i,s:I,s:f}", "prompt_tokens",
 	    (int)strlen(stream->prompt), "completion_tokens",
-	    (json_int_t)stream->generated, "confidence", unsure ? 0.05 : 0.95);
+	    (json_int_t)stream->generated, "confidence",
+	    low_confidence ? 0.05 : 0.95);
 }
 
 static void
@@ -58,16 +60,16 @@
 }
 
 static void
-plain_send(stream_t *stream)
+json_response_send(stream_t *stream)
 {
-	char piece[ENGINE_PROMPT_SIZE];
+	char token[ENGINE_PROMPT_SIZE];
 	char *text =
 	    calloc(1, ENGINE_PROMPT_SIZE + (size_t)stream->token_count * 16);
 	size_t len = 0;
 
 	for (int64_t i = 0; i < stream->token_count; i++) {
-		token_text(stream, i, piece, sizeof(piece));
-		len += (size_t)sprintf(text + len, "%s", piece);
+		token_text(stream, i, token, sizeof(token));
+		len += (size_t)sprintf(text + len, "%s", token);
 	}
 	http_respond_json(stream->req, 200,
 	    json_pack("{s:s,s:s,s:[{s:i,s:{s:s,s:s}}],s:o}", "id", stream->id,
@@ -79,12 +81,12 @@
 }
 
 static void
-stream_detach(struct evhttp_connection *conn, void *arg)
+stream_connection_closed(struct evhttp_connection *conn, void *arg)
 {
 	stream_t *stream = arg;
 
 	(void)conn;
-	/* libevent leaves a request whose connection failed to its owner. */
+	/* libevent does not free a request whose connection failed. */
 	evhttp_request_free(stream->req);
 	stream->req = NULL;
 }
@@ -98,7 +100,7 @@
 		return;
 	http_request_unwatch_close(stream->req);
 	if (stream->json_response) {
-		plain_send(stream);
+		json_response_send(stream);
 		return;
 	}
 	event_send(stream,
@@ -113,7 +115,7 @@
 }
 
 static void
-tick_after(stream_t *stream)
+tick_schedule(stream_t *stream)
 {
 	int64_t ms = stream->engine->token_ms;
 	struct timeval wait = {ms / 1000, ms % 1000 * 1000};
@@ -136,7 +138,7 @@
 		stream->running = true;
 		engine->running++;
 		engine->queued--;
-		tick_after(stream);
+		tick_schedule(stream);
 	}
 }
 
@@ -151,7 +153,7 @@
 }
 
 static bool
-cut_due(stream_t *stream)
+stream_truncate_if_due(stream_t *stream)
 {
 	engine_t *engine = stream->engine;
 
@@ -179,23 +181,24 @@
 	(void)what;
 	if (stream->prefill_ticks > 0) {
 		stream->prefill_ticks--;
-		tick_after(stream);
+		tick_schedule(stream);
 		return;
 	}
 	stream->generated++;
-	if (!cut_due(stream) && stream->req != NULL && !stream->json_response)
+	if (!stream_truncate_if_due(stream) && stream->req != NULL &&
+	    !stream->json_response)
 		engine_stream_flush(stream);
 	if (stream->generated >= stream->token_count)
 		stream_finish(stream);
 	else
-		tick_after(stream);
+		tick_schedule(stream);
 }
 
 void
 engine_stream_attach(stream_t *stream, struct evhttp_request *req)
 {
 	stream->req = req;
-	http_request_watch_close(req, stream_detach, stream);
+	http_request_watch_close(req, stream_connection_closed, stream);
 	if (stream->json_response)
 		return;
 	http_response_add_header(req, "Content-Type", "text/event-stream");
--- a/standin/fake.c
+++ b/standin/fake.c
@@ -12,10 +12,11 @@
 
 #define BODY_MAX (16L << 20)
 
-typedef struct held_request {
+/** A request that the fault "slow_ms" delays. */
+typedef struct delayed_request {
 	fake_t *fake;
 	struct evhttp_request *req;
-} held_request_t;
+} delayed_request_t;
 
 static const setting_t settings[] = {
     {"listen", SETTING_ADDRESS, offsetof(fake_t, listen), 1, 64, NULL, "",
@@ -30,7 +31,7 @@
 	return json_is_integer(value) ? json_integer_value(value) : fallback;
 }
 
-/** A connection that is about to be broken off. */
+/** A connection that is about to be closed. */
 typedef struct drop {
 	struct evhttp_connection *conn;
 	struct event *timer;
@@ -43,16 +44,16 @@
 	free(drop);
 }
 
-/* The caller closed it first: the library frees it by itself. */
+/* The caller closed it first: libevent frees the connection. */
 static void
-drop_gone(struct evhttp_connection *conn, void *arg)
+drop_caller_closed(struct evhttp_connection *conn, void *arg)
 {
 	(void)conn;
 	drop_finish(arg);
 }
 
 static void
-drop_now(evutil_socket_t fd, short what, void *arg)
+drop_timer_fired(evutil_socket_t fd, short what, void *arg)
 {
 	drop_t *drop = arg;
 
@@ -72,13 +73,13 @@
 	if (drop == NULL)
 		return;
 	drop->conn = evhttp_request_get_connection(req);
-	drop->timer = event_new(fake->base, -1, 0, drop_now, drop);
-	evhttp_connection_set_closecb(drop->conn, drop_gone, drop);
+	drop->timer = event_new(fake->base, -1, 0, drop_timer_fired, drop);
+	evhttp_connection_set_closecb(drop->conn, drop_caller_closed, drop);
 	event_add(drop->timer, &soon);
 }
 
 static void
-fault_take(fake_t *fake, struct evhttp_request *req)
+faults_apply(fake_t *fake, struct evhttp_request *req)
 {
 	json_t *body = http_request_json(req, NULL);
 	const json_t *down = json_object_get(body, "down");
@@ -99,14 +100,14 @@
 }
 
 static void
-held_serve(evutil_socket_t fd, short what, void *arg)
+delayed_serve(evutil_socket_t fd, short what, void *arg)
 {
-	held_request_t *held = arg;
+	delayed_request_t *delayed = arg;
 
 	(void)fd;
 	(void)what;
-	held->fake->handle_request(held->fake, held->req);
-	free(held);
+	delayed->fake->handle_request(delayed->fake, delayed->req);
+	free(delayed);
 }
 
 static void
@@ -115,10 +116,10 @@
 	fake_t *fake = arg;
 	const char *uri = evhttp_request_get_uri(req);
 	struct timeval delay;
-	held_request_t *held;
+	delayed_request_t *delayed;
 
 	if (strcmp(uri, "/fault") == 0) {
-		fault_take(fake, req);
+		faults_apply(fake, req);
 		return;
 	}
 	if (fake->faults.down && strcmp(uri, "/runs") != 0) {
@@ -129,13 +130,14 @@
 		fake->handle_request(fake, req);
 		return;
 	}
-	held = malloc(sizeof(*held));
-	if (held == NULL)
+	delayed = malloc(sizeof(*delayed));
+	if (delayed == NULL)
 		return;
-	*held = (held_request_t){fake, req};
+	*delayed = (delayed_request_t){fake, req};
 	delay.tv_sec = fake->faults.slow_ms / 1000;
 	delay.tv_usec = fake->faults.slow_ms % 1000 * 1000;
-	event_base_once(fake->base, -1, EV_TIMEOUT, held_serve, held, &delay);
+	event_base_once(
+	    fake->base, -1, EV_TIMEOUT, delayed_serve, delayed, &delay);
 }
 
 static void
--- a/standin/rating.c
+++ b/standin/rating.c
@@ -1,8 +1,9 @@
 /**
  * @file
- * The rating service. POST /rate hands in an answer; GET /ratings?after=N reads
- * the ratings given since. An answer from a version named in the fault "bad" is
- * rated 0, any other 1. The fault "share" (per cent) makes ratings sparse.
+ * A fake rating service. POST /rate submits a response; GET /ratings?after=N
+ * returns the ratings after the first N. A response from the version that the
+ * fault "bad" names is rated 0, any other 1. The fault "share" is the share of
+ * responses that are rated, per cent.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,11 +17,11 @@
 	fake_t fake;
 	json_t *ratings;
 	int64_t share;
-	int64_t seen;
+	int64_t received;
 } rating_t;
 
 static int64_t
-answer_score(const rating_t *rating, const char *version)
+response_score(const rating_t *rating, const char *version)
 {
 	const char *bad = json_string_value(
 	    json_object_get(rating->fake.faults.latest, "bad"));
@@ -30,19 +31,19 @@
 }
 
 static void
-rate(rating_t *rating, struct evhttp_request *req)
+response_rate(rating_t *rating, struct evhttp_request *req)
 {
 	json_t *body = http_request_json(req, NULL);
 	const char *version =
 	    json_string_value(json_object_get(body, "version"));
 
 	if (version != NULL &&
-	    rating->seen++ * rating->share % ALL_PERCENT < rating->share) {
+	    rating->received++ * rating->share % ALL_PERCENT < rating->share) {
 		json_array_append_new(rating->ratings,
 		    json_pack("{s:s,s:O*,s:O*,s:I}", "version", version,
 			"request", json_object_get(body, "request"),
 			"organisation", json_object_get(body, "organisation"),
-			"score", (json_int_t)answer_score(rating, version)));
+			"score", (json_int_t)response_score(rating, version)));
 	}
 	json_decref(body);
 	http_respond_json(req, 200, json_object());
@@ -56,7 +57,7 @@
 	char after[32] = "0";
 
 	if (evhttp_request_get_command(req) == EVHTTP_REQ_POST) {
-		rate(rating, req);
+		response_rate(rating, req);
 		return;
 	}
 	http_request_query_param(req, "after", after, sizeof(after));
--- a/standin/relay.c
+++ b/standin/relay.c
@@ -1,11 +1,11 @@
 /**
  * @file
- * A TCP relay, to cut one process off from another. The fault "target" sets
- * where it relays to; "cut" lists source IPs whose connections are dropped and
- * refused, "stall" those whose bytes are no longer passed on, either way;
- * "silent" makes the connections that are open now pass on nothing ever again,
- * without a reset, while new ones work; "reset" resets them; "delay_ms" holds
- * up bytes, and "one_way" drops those that come from the target.
+ * A TCP relay that simulates network faults between two processes. The fault
+ * "target" is the address to relay to; "cut" lists source IPs whose connections
+ * are closed and refused, "stall" those whose bytes are discarded in both
+ * directions; "silent" makes the connections that are open now discard all
+ * further bytes without a reset, while new ones work; "reset" resets the open
+ * ones; "delay_ms" delays bytes, and "one_way" discards those from the target.
  */
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -27,10 +27,10 @@
 
 typedef struct pair {
 	struct relay *relay;
-	struct bufferevent *sides[SIDES]; /**< the caller's, the target's */
-	struct event *held[SIDES];	  /**< until its bytes are passed on */
+	struct bufferevent *sides[SIDES];  /**< to the caller, to the target */
+	struct event *delay_timers[SIDES]; /**< for bytes of each side */
 	char source[IP_SIZE];
-	bool silent; /**< for good */
+	bool silent; /**< discards all bytes until it is closed */
 	struct pair *next;
 } pair_t;
 
@@ -42,7 +42,7 @@
 } relay_t;
 
 static bool
-listed(const relay_t *relay, const char *fault, const char *source)
+source_listed(const relay_t *relay, const char *fault, const char *source)
 {
 	json_t *item;
 	size_t i;
@@ -70,51 +70,52 @@
 	for (int i = 0; i < SIDES; i++) {
 		if (pair->sides[i] != NULL)
 			bufferevent_free(pair->sides[i]);
-		if (pair->held[i] != NULL)
-			event_free(pair->held[i]);
+		if (pair->delay_timers[i] != NULL)
+			event_free(pair->delay_timers[i]);
 	}
 	free(pair);
 }
 
-/* Whether what comes from the side goes nowhere. */
+/* Whether bytes from this side are discarded. */
 static bool
-drops(const pair_t *pair, int from)
+bytes_discarded(const pair_t *pair, int from)
 {
 	const json_t *faults = pair->relay->fake.faults.latest;
 
-	return pair->silent || listed(pair->relay, "stall", pair->source) ||
+	return pair->silent ||
+	    source_listed(pair->relay, "stall", pair->source) ||
 	    (from == 1 && json_is_true(json_object_get(faults, "one_way")));
 }
 
 static void
-pass_on(pair_t *pair, int from)
+bytes_forward(pair_t *pair, int from)
 {
 	struct evbuffer *bytes = bufferevent_get_input(pair->sides[from]);
 
-	if (drops(pair, from))
+	if (bytes_discarded(pair, from))
 		evbuffer_drain(bytes, evbuffer_get_length(bytes));
 	else
 		bufferevent_write_buffer(pair->sides[1 - from], bytes);
 }
 
 static void
-held_from_caller(evutil_socket_t fd, short what, void *arg)
+delayed_from_caller(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	pass_on(arg, 0);
+	bytes_forward(arg, 0);
 }
 
 static void
-held_from_target(evutil_socket_t fd, short what, void *arg)
+delayed_from_target(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	pass_on(arg, 1);
+	bytes_forward(arg, 1);
 }
 
 static void
-readable(struct bufferevent *bev, void *arg)
+side_readable(struct bufferevent *bev, void *arg)
 {
 	pair_t *pair = arg;
 	int from = pair->sides[1] == bev;
@@ -123,21 +124,21 @@
 	struct timeval delay = {ms / MS_PER_SEC, ms % MS_PER_SEC * US_PER_MS};
 
 	if (ms <= 0)
-		pass_on(pair, from);
-	else if (!event_pending(pair->held[from], EV_TIMEOUT, NULL))
-		event_add(pair->held[from], &delay);
+		bytes_forward(pair, from);
+	else if (!event_pending(pair->delay_timers[from], EV_TIMEOUT, NULL))
+		event_add(pair->delay_timers[from], &delay);
 }
 
 static void
-flushed(struct bufferevent *bev, void *arg)
+side_flushed(struct bufferevent *bev, void *arg)
 {
 	(void)bev;
 	pair_free(arg);
 }
 
-/* What one side sent before it closed still goes to the other. */
+/* Bytes that one side sent before it closed are still forwarded. */
 static void
-changed(struct bufferevent *bev, short what, void *arg)
+side_event(struct bufferevent *bev, short what, void *arg)
 {
 	pair_t *pair = arg;
 	struct bufferevent *other =
@@ -150,11 +151,11 @@
 		return;
 	}
 	bufferevent_disable(bev, EV_READ);
-	bufferevent_setcb(other, NULL, flushed, changed, pair);
+	bufferevent_setcb(other, NULL, side_flushed, side_event, pair);
 }
 
 static void
-accepted(struct evconnlistener *listener, evutil_socket_t fd,
+connection_accept(struct evconnlistener *listener, evutil_socket_t fd,
     struct sockaddr *address, int len, void *arg)
 {
 	relay_t *relay = arg;
@@ -164,7 +165,7 @@
 	(void)listener;
 	(void)len;
 	inet_ntop(AF_INET, &from->sin_addr, pair->source, sizeof(pair->source));
-	if (listed(relay, "cut", pair->source)) {
+	if (source_listed(relay, "cut", pair->source)) {
 		free(pair);
 		evutil_closesocket(fd);
 		return;
@@ -176,20 +177,20 @@
 	    bufferevent_socket_new(relay->fake.base, fd, BEV_OPT_CLOSE_ON_FREE);
 	pair->sides[1] =
 	    bufferevent_socket_new(relay->fake.base, -1, BEV_OPT_CLOSE_ON_FREE);
-	pair->held[0] =
-	    event_new(relay->fake.base, -1, 0, held_from_caller, pair);
-	pair->held[1] =
-	    event_new(relay->fake.base, -1, 0, held_from_target, pair);
+	pair->delay_timers[0] =
+	    event_new(relay->fake.base, -1, 0, delayed_from_caller, pair);
+	pair->delay_timers[1] =
+	    event_new(relay->fake.base, -1, 0, delayed_from_target, pair);
 	for (int i = 0; i < SIDES; i++) {
 		bufferevent_setcb(
-		    pair->sides[i], readable, NULL, changed, pair);
+		    pair->sides[i], side_readable, NULL, side_event, pair);
 		bufferevent_enable(pair->sides[i], EV_READ | EV_WRITE);
 	}
 	bufferevent_socket_connect_hostname(pair->sides[1], NULL, AF_INET,
 	    relay->target.host, relay->target.port);
 }
 
-/* The relayed port is the one after that of the control path. */
+/* The port that is relayed is the one after the port of /fault. */
 static void
 relay_listen(relay_t *relay)
 {
@@ -199,28 +200,28 @@
 	http_address_parse(relay->fake.listen, &control);
 	address.sin_port = htons(control.port + RELAY_PORT_OFFSET);
 	inet_pton(AF_INET, control.host, &address.sin_addr);
-	relay->listener = evconnlistener_new_bind(relay->fake.base, accepted,
-	    relay, LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_FREE, -1,
-	    (struct sockaddr *)&address, sizeof(address));
+	relay->listener = evconnlistener_new_bind(relay->fake.base,
+	    connection_accept, relay, LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_FREE,
+	    -1, (struct sockaddr *)&address, sizeof(address));
 }
 
 static void
-cut_now(relay_t *relay)
+cut_apply(relay_t *relay)
 {
 	pair_t *pair = relay->pairs;
 
 	while (pair != NULL) {
 		pair_t *next = pair->next;
 
-		if (listed(relay, "cut", pair->source))
+		if (source_listed(relay, "cut", pair->source))
 			pair_free(pair);
 		pair = next;
 	}
 }
 
-/* A connection that is closed without waiting for its bytes is reset. */
+/* SO_LINGER with a time of 0 makes close() reset the connection. */
 static void
-reset_now(relay_t *relay)
+connections_reset(relay_t *relay)
 {
 	static const struct linger at_once = {1, 0};
 	pair_t *pair = relay->pairs;
@@ -239,7 +240,7 @@
 static void
 sample(fake_t *fake)
 {
-	cut_now((relay_t *)fake);
+	cut_apply((relay_t *)fake);
 }
 
 static void
@@ -253,7 +254,7 @@
 	for (pair_t *pair = relay->pairs; pair != NULL; pair = pair->next)
 		pair->silent |= json_is_true(json_object_get(body, "silent"));
 	if (json_is_true(json_object_get(body, "reset")))
-		reset_now(relay);
+		connections_reset(relay);
 	if (relay->listener == NULL)
 		relay_listen(relay);
 }
--- a/standin/service.c
+++ b/standin/service.c
@@ -1,10 +1,10 @@
 /**
  * @file
- * A plain service, such as a booking system: it counts every run by request id,
- * or by the "prompt" of its body where there is one, so that a test can name
- * what must run once. GET /runs shows the counts. Faults: "down", "slow_ms"
- * (before the run), "late_ms" (after it), and "cut" (that many calls run and
- * then lose their connection).
+ * A fake plain service, such as a booking system: it counts runs by request id,
+ * or by the "prompt" of the body if there is one, so that a test can name what
+ * must run once. GET /runs returns the counts. Faults: "down", "slow_ms" (delay
+ * before the run), "late_ms" (delay after it), and "cut" (that many requests
+ * run and then have their connection closed without a response).
  */
 #include <stdlib.h>
 #include <string.h>
@@ -20,39 +20,40 @@
 	bool leaving;
 } service_t;
 
-/** An answer that is due later. */
-typedef struct late {
+/** A response that is sent after a delay. */
+typedef struct late_response {
 	struct evhttp_request *req;
-	json_t *answer;
-} late_t;
+	json_t *value;
+} late_response_t;
 
 static void
-late_answer(evutil_socket_t fd, short what, void *arg)
+late_send(evutil_socket_t fd, short what, void *arg)
 {
-	late_t *late = arg;
+	late_response_t *late = arg;
 
 	(void)fd;
 	(void)what;
-	http_respond_json(late->req, 200, late->answer);
+	http_respond_json(late->req, 200, late->value);
 	free(late);
 }
 
 static void
-answer(service_t *service, struct evhttp_request *req, json_t *value)
+response_send_late(
+    service_t *service, struct evhttp_request *req, json_t *value)
 {
 	const struct timeval wait = {
 	    service->late_ms / 1000, service->late_ms % 1000 * 1000};
-	late_t *late = malloc(sizeof(*late));
+	late_response_t *late = malloc(sizeof(*late));
 
 	if (late == NULL)
 		return;
-	*late = (late_t){req, value};
+	*late = (late_response_t){req, value};
 	event_base_once(
-	    service->fake.base, -1, EV_TIMEOUT, late_answer, late, &wait);
+	    service->fake.base, -1, EV_TIMEOUT, late_send, late, &wait);
 }
 
 static void
-call(service_t *service, struct evhttp_request *req)
+call_handle(service_t *service, struct evhttp_request *req)
 {
 	const char *id = http_request_header(req, "X-Request-Id");
 	json_t *body = http_request_json(req, NULL);
@@ -74,7 +75,8 @@
 		fake_connection_drop(&service->fake, req);
 		return;
 	}
-	answer(service, req, json_pack("{s:s,s:o*}", "ran", id, "body", body));
+	response_send_late(
+	    service, req, json_pack("{s:s,s:o*}", "ran", id, "body", body));
 }
 
 static void
@@ -90,7 +92,7 @@
 		    json_pack("{s:i,s:i,s:i,s:b}", "running", 0, "queued", 0,
 			"slots", 64, "leaving", service->leaving));
 	else if (evhttp_request_get_command(req) == EVHTTP_REQ_POST)
-		call(service, req);
+		call_handle(service, req);
 	else
 		http_respond_json(req, 404, json_object());
 }
--- a/standin/store.c
+++ b/standin/store.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * The platform's table and object store, in memory. POST /fault takes "down",
- * "slow_ms", "lose_replies" (that many transactions take effect and lose their
- * reply) and "writes_per_s".
+ * A fake of the platform's table, in memory. Faults: "down", "slow_ms",
+ * "lose_replies" (that many transactions take effect and get no response) and
+ * "writes_per_s" (the most transactions in a second; 0: no limit).
  */
 #include <event2/buffer.h>
 #include <stdlib.h>
@@ -26,7 +26,8 @@
 	int64_t lose_replies;
 	int64_t writes_per_s;
 	int64_t second;
-	int64_t writes;	      /**< transactions in this second */
+	int64_t writes;	      /**< transactions in this second, counted
+				 while writes_per_s is set */
 	int64_t writes_total; /**< transactions that took effect */
 	int64_t reads_total;
 } store_t;
@@ -71,15 +72,16 @@
 }
 
 static bool
-check_holds(const store_t *store, const json_t *check)
+check_passes(const store_t *store, const json_t *check)
 {
 	const char *key = json_string_value(json_object_get(check, "key"));
-	const char *want = json_string_value(json_object_get(check, "value"));
-	const char *have = key != NULL ? row_get(store, key) : NULL;
+	const char *expected =
+	    json_string_value(json_object_get(check, "value"));
+	const char *actual = key != NULL ? row_get(store, key) : NULL;
 
-	if (want == NULL || have == NULL)
-		return want == NULL && have == NULL;
-	return strcmp(want, have) == 0;
+	if (expected == NULL || actual == NULL)
+		return expected == NULL && actual == NULL;
+	return strcmp(expected, actual) == 0;
 }
 
 static void
@@ -128,7 +130,7 @@
 	}
 	json_array_foreach(checks, i, check)
 	{
-		if (!check_holds(store, check)) {
+		if (!check_passes(store, check)) {
 			http_respond_json(req, 409,
 			    json_pack(
 				"{s:O}", "key", json_object_get(check, "key")));
@@ -165,7 +167,7 @@
 }
 
 static int
-row_order(const void *a, const void *b)
+row_compare(const void *a, const void *b)
 {
 	return strcmp((*(row_t *const *)a)->key, (*(row_t *const *)b)->key);
 }
@@ -185,7 +187,7 @@
 		    strcmp(row->key, after) > 0)
 			found[n++] = row;
 	}
-	qsort(found, n, sizeof(*found), row_order);
+	qsort(found, n, sizeof(*found), row_compare);
 	for (size_t i = 0; i < n && i < SCAN_MAX; i++) {
 		json_array_append_new(
 		    rows, json_pack("[ss]", found[i]->key, found[i]->value));
--- a/standin/vmlist.c
+++ b/standin/vmlist.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * The platform's list of live and leaving VMs. PUT /vms sets it, GET /vms reads
- * it as it was "lag_ms" ago; the fault "silent" freezes what is read.
+ * A fake of the platform's list of live and leaving VMs. PUT /vms sets it, GET
+ * /vms reads it as it was "lag_ms" ago; the fault "silent" stops updates of
+ * what is read.
  */
 #include <stdio.h>
 #include <string.h>
@@ -11,31 +12,31 @@
 
 typedef struct vmlist {
 	fake_t fake;
-	json_t *shown;
-	json_t *set;
-	struct timespec set_at;
+	json_t *published;
+	json_t *pending;
+	struct timespec pending_at;
 	int64_t lag_ms;
 	bool silent;
-	int64_t number; /**< of the list shown */
+	int64_t number; /**< version of the published list, its ETag */
 } vmlist_t;
 
 static void
-shown_update(vmlist_t *list)
+published_update(vmlist_t *list)
 {
 	struct timespec now = clock_boottime(&list->fake.clock);
 
-	if (list->silent || list->set == NULL ||
-	    timespec_ms_between(list->set_at, now) < list->lag_ms)
+	if (list->silent || list->pending == NULL ||
+	    timespec_ms_between(list->pending_at, now) < list->lag_ms)
 		return;
-	json_decref(list->shown);
-	list->shown = list->set;
-	list->set = NULL;
+	json_decref(list->published);
+	list->published = list->pending;
+	list->pending = NULL;
 	list->number++;
 }
 
-/* Sent in full only to those who don't have it yet. */
+/* Responds 304 to a reader that has this version of the list. */
 static void
-show(vmlist_t *list, struct evhttp_request *req)
+list_send(vmlist_t *list, struct evhttp_request *req)
 {
 	const char *known = http_request_header(req, "If-None-Match");
 	char etag[32];
@@ -47,7 +48,8 @@
 	}
 	http_response_add_header(req, "ETag", etag);
 	http_respond_json(req, 200,
-	    list->shown != NULL ? json_incref(list->shown) : json_object());
+	    list->published != NULL ? json_incref(list->published)
+				    : json_object());
 }
 
 static void
@@ -55,15 +57,15 @@
 {
 	vmlist_t *list = (vmlist_t *)fake;
 
-	shown_update(list);
+	published_update(list);
 	if (evhttp_request_get_command(req) == EVHTTP_REQ_PUT) {
-		json_decref(list->set);
-		list->set = http_request_json(req, NULL);
-		list->set_at = clock_boottime(&fake->clock);
+		json_decref(list->pending);
+		list->pending = http_request_json(req, NULL);
+		list->pending_at = clock_boottime(&fake->clock);
 		http_respond_json(req, 200, json_object());
 		return;
 	}
-	show(list, req);
+	list_send(list, req);
 }
 
 static void
