--- a/test/platform/standin_replica.c
+++ b/test/platform/standin_replica.c
@@ -1,16 +1,20 @@
 /**
  * @file
- * A small stand-in of a replica: it counts what it runs, and streams events.
+ * A fake replica that records the requests it runs and streams events.
  *
- * GET /runs lists what it ran, how many callers left meanwhile, and the most
- * requests that came in one second while it was cold. Faults:
- * "unnamed" leaves out the request's id, "hold" says nothing, "hold_model" does
- * so for one model, "shed" refuses as not run, "fail" answers 500, "cut_after"
- * breaks a stream off after so many events, "stray" answers with another
- * request's id, "crash_on" ends the process once it runs a body that begins so,
- * "crash_ms" later, "cold_ms" is how long it is cold from now on, "cold_most"
- * the requests a second beyond which it crashes meanwhile, "id" is its own,
- * "confidence" of its answers, "events" of a stream, "pause_ms" between them.
+ * GET /runs returns the requests that ran, how many callers closed their
+ * connection before the response was complete, and the most requests that
+ * arrived in one second while the replica was cold. Faults: "unnamed" omits the
+ * attempt id from responses, "hold" never responds, "hold_model" does so for
+ * one model, "shed" refuses requests as not run, "fail" responds 500,
+ * "cut_after" closes the connection of a stream after so many events,
+ * "half_after" ends a stream with half an event after so many, "stray" responds
+ * with the id of another attempt, "crash_on" ends the process on a body that
+ * begins with this text, "crash_ms" is the delay before that, "cold_ms" is how
+ * long the replica is cold from now on, "cold_most" the requests in a second
+ * above which it crashes while cold, "id" its own id, "confidence" that of its
+ * responses, "events" the number in a stream and "pause_ms" the time between
+ * them.
  */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -26,25 +30,25 @@
 
 #define ARRIVALS_MAX 256
 
-/** A stream under way. */
+/** A stream in progress. */
 typedef struct stream {
 	struct evhttp_request *req;
 	struct event *timer;
 	int64_t next; /**< id of the next event */
 	int64_t last;
-	int64_t half; /**< id after which half an event ends it; 0: none */
-	int64_t cut;  /**< id after which it breaks off; 0: none */
-	bool gone;
+	int64_t half; /**< half an event ends it after this id; 0: none */
+	int64_t cut;  /**< its connection closes after this id; 0: none */
+	bool closed;  /**< by the caller */
 } stream_t;
 
 typedef struct replica {
 	fake_t fake;
 	json_t *runs;
-	int64_t left; /**< callers that went away while it worked */
-	int64_t arrivals[ARRIVALS_MAX]; /**< of the latest requests, ms */
+	int64_t left; /**< callers that closed their connection early */
+	int64_t arrivals[ARRIVALS_MAX]; /**< times of the latest requests, ms */
 	size_t arrivals_next;
 	int64_t cold_until_ms;
-	int64_t cold_peak; /**< most requests in a second while it was cold */
+	int64_t cold_peak; /**< most requests in a second while cold */
 	json_t *faults;
 } replica_t;
 
@@ -63,7 +67,7 @@
 }
 
 static void
-run_note(struct evhttp_request *req)
+run_record(struct evhttp_request *req)
 {
 	static const char *const names[] = {"Moortack-Attempt-Id",
 	    "Moortack-Tenant-Id", "Moortack-Model-Id", "Last-Event-Id",
@@ -82,7 +86,7 @@
 }
 
 static void
-head_set(struct evhttp_request *req, bool run)
+headers_add(struct evhttp_request *req, bool run)
 {
 	const char *id = http_request_header(req, "Moortack-Attempt-Id");
 	char confidence[16];
@@ -112,15 +116,15 @@
 }
 
 static void
-stream_gone(struct evhttp_connection *conn, void *arg)
+stream_closed(struct evhttp_connection *conn, void *arg)
 {
 	(void)conn;
-	((stream_t *)arg)->gone = true;
+	((stream_t *)arg)->closed = true;
 	replica.left++;
 }
 
 static void
-held_gone(struct evhttp_connection *conn, void *arg)
+held_closed(struct evhttp_connection *conn, void *arg)
 {
 	(void)conn;
 	(void)arg;
@@ -128,7 +132,7 @@
 }
 
 static bool
-is_held(struct evhttp_request *req)
+request_held(struct evhttp_request *req)
 {
 	const char *model = http_request_header(req, "Moortack-Model-Id");
 	const char *held =
@@ -146,7 +150,7 @@
 
 	(void)fd;
 	(void)what;
-	if (stream->gone) {
+	if (stream->closed) {
 		stream_free(stream);
 		return;
 	}
@@ -191,14 +195,14 @@
 	stream->cut = fault_int("cut_after", 0);
 	stream->timer =
 	    event_new(replica.fake.base, -1, EV_PERSIST, stream_step, stream);
-	http_request_watch_close(req, stream_gone, stream);
+	http_request_watch_close(req, stream_closed, stream);
 	http_response_add_header(req, "Content-Type", "text/event-stream");
 	evhttp_send_reply_start(req, 200, NULL);
 	event_add(stream->timer, &pause);
 }
 
 static void
-answer(struct evhttp_request *req, int status, const char *text)
+respond(struct evhttp_request *req, int status, const char *text)
 {
 	struct evbuffer *out = evbuffer_new();
 
@@ -208,7 +212,7 @@
 }
 
 static bool
-expected_here(struct evhttp_request *req)
+replica_expected(struct evhttp_request *req)
 {
 	const char *expected =
 	    http_request_header(req, "Moortack-Expect-Replica");
@@ -239,7 +243,7 @@
 }
 
 static void
-crash_soon(void)
+crash_schedule(void)
 {
 	int64_t ms = fault_int("crash_ms", 0);
 	struct timeval delay = {ms / 1000, ms % 1000 * 1000};
@@ -259,12 +263,12 @@
 	return now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 
-/* Record a request; too many in a second crash a replica that is cold. */
+/* Record a request; too many in a second crash the replica while it is cold. */
 static void
 arrival_record(void)
 {
 	int64_t now = now_ms();
-	int64_t most = fault_int("cold_most", ARRIVALS_MAX);
+	int64_t limit = fault_int("cold_most", ARRIVALS_MAX);
 	int64_t count = 0;
 
 	if (now >= replica.cold_until_ms)
@@ -274,7 +278,7 @@
 		count += replica.arrivals[i] > now - 1000;
 	if (count > replica.cold_peak)
 		replica.cold_peak = count;
-	if (count > most)
+	if (count > limit)
 		_exit(EXIT_FAILURE);
 }
 
@@ -291,31 +295,31 @@
 			(json_int_t)replica.cold_peak));
 		return;
 	}
-	if (!expected_here(req)) {
-		head_set(req, false);
-		answer(req, 421, "");
+	if (!replica_expected(req)) {
+		headers_add(req, false);
+		respond(req, 421, "");
 		return;
 	}
 	if (fault_is("shed")) {
-		head_set(req, false);
-		answer(req, 503, "");
+		headers_add(req, false);
+		respond(req, 503, "");
 		return;
 	}
 	arrival_record();
-	run_note(req);
+	run_record(req);
 	if (crashes(req))
-		crash_soon();
-	if (is_held(req)) {
-		http_request_watch_close(req, held_gone, NULL);
+		crash_schedule();
+	if (request_held(req)) {
+		http_request_watch_close(req, held_closed, NULL);
 		return;
 	}
-	head_set(req, true);
+	headers_add(req, true);
 	if (fault_is("fail"))
-		answer(req, 500, "failed\n");
+		respond(req, 500, "failed\n");
 	else if (strncmp(uri, "/stream/", 8) == 0)
 		stream_start(req);
 	else
-		answer(req, 200, "done\n");
+		respond(req, 200, "done\n");
 }
 
 static void
--- a/test/platform/standin_store.c
+++ b/test/platform/standin_store.c
@@ -1,12 +1,13 @@
 /**
  * @file
- * A small stand-in of the platform's store: rows in tables with versions from
- * one counter, a feed that holds a question, transactions under conditions.
+ * A fake of the platform's store: rows in tables with versions from one
+ * counter, a feed by long polling, and conditional transactions.
  *
- * GET /calls counts the calls by kind and table. Faults: "down"; "forget" drops
- * the history up to now; "page" is how many rows a reading has at most; "save"
- * keeps a copy, "restore" goes back to it: what came since is gone, its
- * versions are given out again, and the era in all answers rises by one.
+ * GET /calls returns the number of calls by path and table. Faults: "down";
+ * "forget" drops the history up to now; "page" is the most rows in a response
+ * to a read; "save" copies the rows, "restore" goes back to the copy: later
+ * changes are lost, their versions are assigned again, and the era in all
+ * responses rises by one.
  */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -20,10 +21,10 @@
 #include "standin/fake.h"
 
 #define KEY_SIZE 256
-/* Rows of a reading, unless a fault says otherwise. */
+/* The most rows in a response to a read, unless the fault "page" is set. */
 #define PAGE 500
 
-/** A row, or the trace of one that was removed. */
+/** A row, or the tombstone of one that was removed. */
 typedef struct row {
 	char name[KEY_SIZE]; /**< table and key, with a space between */
 	char *value;	     /**< base64; NULL: removed */
@@ -31,25 +32,25 @@
 	UT_hash_handle hh;
 } row_t;
 
-/** A feed's question that is held. */
-typedef struct held {
+/** A poll of the feed that waits for a change. */
+typedef struct poll {
 	struct evhttp_request *req;
 	char table[KEY_SIZE];
 	uint64_t after;
 	struct timespec until;
-	struct held *next;
-} held_t;
+	struct poll *next;
+} poll_t;
 
 typedef struct store {
 	fake_t fake;
-	size_t page; /**< rows of a reading at most */
+	size_t page; /**< the most rows in a response to a read */
 	row_t *rows;
 	uint64_t version;
-	held_t *held;
-	uint64_t forgotten; /**< changes up to this version are not known */
-	json_t *calls;	    /**< by kind and table */
+	poll_t *polls;
+	uint64_t forgotten; /**< the history up to this version was dropped */
+	json_t *calls;	    /**< number of calls by path and table */
 	int64_t era;
-	row_t *saved; /**< rows of the copy */
+	row_t *saved; /**< copy of the rows */
 	uint64_t saved_version;
 } store_t;
 
@@ -80,7 +81,7 @@
 }
 
 static void
-era_tell(struct evhttp_request *req)
+era_header_add(struct evhttp_request *req)
 {
 	char text[32];
 
@@ -110,17 +111,17 @@
 	return strcmp(a->name, b->name);
 }
 
-/** Which rows are asked for. */
+/** The rows that a request reads. */
 typedef struct range {
 	const char *table;
 	const char *from; /**< key of the first one */
-	uint64_t after;	  /**< version */
-	size_t most;
-	bool deleted;
+	uint64_t after;	  /**< only rows of a higher version */
+	size_t limit;
+	bool deleted; /**< tombstones too */
 } range_t;
 
 static bool
-row_asked_for(const row_t *row, const range_t *range)
+row_in_range(const row_t *row, const range_t *range)
 {
 	return row_in(row, range->table) && row->version > range->after &&
 	    strcmp(row->name + strlen(range->table) + 1, range->from) >= 0 &&
@@ -128,21 +129,21 @@
 }
 
 static void
-rows_answer(struct evhttp_request *req, const range_t *range)
+rows_respond(struct evhttp_request *req, const range_t *range)
 {
 	json_t *rows = json_array();
 	bool more = false;
 
 	HASH_SORT(store.rows, row_compare);
 	for (const row_t *row = store.rows; row != NULL; row = row->hh.next) {
-		if (!row_asked_for(row, range))
+		if (!row_in_range(row, range))
 			continue;
-		more = json_array_size(rows) == range->most;
+		more = json_array_size(rows) == range->limit;
 		if (more)
 			break;
 		json_array_append_new(rows, row_json(row, range->table));
 	}
-	era_tell(req);
+	era_header_add(req);
 	http_respond_json(req, 200,
 	    json_pack("{s:o, s:b, s:I, s:I}", "rows", rows, "has_more", more,
 		"row_version", (json_int_t)store.version, "now_ms",
@@ -150,15 +151,15 @@
 }
 
 static void
-changes_answer(struct evhttp_request *req, const char *table, uint64_t after)
+changes_respond(struct evhttp_request *req, const char *table, uint64_t after)
 {
 	const range_t range = {.table = table,
 	    .from = "",
 	    .after = after,
-	    .most = SIZE_MAX,
+	    .limit = SIZE_MAX,
 	    .deleted = true};
 
-	rows_answer(req, &range);
+	rows_respond(req, &range);
 }
 
 static bool
@@ -171,12 +172,12 @@
 	return false;
 }
 
-/* Whoever asked has gone: the question is freed with its connection. */
+/* The caller closed the connection; libevent frees the request with it. */
 static void
-held_gone(struct evhttp_connection *conn, void *arg)
+poll_closed(struct evhttp_connection *conn, void *arg)
 {
 	(void)conn;
-	for (held_t **at = &store.held; *at != NULL; at = &(*at)->next) {
+	for (poll_t **at = &store.polls; *at != NULL; at = &(*at)->next) {
 		if (*at != arg)
 			continue;
 		*at = (*at)->next;
@@ -185,35 +186,35 @@
 	}
 }
 
-/* Take a question off those that are held, to answer it. */
+/* Remove a waiting poll from the list, to respond to it. */
 static struct evhttp_request *
-held_take(held_t **at)
+poll_remove(poll_t **at)
 {
-	held_t *held = *at;
-	struct evhttp_request *req = held->req;
+	poll_t *poll = *at;
+	struct evhttp_request *req = poll->req;
 
-	*at = held->next;
+	*at = poll->next;
 	evhttp_connection_set_closecb(
 	    evhttp_request_get_connection(req), NULL, NULL);
 	return req;
 }
 
 static void
-held_flush(struct fake *fake)
+polls_respond(struct fake *fake)
 {
 	struct timespec now = clock_boottime(&fake->clock);
-	held_t **at = &store.held;
+	poll_t **at = &store.polls;
 
 	while (*at != NULL) {
-		held_t *held = *at;
+		poll_t *poll = *at;
 
-		if (!changed_since(held->table, held->after) &&
-		    timespec_ms_between(now, held->until) > 0) {
-			at = &held->next;
+		if (!changed_since(poll->table, poll->after) &&
+		    timespec_ms_between(now, poll->until) > 0) {
+			at = &poll->next;
 			continue;
 		}
-		changes_answer(held_take(at), held->table, held->after);
-		free(held);
+		changes_respond(poll_remove(at), poll->table, poll->after);
+		free(poll);
 	}
 }
 
@@ -221,35 +222,35 @@
 feed(struct evhttp_request *req, const char *table)
 {
 	char text[KEY_SIZE] = "0";
-	held_t *held;
+	poll_t *poll;
 
 	http_request_query_param(req, "after", text, sizeof(text));
 	if (strtoull(text, NULL, 10) < store.forgotten ||
 	    strtoull(text, NULL, 10) > store.version) {
-		era_tell(req);
+		era_header_add(req);
 		evhttp_send_reply(req, 410, NULL, NULL);
 		return;
 	}
-	held = calloc(1, sizeof(*held));
-	held->req = req;
-	strcpy(held->table, table);
-	held->after = strtoull(text, NULL, 10);
+	poll = calloc(1, sizeof(*poll));
+	poll->req = req;
+	strcpy(poll->table, table);
+	poll->after = strtoull(text, NULL, 10);
 	strcpy(text, "0");
 	http_request_query_param(req, "wait_ms", text, sizeof(text));
-	held->until = timespec_add_ms(
+	poll->until = timespec_add_ms(
 	    clock_boottime(&store.fake.clock), strtoll(text, NULL, 10));
-	held->next = store.held;
-	store.held = held;
+	poll->next = store.polls;
+	store.polls = poll;
 	evhttp_connection_set_closecb(
-	    evhttp_request_get_connection(req), held_gone, held);
+	    evhttp_request_get_connection(req), poll_closed, poll);
 	bufferevent_enable(evhttp_connection_get_bufferevent(
 			       evhttp_request_get_connection(req)),
 	    EV_READ);
-	held_flush(&store.fake);
+	polls_respond(&store.fake);
 }
 
 static const char *
-text_of(const json_t *row, const char *name)
+text_get(const json_t *row, const char *name)
 {
 	const char *text = json_string_value(json_object_get(row, name));
 
@@ -260,25 +261,25 @@
 expectations_hold(const json_t *list)
 {
 	size_t i;
-	const json_t *want;
+	const json_t *expected;
 
-	json_array_foreach(list, i, want)
+	json_array_foreach(list, i, expected)
 	{
-		const row_t *row = row_find(
-		    text_of(want, "table"), text_of(want, "key"), false);
+		const row_t *row = row_find(text_get(expected, "table"),
+		    text_get(expected, "key"), false);
 		uint64_t version =
 		    row != NULL && row->value != NULL ? row->version : 0;
 
 		if (version !=
 		    (uint64_t)json_integer_value(
-			json_object_get(want, "row_version")))
+			json_object_get(expected, "row_version")))
 			return false;
 	}
 	return true;
 }
 
 static void
-changes_take(const json_t *list, bool removal)
+changes_apply(const json_t *list, bool removal)
 {
 	size_t i;
 	const json_t *change;
@@ -286,10 +287,10 @@
 	json_array_foreach(list, i, change)
 	{
 		row_t *row = row_find(
-		    text_of(change, "table"), text_of(change, "key"), true);
+		    text_get(change, "table"), text_get(change, "key"), true);
 
 		free(row->value);
-		row->value = removal ? NULL : strdup(text_of(change, "value"));
+		row->value = removal ? NULL : strdup(text_get(change, "value"));
 		row->version = store.version;
 	}
 }
@@ -302,16 +303,16 @@
 
 	if (holds) {
 		store.version++;
-		changes_take(json_object_get(body, "write"), false);
-		changes_take(json_object_get(body, "remove"), true);
+		changes_apply(json_object_get(body, "write"), false);
+		changes_apply(json_object_get(body, "remove"), true);
 	}
-	era_tell(req);
+	era_header_add(req);
 	http_respond_json(req, holds ? 200 : 412,
 	    json_pack("{s:I, s:I}", "row_version", (json_int_t)store.version,
 		"now_ms",
 		(json_int_t)timespec_to_ms(clock_boottime(&store.fake.clock))));
 	json_decref(body);
-	held_flush(&store.fake);
+	polls_respond(&store.fake);
 }
 
 static void
@@ -326,14 +327,14 @@
 }
 
 static void
-table_answer(struct evhttp_request *req, const char *table)
+table_respond(struct evhttp_request *req, const char *table)
 {
 	char from[KEY_SIZE] = "";
 	const range_t range = {
-	    .table = table, .from = from, .most = store.page};
+	    .table = table, .from = from, .limit = store.page};
 
 	http_request_query_param(req, "from", from, sizeof(from));
-	rows_answer(req, &range);
+	rows_respond(req, &range);
 }
 
 static void
@@ -353,7 +354,7 @@
 	if (strcmp(path, "/-/rows-tx") == 0)
 		transaction(req);
 	else if (strcmp(path, "/-/rows-get") == 0)
-		table_answer(req, table);
+		table_respond(req, table);
 	else if (strcmp(path, "/-/rows-feed") == 0)
 		feed(req, table);
 	else
@@ -390,15 +391,15 @@
 }
 
 static void
-held_end(void)
+polls_expire(void)
 {
-	while (store.held != NULL) {
-		held_t *held = store.held;
-		struct evhttp_request *req = held_take(&store.held);
+	while (store.polls != NULL) {
+		poll_t *poll = store.polls;
+		struct evhttp_request *req = poll_remove(&store.polls);
 
-		era_tell(req);
+		era_header_add(req);
 		evhttp_send_reply(req, 410, NULL, NULL);
-		free(held);
+		free(poll);
 	}
 }
 
@@ -409,7 +410,7 @@
 	store.rows = rows_copy(store.saved);
 	store.version = store.saved_version;
 	store.era++;
-	held_end();
+	polls_expire();
 }
 
 static void
@@ -426,7 +427,7 @@
 		restore();
 	if (json_is_true(json_object_get(faults, "forget"))) {
 		store.forgotten = ++store.version;
-		held_end();
+		polls_expire();
 	}
 }
 
@@ -438,7 +439,7 @@
 	store.calls = json_object();
 	store.fake.handle_request = serve;
 	store.fake.handle_fault = fault;
-	store.fake.sample = held_flush;
+	store.fake.sample = polls_respond;
 	store.fake.sample_ms = 20;
 	store.fake.name = "standin-platform-store";
 	return fake_main(&store.fake, argc, argv);
--- a/test/scenario/lib.lua
+++ b/test/scenario/lib.lua
@@ -1,8 +1,9 @@
--- The words that scenarios are written in. Waits are on events, with a
--- generous limit; nothing is asserted about how fast something was.
+-- Functions for scenarios: processes, HTTP requests, a cluster of daemons with
+-- fake services around it, and checks. A wait polls for a condition up to a
+-- generous limit; no check depends on how fast something was.
 local lib = {}
 
-lib.LIMIT = 20000 -- ms that any wait may take
+lib.LIMIT = 20000 -- ms; default limit of a wait
 lib.OPERATOR_KEY = "operator-key"
 lib.LIMITED_KEY = "limited-key"
 lib.OPERATOR_HASH =
@@ -40,13 +41,13 @@
     tostring(want))
 end
 
--- Wait until condition() returns something true, which is returned.
+-- Poll until condition() returns something true, and return that.
 function lib.wait_until(what, condition, limit)
   local finish = run.now() + (limit or lib.LIMIT)
   while true do
     local value = condition()
     if value then return value end
-    lib.check(run.now() < finish, "never came: %s", what)
+    lib.check(run.now() < finish, "timed out waiting for: %s", what)
     run.sleep(20)
   end
 end
@@ -67,20 +68,20 @@
 end
 
 function Call:look()
-  local answer = {}
-  answer.done, answer.status, answer.body, answer.headers, answer.ms =
+  local response = {}
+  response.done, response.status, response.body, response.headers, response.ms =
     run.peek(self.slot)
-  answer.json = answer.body ~= "" and run.decode(answer.body) or nil
-  return answer
+  response.json = response.body ~= "" and run.decode(response.body) or nil
+  return response
 end
 
 function Call:finish()
   lib.wait_until("the end of a call", function()
     return (run.peek(self.slot))
   end, 60000)
-  local answer = self:look()
+  local response = self:look()
   run.close(self.slot)
-  return answer
+  return response
 end
 
 function Call:leave()
@@ -92,8 +93,8 @@
 end
 
 function lib.fault(address, faults)
-  local answer = lib.http("POST", address, "/fault", {body = faults})
-  lib.equal(answer.status, 200, "fault at " .. address)
+  local response = lib.http("POST", address, "/fault", {body = faults})
+  lib.equal(response.status, 200, "fault at " .. address)
 end
 
 -- Processes ---------------------------------------------------------------
@@ -108,14 +109,14 @@
   return build .. "/" .. name .. "/" .. name
 end
 
--- lib.wrap: words put before the daemon's own, such as those of a profiler.
-function lib.spawn(name, words, variables, log)
+-- lib.wrap: arguments put before a daemon's own, such as those of a profiler.
+function lib.spawn(name, args, variables, log)
   local argv = {}
-  for _, word in ipairs(name == "moortackd" and lib.wrap or {}) do
-    argv[#argv + 1] = word
+  for _, arg in ipairs(name == "moortackd" and lib.wrap or {}) do
+    argv[#argv + 1] = arg
   end
   argv[#argv + 1] = program(name)
-  for _, word in ipairs(words) do argv[#argv + 1] = word end
+  for _, arg in ipairs(args) do argv[#argv + 1] = arg end
   local pid = run.spawn(argv, variables or {}, log_dir .. "/" .. log)
   return setmetatable({pid = pid, log = log_dir .. "/" .. log}, Process)
 end
@@ -196,7 +197,8 @@
   return service
 end
 
--- Tell the platform's list what is live; leaving and gone by name.
+-- Set the platform's list to the VMs that are not marked gone; the VM `leaving`
+-- is listed as leaving.
 function Cluster:list_vms(leaving)
   local vms = {}
   for _, list in ipairs({self.engines, self.services}) do
@@ -213,7 +215,7 @@
 
 function Cluster:daemon_start(i, place, extra, variables)
   local ip = network .. (99 + i)
-  local words = {}
+  local args = {}
   local settings = {}
   for name, value in pairs(FAST) do settings[name] = value end
   for name, value in pairs(self.options.settings or {}) do
@@ -223,15 +225,15 @@
   local fixed = {"--listen", ip .. ":8080", "--peer-listen", ip .. ":9090",
     "--place", place, "--store", self.store.address, "--vm-list",
     self.vmlist.address, "--rating", self.rating.address}
-  for _, word in ipairs(fixed) do words[#words + 1] = word end
+  for _, arg in ipairs(fixed) do args[#args + 1] = arg end
   for name, value in pairs(settings) do
-    words[#words + 1] = "--" .. name
-    words[#words + 1] = tostring(value)
+    args[#args + 1] = "--" .. name
+    args[#args + 1] = tostring(value)
   end
   if self.options.relays then
     self:relay_start(i, ip)
-    words[#words + 1] = "--peer-advertise"
-    words[#words + 1] = network .. (149 + i) .. ":9101"
+    args[#args + 1] = "--peer-advertise"
+    args[#args + 1] = network .. (149 + i) .. ":9101"
   end
   local environment = {
     "MOORTACK_OPERATORS=ops:" .. lib.OPERATOR_HASH .. ":*,limited:" ..
@@ -241,7 +243,7 @@
   for _, variable in ipairs(variables or {}) do
     environment[#environment + 1] = variable
   end
-  local daemon = lib.spawn("moortackd", words, environment,
+  local daemon = lib.spawn("moortackd", args, environment,
     "daemon" .. i .. ".log")
   daemon.ip = ip
   daemon.place = place
@@ -250,7 +252,8 @@
   return daemon
 end
 
--- A relay before a daemon's peer address, to cut other daemons off from it.
+-- Start a relay in front of a daemon's peer address, which can cut other daemons
+-- off from it.
 function Cluster:relay_start(i, ip)
   self.relays = self.relays or {}
   if self.relays[i] then return end
@@ -260,7 +263,8 @@
   self.relays[i] = relay
 end
 
--- Cut daemon i off from the daemons in others, both ways.
+-- Cut daemon i off from the daemons in others, in both directions; `fault` names
+-- another fault of the relay to use in place of "cut".
 function Cluster:cut(i, others, fault)
   local sources = {}
   for _, other in ipairs(others) do
@@ -294,7 +298,7 @@
   return self:admin("GET", "status", nil, daemon).json
 end
 
--- Every daemon lists all the others and they answer each other.
+-- Wait until every daemon lists `count` members and all of them respond to it.
 function Cluster:wait_joined(count)
   for _, daemon in pairs(self.daemons) do
     lib.wait_until(daemon.address .. " knows its peers", function()
@@ -308,7 +312,7 @@
   end
 end
 
--- The revision that each daemon of the list holds is at least this.
+-- Wait until each daemon of the list holds this revision or a later one.
 function Cluster:wait_revision(revision, daemons)
   for _, daemon in pairs(daemons or self.daemons) do
     lib.wait_until(daemon.address .. " holds revision " .. revision,
@@ -320,22 +324,22 @@
 end
 
 function Cluster:plan(changes, daemon)
-  local answer = self:admin("POST", "plan", {changes = changes}, daemon)
-  lib.check(answer.status == 200, "plan: %s", answer.body)
-  return answer.json
+  local response = self:admin("POST", "plan", {changes = changes}, daemon)
+  lib.check(response.status == 200, "plan: %s", response.body)
+  return response.json
 end
 
 function Cluster:confirm(plan, daemon)
   return self:admin("POST", "confirm/" .. plan.id, {}, daemon)
 end
 
--- Plan, confirm, and wait until every daemon holds it.
+-- Plan and confirm changes, and wait until every daemon holds the revision.
 function Cluster:change(changes, daemon)
   local plan = self:plan(changes, daemon)
-  local answer = self:confirm(plan, daemon)
-  lib.check(answer.status == 200, "confirm: %s", answer.body)
-  self:wait_revision(answer.json.revision)
-  return answer.json.revision
+  local response = self:confirm(plan, daemon)
+  lib.check(response.status == 200, "confirm: %s", response.body)
+  self:wait_revision(response.json.revision)
+  return response.json.revision
 end
 
 function Cluster:set_version(name, state, percent)
@@ -343,7 +347,8 @@
     value = {state = state, percent = percent}}})
 end
 
--- A configuration like the users': two organisations, engines and services.
+-- Changes that make a configuration such as users have: two organisations with
+-- engines and services.
 function lib.standard_changes()
   local changes = {}
   local function set(kind, name, value)
@@ -392,19 +397,19 @@
   return c
 end
 
--- Every daemon takes work and sees every endpoint.
+-- Wait until every daemon is healthy and lists every endpoint.
 function Cluster:wait_ready()
   local count = 0
   for _ in pairs(self.engines) do count = count + 1 end
   for _ in pairs(self.services) do count = count + 1 end
   for _, daemon in pairs(self.daemons) do
     lib.wait_until(daemon.address .. " is ready", function()
-      local answer = lib.http("GET", daemon.address, "/healthz")
+      local response = lib.http("GET", daemon.address, "/healthz")
       local list = self:admin("GET", "endpoints", nil, daemon).json
-      return answer.status == 200 and list and #list.endpoints >= count
+      return response.status == 200 and list and #list.endpoints >= count
     end)
   end
-  -- Load reports tell which versions an engine has.
+  -- An engine's versions are known only after a load report of it was read.
   run.sleep(300)
 end
 
@@ -425,14 +430,14 @@
   return lib.chat_begin(daemon, options or {}):finish()
 end
 
--- The text that the fake engine makes of a prompt.
+-- The text with which the fake engine responds to a prompt.
 function lib.whole_text(prompt, tokens)
   local parts = {prompt}
   for i = 1, tokens - 1 do parts[#parts + 1] = " w" .. i end
   return table.concat(parts)
 end
 
--- The text of a stream, whether it has its end mark, and its error.
+-- The text of a stream, whether it ends with [DONE], and the type of its error.
 function lib.stream_text(body)
   local parts, done, failure = {}, false, nil
   for event in body:gmatch("(.-)\n\n") do
@@ -453,10 +458,10 @@
 end
 
 function lib.ticket(daemon, organisation)
-  local answer = lib.http("POST", daemon.address, "/v1/tickets",
+  local response = lib.http("POST", daemon.address, "/v1/tickets",
     {key = lib.ORGANISATIONS[organisation].key, body = {}})
-  lib.check(answer.status == 200, "ticket: %s", answer.body)
-  return answer.json.tickets[1]
+  lib.check(response.status == 200, "ticket: %s", response.body)
+  return response.json.tickets[1]
 end
 
 function lib.book_begin(daemon, options)
@@ -474,13 +479,13 @@
   return lib.book_begin(daemon, options):finish()
 end
 
--- What the fakes saw ----------------------------------------------------------
+-- What the fakes recorded ------------------------------------------------------
 
 function lib.runs(process)
   return lib.http("GET", process.address, "/runs").json or {}
 end
 
--- Runs at a service by request id, and how many in all.
+-- Runs at all services by request id, and their total.
 function Cluster:service_runs()
   local all, total = {}, 0
   for _, service in pairs(self.services) do
@@ -495,10 +500,10 @@
 function Cluster:engine_runs()
   local all = {}
   for i, engine in pairs(self.engines) do
-    for _, one in ipairs(lib.runs(engine)) do
-      one.engine = i
-      one.place = engine.place
-      all[#all + 1] = one
+    for _, record in ipairs(lib.runs(engine)) do
+      record.engine = i
+      record.place = engine.place
+      all[#all + 1] = record
     end
   end
   return all
@@ -507,8 +512,8 @@
 -- Runs of one version at all engines.
 function Cluster:runs_of(version)
   local count = 0
-  for _, one in ipairs(self:engine_runs()) do
-    if one.version == version then count = count + 1 end
+  for _, record in ipairs(self:engine_runs()) do
+    if record.version == version then count = count + 1 end
   end
   return count
 end
@@ -517,9 +522,9 @@
 function Cluster:bills()
   local by_request, total, after = {}, 0, ""
   while true do
-    local answer = lib.http("POST", self.store.address, "/table/scan",
+    local response = lib.http("POST", self.store.address, "/table/scan",
       {body = {prefix = "bill/", after = after}})
-    local rows = answer.json and answer.json.rows or {}
+    local rows = response.json and response.json.rows or {}
     if #rows == 0 then return by_request, total end
     for _, row in ipairs(rows) do
       after = row[1]
@@ -531,7 +536,8 @@
   end
 end
 
--- Every request of the list has exactly one bill, and there are no others.
+-- Check that every request of the list has exactly one bill, and that no request
+-- has more than one. Returns the numbers of bills and of requests.
 function Cluster:check_billed_once(requests)
   local count = 0
   for _ in pairs(requests) do count = count + 1 end
@@ -554,8 +560,8 @@
 
 function Cluster:events(type, daemon)
   local found = {}
-  local answer = self:admin("GET", "timeline", nil, daemon)
-  for _, event in ipairs(answer.json and answer.json.events or {}) do
+  local response = self:admin("GET", "timeline", nil, daemon)
+  for _, event in ipairs(response.json and response.json.events or {}) do
     if event.type == type then found[#found + 1] = event end
   end
   return found
@@ -568,24 +574,24 @@
 
 -- Load in the background ------------------------------------------------------
 
--- Start callers; finish_load() waits for them and gives back what they saw.
+-- Start the load generator; finish_load() waits for its end and returns results.
 function lib.load(addresses, options)
-  local words = {"--entries", addresses}
+  local args = {"--entries", addresses}
   for name, value in pairs(options) do
-    words[#words + 1] = "--" .. name
-    words[#words + 1] = tostring(value)
+    args[#args + 1] = "--" .. name
+    args[#args + 1] = tostring(value)
   end
   lib.loads = (lib.loads or 0) + 1
   local out = log_dir .. "/load" .. lib.loads .. ".jsonl"
-  words[#words + 1] = "--out"
-  words[#words + 1] = out
-  local process = lib.spawn("moortack-load", words, {},
+  args[#args + 1] = "--out"
+  args[#args + 1] = out
+  local process = lib.spawn("moortack-load", args, {},
     "load" .. lib.loads .. ".log")
   process.out = out
   return process
 end
 
--- The summary, and one row a request.
+-- Returns the summary, one row per request, and the exit status.
 function lib.finish_load(process)
   local status = process:wait(120000)
   local rows = {}
@@ -594,11 +600,11 @@
   local text = file:read("a")
   file:close()
   local summary = run.decode(text:match("({.*})"))
-  lib.check(summary, "the load has no summary: %s", text)
+  lib.check(summary, "the load generator printed no summary: %s", text)
   return summary, rows, status
 end
 
--- The requests of these rows that were answered whole.
+-- The requests of these rows whose response was complete.
 function lib.whole_of(...)
   local whole = {}
   for _, rows in ipairs({...}) do
@@ -609,13 +615,13 @@
   return whole
 end
 
--- None of these bookings ran twice, and none that was called not run ran.
+-- Check that no booking ran twice, and that none reported as not run did run.
 function lib.check_at_most_once(rows, runs)
   for _, row in ipairs(rows) do
     local count = runs[row.prompt] or 0
     lib.check(count <= 1, "booking %s ran %d times", row.prompt, count)
     lib.check(not (row.ran == "not_run" and count > 0),
-      "booking %s was called not run and ran", row.prompt)
+      "booking %s was reported as not run but ran", row.prompt)
   end
 end
 
--- a/test/scenario/runner.c
+++ b/test/scenario/runner.c
@@ -1,11 +1,12 @@
 /**
  * @file
- * Runs one scenario: a Lua script with verbs for processes, signals and HTTP.
+ * Runs one scenario: a Lua script that uses the functions in the table "run"
+ * for processes, signals, HTTP requests and sockets.
  *
  *   runner BUILD_DIR SCRIPT [ARGUMENT]...
  *
- * Every runner has loopback addresses of its own, made from its process id, so
- * that scenarios run side by side. What it started, it ends.
+ * Every runner derives its own loopback addresses from its process id, so that
+ * scenarios can run in parallel. On exit it kills the processes it started.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -31,21 +32,21 @@
 
 #define PROCESSES_MAX 256
 #define CALLS_MAX 4096
-#define WORDS_MAX 64
+#define ARGS_MAX 64
 #define CALL_TIMEOUT_MS 30000
 #define READ_MAX 65536
 
-/** A call that was begun; its body grows as it arrives. */
+/** An HTTP request; received parts of the body are appended as they arrive. */
 typedef struct call {
 	bool used;
 	bool done;
 	int status;
 	struct evbuffer *body;
-	char *headers; /**< JSON object of the answer's headers */
+	char *headers; /**< JSON object of the response's headers */
 	struct evhttp_request *req;
 	struct evhttp_connection *conn;
-	struct timespec begun;
-	struct timespec ended;
+	struct timespec started_at;
+	struct timespec completed_at;
 } call_t;
 
 static struct event_base *base;
@@ -177,11 +178,11 @@
 /* --- processes --------------------------------------------------------- */
 
 static int
-words_read(lua_State *lua, int index, char **out)
+strings_read(lua_State *lua, int index, char **out)
 {
 	int n = 0;
 
-	for (; n < WORDS_MAX - 1; n++) {
+	for (; n < ARGS_MAX - 1; n++) {
 		lua_rawgeti(lua, index, n + 1);
 		if (lua_isnil(lua, -1)) {
 			lua_pop(lua, 1);
@@ -194,80 +195,81 @@
 	return n;
 }
 
-/* The runner's ways of ending are not those of what it starts, nor what whoever
- * started the runner has it ignore. */
+/* A child must neither run the runner's signal handlers nor inherit the signals
+ * that the runner or its parent ignores. */
 static void
-child_signals(const sigset_t *before)
+child_signals_reset(const sigset_t *old_mask)
 {
 	signal(SIGHUP, SIG_DFL);
 	signal(SIGINT, SIG_DFL);
 	signal(SIGTERM, SIG_DFL);
 	signal(SIGPIPE, SIG_DFL);
-	sigprocmask(SIG_SETMASK, before, NULL);
+	sigprocmask(SIG_SETMASK, old_mask, NULL);
 }
 
 static void
-child_run(char **words, char **variables, const char *log)
+child_run(char **args, char **variables, const char *log)
 {
 	int fd = open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
 
 	dup2(fd, STDOUT_FILENO);
 	dup2(fd, STDERR_FILENO);
-	/* Its callers' connections end when the runner hangs up. */
+	/* The child must not keep the runner's sockets open: their connections
+	 * close when the runner closes them. */
 	close_range(STDERR_FILENO + 1, ~0U, CLOSE_RANGE_CLOEXEC);
 	for (; *variables != NULL; variables++)
 		putenv(*variables);
-	execv(words[0], words);
-	fprintf(stderr, "%s: %s\n", words[0], strerror(errno));
+	execv(args[0], args);
+	fprintf(stderr, "%s: %s\n", args[0], strerror(errno));
 	_exit(127);
 }
 
-/* Start a process, and wait until it runs its program: what is sent to it from
- * then on meets the program, not a copy of the runner. */
+/* Start a process and wait until it has called exec: a signal that is sent to
+ * it after that reaches the program, not the forked copy of the runner. */
 static pid_t
-process_start(char **words, char **variables, const char *log)
+process_start(char **args, char **variables, const char *log)
 {
-	int runs[2]; /* closed at its other end once the program runs */
-	sigset_t all, before;
+	int exec_pipe[2]; /* exec closes the write end */
+	sigset_t all, old_mask;
 	char byte;
 	pid_t pid;
 
-	if (pipe2(runs, O_CLOEXEC) != 0)
+	if (pipe2(exec_pipe, O_CLOEXEC) != 0)
 		return -1;
 	sigfillset(&all);
-	sigprocmask(SIG_SETMASK, &all, &before);
+	sigprocmask(SIG_SETMASK, &all, &old_mask);
 	pid = fork();
 	if (pid == 0) {
-		child_signals(&before);
-		child_run(words, variables, log);
+		child_signals_reset(&old_mask);
+		child_run(args, variables, log);
 	}
-	sigprocmask(SIG_SETMASK, &before, NULL);
-	close(runs[1]);
-	while (pid > 0 && read(runs[0], &byte, 1) < 0 && errno == EINTR)
+	sigprocmask(SIG_SETMASK, &old_mask, NULL);
+	close(exec_pipe[1]);
+	while (pid > 0 && read(exec_pipe[0], &byte, 1) < 0 && errno == EINTR)
 		continue;
-	close(runs[0]);
+	close(exec_pipe[0]);
 	return pid;
 }
 
-/* spawn({program, flag...}, {"NAME=VALUE"...}, log): a process id. */
+/* spawn({program, flag...}, {"NAME=VALUE"...}, log): returns the process id. */
 static int
 verb_spawn(lua_State *lua)
 {
-	char *words[WORDS_MAX];
-	char *variables[WORDS_MAX];
+	char *args[ARGS_MAX];
+	char *variables[ARGS_MAX];
 	const char *log = luaL_checkstring(lua, 3);
-	int word_count = words_read(lua, 1, words);
-	int variable_count = words_read(lua, 2, variables);
+	int arg_count = strings_read(lua, 1, args);
+	int variable_count = strings_read(lua, 2, variables);
 	pid_t pid;
 
 	if (process_count == PROCESSES_MAX)
 		return luaL_error(lua, "too many processes");
-	pid = process_start(words, variables, log);
+	pid = process_start(args, variables, log);
 	if (pid < 0)
-		return luaL_error(lua, "cannot start %s", words[0]);
+		return luaL_error(lua, "cannot start %s", args[0]);
 	processes[process_count++] = pid;
-	for (int i = 0; i < word_count; i++)
-		free(words[i]);
+	for (int i = 0; i < arg_count; i++)
+		free(args[i]);
 	for (int i = 0; i < variable_count; i++)
 		free(variables[i]);
 	lua_pushinteger(lua, pid);
@@ -275,7 +277,7 @@
 }
 
 static bool
-owned(pid_t pid)
+process_owned(pid_t pid)
 {
 	for (int i = 0; i < process_count; i++) {
 		if (processes[i] == pid)
@@ -285,7 +287,7 @@
 }
 
 static void
-forget(pid_t pid)
+process_remove(pid_t pid)
 {
 	for (int i = 0; i < process_count; i++) {
 		if (processes[i] == pid)
@@ -293,30 +295,31 @@
 	}
 }
 
-/* signal(pid, number): only to what spawn() started. */
+/* signal(pid, number): only for processes that spawn() started. */
 static int
 verb_signal(lua_State *lua)
 {
 	pid_t pid = (pid_t)luaL_checkinteger(lua, 1);
 
-	if (!owned(pid))
-		return luaL_error(lua, "process %d is not ours", (int)pid);
+	if (!process_owned(pid))
+		return luaL_error(
+		    lua, "process %d was not started by this runner", (int)pid);
 	kill(pid, (int)luaL_checkinteger(lua, 2));
 	return 0;
 }
 
-/* reap(pid): its exit status, -signal, or nil while it runs. */
+/* reap(pid): returns the exit status, -signal, or nil while it runs. */
 static int
 verb_reap(lua_State *lua)
 {
 	pid_t pid = (pid_t)luaL_checkinteger(lua, 1);
 	int status;
 
-	if (!owned(pid) || waitpid(pid, &status, WNOHANG) != pid) {
+	if (!process_owned(pid) || waitpid(pid, &status, WNOHANG) != pid) {
 		lua_pushnil(lua);
 		return 1;
 	}
-	forget(pid);
+	process_remove(pid);
 	lua_pushinteger(
 	    lua, WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status));
 	return 1;
@@ -341,7 +344,7 @@
 }
 
 static void
-loop_for(int64_t ms)
+loop_run(int64_t ms)
 {
 	struct timeval wait = {ms / 1000, ms % 1000 * 1000};
 
@@ -349,14 +352,14 @@
 	event_base_dispatch(base);
 }
 
-/* sleep(ms): calls that were begun go on meanwhile. */
+/* sleep(ms): HTTP requests in progress continue meanwhile. */
 static int
 verb_sleep(lua_State *lua)
 {
 	int64_t end = now_ms() + luaL_checkinteger(lua, 1);
 
 	do {
-		loop_for(end > now_ms() ? end - now_ms() : 0);
+		loop_run(end > now_ms() ? end - now_ms() : 0);
 	} while (now_ms() < end);
 	return 0;
 }
@@ -364,7 +367,7 @@
 /* --- HTTP --------------------------------------------------------------- */
 
 static void
-call_data(struct evhttp_request *req, void *arg)
+call_chunk_received(struct evhttp_request *req, void *arg)
 {
 	call_t *call = arg;
 
@@ -389,13 +392,13 @@
 }
 
 static void
-call_done(struct evhttp_request *req, void *arg)
+call_completed(struct evhttp_request *req, void *arg)
 {
 	call_t *call = arg;
 
 	call->done = true;
 	call->req = NULL;
-	clock_gettime(CLOCK_MONOTONIC, &call->ended);
+	clock_gettime(CLOCK_MONOTONIC, &call->completed_at);
 	if (req == NULL || evhttp_request_get_response_code(req) == 0) {
 		call->status = 0;
 		return;
@@ -406,7 +409,7 @@
 }
 
 static enum evhttp_cmd_type
-method_of(const char *name)
+method_parse(const char *name)
 {
 	if (strcmp(name, "POST") == 0)
 		return EVHTTP_REQ_POST;
@@ -431,7 +434,7 @@
 }
 
 static int
-call_slot(void)
+call_slot_find(void)
 {
 	for (int i = 0; i < CALLS_MAX; i++) {
 		if (!calls[i].used)
@@ -440,7 +443,8 @@
 	return -1;
 }
 
-/* begin(method, "ip:port", path, headers, body, timeout_ms): a call. */
+/* begin(method, "ip:port", path, headers, body, timeout_ms): starts an HTTP
+ * request and returns its number. */
 static int
 verb_begin(lua_State *lua)
 {
@@ -452,21 +456,21 @@
 	    lua_isstring(lua, 5) ? lua_tolstring(lua, 5, &len) : NULL;
 	int64_t timeout_ms = luaL_optinteger(lua, 6, CALL_TIMEOUT_MS);
 	struct timeval timeout = {timeout_ms / 1000, timeout_ms % 1000 * 1000};
-	int slot = call_slot();
+	int slot = call_slot_find();
 	struct evkeyvalq *headers;
 	http_address_t http;
 	call_t *call;
 
 	if (slot < 0 || !http_address_parse(address, &http))
-		return luaL_error(lua, "bad call of %s", address);
+		return luaL_error(lua, "cannot start a request to %s", address);
 	call = &calls[slot];
 	*call = (call_t){.used = true, .body = evbuffer_new()};
-	clock_gettime(CLOCK_MONOTONIC, &call->begun);
+	clock_gettime(CLOCK_MONOTONIC, &call->started_at);
 	call->conn =
 	    evhttp_connection_base_new(base, NULL, http.host, http.port);
 	evhttp_connection_set_timeout_tv(call->conn, &timeout);
-	call->req = evhttp_request_new(call_done, call);
-	evhttp_request_set_chunked_cb(call->req, call_data);
+	call->req = evhttp_request_new(call_completed, call);
+	evhttp_request_set_chunked_cb(call->req, call_chunk_received);
 	headers = evhttp_request_get_output_headers(call->req);
 	headers_add(lua, 4, headers);
 	if (evhttp_find_header(headers, "Host") == NULL)
@@ -474,26 +478,27 @@
 	if (body != NULL)
 		evbuffer_add(
 		    evhttp_request_get_output_buffer(call->req), body, len);
-	evhttp_make_request(call->conn, call->req, method_of(method), path);
+	evhttp_make_request(call->conn, call->req, method_parse(method), path);
 	lua_pushinteger(lua, slot);
 	return 1;
 }
 
 static call_t *
-call_check(lua_State *lua)
+call_get(lua_State *lua)
 {
 	lua_Integer slot = luaL_checkinteger(lua, 1);
 
 	if (slot < 0 || slot >= CALLS_MAX || !calls[slot].used)
-		luaL_error(lua, "there is no such call");
+		luaL_error(lua, "there is no such request");
 	return &calls[slot];
 }
 
-/* peek(call): done, status, body so far, headers, milliseconds taken. */
+/* peek(call): returns done, status, body so far, headers, and the duration in
+ * ms, which is -1 until it is done. */
 static int
 verb_peek(lua_State *lua)
 {
-	call_t *call = call_check(lua);
+	call_t *call = call_get(lua);
 	size_t len = evbuffer_get_length(call->body);
 	json_t *headers = call->headers != NULL
 	    ? json_loads(call->headers, 0, NULL)
@@ -504,16 +509,18 @@
 	lua_pushlstring(lua, (char *)evbuffer_pullup(call->body, -1), len);
 	lua_push_json(lua, headers);
 	lua_pushinteger(lua,
-	    call->done ? timespec_ms_between(call->begun, call->ended) : -1);
+	    call->done
+		? timespec_ms_between(call->started_at, call->completed_at)
+		: -1);
 	json_decref(headers);
 	return 5;
 }
 
-/* close(call): the caller goes away. */
+/* close(call): cancels the request and closes its connection. */
 static int
 verb_close(lua_State *lua)
 {
-	call_t *call = call_check(lua);
+	call_t *call = call_get(lua);
 
 	if (call->req != NULL)
 		evhttp_cancel_request(call->req);
@@ -524,9 +531,10 @@
 	return 0;
 }
 
-/* --- bare connections ---------------------------------------------------- */
+/* --- sockets ------------------------------------------------------------- */
 
-/* connect("ip:port"): a socket for bytes that no client would send. */
+/* connect("ip:port"): returns a socket, for requests that no HTTP client would
+ * send. */
 static int
 verb_connect(lua_State *lua)
 {
@@ -545,7 +553,7 @@
 	return 1;
 }
 
-/* write(socket, bytes) */
+/* write(socket, bytes): returns whether all were sent. */
 static int
 verb_write(lua_State *lua)
 {
@@ -558,7 +566,7 @@
 	return 1;
 }
 
-/* read(socket): the bytes that are there; "" when there are none. */
+/* read(socket): returns the bytes received, or "" if there are none yet. */
 static int
 verb_read(lua_State *lua)
 {
@@ -570,7 +578,7 @@
 	return 1;
 }
 
-/* ended(socket): whether the other side has closed it, and all was read. */
+/* ended(socket): returns whether the peer has closed it and all was read. */
 static int
 verb_ended(lua_State *lua)
 {
@@ -583,7 +591,7 @@
 	return 1;
 }
 
-/* hang_up(socket) */
+/* hang_up(socket): closes it. */
 static int
 verb_hang_up(lua_State *lua)
 {
@@ -591,7 +599,7 @@
 	return 0;
 }
 
-/* --- life ---------------------------------------------------------------- */
+/* --- main ---------------------------------------------------------------- */
 
 static const luaL_Reg verbs[] = {
     {"begin", verb_begin},
@@ -613,7 +621,7 @@
 };
 
 static void
-all_end(void)
+processes_kill(void)
 {
 	for (int i = 0; i < process_count; i++) {
 		kill(processes[i], SIGCONT);
@@ -624,9 +632,9 @@
 }
 
 static void
-interrupted(int number)
+signal_exit(int number)
 {
-	all_end();
+	processes_kill();
 	_exit(128 + number);
 }
 
@@ -637,7 +645,7 @@
 	char library[4096];
 	pid_t pid = getpid();
 
-	/* 127.A.B: one network of its own for each runner. */
+	/* A network of its own for each runner: 127.A.B.0/24. */
 	snprintf(prefix, sizeof(prefix), "127.%d.%d.", 1 + (pid >> 8) % 250,
 	    pid % 256);
 	lua_pushstring(lua, prefix);
@@ -672,15 +680,15 @@
 	build_dir = argv[1];
 	base = event_base_new();
 	lua = luaL_newstate();
-	signal(SIGINT, interrupted);
-	signal(SIGTERM, interrupted);
+	signal(SIGINT, signal_exit);
+	signal(SIGTERM, signal_exit);
 	signal(SIGPIPE, SIG_IGN);
 	luaL_openlibs(lua);
 	globals_set(lua, argc, argv);
 	failed = luaL_dofile(lua, argv[2]);
 	if (failed)
 		fprintf(stderr, "%s\n", lua_tostring(lua, -1));
-	all_end();
+	processes_kill();
 	lua_close(lua);
 	return failed ? 1 : 0;
 }
--- a/test/scenario/spawn.lua
+++ b/test/scenario/spawn.lua
@@ -1,8 +1,8 @@
--- A process that was told to end right after its start took all others of its
--- scenario with it: in the soak a daemon ended by signal 9, in 3 of 62 runs. The
--- kernel's trace of signals showed who sent it: the new process, which did not run
--- its program yet and still had the runner's way of ending, which is to end all
--- that it started.
+-- Guards against a signal right after a process was started killing all processes
+-- of the scenario: the forked child had not called exec yet and still had the
+-- runner's signal handler, which kills all that the runner started. In the soak, a
+-- daemon was ended by signal 9 in 3 of 62 runs; the kernel's trace of signals showed
+-- that the new process had sent it.
 package.path = script_dir .. "/?.lua;" .. package.path
 local lib = require("lib")
 local STARTS = 50
