--- a/demo/demo.lua
+++ b/demo/demo.lua
@@ -1,5 +1,6 @@
--- make demo: three daemons in three places, the fakes, and one request's life.
--- Prints what it does and how to do the same by hand; fails when any is wrong.
+-- make demo: three daemons in three places with fake services around them, and what
+-- they do for requests. Prints each step and how to repeat it by hand; a check that
+-- fails ends it with an error.
 local here = script_dir
 package.path = here .. "/../test/scenario/?.lua;" .. package.path
 local lib = require("lib")
@@ -12,8 +13,8 @@
   lib.say("   by hand: " .. format, ...)
 end
 
-local function command(c, words)
-  local ctl = lib.spawn("moortackctl", words,
+local function command(c, args)
+  local ctl = lib.spawn("moortackctl", args,
     {"MOORTACKCTL_ENTRIES=" .. c:entries(),
       "MOORTACKCTL_KEY=" .. lib.OPERATOR_KEY}, "ctl.log")
   local status = ctl:wait()
@@ -22,7 +23,7 @@
   file:close()
   os.remove(ctl.log)
   lib.check(status == 0, "moortackctl %s: exit %d\n%s",
-    table.concat(words, " "), status, text)
+    table.concat(args, " "), status, text)
   return text
 end
 
@@ -56,7 +57,7 @@
 indent(command(c, {"--yes", "confirm", plan.id}))
 c:wait_ready()
 
-title("A caller asks which entries to use")
+title("A caller requests the list of entries")
 local entries = lib.http("GET", entry, "/v1/entries", {key = dock.key})
 lib.equal(entries.status, 200, "entries")
 indent(entries.body)
@@ -66,15 +67,15 @@
 title("A streamed chat request")
 local first = lib.chat(c.daemons[1], {stream = true, prompt = "cart 7"})
 local text, done = lib.stream_text(first.body)
-lib.check(done, "the stream has no end mark")
-lib.equal(text, lib.whole_text("cart 7", 8), "the streamed answer")
+lib.check(done, "the stream does not end with [DONE]")
+lib.equal(text, lib.whole_text("cart 7", 8), "the text of the stream")
 lib.say("   %s, place %s: %s", first.headers["Moortack-Version"],
   first.headers["Moortack-Place"], text)
 by_hand("curl -sN -H 'Authorization: Bearer %s' -d '{\"model\":" ..
   "\"linen-lm\",\"stream\":true,\"messages\":[{\"role\":\"user\"," ..
   "\"content\":\"cart 7\"}]}' http://%s/v1/chat/completions", dock.key, entry)
 
-title("A new version goes live; the session stays on its own")
+title("A new version goes live; the session stays on the old one")
 c:set_version("linen-lm@2", "live")
 c:set_version("linen-lm@1", "draining")
 local second = lib.chat(c.daemons[2],
@@ -86,13 +87,13 @@
   "a new session's version")
 lib.say("   the session: %s; a new one: %s",
   second.headers["Moortack-Version"], fresh.headers["Moortack-Version"])
-by_hand("send the answer's Moortack-Session header back with the next request")
+by_hand("send the Moortack-Session header of the response with the next request")
 
 title("A booking under an idempotency key, sent twice to two entries")
 local booked = lib.book(c.daemons[1], {idempotency_key = "shelf-4"})
 local again = lib.book(c.daemons[3], {idempotency_key = "shelf-4"})
 lib.equal(booked.status, 200, "booking")
-lib.equal(again.body, booked.body, "the repeated answer")
+lib.equal(again.body, booked.body, "the repeated response")
 local _, runs = c:service_runs()
 lib.equal(runs, 1, "runs of the booking")
 lib.say("   the service ran it %d time; both callers got %s", runs,
@@ -104,22 +105,22 @@
 title("A withdrawal by plan")
 indent(command(c, {"withdraw", "linen-lm@1"}))
 c:set_version("linen-lm@1", "withdrawn")
-local gone = lib.chat(c.daemons[3],
+local withdrawn = lib.chat(c.daemons[3],
   {session = first.headers["Moortack-Session"]})
-lib.equal(gone.status, 410, "a session on a withdrawn version")
-indent(gone.body)
+lib.equal(withdrawn.status, 410, "a session on a withdrawn version")
+indent(withdrawn.body)
 
-title("Each was billed once")
+title("Each request was billed once")
 local requests = {}
-for _, answer in ipairs({first, second, fresh, booked}) do
-  requests[answer.headers["Moortack-Request"]] = true
+for _, response in ipairs({first, second, fresh, booked}) do
+  requests[response.headers["Moortack-Request"]] = true
 end
 c:check_billed_once(requests)
 local _, bills = c:bills()
 lib.equal(bills, 4, "bills")
 lib.say("   4 requests ran, %d bills in the store", bills)
 
-title("The time line of the first request, over all processes")
+title("The time line of the first request, across all daemons")
 indent(command(c, {"timeline", first.headers["Moortack-Request"]}))
 by_hand("moortackctl timeline %s", first.headers["Moortack-Request"])
 
@@ -131,7 +132,7 @@
   end
 end
 
-title("Stop: what is in progress is finished")
+title("Stop: requests in flight are completed")
 for i = 1, 3 do c.daemons[i]:signal("TERM") end
 for i = 1, 3 do lib.equal(c.daemons[i]:wait(), 0, "exit of daemon " .. i) end
-lib.say("\nAll of it was as it should be.")
+lib.say("\nAll checks passed.")
