--- a/moortackctl/command.h
+++ b/moortackctl/command.h
@@ -54,7 +54,7 @@
 /** All sub-commands, sorted by name. */
 const command_t *commands_all(size_t *count);
 
-/* Each stands in the file of its name. */
+/* Each is defined in the source file of its name. */
 command_status_t command_confirm(const command_context_t *, err_t *);
 command_status_t command_counters(const command_context_t *, err_t *);
 command_status_t command_endpoints(const command_context_t *, err_t *);
--- a/moortackd/main.c
+++ b/moortackd/main.c
@@ -38,7 +38,7 @@
 	struct event *sigint;
 	struct event *drain_timer;
 	bool draining;
-	int status;
+	int exit_status;
 } daemon_t;
 
 static void
@@ -59,7 +59,7 @@
 
 	log_line(LOG_WARN, LOG_MAIN, "Stopping now; %u requests were aborted.",
 	    aborted);
-	daemon->status = aborted > 0 ? EXIT_FAILURE : EXIT_SUCCESS;
+	daemon->exit_status = aborted > 0 ? EXIT_FAILURE : EXIT_SUCCESS;
 	event_base_loopexit(daemon->process.base, NULL);
 }
 
@@ -210,5 +210,5 @@
 	    daemon.options.listen, incarnation);
 	event_base_dispatch(daemon.process.base);
 	daemon_stop(&daemon);
-	return daemon.status;
+	return daemon.exit_status;
 }
--- a/standin/vmlist.c
+++ b/standin/vmlist.c
@@ -17,7 +17,7 @@
 	struct timespec pending_at;
 	int64_t lag_ms;
 	bool silent;
-	int64_t number; /**< version of the published list, its ETag */
+	int64_t version; /**< version of the published list, its ETag */
 } vmlist_t;
 
 static void
@@ -31,7 +31,7 @@
 	json_decref(list->published);
 	list->published = list->pending;
 	list->pending = NULL;
-	list->number++;
+	list->version++;
 }
 
 /* Responds 304 to a reader that has this version of the list. */
@@ -41,7 +41,7 @@
 	const char *known = http_request_header(req, "If-None-Match");
 	char etag[32];
 
-	snprintf(etag, sizeof(etag), "\"%lld\"", (long long)list->number);
+	snprintf(etag, sizeof(etag), "\"%lld\"", (long long)list->version);
 	if (known != NULL && strcmp(known, etag) == 0) {
 		evhttp_send_reply(req, 304, NULL, NULL);
 		return;
--- a/test/scenario/runner.c
+++ b/test/scenario/runner.c
@@ -148,7 +148,7 @@
 
 /* encode(value): JSON text; an empty table is an object. */
 static int
-verb_encode(lua_State *lua)
+run_encode(lua_State *lua)
 {
 	json_t *value = lua_to_json(lua, 1);
 	char *text = json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY);
@@ -161,7 +161,7 @@
 
 /* decode(text): a value, or nil. */
 static int
-verb_decode(lua_State *lua)
+run_decode(lua_State *lua)
 {
 	size_t len;
 	const char *text = luaL_checklstring(lua, 1, &len);
@@ -253,7 +253,7 @@
 
 /* spawn({program, flag...}, {"NAME=VALUE"...}, log): returns the process id. */
 static int
-verb_spawn(lua_State *lua)
+run_spawn(lua_State *lua)
 {
 	char *args[ARGS_MAX];
 	char *variables[ARGS_MAX];
@@ -297,7 +297,7 @@
 
 /* signal(pid, number): only for processes that spawn() started. */
 static int
-verb_signal(lua_State *lua)
+run_signal(lua_State *lua)
 {
 	pid_t pid = (pid_t)luaL_checkinteger(lua, 1);
 
@@ -310,7 +310,7 @@
 
 /* reap(pid): returns the exit status, -signal, or nil while it runs. */
 static int
-verb_reap(lua_State *lua)
+run_reap(lua_State *lua)
 {
 	pid_t pid = (pid_t)luaL_checkinteger(lua, 1);
 	int status;
@@ -337,7 +337,7 @@
 }
 
 static int
-verb_now(lua_State *lua)
+run_now(lua_State *lua)
 {
 	lua_pushinteger(lua, now_ms());
 	return 1;
@@ -354,7 +354,7 @@
 
 /* sleep(ms): HTTP requests in progress continue meanwhile. */
 static int
-verb_sleep(lua_State *lua)
+run_sleep(lua_State *lua)
 {
 	int64_t end = now_ms() + luaL_checkinteger(lua, 1);
 
@@ -446,7 +446,7 @@
 /* begin(method, "ip:port", path, headers, body, timeout_ms): starts an HTTP
  * request and returns its number. */
 static int
-verb_begin(lua_State *lua)
+run_begin(lua_State *lua)
 {
 	const char *method = luaL_checkstring(lua, 1);
 	const char *address = luaL_checkstring(lua, 2);
@@ -496,7 +496,7 @@
 /* peek(call): returns done, status, body so far, headers, and the duration in
  * ms, which is -1 until it is done. */
 static int
-verb_peek(lua_State *lua)
+run_peek(lua_State *lua)
 {
 	call_t *call = call_get(lua);
 	size_t len = evbuffer_get_length(call->body);
@@ -518,7 +518,7 @@
 
 /* close(call): cancels the request and closes its connection. */
 static int
-verb_close(lua_State *lua)
+run_close(lua_State *lua)
 {
 	call_t *call = call_get(lua);
 
@@ -536,7 +536,7 @@
 /* connect("ip:port"): returns a socket, for requests that no HTTP client would
  * send. */
 static int
-verb_connect(lua_State *lua)
+run_connect(lua_State *lua)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET};
 	http_address_t http;
@@ -555,7 +555,7 @@
 
 /* write(socket, bytes): returns whether all were sent. */
 static int
-verb_write(lua_State *lua)
+run_write(lua_State *lua)
 {
 	size_t len;
 	const char *bytes = luaL_checklstring(lua, 2, &len);
@@ -568,7 +568,7 @@
 
 /* read(socket): returns the bytes received, or "" if there are none yet. */
 static int
-verb_read(lua_State *lua)
+run_read(lua_State *lua)
 {
 	char bytes[READ_MAX];
 	ssize_t len =
@@ -580,7 +580,7 @@
 
 /* ended(socket): returns whether the peer has closed it and all was read. */
 static int
-verb_ended(lua_State *lua)
+run_ended(lua_State *lua)
 {
 	char byte;
 	ssize_t len =
@@ -593,7 +593,7 @@
 
 /* hang_up(socket): closes it. */
 static int
-verb_hang_up(lua_State *lua)
+run_hang_up(lua_State *lua)
 {
 	close((int)luaL_checkinteger(lua, 1));
 	return 0;
@@ -601,22 +601,22 @@
 
 /* --- main ---------------------------------------------------------------- */
 
-static const luaL_Reg verbs[] = {
-    {"begin", verb_begin},
-    {"close", verb_close},
-    {"connect", verb_connect},
-    {"decode", verb_decode},
-    {"encode", verb_encode},
-    {"ended", verb_ended},
-    {"hang_up", verb_hang_up},
-    {"now", verb_now},
-    {"peek", verb_peek},
-    {"read", verb_read},
-    {"reap", verb_reap},
-    {"signal", verb_signal},
-    {"sleep", verb_sleep},
-    {"spawn", verb_spawn},
-    {"write", verb_write},
+static const luaL_Reg run_functions[] = {
+    {"begin", run_begin},
+    {"close", run_close},
+    {"connect", run_connect},
+    {"decode", run_decode},
+    {"encode", run_encode},
+    {"ended", run_ended},
+    {"hang_up", run_hang_up},
+    {"now", run_now},
+    {"peek", run_peek},
+    {"read", run_read},
+    {"reap", run_reap},
+    {"signal", run_signal},
+    {"sleep", run_sleep},
+    {"spawn", run_spawn},
+    {"write", run_write},
     {NULL, NULL},
 };
 
@@ -658,7 +658,7 @@
 		lua_rawseti(lua, -2, i - 2);
 	}
 	lua_setglobal(lua, "arguments");
-	luaL_newlib(lua, verbs);
+	luaL_newlib(lua, run_functions);
 	lua_setglobal(lua, "run");
 	snprintf(library, sizeof(library), "%s", argv[2]);
 	*(strrchr(library, '/') != NULL ? strrchr(library, '/') : library) =
