--- a/moortackctl/settings.c
+++ b/moortackctl/settings.c
@@ -3,26 +3,26 @@
 
 #include "client.h"
 
-/* Reaching this far means that they were all read and checked. */
+/* main() has read and checked the settings; this checks the key at the entries.
+ */
 command_status_t
 command_settings(const command_context_t *context, err_t *err)
 {
-	if (context->word_count != 1 ||
-	    strcmp(context->words[0], "check") != 0) {
+	if (context->arg_count != 1 || strcmp(context->args[0], "check") != 0) {
 		err_set(err, ERR_BAD_REQUEST, "usage: settings check");
 		return COMMAND_USAGE;
 	}
 	for (int i = 0; i < context->entry_count; i++) {
-		json_t *reply;
-		int status = client_call_entry(
-		    context, &context->entries[i], "/admin/status", &reply);
+		json_t *response;
+		int status = client_entry_get(
+		    context, &context->entries[i], "/admin/status", &response);
 
-		json_decref(reply);
+		json_decref(response);
 		printf("%s:%u %s\n", context->entries[i].host,
 		    context->entries[i].port,
-		    status == 200     ? "takes the key"
-			: status == 0 ? "does not answer"
-				      : "refuses the key");
+		    status == 200     ? "accepts the key"
+			: status == 0 ? "does not respond"
+				      : "rejects the key");
 	}
 	return COMMAND_OK;
 }
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -1,16 +1,16 @@
 /**
  * @file
- * A model engine: an OpenAI-compatible completion path with a limited number of
- * slots, a prefix cache, a load report with a lag, orders with a fencing
- * number, and streams that can be resumed at an offset or cancelled.
+ * A fake model engine: an OpenAI-compatible completion path with a limited
+ * number of slots, a prefix cache, a load report with a lag, orders with a
+ * fencing number, and streams that can be resumed at an offset or cancelled.
  *
- * The answer to a prompt is "PROMPT w1 w2 ... wN", so that a test can tell
- * whether a whole answer came to its own caller.
+ * The response to a prompt is "PROMPT w1 w2 ... wN", so that a test can check
+ * that a complete response reached the caller that asked for it.
  *
- * Faults: "down", "slow_ms", "token_ms", "slots", "lag_ms", "cut_after" (cut
- * the next stream after so many tokens), "bad" (a version that fails),
- * "ignore_fence", "leaving", "takes_all" (also while it leaves), "crash_on"
- * (the process ends once it runs a prompt that begins so).
+ * Faults: "down", "slow_ms", "token_ms", "slots", "lag_ms", "cut_after"
+ * (truncate the next stream after so many tokens), "bad" (a version that
+ * fails), "ignore_fence", "leaving", "takes_all" (accept requests even while
+ * leaving), "crash_on" (exit on a prompt that begins with this text).
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,7 +23,8 @@
 #define MAX_TOKENS 100000
 #define DEFAULT_SLOTS 8
 #define SAMPLE_MS 5
-#define PREFILL_TICKS 2 /* before the first token on a cache miss */
+/* Token intervals before the first token if the prefix is uncached. */
+#define PREFILL_TICKS 2
 
 static bool
 prefix_hit(engine_t *engine, const char *prompt)
@@ -32,18 +33,18 @@
 
 	for (const char *p = prompt; *p != '\0' && *p != '|'; p++)
 		hash = hash * 33 + (unsigned char)*p;
-	for (size_t i = 0; i < ENGINE_PREFIXES; i++) {
+	for (size_t i = 0; i < ENGINE_PREFIXES_MAX; i++) {
 		if (engine->prefixes[i] == hash) {
 			engine->prefix_hits++;
 			return true;
 		}
 	}
-	engine->prefixes[engine->prefix_count++ % ENGINE_PREFIXES] = hash;
+	engine->prefixes[engine->prefix_count++ % ENGINE_PREFIXES_MAX] = hash;
 	return false;
 }
 
 static const char *
-prompt_of(const json_t *body)
+prompt_get(const json_t *body)
 {
 	const json_t *messages = json_object_get(body, "messages");
 	const json_t *last =
@@ -53,7 +54,7 @@
 }
 
 static void
-run_note(engine_t *engine, struct evhttp_request *req, const char *id,
+run_record(engine_t *engine, struct evhttp_request *req, const char *id,
     const char *version)
 {
 	const char *organisation = http_request_header(req, "X-Organisation");
@@ -66,29 +67,30 @@
 }
 
 static bool
-version_bad(const engine_t *engine, const char *version)
+version_fails(const engine_t *engine, const char *version)
 {
-	const char *bad =
-	    json_string_value(json_object_get(engine->fake.faults.all, "bad"));
+	const char *bad = json_string_value(
+	    json_object_get(engine->fake.faults.latest, "bad"));
 
 	return bad != NULL && strcmp(bad, version) == 0;
 }
 
 static bool
-crashes(const engine_t *engine, const char *prompt)
+prompt_crashes(const engine_t *engine, const char *prompt)
 {
 	const char *text = json_string_value(
-	    json_object_get(engine->fake.faults.all, "crash_on"));
+	    json_object_get(engine->fake.faults.latest, "crash_on"));
 
 	return text != NULL && strncmp(prompt, text, strlen(text)) == 0;
 }
 
 static void
-completion(engine_t *engine, struct evhttp_request *req, const json_t *body)
+completion_handle(
+    engine_t *engine, struct evhttp_request *req, const json_t *body)
 {
 	const char *id = http_request_header(req, "X-Request-Id");
 	const char *version = json_string_value(json_object_get(body, "model"));
-	const char *prompt = prompt_of(body);
+	const char *prompt = prompt_get(body);
 	stream_t *stream;
 
 	if (id == NULL || version == NULL || prompt == NULL) {
@@ -97,15 +99,15 @@
 	}
 	if ((engine->leaving && !engine->takes_all) ||
 	    json_object_get(engine->versions, version) == NULL) {
-		/* Refused before it ran: the caller may say "not run". */
+		/* Refused before it ran: the caller may report "not run". */
 		http_response_add_header(req, "X-Not-Run", "1");
 		http_respond_json(req, 503, json_object());
 		return;
 	}
-	run_note(engine, req, id, version);
-	if (crashes(engine, prompt))
+	run_record(engine, req, id, version);
+	if (prompt_crashes(engine, prompt))
 		_exit(EXIT_FAILURE);
-	if (version_bad(engine, version)) {
+	if (version_fails(engine, version)) {
 		http_respond_json(req, 500, json_object());
 		return;
 	}
@@ -114,17 +116,17 @@
 	snprintf(stream->id, sizeof(stream->id), "%s", id);
 	snprintf(stream->version, sizeof(stream->version), "%s", version);
 	snprintf(stream->prompt, sizeof(stream->prompt), "%s", prompt);
-	stream->tokens = fake_int(body, "max_tokens", DEFAULT_TOKENS);
-	if (stream->tokens < 1 || stream->tokens > MAX_TOKENS)
-		stream->tokens = DEFAULT_TOKENS;
-	stream->plain = !json_is_true(json_object_get(body, "stream"));
-	stream->prefill = prefix_hit(engine, prompt) ? 0 : PREFILL_TICKS;
-	stream->tick =
+	stream->token_count = fake_json_int(body, "max_tokens", DEFAULT_TOKENS);
+	if (stream->token_count < 1 || stream->token_count > MAX_TOKENS)
+		stream->token_count = DEFAULT_TOKENS;
+	stream->json_response = !json_is_true(json_object_get(body, "stream"));
+	stream->prefill_ticks = prefix_hit(engine, prompt) ? 0 : PREFILL_TICKS;
+	stream->timer =
 	    event_new(engine->fake.base, -1, 0, engine_stream_tick, stream);
 	HASH_ADD_STR(engine->streams, id, stream);
 	engine->queued++;
 	engine_stream_attach(stream, req);
-	engine_queue_next(engine);
+	engine_queue_run(engine);
 }
 
 static void
@@ -134,14 +136,14 @@
 	char from[32] = "0";
 
 	HASH_FIND_STR(engine->streams, id, stream);
-	if (stream == NULL || stream->plain || stream->req != NULL) {
+	if (stream == NULL || stream->json_response || stream->req != NULL) {
 		http_respond_json(req, 404, json_object());
 		return;
 	}
 	http_request_query_param(req, "from", from, sizeof(from));
 	stream->sent = strtoll(from, NULL, 10);
 	engine_stream_attach(stream, req);
-	engine_stream_catch_up(stream);
+	engine_stream_flush(stream);
 	if (stream->done)
 		engine_stream_end(stream);
 }
@@ -153,7 +155,7 @@
 
 	HASH_FIND_STR(engine->streams, id, stream);
 	if (stream != NULL && !stream->done) {
-		event_del(stream->tick);
+		event_del(stream->timer);
 		if (stream->running)
 			engine->running--;
 		else
@@ -162,28 +164,28 @@
 		stream->running = false;
 		if (stream->req != NULL)
 			engine_stream_end(stream);
-		engine_queue_next(engine);
+		engine_queue_run(engine);
 	}
 	http_respond_json(req, 200, json_object());
 }
 
 static void
-order(engine_t *engine, struct evhttp_request *req, const json_t *body)
+order_handle(engine_t *engine, struct evhttp_request *req, const json_t *body)
 {
 	const char *op = json_string_value(json_object_get(body, "op"));
 	const char *version =
 	    json_string_value(json_object_get(body, "version"));
-	int64_t fence = fake_int(body, "fence", 0);
+	int64_t fence = fake_json_int(body, "fence", 0);
 
 	if (op == NULL || version == NULL) {
 		http_respond_json(req, 400, json_object());
 		return;
 	}
-	if (!engine->ignore_fence && fence < engine->fence) {
+	if (!engine->ignore_fence && fence < engine->highest_fence) {
 		http_respond_json(req, 412, json_object());
 		return;
 	}
-	engine->fence = fence;
+	engine->highest_fence = fence;
 	if (strcmp(op, "load") == 0)
 		json_object_set_new(
 		    engine->versions, version, json_integer(fence));
@@ -193,11 +195,12 @@
 }
 
 static void
-load_report(engine_t *engine, struct evhttp_request *req)
+load_respond(engine_t *engine, struct evhttp_request *req)
 {
 	uint64_t back = (uint64_t)(engine->lag_ms / SAMPLE_MS);
-	uint64_t at = engine->sampled > back ? engine->sampled - back : 0;
-	const int64_t *load = engine->loads[at % ENGINE_LOAD_SAMPLES];
+	uint64_t at =
+	    engine->sample_count > back ? engine->sample_count - back : 0;
+	const int64_t *load = engine->load_samples[at % ENGINE_LOAD_SAMPLES];
 
 	http_respond_json(req, 200,
 	    json_pack("{s:I,s:I,s:I,s:b,s:O,s:I}", "running",
@@ -218,16 +221,16 @@
 	json_t *body = http_request_json(req, NULL);
 
 	if (strcmp(path, "/v1/chat/completions") == 0)
-		completion(engine, req, body);
+		completion_handle(engine, req, body);
 	else if (strncmp(path, streams, sizeof(streams) - 1) == 0 &&
 	    method == EVHTTP_REQ_DELETE)
 		stream_cancel(engine, req, path + sizeof(streams) - 1);
 	else if (strncmp(path, streams, sizeof(streams) - 1) == 0)
 		stream_resume(engine, req, path + sizeof(streams) - 1);
 	else if (strcmp(path, "/load") == 0)
-		load_report(engine, req);
+		load_respond(engine, req);
 	else if (strcmp(path, "/orders") == 0)
-		order(engine, req, body);
+		order_handle(engine, req, body);
 	else if (strcmp(path, "/runs") == 0)
 		http_respond_json(req, 200, json_incref(engine->runs));
 	else
@@ -242,10 +245,10 @@
 	const json_t *leaving = json_object_get(body, "leaving");
 	const json_t *ignore = json_object_get(body, "ignore_fence");
 
-	engine->token_ms = fake_int(body, "token_ms", engine->token_ms);
-	engine->slots = fake_int(body, "slots", engine->slots);
-	engine->lag_ms = fake_int(body, "lag_ms", engine->lag_ms);
-	engine->cut_after = fake_int(body, "cut_after", engine->cut_after);
+	engine->token_ms = fake_json_int(body, "token_ms", engine->token_ms);
+	engine->slots = fake_json_int(body, "slots", engine->slots);
+	engine->lag_ms = fake_json_int(body, "lag_ms", engine->lag_ms);
+	engine->cut_after = fake_json_int(body, "cut_after", engine->cut_after);
 	if (leaving != NULL)
 		engine->leaving = json_is_true(leaving);
 	engine->ends_cleanly =
@@ -253,14 +256,15 @@
 	engine->takes_all = json_is_true(json_object_get(body, "takes_all"));
 	if (ignore != NULL)
 		engine->ignore_fence = json_is_true(ignore);
-	engine_queue_next(engine);
+	engine_queue_run(engine);
 }
 
 static void
 sample(fake_t *fake)
 {
 	engine_t *engine = (engine_t *)fake;
-	int64_t *load = engine->loads[++engine->sampled % ENGINE_LOAD_SAMPLES];
+	int64_t *load =
+	    engine->load_samples[++engine->sample_count % ENGINE_LOAD_SAMPLES];
 
 	load[0] = engine->running;
 	load[1] = engine->queued;
@@ -269,8 +273,8 @@
 int
 main(int argc, const char **argv)
 {
-	static engine_t engine = {.fake = {.request = request,
-				      .fault = fault,
+	static engine_t engine = {.fake = {.handle_request = request,
+				      .handle_fault = fault,
 				      .sample = sample,
 				      .sample_ms = SAMPLE_MS,
 				      .name = "engine"},
