--- a/bench/admission.c
+++ b/bench/admission.c
@@ -67,8 +67,10 @@
 {
 	admission_remove(&pool->admission, &job->waiter);
 	pool->running++;
-	des_add(&pool->des, gsl_ran_gamma(pool->rng.gsl, 4, SERVICE_MS / 4),
-	    (des_event_t){.kind = DONE, .a = job->class, .x = job->begun_ms});
+	des_schedule(&pool->des,
+	    gsl_ran_gamma(pool->rng.gsl, 4, SERVICE_MS / 4),
+	    (des_event_t){
+		.kind = DONE, .index = job->class, .time_ms = job->begun_ms});
 	free(job);
 }
 
@@ -102,23 +104,23 @@
 {
 	if (overloaded(pool))
 		pool->result.refused[class]++;
-	processor_take(pool, pool->what->r * SERVICE_MS / SLOTS);
+	processor_take(pool, pool->what->refusal_cost * SERVICE_MS / SLOTS);
 }
 
 static void
 arrive(pool_t *pool)
 {
-	double rate =
-	    SLOTS / SERVICE_MS * (overloaded(pool) ? pool->what->times : 0.6);
+	double rate = SLOTS / SERVICE_MS *
+	    (overloaded(pool) ? pool->what->load_factor : 0.6);
 	int class = class_choose(pool);
 	struct timespec now = des_time(&pool->des);
 	job_t *job;
 
-	des_add(&pool->des, gsl_ran_exponential(pool->rng.gsl, 1 / rate),
+	des_schedule(&pool->des, gsl_ran_exponential(pool->rng.gsl, 1 / rate),
 	    (des_event_t){.kind = ARRIVE});
 	if (overloaded(pool))
 		pool->result.offered[class]++;
-	if (pool->what->classes &&
+	if (pool->what->uses_classes &&
 	    !admission_allows(&pool->admission, (class_t) class, 1, now)) {
 		job_refuse(pool, class);
 		return;
@@ -129,10 +131,12 @@
 	job->class = class;
 	job->begun_ms = pool->des.now_ms;
 	job->waiter = (waiter_t){
-	    .class = pool->what->classes ? (class_t) class : CLASS_CRITICAL,
+	    .class =
+		pool->what->uses_classes ? (class_t) class : CLASS_CRITICAL,
 	    .arrived_at = now,
 	    .deadline = timespec_add_ms(now, (int64_t)DEADLINE_MS)};
-	if (!processor_take(pool, SERVICE_MS / SLOTS * pool->what->entry) ||
+	if (!processor_take(
+		pool, SERVICE_MS / SLOTS * pool->what->accept_cost) ||
 	    !admission_enqueue(&pool->admission, &job->waiter)) {
 		job_refuse(pool, class);
 		free(job);
@@ -147,7 +151,7 @@
 	struct timespec now = des_time(&pool->des);
 	waiter_t *waiter;
 
-	while (pool->what->classes &&
+	while (pool->what->uses_classes &&
 	    (waiter = admission_overdue(&pool->admission, now)) != NULL) {
 		job_t *job = (job_t *)waiter;
 
@@ -161,19 +165,20 @@
 		pool->result.recovery_ms = pool->des.now_ms - LOAD_TO_MS;
 	}
 	jobs_start(pool);
-	des_add(&pool->des, TICK_MS, (des_event_t){.kind = TICK});
+	des_schedule(&pool->des, TICK_MS, (des_event_t){.kind = TICK});
 }
 
 static void
 done(pool_t *pool, const des_event_t *event)
 {
-	double took = pool->des.now_ms - event->x;
-	bool counted = event->x >= LOAD_FROM_MS && event->x < LOAD_TO_MS;
+	double took = pool->des.now_ms - event->time_ms;
+	bool counted =
+	    event->time_ms >= LOAD_FROM_MS && event->time_ms < LOAD_TO_MS;
 
 	pool->running--;
 	if (counted && took <= DEADLINE_MS) {
-		pool->result.good[event->a]++;
-		samples_add(&pool->result.took[event->a], took);
+		pool->result.in_time[event->index]++;
+		samples_add(&pool->result.latencies_ms[event->index], took);
 	}
 	jobs_start(pool);
 }
@@ -192,8 +197,8 @@
 	des_init(&pool.des);
 	bench_rng_init(&pool.rng, seed);
 	admission_init(&pool.admission, WAITING_MAX, what->cutoff_ms);
-	des_add(&pool.des, 0, (des_event_t){.kind = ARRIVE});
-	des_add(&pool.des, 0, (des_event_t){.kind = TICK});
+	des_schedule(&pool.des, 0, (des_event_t){.kind = ARRIVE});
+	des_schedule(&pool.des, 0, (des_event_t){.kind = TICK});
 	while (des_next(&pool.des, &event) && event.at_ms < RUN_MS) {
 		if (event.kind == ARRIVE)
 			arrive(&pool);
@@ -234,23 +239,24 @@
 		admission_run(what, seed, &one);
 		for (int c = 0; c < CLASSES; c++) {
 			samples_add(
-			    &good[c], 100 * one.good[c] / one.offered[c]);
+			    &good[c], 100 * one.in_time[c] / one.offered[c]);
 			if (c == CLASS_CRITICAL)
-				samples_add(
-				    &p99, samples_quantile(&one.took[c], 0.99));
-			samples_finish(&one.took[c]);
+				samples_add(&p99,
+				    samples_quantile(
+					&one.latencies_ms[c], 0.99));
+			samples_finish(&one.latencies_ms[c]);
 		}
-		samples_add(&goodput, 100 * sum(one.good) / capacity);
+		samples_add(&goodput, 100 * sum(one.in_time) / capacity);
 		samples_add(&recovery, one.recovery_ms);
 	}
-	printf("| %gx | %s", what->times, name);
-	figure_print(&goodput, "%.0f");
+	printf("| %gx | %s", what->load_factor, name);
+	samples_print(&goodput, "%.0f");
 	for (int c = 0; c < CLASSES; c++) {
-		figure_print(&good[c], "%.0f");
+		samples_print(&good[c], "%.0f");
 		samples_finish(&good[c]);
 	}
-	figure_print(&p99, "%.0f");
-	figure_print(&recovery, "%.0f");
+	samples_print(&p99, "%.0f");
+	samples_print(&recovery, "%.0f");
 	printf(" |\n");
 	samples_finish(&goodput);
 	samples_finish(&recovery);
@@ -271,21 +277,21 @@
 	    "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
 	for (size_t t = 0; t < sizeof(times) / sizeof(*times); t++) {
 		row_print("one queue, no classes",
-		    &(admission_case_t){.times = times[t],
-			.r = 0.05,
-			.entry = 0.05,
+		    &(admission_case_t){.load_factor = times[t],
+			.refusal_cost = 0.05,
+			.accept_cost = 0.05,
 			.cutoff_ms = 2000});
 		row_print("classes by age, r 0.3 (refused in the handler)",
-		    &(admission_case_t){.times = times[t],
-			.r = 0.3,
-			.entry = 0.3,
+		    &(admission_case_t){.load_factor = times[t],
+			.refusal_cost = 0.3,
+			.accept_cost = 0.3,
 			.cutoff_ms = 2000,
-			.classes = true});
+			.uses_classes = true});
 		row_print("classes by age, r 0.15 (measured: 0.10 to 0.25)",
-		    &(admission_case_t){.times = times[t],
-			.r = ADMISSION_R,
-			.entry = 0.05,
+		    &(admission_case_t){.load_factor = times[t],
+			.refusal_cost = ADMISSION_REFUSAL_COST,
+			.accept_cost = 0.05,
 			.cutoff_ms = 2000,
-			.classes = true});
+			.uses_classes = true});
 	}
 }
--- a/bench/admission.h
+++ b/bench/admission.h
@@ -9,22 +9,22 @@
 #include "moortack/limit/admission.h"
 
 /** What a refusal costs of a service, as counted by bench/refusal.sh. */
-#define ADMISSION_R 0.15
+#define ADMISSION_REFUSAL_COST 0.15
 
 typedef struct admission_case {
-	double times;	   /**< load, of the capacity */
-	double r;	   /**< cost of a refusal, of a service's capacity */
-	double entry;	   /**< cost of taking a request in, likewise */
-	int64_t cutoff_ms; /**< of the most important class */
-	bool classes;	   /**< false: one queue, nobody refused by class */
+	double load_factor;  /**< load, of the capacity */
+	double refusal_cost; /**< cost of a refusal, of a service's capacity */
+	double accept_cost;  /**< cost of taking a request in, likewise */
+	int64_t cutoff_ms;   /**< of the most important class */
+	bool uses_classes;   /**< false: one queue, nobody refused by class */
 } admission_case_t;
 
 typedef struct admission_result {
 	double offered[CLASSES];
-	double good[CLASSES]; /**< within their deadline */
+	double in_time[CLASSES]; /**< within their deadline */
 	double refused[CLASSES];
 	double recovery_ms;
-	samples_t took[CLASSES];
+	samples_t latencies_ms[CLASSES];
 } admission_result_t;
 
 /** @param out its samples are the caller's to finish */
--- a/bench/balance.c
+++ b/bench/balance.c
@@ -160,8 +160,11 @@
 		engine->busy_ms += hold;
 		sim->starts++;
 		sim->hits += hit;
-		des_add(&sim->des, prefill + hold,
-		    (des_event_t){.kind = DONE, .a = r, .b = e, .x = prefill});
+		des_schedule(&sim->des, prefill + hold,
+		    (des_event_t){.kind = DONE,
+			.index = r,
+			.second_index = e,
+			.time_ms = prefill});
 		if (sim->des.now_ms > WARM_MS)
 			samples_add(&sim->first,
 			    sim->des.now_ms + prefill - request->begun_ms);
@@ -178,8 +181,8 @@
 	    &sim->fleets[request->daemon], (handle_t)e, des_time(&sim->des));
 	if (request->avoid_count < BALANCE_TRIED_MAX) {
 		request->avoid[request->avoid_count++] = (handle_t)e;
-		des_add(
-		    &sim->des, REMOTE_MS, (des_event_t){.kind = TRY, .a = r});
+		des_schedule(&sim->des, REMOTE_MS,
+		    (des_event_t){.kind = TRY, .index = r});
 	} else {
 		sim->gave_up++;
 	}
@@ -223,16 +226,17 @@
 	if (balance_pick(fleet, sim->policy, &query, rng, &picked) !=
 	    BALANCE_PICKED) {
 		if (sim->des.now_ms - request->begun_ms < GIVE_UP_MS)
-			des_add(&sim->des, RETRY_MS,
-			    (des_event_t){.kind = TRY, .a = r});
+			des_schedule(&sim->des, RETRY_MS,
+			    (des_event_t){.kind = TRY, .index = r});
 		else
 			sim->gave_up++;
 		return;
 	}
 	endpoint_attempt_started(endpoint_table_at(fleet, picked));
 	sim->hints[request->session] = picked;
-	des_add(&sim->des, REMOTE_MS,
-	    (des_event_t){.kind = START, .a = r, .b = (int)picked});
+	des_schedule(&sim->des, REMOTE_MS,
+	    (des_event_t){
+		.kind = START, .index = r, .second_index = (int)picked});
 }
 
 static void
@@ -260,7 +264,7 @@
 {
 	int r = sim->request_count;
 
-	des_add(&sim->des, gsl_ran_exponential(sim->rng.gsl, 1.0 / rate),
+	des_schedule(&sim->des, gsl_ran_exponential(sim->rng.gsl, 1.0 / rate),
 	    (des_event_t){.kind = ARRIVE});
 	if (r == 65536)
 		return;
@@ -276,29 +280,30 @@
 event_take(
     sim_t *sim, const config_t *config, const des_event_t *event, double rate)
 {
-	request_t *request = &sim->requests[event->a];
+	request_t *request = &sim->requests[event->index];
 
 	switch (event->kind) {
 	case ARRIVE:
 		arrive(sim, config, rate);
 		break;
 	case TRY:
-		request_try(sim, config, event->a);
+		request_try(sim, config, event->index);
 		break;
 	case START:
-		request_start(sim, event->a, event->b);
+		request_start(sim, event->index, event->second_index);
 		break;
 	case DONE:
-		sim->engines[event->b].running--;
+		sim->engines[event->second_index].running--;
 		endpoint_attempt_succeeded(
-		    endpoint_table_at(
-			&sim->fleets[request->daemon], (handle_t)event->b),
-		    event->x, des_time(&sim->des));
-		engine_start(sim, event->b);
+		    endpoint_table_at(&sim->fleets[request->daemon],
+			(handle_t)event->second_index),
+		    event->time_ms, des_time(&sim->des));
+		engine_start(sim, event->second_index);
 		break;
 	case REPORT:
 		reports_read(sim, config);
-		des_add(&sim->des, REPORT_MS, (des_event_t){.kind = REPORT});
+		des_schedule(
+		    &sim->des, REPORT_MS, (des_event_t){.kind = REPORT});
 		if (sim->fault == FAULT_DEAD_PLACE &&
 		    sim->des.now_ms >= FAULT_MS) {
 			for (int e = 0; e < ENGINES; e += PLACES)
@@ -344,8 +349,8 @@
 	fleets_init(&sim, config);
 	for (int s = 0; s < SESSIONS; s++)
 		sim.hints[s] = HANDLE_NONE;
-	des_add(&sim.des, 0, (des_event_t){.kind = ARRIVE});
-	des_add(&sim.des, 0, (des_event_t){.kind = REPORT});
+	des_schedule(&sim.des, 0, (des_event_t){.kind = ARRIVE});
+	des_schedule(&sim.des, 0, (des_event_t){.kind = REPORT});
 	while (des_next(&sim.des, &event) && event.at_ms < RUN_MS)
 		event_take(&sim, config, &event, rate);
 	samples_add(&result->p50, samples_quantile(&sim.first, 0.5));
@@ -373,12 +378,12 @@
 	for (uint64_t seed = 1; seed <= EXPERIMENT_SEEDS; seed++)
 		run_one(policy, fault, load, seed, &result);
 	printf("| %s | %s", name, policy->name);
-	figure_print(&result.p50, "%.0f");
-	figure_print(&result.p99, "%.0f");
-	figure_print(&result.p999, "%.0f");
-	figure_print(&result.imbalance, "%.2f");
-	figure_print(&result.hits, "%.0f");
-	figure_print(&result.failed, "%.1f");
+	samples_print(&result.p50, "%.0f");
+	samples_print(&result.p99, "%.0f");
+	samples_print(&result.p999, "%.0f");
+	samples_print(&result.imbalance, "%.2f");
+	samples_print(&result.hits, "%.0f");
+	samples_print(&result.failed, "%.1f");
 	printf(" |\n");
 	samples_finish(&result.p50);
 	samples_finish(&result.p99);
--- a/bench/cascade.c
+++ b/bench/cascade.c
@@ -154,11 +154,11 @@
 		}
 		printf("| %s", policies[p].name);
 		for (int i = 0; i < PHASES; i++)
-			figure_print(&good[i], "%.1f");
+			samples_print(&good[i], "%.1f");
 		for (int i = 0; i < PHASES; i++)
-			figure_print(&cost[i], "%.2f");
-		figure_print(&p50, "%.0f");
-		figure_print(&p99, "%.0f");
+			samples_print(&cost[i], "%.2f");
+		samples_print(&p50, "%.0f");
+		samples_print(&p99, "%.0f");
 		printf(" |\n");
 		for (int i = 0; i < PHASES; i++) {
 			samples_finish(&good[i]);
--- a/bench/experiment.c
+++ b/bench/experiment.c
@@ -28,10 +28,10 @@
 void
 samples_add(samples_t *samples, double value)
 {
-	if (samples->count == samples->max) {
-		samples->max = samples->max * 2 + 64;
-		samples->values =
-		    realloc(samples->values, samples->max * sizeof(double));
+	if (samples->count == samples->capacity) {
+		samples->capacity = samples->capacity * 2 + 64;
+		samples->values = realloc(
+		    samples->values, samples->capacity * sizeof(double));
 		if (samples->values == NULL)
 			abort();
 	}
@@ -57,7 +57,7 @@
 }
 
 double
-samples_spread(const samples_t *samples)
+samples_stddev(const samples_t *samples)
 {
 	return samples->count < 2
 	    ? 0
@@ -65,12 +65,12 @@
 }
 
 void
-figure_print(const samples_t *samples, const char *format)
+samples_print(const samples_t *samples, const char *format)
 {
 	printf(" | ");
 	printf(format, samples_mean(samples));
 	printf("±");
-	printf(format, samples_spread(samples));
+	printf(format, samples_stddev(samples));
 }
 
 void
@@ -103,18 +103,18 @@
 }
 
 void
-des_add(des_t *des, double after_ms, des_event_t event)
+des_schedule(des_t *des, double after_ms, des_event_t event)
 {
 	size_t at = des->count;
 
-	if (des->count == des->max) {
-		des->max = des->max * 2 + 256;
-		des->heap = realloc(des->heap, des->max * sizeof(event));
+	if (des->count == des->capacity) {
+		des->capacity = des->capacity * 2 + 256;
+		des->heap = realloc(des->heap, des->capacity * sizeof(event));
 		if (des->heap == NULL)
 			abort();
 	}
 	event.at_ms = des->now_ms + after_ms;
-	event.order = des->added++;
+	event.order = des->next_order++;
 	des->heap[des->count++] = event;
 	while (at > 0 && before(&des->heap[at], &des->heap[(at - 1) / 2])) {
 		swap(&des->heap[at], &des->heap[(at - 1) / 2]);
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -20,7 +20,7 @@
 typedef struct samples {
 	double *values;
 	size_t count;
-	size_t max;
+	size_t capacity;
 } samples_t;
 
 void samples_init(samples_t *);
@@ -28,31 +28,31 @@
 void samples_add(samples_t *, double);
 double samples_quantile(samples_t *, double share);
 double samples_mean(const samples_t *);
-double samples_spread(const samples_t *); /**< standard deviation */
+double samples_stddev(const samples_t *); /**< standard deviation */
 
 /** A figure over the seeds, printed as "mean±spread". */
-void figure_print(const samples_t *, const char *format);
+void samples_print(const samples_t *, const char *format);
 
 /** What happens at a time, in the order of time, then of being added. */
 typedef struct des_event {
 	double at_ms;
 	uint64_t order;
 	int kind;
-	int a, b, c;
-	double x;
+	int index, second_index, third_index;
+	double time_ms;
 } des_event_t;
 
 typedef struct des {
 	des_event_t *heap;
 	size_t count;
-	size_t max;
-	uint64_t added;
+	size_t capacity;
+	uint64_t next_order;
 	double now_ms;
 } des_t;
 
 void des_init(des_t *);
 void des_finish(des_t *);
-void des_add(des_t *, double after_ms, des_event_t);
+void des_schedule(des_t *, double after_ms, des_event_t);
 /** @return false when nothing is left */
 bool des_next(des_t *, des_event_t *out);
 
--- a/bench/exposure.c
+++ b/bench/exposure.c
@@ -160,7 +160,7 @@
 }
 
 double
-exposure_bad_answers(double limit, double bad, uint64_t seed)
+exposure_bad_responses(double limit, double bad, uint64_t seed)
 {
 	const fault_t fault = {.bad = bad};
 
@@ -168,7 +168,7 @@
 }
 
 bool
-exposure_false_stop(double limit, uint64_t seed)
+exposure_is_false_stop(double limit, uint64_t seed)
 {
 	return rollout_run(KIND_LOCAL, NULL, limit, seed).stopped;
 }
@@ -206,8 +206,8 @@
 				samples_add(&when, one.stopped_s);
 			}
 			printf("| %s | %s", faults[f].name, kind_names[k]);
-			figure_print(&bad, "%.0f");
-			figure_print(&when, "%.1f");
+			samples_print(&bad, "%.0f");
+			samples_print(&when, "%.1f");
 			printf(" |\n");
 			samples_finish(&bad);
 			samples_finish(&when);
--- a/bench/load.c
+++ b/bench/load.c
@@ -194,7 +194,7 @@
 	json_t *answer;
 
 	if (load.options.stream && *load.options.service == '\0') {
-		bool done = stream_text(body, text, &failure);
+		bool done = stream_text_extract(body, text, &failure);
 
 		if (failure != NULL)
 			verdict = done ? "wrong" : failure;
--- a/bench/load_text.c
+++ b/bench/load_text.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 bool
-stream_text(char *body, char *out, const char **failure)
+stream_text_extract(char *body, char *out, const char **failure)
 {
 	static const char data[] = "data: ";
 	bool done = false;
--- a/bench/load_text.h
+++ b/bench/load_text.h
@@ -13,6 +13,6 @@
  * @param failure set when the stream holds an error
  * @return false without an end mark
  */
-bool stream_text(char *body, char *out, const char **failure);
+bool stream_text_extract(char *body, char *out, const char **failure);
 
 #endif
--- a/bench/placing.c
+++ b/bench/placing.c
@@ -37,11 +37,11 @@
 /* Under way at the same time; beyond it the run has failed. */
 #define ATTEMPTS_MAX 32768
 
-const placing_fleet_t placing_small = {6, 12, 50};
-const placing_fleet_t placing_large = {90, 141, 600};
+const placing_fleet_t placing_small_fleet = {6, 12, 50};
+const placing_fleet_t placing_large_fleet = {90, 141, 600};
 
 typedef struct request {
-	placing_kind_t kind;
+	placing_prompt_kind_t kind;
 	uint64_t subject;
 	uint64_t own;
 	int daemon;
@@ -95,7 +95,7 @@
 static arrival_t
 arrival_of(const request_t *request)
 {
-	bool is_long = request->kind == PLACING_LONG;
+	bool is_long = request->kind == PLACING_LONG_PROMPT;
 	arrival_t arrival = {.parts_len = 2};
 
 	arrival.parts[0] = (prompt_part_t){
@@ -200,8 +200,8 @@
 	const placing_fleet_t *fleet = sim->fleet;
 	size_t len = (size_t)fleet->endpoints;
 	endpoint_candidate_t seen[ENDPOINTS_MAX];
-	bool alone =
-	    sim->policy != PLACING_TOLD && sim->policy != PLACING_ASKED;
+	bool alone = sim->policy != PLACING_BROADCAST &&
+	    sim->policy != PLACING_OWNERS_QUERIED;
 	choice_criteria_t wish = {.has_prompt = true,
 	    .affinity = prefixes->hashes[0],
 	    .first_cached = alone ? 1 - 1.0 / fleet->daemons : 0,
@@ -209,12 +209,13 @@
 
 	if (sim->policy == PLACING_RANDOM)
 		return (int)rng_below(&sim->rng.rng, (uint32_t)len);
-	if (sim->policy == PLACING_LEAST)
+	if (sim->policy == PLACING_LEAST_REPORTED)
 		return endpoint_least(sim);
 	candidates_see(sim, attempt, prefixes, seen);
-	if (sim->policy == PLACING_ASKED)
+	if (sim->policy == PLACING_OWNERS_QUERIED)
 		return endpoint_asked(sim, attempt, prefixes, seen, &wish);
-	for (size_t i = 0; i < len && sim->policy == PLACING_HASH; i++) {
+	for (size_t i = 0; i < len && sim->policy == PLACING_AFFINITY_HASH;
+	     i++) {
 		seen[i].queue_wait_ms = 0;
 		seen[i].cross_zone_ms = 0;
 		seen[i].shared_prefill_ms = 1e6;
@@ -239,7 +240,7 @@
 		if (i == attempt->request.daemon)
 			prefill_queue_add(
 			    queue, &attempt->ticket, read_ms, sim->des.now_ms);
-		else if (sim->policy == PLACING_TOLD)
+		else if (sim->policy == PLACING_BROADCAST)
 			prefill_queue_add_remote(
 			    queue, read_ms, sim->des.now_ms);
 		else
@@ -282,24 +283,25 @@
 	    prefix_index_cached_tokens(&reader->kept, &prefixes, 1, now_ms);
 	prefix_index_add(&reader->kept, &prefixes, 1, now_ms);
 	read_ms = slope_of(model) * unread;
-	sim->out->tokens_read += unread;
+	sim->out->tokens_prefilled += unread;
 	if (reader->free_ms < sim->des.now_ms)
 		reader->free_ms = sim->des.now_ms;
 	reader->free_ms += read_ms;
 	reader->waiting++;
 	sent_note(sim, attempt, &prefixes, read_ms);
-	des_add(&sim->des, reader->free_ms - sim->des.now_ms,
-	    (des_event_t){.kind = EVENT_BEGUN, .a = at});
+	des_schedule(&sim->des, reader->free_ms - sim->des.now_ms,
+	    (des_event_t){.kind = EVENT_BEGUN, .index = at});
 }
 
 static void
 first_event(sim_t *sim, const request_t *request)
 {
 	double first_ms = sim->des.now_ms - request->taken_ms;
-	double objective = request->kind == PLACING_LONG ? LONG_OBJECTIVE_MS
-							 : SHORT_OBJECTIVE_MS;
+	double objective = request->kind == PLACING_LONG_PROMPT
+	    ? LONG_OBJECTIVE_MS
+	    : SHORT_OBJECTIVE_MS;
 
-	samples_add(&sim->out->first_ms[request->kind], first_ms);
+	samples_add(&sim->out->first_event_ms[request->kind], first_ms);
 	sim->out->in_time[request->kind] += first_ms <= objective;
 }
 
@@ -324,8 +326,8 @@
 {
 	gsl_rng *gsl = sim->rng.gsl;
 	request_t request = {.kind = gsl_rng_uniform(gsl) < LONG_SHARE
-		? PLACING_LONG
-		: PLACING_SHORT,
+		? PLACING_LONG_PROMPT
+		: PLACING_SHORT_PROMPT,
 	    .own = 1000 + ++sim->requests,
 	    .daemon =
 		(int)rng_below(&sim->rng.rng, (uint32_t)sim->fleet->daemons),
@@ -333,11 +335,11 @@
 	    .taken_ms = sim->des.now_ms};
 
 	request.subject = 1 +
-	    rng_below(&sim->rng.rng, (uint32_t)sim->fleet->subjects) +
-	    (uint64_t)sim->fleet->subjects * request.kind;
-	sim->out->asked[request.kind]++;
+	    rng_below(&sim->rng.rng, (uint32_t)sim->fleet->shared_prefixes) +
+	    (uint64_t)sim->fleet->shared_prefixes * request.kind;
+	sim->out->requests[request.kind]++;
 	attempt_start(sim, &request, 0);
-	des_add(&sim->des, gsl_ran_exponential(gsl, MS_PER_SEC / per_s),
+	des_schedule(&sim->des, gsl_ran_exponential(gsl, MS_PER_SEC / per_s),
 	    (des_event_t){.kind = EVENT_ARRIVAL});
 }
 
@@ -346,7 +348,7 @@
 {
 	for (int i = 0; i < sim->fleet->endpoints; i++)
 		sim->readers[i].reported = sim->readers[i].waiting;
-	des_add(&sim->des, REPORT_MS, (des_event_t){.kind = EVENT_REPORT});
+	des_schedule(&sim->des, REPORT_MS, (des_event_t){.kind = EVENT_REPORT});
 }
 
 static void
@@ -371,8 +373,8 @@
 			prefill_queue_init(&sim->daemons[i].queues[j]);
 	}
 	*out = (placing_result_t){0};
-	for (int i = 0; i < PLACING_KINDS; i++)
-		samples_init(&out->first_ms[i]);
+	for (int i = 0; i < PLACING_PROMPT_KINDS; i++)
+		samples_init(&out->first_event_ms[i]);
 }
 
 static void
@@ -396,13 +398,13 @@
 
 	per_s *= (double)fleet->endpoints / ENDPOINTS_UNIT;
 	sim_init(&sim, fleet, policy, seed, out);
-	des_add(&sim.des, 0, (des_event_t){.kind = EVENT_ARRIVAL});
-	des_add(&sim.des, 0, (des_event_t){.kind = EVENT_REPORT});
+	des_schedule(&sim.des, 0, (des_event_t){.kind = EVENT_ARRIVAL});
+	des_schedule(&sim.des, 0, (des_event_t){.kind = EVENT_REPORT});
 	while (more && des_next(&sim.des, &event)) {
 		bool over = sim.des.now_ms > RUN_MS;
 
 		if (event.kind == EVENT_BEGUN)
-			on_begun(&sim, &sim.attempts[event.a]);
+			on_begun(&sim, &sim.attempts[event.index]);
 		else if (!over && event.kind == EVENT_ARRIVAL)
 			on_arrival(&sim, per_s);
 		else if (!over)
@@ -429,21 +431,23 @@
 
 		placing_run(fleet, policy, per_s, seed, &one);
 		samples_add(&longs,
-		    100 * one.in_time[PLACING_LONG] / one.asked[PLACING_LONG]);
+		    100 * one.in_time[PLACING_LONG_PROMPT] /
+			one.requests[PLACING_LONG_PROMPT]);
 		samples_add(&shorts,
-		    100 * one.in_time[PLACING_SHORT] /
-			one.asked[PLACING_SHORT]);
-		samples_add(
-		    &p95, samples_quantile(&one.first_ms[PLACING_LONG], 0.95));
-		samples_add(&tokens, one.tokens_read / 1e6);
-		for (int i = 0; i < PLACING_KINDS; i++)
-			samples_finish(&one.first_ms[i]);
+		    100 * one.in_time[PLACING_SHORT_PROMPT] /
+			one.requests[PLACING_SHORT_PROMPT]);
+		samples_add(&p95,
+		    samples_quantile(
+			&one.first_event_ms[PLACING_LONG_PROMPT], 0.95));
+		samples_add(&tokens, one.tokens_prefilled / 1e6);
+		for (int i = 0; i < PLACING_PROMPT_KINDS; i++)
+			samples_finish(&one.first_event_ms[i]);
 	}
 	printf("| %.0f | %s", per_s, names[policy]);
-	figure_print(&longs, "%.1f");
-	figure_print(&shorts, "%.1f");
-	figure_print(&p95, "%.0f");
-	figure_print(&tokens, "%.2f");
+	samples_print(&longs, "%.1f");
+	samples_print(&shorts, "%.1f");
+	samples_print(&p95, "%.0f");
+	samples_print(&tokens, "%.2f");
 	printf(" |\n");
 	samples_finish(&longs);
 	samples_finish(&shorts);
@@ -473,8 +477,8 @@
 void
 experiment_placing(void)
 {
-	table_print(&placing_small, PLACING_POLICIES);
+	table_print(&placing_small_fleet, PLACING_POLICIES);
 	printf("\n");
 	/* The last two let more prompts wait than the run holds. */
-	table_print(&placing_large, PLACING_LEAST);
+	table_print(&placing_large_fleet, PLACING_LEAST_REPORTED);
 }
--- a/bench/retry.c
+++ b/bench/retry.c
@@ -71,9 +71,9 @@
 	if (sim->serving || sim->head == sim->tail || out_now(sim))
 		return;
 	sim->serving = true;
-	des_add(&sim->des, gsl_ran_exponential(sim->rng.gsl, 1 / CAPACITY),
+	des_schedule(&sim->des, gsl_ran_exponential(sim->rng.gsl, 1 / CAPACITY),
 	    (des_event_t){
-		.kind = SERVE, .a = sim->queue[sim->head++ % QUEUE_MAX]});
+		.kind = SERVE, .index = sim->queue[sim->head++ % QUEUE_MAX]});
 }
 
 static void
@@ -88,7 +88,8 @@
 	    (attempt_t){.begun_ms = sim->des.now_ms, .tries = tries};
 	if (out_now(sim))
 		sim->sent_out++;
-	des_add(&sim->des, TIMEOUT_MS, (des_event_t){.kind = TIMEOUT, .a = a});
+	des_schedule(
+	    &sim->des, TIMEOUT_MS, (des_event_t){.kind = TIMEOUT, .index = a});
 	if (sim->tail - sim->head < QUEUE_MAX)
 		sim->queue[sim->tail++ % QUEUE_MAX] = a;
 	serve_next(sim);
@@ -97,7 +98,7 @@
 static void
 arrive(sim_t *sim)
 {
-	des_add(&sim->des, gsl_ran_exponential(sim->rng.gsl, 1 / RATE),
+	des_schedule(&sim->des, gsl_ran_exponential(sim->rng.gsl, 1 / RATE),
 	    (des_event_t){.kind = ARRIVE});
 	sim->asked++;
 	sim->window_asked++;
@@ -149,7 +150,7 @@
 	sim->window_asked = 0;
 	sim->window_good = 0;
 	serve_next(sim);
-	des_add(&sim->des, WINDOW_MS, (des_event_t){.kind = WINDOW});
+	des_schedule(&sim->des, WINDOW_MS, (des_event_t){.kind = WINDOW});
 }
 
 static void
@@ -168,18 +169,18 @@
 	retry_budget_init(&sim.budget, policy->percent);
 	des_init(&sim.des);
 	bench_rng_init(&sim.rng, seed);
-	des_add(&sim.des, 0, (des_event_t){.kind = ARRIVE});
-	des_add(&sim.des, WINDOW_MS, (des_event_t){.kind = WINDOW});
+	des_schedule(&sim.des, 0, (des_event_t){.kind = ARRIVE});
+	des_schedule(&sim.des, WINDOW_MS, (des_event_t){.kind = WINDOW});
 	while (des_next(&sim.des, &event) && event.at_ms < RUN_MS) {
 		switch (event.kind) {
 		case ARRIVE:
 			arrive(&sim);
 			break;
 		case SERVE:
-			served(&sim, event.a);
+			served(&sim, event.index);
 			break;
 		case TIMEOUT:
-			timed_out(&sim, event.a);
+			timed_out(&sim, event.index);
 			break;
 		case WINDOW:
 			window_end(&sim);
@@ -209,9 +210,9 @@
 			run_one(
 			    &policies[p], s, &amplification, &recovery, &good);
 		printf("| %s", policies[p].name);
-		figure_print(&amplification, "%.2f");
-		figure_print(&recovery, "%.0f");
-		figure_print(&good, "%.1f");
+		samples_print(&amplification, "%.2f");
+		samples_print(&recovery, "%.0f");
+		samples_print(&good, "%.1f");
 		printf(" |\n");
 		samples_finish(&amplification);
 		samples_finish(&recovery);
--- a/bench/weights.c
+++ b/bench/weights.c
@@ -21,31 +21,32 @@
 	       "sheddable served %% |\n| --- | --- | --- | --- |\n");
 	for (size_t i = 0; i < sizeof(cutoffs) / sizeof(*cutoffs); i++) {
 		samples_t p99 = {0}, critical = {0}, sheddable = {0};
-		const admission_case_t what = {.times = 2,
-		    .r = ADMISSION_R,
-		    .entry = 0.05,
+		const admission_case_t what = {.load_factor = 2,
+		    .refusal_cost = ADMISSION_REFUSAL_COST,
+		    .accept_cost = 0.05,
 		    .cutoff_ms = cutoffs[i],
-		    .classes = true};
+		    .uses_classes = true};
 
 		for (uint64_t s = 1; s <= EXPERIMENT_SEEDS; s++) {
 			admission_result_t one;
 
 			admission_run(&what, s, &one);
 			samples_add(&p99,
-			    samples_quantile(&one.took[CLASS_CRITICAL], 0.99));
+			    samples_quantile(
+				&one.latencies_ms[CLASS_CRITICAL], 0.99));
 			samples_add(&critical,
-			    100 * one.good[CLASS_CRITICAL] /
+			    100 * one.in_time[CLASS_CRITICAL] /
 				one.offered[CLASS_CRITICAL]);
 			samples_add(&sheddable,
-			    100 * one.good[CLASS_SHEDDABLE] /
+			    100 * one.in_time[CLASS_SHEDDABLE] /
 				one.offered[CLASS_SHEDDABLE]);
 			for (int c = 0; c < CLASSES; c++)
-				samples_finish(&one.took[c]);
+				samples_finish(&one.latencies_ms[c]);
 		}
 		printf("| %lld", (long long)cutoffs[i]);
-		figure_print(&p99, "%.0f");
-		figure_print(&critical, "%.1f");
-		figure_print(&sheddable, "%.1f");
+		samples_print(&p99, "%.0f");
+		samples_print(&critical, "%.1f");
+		samples_print(&sheddable, "%.1f");
 		printf(" |\n");
 		samples_finish(&p99);
 		samples_finish(&critical);
@@ -67,12 +68,12 @@
 
 		for (uint64_t s = 1; s <= EXPERIMENT_SEEDS; s++)
 			samples_add(
-			    &bad, exposure_bad_answers(limits[i], 0.2, s));
+			    &bad, exposure_bad_responses(limits[i], 0.2, s));
 		for (int g = 0; g < GOOD_ROLLOUTS; g++)
-			stops +=
-			    exposure_false_stop(limits[i], (uint64_t)g + 5000);
+			stops += exposure_is_false_stop(
+			    limits[i], (uint64_t)g + 5000);
 		printf("| %.0f", limits[i]);
-		figure_print(&bad, "%.0f");
+		samples_print(&bad, "%.0f");
 		printf(" | %.1f |\n", 100.0 * stops / GOOD_ROLLOUTS);
 		samples_finish(&bad);
 	}
--- a/test/unit/placing_load_test.c
+++ b/test/unit/placing_load_test.c
@@ -21,9 +21,9 @@
 #define LATE_PART 0.5
 
 static double
-in_time(const placing_result_t *result, placing_kind_t kind)
+in_time(const placing_result_t *result, placing_prompt_kind_t kind)
 {
-	return result->in_time[kind] / result->asked[kind];
+	return result->in_time[kind] / result->requests[kind];
 }
 
 static void
@@ -31,15 +31,15 @@
     uint64_t seed, placing_result_t *out)
 {
 	placing_run(fleet, policy, per_s, seed, out);
-	for (int i = 0; i < PLACING_KINDS; i++)
-		samples_finish(&out->first_ms[i]);
+	for (int i = 0; i < PLACING_PROMPT_KINDS; i++)
+		samples_finish(&out->first_event_ms[i]);
 }
 
 static void
 play(
     placing_policy_t policy, double per_s, uint64_t seed, placing_result_t *out)
 {
-	play_fleet(&placing_small, policy, per_s, seed, out);
+	play_fleet(&placing_small_fleet, policy, per_s, seed, out);
 }
 
 /* Neither the long prompts nor the short ones are late for the others. */
@@ -50,9 +50,10 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-		play(PLACING_TOLD, HEAVIER_PER_S, seed, &told);
-		assert_true(in_time(&told, PLACING_LONG) >= IN_TIME_MIN);
-		assert_true(in_time(&told, PLACING_SHORT) >= IN_TIME_MIN);
+		play(PLACING_BROADCAST, HEAVIER_PER_S, seed, &told);
+		assert_true(in_time(&told, PLACING_LONG_PROMPT) >= IN_TIME_MIN);
+		assert_true(
+		    in_time(&told, PLACING_SHORT_PROMPT) >= IN_TIME_MIN);
 	}
 }
 
@@ -64,12 +65,12 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-		play(PLACING_TOLD, HEAVY_PER_S, seed, &told);
-		for (int policy = PLACING_ALONE; policy < PLACING_POLICIES;
+		play(PLACING_BROADCAST, HEAVY_PER_S, seed, &told);
+		for (int policy = PLACING_OWN_SENDS; policy < PLACING_POLICIES;
 		     policy++) {
 			play((placing_policy_t)policy, HEAVY_PER_S, seed,
 			    &other);
-			for (int i = 0; i < PLACING_KINDS; i++)
+			for (int i = 0; i < PLACING_PROMPT_KINDS; i++)
 				assert_true(1 - in_time(&told, i) <=
 				    LATE_PART * (1 - in_time(&other, i)));
 		}
@@ -84,9 +85,10 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-		play(PLACING_TOLD, HEAVY_PER_S, seed, &told);
-		play(PLACING_HASH, HEAVY_PER_S, seed, &hash);
-		assert_true(told.tokens_read < 1.15 * hash.tokens_read);
+		play(PLACING_BROADCAST, HEAVY_PER_S, seed, &told);
+		play(PLACING_AFFINITY_HASH, HEAVY_PER_S, seed, &hash);
+		assert_true(
+		    told.tokens_prefilled < 1.15 * hash.tokens_prefilled);
 	}
 }
 
@@ -99,15 +101,16 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= LARGE_SEEDS; seed++) {
-		play_fleet(
-		    &placing_large, PLACING_ASKED, HEAVY_PER_S, seed, &asked);
-		for (int i = 0; i < PLACING_KINDS; i++)
+		play_fleet(&placing_large_fleet, PLACING_OWNERS_QUERIED,
+		    HEAVY_PER_S, seed, &asked);
+		for (int i = 0; i < PLACING_PROMPT_KINDS; i++)
 			assert_true(in_time(&asked, i) >= IN_TIME_MIN);
-		for (int policy = PLACING_ALONE; policy <= PLACING_HASH;
-		     policy++) {
-			play_fleet(&placing_large, (placing_policy_t)policy,
-			    HEAVY_PER_S, seed, &other);
-			for (int i = 0; i < PLACING_KINDS; i++)
+		for (int policy = PLACING_OWN_SENDS;
+		     policy <= PLACING_AFFINITY_HASH; policy++) {
+			play_fleet(&placing_large_fleet,
+			    (placing_policy_t)policy, HEAVY_PER_S, seed,
+			    &other);
+			for (int i = 0; i < PLACING_PROMPT_KINDS; i++)
 				assert_true(1 - in_time(&asked, i) <=
 				    LATE_PART * (1 - in_time(&other, i)));
 		}
