--- a/bench/experiment.c
+++ b/bench/experiment.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * What experiments share: samples, a discrete clock, seeded random numbers.
+ * Shared by the experiments: samples, a discrete-event simulation, seeded
+ * random numbers.
  */
 #include "experiment.h"
 
@@ -10,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define START_MS 1000000
+#define CLOCK_START_MS 1000000
 
 void
 samples_init(samples_t *samples)
@@ -87,25 +88,25 @@
 }
 
 static bool
-before(const des_event_t *a, const des_event_t *b)
+event_is_earlier(const des_event_t *a, const des_event_t *b)
 {
 	return a->at_ms < b->at_ms ||
 	    (a->at_ms == b->at_ms && a->order < b->order);
 }
 
 static void
-swap(des_event_t *a, des_event_t *b)
+events_swap(des_event_t *a, des_event_t *b)
 {
-	des_event_t kept = *a;
+	des_event_t saved = *a;
 
 	*a = *b;
-	*b = kept;
+	*b = saved;
 }
 
 void
 des_schedule(des_t *des, double after_ms, des_event_t event)
 {
-	size_t at = des->count;
+	size_t index = des->count;
 
 	if (des->count == des->capacity) {
 		des->capacity = des->capacity * 2 + 256;
@@ -116,33 +117,35 @@
 	event.at_ms = des->now_ms + after_ms;
 	event.order = des->next_order++;
 	des->heap[des->count++] = event;
-	while (at > 0 && before(&des->heap[at], &des->heap[(at - 1) / 2])) {
-		swap(&des->heap[at], &des->heap[(at - 1) / 2]);
-		at = (at - 1) / 2;
+	while (index > 0 &&
+	    event_is_earlier(&des->heap[index], &des->heap[(index - 1) / 2])) {
+		events_swap(&des->heap[index], &des->heap[(index - 1) / 2]);
+		index = (index - 1) / 2;
 	}
 }
 
 bool
 des_next(des_t *des, des_event_t *out)
 {
-	size_t at = 0;
+	size_t index = 0;
 
 	if (des->count == 0)
 		return false;
 	*out = des->heap[0];
 	des->heap[0] = des->heap[--des->count];
 	for (;;) {
-		size_t least = at;
+		size_t earliest = index;
 
-		for (size_t child = 2 * at + 1;
-		     child <= 2 * at + 2 && child < des->count; child++) {
-			if (before(&des->heap[child], &des->heap[least]))
-				least = child;
+		for (size_t child = 2 * index + 1;
+		     child <= 2 * index + 2 && child < des->count; child++) {
+			if (event_is_earlier(
+				&des->heap[child], &des->heap[earliest]))
+				earliest = child;
 		}
-		if (least == at)
+		if (earliest == index)
 			break;
-		swap(&des->heap[at], &des->heap[least]);
-		at = least;
+		events_swap(&des->heap[index], &des->heap[earliest]);
+		index = earliest;
 	}
 	des->now_ms = out->at_ms;
 	return true;
@@ -151,11 +154,11 @@
 struct timespec
 des_time(const des_t *des)
 {
-	return timespec_from_ms(START_MS + (int64_t)des->now_ms);
+	return timespec_from_ms(CLOCK_START_MS + (int64_t)des->now_ms);
 }
 
 static uint32_t
-gsl_next(rng_t *rng)
+bench_rng_next(rng_t *rng)
 {
 	return (uint32_t)gsl_rng_get(((bench_rng_t *)rng)->gsl);
 }
@@ -163,7 +166,7 @@
 void
 bench_rng_init(bench_rng_t *rng, uint64_t seed)
 {
-	rng->rng = (rng_t){.next = gsl_next};
+	rng->rng = (rng_t){.next = bench_rng_next};
 	rng->gsl = gsl_rng_alloc(gsl_rng_mt19937);
 	gsl_rng_set(rng->gsl, (unsigned long)seed);
 }
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The experiment driver: the decision code of the library, on a discrete clock,
- * against small models of what it decides about. No networking.
+ * Helpers for experiments that run the library's decision code in a
+ * discrete-event simulation, against small models of endpoints and callers. No
+ * networking.
  */
 #ifndef BENCH_EXPERIMENT_H
 #define BENCH_EXPERIMENT_H
@@ -14,9 +15,10 @@
 #include "common/clock_source.h"
 #include "common/rng.h"
 
+/** Number of seeds, from 1, that each experiment runs with. */
 #define EXPERIMENT_SEEDS 7
 
-/** Samples of one figure; sorted when a quantile is asked for. */
+/** Samples of one figure. samples_quantile() sorts them. */
 typedef struct samples {
 	double *values;
 	size_t count;
@@ -30,14 +32,16 @@
 double samples_mean(const samples_t *);
 double samples_stddev(const samples_t *); /**< standard deviation */
 
-/** A figure over the seeds, printed as "mean±spread". */
+/** Prints a table cell with "mean±standard deviation" of the samples, one
+ * sample per seed. @param format printf format for one double */
 void samples_print(const samples_t *, const char *format);
 
-/** What happens at a time, in the order of time, then of being added. */
+/** An event of the simulation. Events occur by time, then in the order in which
+ * they were scheduled. */
 typedef struct des_event {
 	double at_ms;
 	uint64_t order;
-	int kind;
+	int kind; /**< defined by the experiment, as are the next four */
 	int index, second_index, third_index;
 	double time_ms;
 } des_event_t;
@@ -53,13 +57,14 @@
 void des_init(des_t *);
 void des_finish(des_t *);
 void des_schedule(des_t *, double after_ms, des_event_t);
-/** @return false when nothing is left */
+/** Removes the earliest event and advances the clock to its time.
+ * @return false if no event is left */
 bool des_next(des_t *, des_event_t *out);
 
-/** The simulation's time on the clock of the decision code. */
+/** The simulated time as the decision code's clock reports it. */
 struct timespec des_time(const des_t *);
 
-/** A seeded generator of GSL behind the library's interface. */
+/** A seeded GSL generator behind the library's rng_t. */
 typedef struct bench_rng {
 	rng_t rng; /**< must stay first */
 	gsl_rng *gsl;
@@ -68,7 +73,7 @@
 void bench_rng_init(bench_rng_t *, uint64_t seed);
 void bench_rng_finish(bench_rng_t *);
 
-/* One file each; each prints its table, in Markdown. */
+/* Each prints its table, in Markdown, and has a source file of its own. */
 void experiment_admission(void);
 void experiment_balance(void);
 void experiment_cascade(void);
--- a/bench/placing.h
+++ b/bench/placing.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * One run of the placing experiment: prompts of several daemons go to endpoints
- * that read them one after the other and keep what they read.
+ * One run of the placing experiment: several daemons send prompts to endpoints,
+ * which prefill one prompt at a time and cache its prefixes.
  */
 #ifndef BENCH_PLACING_H
 #define BENCH_PLACING_H
@@ -9,15 +9,19 @@
 #include "experiment.h"
 
 typedef enum placing_policy {
-	PLACING_BROADCAST, /**< the product in a small fleet: expected time,
-			 sends told to all */
-	PLACING_OWNERS_QUERIED, /**< the product in a large one: expected time
-			  at those that stand first, by what their owners know
-			*/
-	PLACING_OWN_SENDS,	/**< expected time by a daemon's own sends */
-	PLACING_AFFINITY_HASH, /**< the first in the order for what is shared */
-	PLACING_LEAST_REPORTED, /**< where the fewest wait, by a report 200 ms
-				   old */
+	/** The product in a small fleet: expected time, with every send
+	 * broadcast to all daemons. */
+	PLACING_BROADCAST,
+	/** The product in a large fleet: expected time at the endpoints that
+	 * rank first by affinity, estimated by the daemons that own them. */
+	PLACING_OWNERS_QUERIED,
+	/** Expected time, estimated from the daemon's own sends only. */
+	PLACING_OWN_SENDS,
+	/** The endpoint that ranks first by affinity with the shared prefix. */
+	PLACING_AFFINITY_HASH,
+	/** The endpoint with the fewest waiting prompts, by a report that is up
+	 * to 200 ms old. */
+	PLACING_LEAST_REPORTED,
 	PLACING_RANDOM,
 	PLACING_POLICIES /* count */
 } placing_policy_t;
@@ -31,23 +35,27 @@
 typedef struct placing_fleet {
 	int daemons;
 	int endpoints;
-	int shared_prefixes; /**< that long prompts are about */
+	int shared_prefixes; /**< number of distinct ones, for each kind of
+				prompt */
 } placing_fleet_t;
 
-/** Of the sizes of two of the users' sheets. */
+/** Fleets of the sizes of two of the users' deployments. */
 extern const placing_fleet_t placing_small_fleet, placing_large_fleet;
 
 typedef struct placing_result {
 	double requests[PLACING_PROMPT_KINDS];
-	double in_time[PLACING_PROMPT_KINDS]; /**< first event within the
-						 objective */
+	/** First event within the objective. */
+	double in_time[PLACING_PROMPT_KINDS];
 	samples_t first_event_ms[PLACING_PROMPT_KINDS];
 	double tokens_prefilled;
 } placing_result_t;
 
-/** @param per_s requests a second for each twelve endpoints
- * @param out its samples are the caller's to finish */
-void placing_run(const placing_fleet_t *, placing_policy_t, double per_s,
-    uint64_t seed, placing_result_t *out);
+/**
+ * Runs one simulation.
+ * @param requests_per_s requests a second for each twelve endpoints
+ * @param out the caller finishes its samples
+ */
+void placing_run(const placing_fleet_t *, placing_policy_t,
+    double requests_per_s, uint64_t seed, placing_result_t *out);
 
 #endif
