--- a/bench/admission.h
+++ b/bench/admission.h
@@ -8,26 +8,30 @@
 #include "experiment.h"
 #include "moortack/limit/admission.h"
 
-/** What a refusal costs of a service, as counted by bench/refusal.sh. */
+/** Processor time of a refusal relative to serving a request, as measured by
+ * bench/refusal.lua. */
 #define ADMISSION_REFUSAL_COST 0.15
 
 typedef struct admission_case {
-	double load_factor;  /**< load, of the capacity */
-	double refusal_cost; /**< cost of a refusal, of a service's capacity */
-	double accept_cost;  /**< cost of taking a request in, likewise */
+	double load_factor;  /**< offered load, relative to the capacity */
+	double refusal_cost; /**< cost of a refusal, relative to a service */
+	double accept_cost;  /**< cost of accepting a request, likewise */
 	int64_t cutoff_ms;   /**< of the most important class */
-	bool uses_classes;   /**< false: one queue, nobody refused by class */
+	bool uses_classes;   /**< false: one queue, no refusals by class */
 } admission_case_t;
 
+/** Counts and latencies from the time in which the load is raised. */
 typedef struct admission_result {
 	double offered[CLASSES];
-	double in_time[CLASSES]; /**< within their deadline */
+	double in_time[CLASSES]; /**< completed within their deadline */
 	double refused[CLASSES];
+	/** From the end of the raised load until the longest wait is normal
+	 * again; the rest of the run if it never is. */
 	double recovery_ms;
-	samples_t latencies_ms[CLASSES];
+	samples_t latencies_ms[CLASSES]; /**< of those completed in time */
 } admission_result_t;
 
-/** @param out its samples are the caller's to finish */
+/** Runs one simulation. @param out the caller finishes its samples */
 void
 admission_run(const admission_case_t *, uint64_t seed, admission_result_t *out);
 
--- a/bench/exposure.c
+++ b/bench/exposure.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Version exposure: how many bad answers a roll-out gives until it is stopped,
- * and how often a good one is stopped.
+ * Version exposure: how many bad responses a roll-out serves until it is
+ * stopped, and how often a good roll-out is stopped.
  */
 #include <gsl/gsl_randist.h>
 #include <stdio.h>
@@ -13,23 +13,28 @@
 
 #define DAEMONS 8
 #define ORGANISATIONS 10
-#define RATE 160.0 /* requests a second over all daemons */
-#define SHARE 0.10 /* of them on the new version */
+#define RATE 160.0	       /* requests a second over all daemons */
+#define NEW_VERSION_SHARE 0.10 /* of the requests, on the new version */
 #define RUN_S 1800.0
-#define BASE_BAD 0.01
-#define SPREAD_S 0.05 /* until peers have heard */
-#define STORE_S 45.0  /* an outage that a guard waiting for the store meets */
+#define BASELINE_BAD_SHARE 0.01
+#define PEER_DELAY_S 0.05 /* until a stop reaches the peers */
+/* An outage of the store. It delays a guard that writes to the store first. */
+#define STORE_OUTAGE_S 45.0
 #define GOOD_ROLLOUTS 300
 
-typedef enum kind { KIND_NONE, KIND_STORE, KIND_LOCAL } kind_t;
+typedef enum guard_kind {
+	GUARD_KIND_NONE,
+	GUARD_KIND_STORE_FIRST,
+	GUARD_KIND_LOCAL
+} guard_kind_t;
 
-static const char *const kind_names[] = {
+static const char *const guard_kind_names[] = {
     "no guard", "guard that writes to the store first", "guard, local stop"};
 
 typedef struct fault {
 	const char *name;
-	double bad;    /**< share of bad answers added */
-	bool only_one; /**< for the first organisation alone */
+	double bad_share;	      /**< added share of bad responses */
+	bool first_organisation_only; /**< others get none of them */
 } fault_t;
 
 static const fault_t faults[] = {
@@ -40,15 +45,17 @@
 };
 
 typedef struct rollout {
-	double bad_answers; /**< over the base */
-	double stopped_s;   /**< when the last daemon stopped; RUN_S: never */
+	double bad_responses; /**< above the baseline */
+	double last_bad_s;    /**< time of the last of them; RUN_S: none */
 	bool stopped;
 } rollout_t;
 
-typedef struct world {
+typedef struct cluster {
 	guard_t guards[DAEMONS];
-	double hear_s[DAEMONS][ORGANISATIONS + 1]; /**< from when; 0: not yet */
-} world_t;
+	/** When a stop takes effect at a daemon, by organisation and last for
+	 * all of them; 0: not stopped. */
+	double stop_known_s[DAEMONS][ORGANISATIONS + 1];
+} cluster_t;
 
 static void
 organisation_name(int o, char out[16])
@@ -57,31 +64,34 @@
 }
 
 static bool
-stopped_for(const world_t *world, int daemon, int organisation, double now)
+is_stopped_for(
+    const cluster_t *cluster, int daemon, int organisation, double now)
 {
-	const double *hear = world->hear_s[daemon];
+	const double *stop_known = cluster->stop_known_s[daemon];
 
-	return (hear[ORGANISATIONS] > 0 && hear[ORGANISATIONS] <= now) ||
-	    (hear[organisation] > 0 && hear[organisation] <= now);
+	return (stop_known[ORGANISATIONS] > 0 &&
+		   stop_known[ORGANISATIONS] <= now) ||
+	    (stop_known[organisation] > 0 && stop_known[organisation] <= now);
 }
 
-/* A stop, for one organisation or for all, spreads from one daemon. */
+/* Schedules a stop, for one organisation or for all, at every daemon. */
 static void
-stop_spread(world_t *world, int from, int scope, kind_t kind, double now)
+stop_propagate(
+    cluster_t *cluster, int from, int scope, guard_kind_t kind, double now)
 {
 	for (int d = 0; d < DAEMONS; d++) {
-		double when = now +
-		    (kind == KIND_STORE ? STORE_S
-			    : d == from ? 1e-9
-					: SPREAD_S);
+		double known_s = now +
+		    (kind == GUARD_KIND_STORE_FIRST ? STORE_OUTAGE_S
+			    : d == from		    ? 1e-9
+						    : PEER_DELAY_S);
 
-		if (world->hear_s[d][scope] == 0)
-			world->hear_s[d][scope] = when;
+		if (cluster->stop_known_s[d][scope] == 0)
+			cluster->stop_known_s[d][scope] = known_s;
 	}
 }
 
 static bool
-scope_all(const guard_t *guard)
+guard_stopped_for_all(const guard_t *guard)
 {
 	for (handle_t h = 0; h < guard->versions.len; h++) {
 		const guard_version_t *row = table_at(&guard->versions, h);
@@ -93,7 +103,7 @@
 }
 
 static void
-observe(world_t *world, gsl_rng *rng, kind_t kind, int daemon, int o,
+observe(cluster_t *cluster, gsl_rng *rng, guard_kind_t kind, int daemon, int o,
     bool new_version, bool bad, double now)
 {
 	char name[16];
@@ -106,11 +116,12 @@
 
 	(void)rng;
 	organisation_name(o, name);
-	if (kind == KIND_NONE ||
-	    !guard_observe(&world->guards[daemon], &sample) || !new_version)
+	if (kind == GUARD_KIND_NONE ||
+	    !guard_observe(&cluster->guards[daemon], &sample) || !new_version)
 		return;
-	stop_spread(world, daemon,
-	    scope_all(&world->guards[daemon]) ? ORGANISATIONS : o, kind, now);
+	stop_propagate(cluster, daemon,
+	    guard_stopped_for_all(&cluster->guards[daemon]) ? ORGANISATIONS : o,
+	    kind, now);
 }
 
 static void
@@ -122,38 +133,40 @@
 }
 
 static rollout_t
-rollout_run(kind_t kind, const fault_t *fault, double limit, uint64_t seed)
+rollout_run(
+    guard_kind_t kind, const fault_t *fault, double limit, uint64_t seed)
 {
-	static world_t world;
+	static cluster_t cluster;
 	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
-	rollout_t result = {.stopped_s = RUN_S};
+	rollout_t result = {.last_bad_s = RUN_S};
 	double now = 0;
 
-	memset(&world, 0, sizeof(world));
+	memset(&cluster, 0, sizeof(cluster));
 	gsl_rng_set(rng, seed);
 	for (int d = 0; d < DAEMONS; d++)
-		guard_start(&world.guards[d], limit);
+		guard_start(&cluster.guards[d], limit);
 	while ((now += gsl_ran_exponential(rng, 1 / RATE)) < RUN_S) {
 		int daemon = (int)gsl_rng_uniform_int(rng, DAEMONS);
 		int o = (int)gsl_rng_uniform_int(rng, ORGANISATIONS);
-		bool new_version = gsl_rng_uniform(rng) < SHARE &&
-		    !stopped_for(&world, daemon, o, now);
-		double extra =
-		    new_version && fault != NULL && (!fault->only_one || o == 0)
-		    ? fault->bad
+		bool new_version = gsl_rng_uniform(rng) < NEW_VERSION_SHARE &&
+		    !is_stopped_for(&cluster, daemon, o, now);
+		double added_bad_share = new_version && fault != NULL &&
+			(!fault->first_organisation_only || o == 0)
+		    ? fault->bad_share
 		    : 0;
-		bool worse = gsl_rng_uniform(rng) < extra;
-		bool bad = worse || gsl_rng_uniform(rng) < BASE_BAD;
-
-		result.bad_answers += worse;
-		if (worse)
-			result.stopped_s = now;
-		observe(&world, rng, kind, daemon, o, new_version, bad, now);
+		bool is_added_bad = gsl_rng_uniform(rng) < added_bad_share;
+		bool bad =
+		    is_added_bad || gsl_rng_uniform(rng) < BASELINE_BAD_SHARE;
+
+		result.bad_responses += is_added_bad;
+		if (is_added_bad)
+			result.last_bad_s = now;
+		observe(&cluster, rng, kind, daemon, o, new_version, bad, now);
 	}
 	for (int d = 0; d < DAEMONS; d++) {
 		for (int o = 0; o <= ORGANISATIONS; o++)
-			result.stopped |= world.hear_s[d][o] > 0;
-		guard_finish(&world.guards[d]);
+			result.stopped |= cluster.stop_known_s[d][o] > 0;
+		guard_finish(&cluster.guards[d]);
 	}
 	gsl_rng_free(rng);
 	return result;
@@ -162,19 +175,19 @@
 double
 exposure_bad_responses(double limit, double bad, uint64_t seed)
 {
-	const fault_t fault = {.bad = bad};
+	const fault_t fault = {.bad_share = bad};
 
-	return rollout_run(KIND_LOCAL, &fault, limit, seed).bad_answers;
+	return rollout_run(GUARD_KIND_LOCAL, &fault, limit, seed).bad_responses;
 }
 
 bool
 exposure_is_false_stop(double limit, uint64_t seed)
 {
-	return rollout_run(KIND_LOCAL, NULL, limit, seed).stopped;
+	return rollout_run(GUARD_KIND_LOCAL, NULL, limit, seed).stopped;
 }
 
 static void
-false_stops_print(kind_t kind)
+false_stops_print(guard_kind_t kind)
 {
 	int stops = 0;
 
@@ -182,7 +195,7 @@
 		stops += rollout_run(kind, NULL, 0, (uint64_t)i + 1000).stopped;
 	printf("False stops of the %s over %d good roll-outs of 30 min: %d "
 	       "(%.1f %%).\n",
-	    kind_names[kind], GOOD_ROLLOUTS, stops,
+	    guard_kind_names[kind], GOOD_ROLLOUTS, stops,
 	    100.0 * stops / GOOD_ROLLOUTS);
 }
 
@@ -190,29 +203,30 @@
 experiment_exposure(void)
 {
 	printf("%.0f requests a second over %d daemons, %.0f %% on the new "
-	       "version, 30 min, base rate of bad answers %.0f %%.\n\n"
-	       "| version | guard | bad answers served | last one after s |\n"
+	       "version, 30 min, base rate of bad responses %.0f %%.\n\n"
+	       "| version | guard | bad responses served | last one after s |\n"
 	       "| --- | --- | --- | --- |\n",
-	    RATE, DAEMONS, 100 * SHARE, 100 * BASE_BAD);
+	    RATE, DAEMONS, 100 * NEW_VERSION_SHARE, 100 * BASELINE_BAD_SHARE);
 	for (size_t f = 0; f < sizeof(faults) / sizeof(*faults); f++) {
-		for (int k = KIND_NONE; k <= KIND_LOCAL; k++) {
-			samples_t bad = {0}, when = {0};
+		for (int k = GUARD_KIND_NONE; k <= GUARD_KIND_LOCAL; k++) {
+			samples_t bad = {0}, last_bad = {0};
 
 			for (uint64_t s = 1; s <= EXPERIMENT_SEEDS; s++) {
-				rollout_t one =
-				    rollout_run((kind_t)k, &faults[f], 0, s);
+				rollout_t rollout = rollout_run(
+				    (guard_kind_t)k, &faults[f], 0, s);
 
-				samples_add(&bad, one.bad_answers);
-				samples_add(&when, one.stopped_s);
+				samples_add(&bad, rollout.bad_responses);
+				samples_add(&last_bad, rollout.last_bad_s);
 			}
-			printf("| %s | %s", faults[f].name, kind_names[k]);
+			printf(
+			    "| %s | %s", faults[f].name, guard_kind_names[k]);
 			samples_print(&bad, "%.0f");
-			samples_print(&when, "%.1f");
+			samples_print(&last_bad, "%.1f");
 			printf(" |\n");
 			samples_finish(&bad);
-			samples_finish(&when);
+			samples_finish(&last_bad);
 		}
 	}
 	printf("\n");
-	false_stops_print(KIND_LOCAL);
+	false_stops_print(GUARD_KIND_LOCAL);
 }
--- a/bench/weights.c
+++ b/bench/weights.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * The two deployments' weights as settings: what cutoff-ms buys Pyykkiväylä
- * (latency of dock scans against refusals) and guard-limit buys Gmunden
- * (exposure against false stops).
+ * The settings that weigh objectives of two deployments: cutoff-ms trades the
+ * latency of dock scans against refusals at Pyykkiväylä, and guard-limit trades
+ * exposure against false stops at Gmunden.
  */
 #include <stdio.h>
 
@@ -21,27 +21,27 @@
 	       "sheddable served %% |\n| --- | --- | --- | --- |\n");
 	for (size_t i = 0; i < sizeof(cutoffs) / sizeof(*cutoffs); i++) {
 		samples_t p99 = {0}, critical = {0}, sheddable = {0};
-		const admission_case_t what = {.load_factor = 2,
+		const admission_case_t params = {.load_factor = 2,
 		    .refusal_cost = ADMISSION_REFUSAL_COST,
 		    .accept_cost = 0.05,
 		    .cutoff_ms = cutoffs[i],
 		    .uses_classes = true};
 
 		for (uint64_t s = 1; s <= EXPERIMENT_SEEDS; s++) {
-			admission_result_t one;
+			admission_result_t result;
 
-			admission_run(&what, s, &one);
+			admission_run(&params, s, &result);
 			samples_add(&p99,
 			    samples_quantile(
-				&one.latencies_ms[CLASS_CRITICAL], 0.99));
+				&result.latencies_ms[CLASS_CRITICAL], 0.99));
 			samples_add(&critical,
-			    100 * one.in_time[CLASS_CRITICAL] /
-				one.offered[CLASS_CRITICAL]);
+			    100 * result.in_time[CLASS_CRITICAL] /
+				result.offered[CLASS_CRITICAL]);
 			samples_add(&sheddable,
-			    100 * one.in_time[CLASS_SHEDDABLE] /
-				one.offered[CLASS_SHEDDABLE]);
+			    100 * result.in_time[CLASS_SHEDDABLE] /
+				result.offered[CLASS_SHEDDABLE]);
 			for (int c = 0; c < CLASSES; c++)
-				samples_finish(&one.latencies_ms[c]);
+				samples_finish(&result.latencies_ms[c]);
 		}
 		printf("| %lld", (long long)cutoffs[i]);
 		samples_print(&p99, "%.0f");
@@ -60,7 +60,7 @@
 	static const double limits[] = {7, 9, 12, 14, 16};
 
 	printf("\nGmunden, a version bad at 20 %%, and good roll-outs:\n\n"
-	       "| guard-limit | bad answers served | false stops %% |\n"
+	       "| guard-limit | bad responses served | false stops %% |\n"
 	       "| --- | --- | --- |\n");
 	for (size_t i = 0; i < sizeof(limits) / sizeof(*limits); i++) {
 		samples_t bad = {0};
