--- a/bench/main.c
+++ b/bench/main.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * bench-experiment [NAME]...: runs experiments and prints their tables.
+ * bench-experiment [NAME]...: runs the named experiments, by default all, and
+ * prints their tables.
  */
 #include <sodium.h>
 #include <stdio.h>
@@ -25,7 +26,7 @@
 };
 
 static bool
-wanted(const char *name, int argc, char **argv)
+is_selected(const char *name, int argc, char **argv)
 {
 	for (int i = 1; i < argc; i++) {
 		if (strcmp(argv[i], name) == 0)
@@ -41,7 +42,7 @@
 		return 1;
 	for (size_t i = 0; i < sizeof(experiments) / sizeof(*experiments);
 	     i++) {
-		if (!wanted(experiments[i].name, argc, argv))
+		if (!is_selected(experiments[i].name, argc, argv))
 			continue;
 		printf("\n### %s (%d seeds)\n\n", experiments[i].name,
 		    EXPERIMENT_SEEDS);
--- a/bench/plots.sh
+++ b/bench/plots.sh
@@ -1,12 +1,14 @@
 #!/bin/sh
-# Draws docs/plots/*.svg from the experiments' tables: bench/plots.sh BUILD
+# Plots the tables of the experiments into docs/plots/*.svg:
+#   bench/plots.sh BUILD
 set -eu
 experiment=$1/bench/bench-experiment
 out=$(dirname "$0")/../docs/plots
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# The table's rows as: first column, second column, mean of column N.
+# Prints each row of the table as first column, second column and mean of awk
+# field N, separated by tabs.
 column() {
 	sed 's/±[0-9.]*//g' "$work/table" | awk -F ' *[|] *' -v n="$1" \
 		'NR > 2 && NF > n {print $2 "\t" $3 "\t" $n}'
@@ -16,7 +18,8 @@
 	"$experiment" "$1" | grep '^|' >"$work/table"
 }
 
-# Groups of bars: bars NAME TITLE YLABEL [EXTRA GNUPLOT]
+# Plots tab-separated rows as groups of bars:
+#   bars NAME TITLE YLABEL [GNUPLOT COMMANDS]
 bars() {
 	awk -F '\t' '{
 		if (!($1 in row)) {row[$1] = ++rows; name[rows] = $1}
@@ -52,7 +55,7 @@
 }
 
 table exposure
-column 4 | bars exposure "Bad answers served in a roll-out" "answers" \
+column 4 | bars exposure "Bad responses served in a roll-out" "responses" \
 	"set logscale y"
 table balance
 column 5 | bars balance "First token, 99th percentile" "ms" "set logscale y"
--- a/bench/retry.c
+++ b/bench/retry.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Retries: a pool that is out for twenty seconds, with a capacity not far above
- * the load, under naive retries and under a budget.
+ * Retries: a pool with little more capacity than the load is unavailable for
+ * twenty seconds, with naive retries and with a retry budget.
  */
 #include <gsl/gsl_randist.h>
 #include <stdio.h>
@@ -10,23 +10,23 @@
 #include "experiment.h"
 #include "moortack/limit/retry_budget.h"
 
-#define RATE 1.0     /* requests a millisecond */
-#define CAPACITY 1.2 /* the same */
-#define OUT_FROM_MS 20000.0
-#define OUT_TO_MS 40000.0
+#define ARRIVALS_PER_MS 1.0 /* requests */
+#define SERVICES_PER_MS 1.2 /* capacity, in requests */
+#define OUTAGE_START_MS 20000.0
+#define OUTAGE_END_MS 40000.0
 #define RUN_MS 180000.0
 #define TIMEOUT_MS 1000.0
 #define WINDOW_MS 1000.0
-#define TRIES_MAX 4
+#define ATTEMPTS_MAX 4
 #define QUEUE_MAX 20000
 
-enum { ARRIVE, SERVE, TIMEOUT, WINDOW };
+enum { EVENT_ARRIVAL, EVENT_SERVED, EVENT_TIMEOUT, EVENT_WINDOW_END };
 
 typedef struct policy {
 	const char *name;
-	int tries;	 /**< at most, for one request */
-	int64_t percent; /**< budget; -1: none */
-	bool drop_late;	 /**< work past its deadline is dropped unserved */
+	int attempts_max;	/**< at most, for one request */
+	int64_t budget_percent; /**< -1: no budget */
+	bool drops_expired;	/**< drops queued attempts past their timeout */
 } policy_t;
 
 static const policy_t policies[] = {
@@ -37,9 +37,9 @@
 };
 
 typedef struct attempt {
-	double begun_ms; /**< of the attempt */
-	int tries;	 /**< made before it */
-	bool answered;
+	double sent_ms;
+	int attempts_before; /**< of the same request */
+	bool responded;
 } attempt_t;
 
 typedef struct sim {
@@ -52,110 +52,118 @@
 	int queue[QUEUE_MAX];
 	int head, tail;
 	bool serving;
-	double sent_out, asked_out; /**< in the outage */
-	double window_asked, window_good;
+	double outage_attempts, outage_requests; /**< made in the outage */
+	double window_requests, window_in_time;
 	double recovered_ms;
-	double good;
-	double asked;
+	double in_time;
+	double requests;
 } sim_t;
 
 static bool
-out_now(const sim_t *sim)
+outage_is_on(const sim_t *sim)
 {
-	return sim->des.now_ms >= OUT_FROM_MS && sim->des.now_ms < OUT_TO_MS;
+	return sim->des.now_ms >= OUTAGE_START_MS &&
+	    sim->des.now_ms < OUTAGE_END_MS;
 }
 
 static void
 serve_next(sim_t *sim)
 {
-	if (sim->serving || sim->head == sim->tail || out_now(sim))
+	if (sim->serving || sim->head == sim->tail || outage_is_on(sim))
 		return;
 	sim->serving = true;
-	des_schedule(&sim->des, gsl_ran_exponential(sim->rng.gsl, 1 / CAPACITY),
-	    (des_event_t){
-		.kind = SERVE, .index = sim->queue[sim->head++ % QUEUE_MAX]});
+	des_schedule(&sim->des,
+	    gsl_ran_exponential(sim->rng.gsl, 1 / SERVICES_PER_MS),
+	    (des_event_t){.kind = EVENT_SERVED,
+		.index = sim->queue[sim->head++ % QUEUE_MAX]});
 }
 
 static void
-attempt_send(sim_t *sim, int tries)
+attempt_send(sim_t *sim, int attempts_before)
 {
 	int a = sim->attempt_count;
 
 	if (a == sim->attempt_max)
 		return;
 	sim->attempt_count++;
-	sim->attempts[a] =
-	    (attempt_t){.begun_ms = sim->des.now_ms, .tries = tries};
-	if (out_now(sim))
-		sim->sent_out++;
-	des_schedule(
-	    &sim->des, TIMEOUT_MS, (des_event_t){.kind = TIMEOUT, .index = a});
+	sim->attempts[a] = (attempt_t){
+	    .sent_ms = sim->des.now_ms, .attempts_before = attempts_before};
+	if (outage_is_on(sim))
+		sim->outage_attempts++;
+	des_schedule(&sim->des, TIMEOUT_MS,
+	    (des_event_t){.kind = EVENT_TIMEOUT, .index = a});
 	if (sim->tail - sim->head < QUEUE_MAX)
 		sim->queue[sim->tail++ % QUEUE_MAX] = a;
 	serve_next(sim);
 }
 
 static void
-arrive(sim_t *sim)
+on_arrival(sim_t *sim)
 {
-	des_schedule(&sim->des, gsl_ran_exponential(sim->rng.gsl, 1 / RATE),
-	    (des_event_t){.kind = ARRIVE});
-	sim->asked++;
-	sim->window_asked++;
-	sim->asked_out += out_now(sim);
+	des_schedule(&sim->des,
+	    gsl_ran_exponential(sim->rng.gsl, 1 / ARRIVALS_PER_MS),
+	    (des_event_t){.kind = EVENT_ARRIVAL});
+	sim->requests++;
+	sim->window_requests++;
+	sim->outage_requests += outage_is_on(sim);
 	retry_budget_add_request(&sim->budget);
 	attempt_send(sim, 0);
 }
 
 static void
-served(sim_t *sim, int a)
+on_served(sim_t *sim, int a)
 {
 	attempt_t *attempt = &sim->attempts[a];
-	bool late = sim->des.now_ms - attempt->begun_ms > TIMEOUT_MS;
+	bool late = sim->des.now_ms - attempt->sent_ms > TIMEOUT_MS;
 
 	sim->serving = false;
 	if (!late) {
-		attempt->answered = true;
-		sim->good++;
-		sim->window_good++;
+		attempt->responded = true;
+		sim->in_time++;
+		sim->window_in_time++;
 	}
-	/* Expired work costs a comparison in place of a service. */
-	while (sim->policy->drop_late && sim->head != sim->tail &&
+	/* Dropping an expired attempt costs a comparison instead of a service.
+	 */
+	while (sim->policy->drops_expired && sim->head != sim->tail &&
 	    sim->des.now_ms -
-		    sim->attempts[sim->queue[sim->head % QUEUE_MAX]].begun_ms >
+		    sim->attempts[sim->queue[sim->head % QUEUE_MAX]].sent_ms >
 		TIMEOUT_MS)
 		sim->head++;
 	serve_next(sim);
 }
 
 static void
-timed_out(sim_t *sim, int a)
+on_timeout(sim_t *sim, int a)
 {
 	const attempt_t *attempt = &sim->attempts[a];
 
-	if (attempt->answered || attempt->tries + 1 >= sim->policy->tries)
+	if (attempt->responded ||
+	    attempt->attempts_before + 1 >= sim->policy->attempts_max)
 		return;
-	if (sim->policy->percent >= 0 && !retry_budget_acquire(&sim->budget))
+	if (sim->policy->budget_percent >= 0 &&
+	    !retry_budget_acquire(&sim->budget))
 		return;
-	attempt_send(sim, attempt->tries + 1);
+	attempt_send(sim, attempt->attempts_before + 1);
 }
 
 static void
-window_end(sim_t *sim)
+on_window_end(sim_t *sim)
 {
-	bool fine = sim->window_good >= 0.97 * sim->window_asked;
+	bool is_recovered = sim->window_in_time >= 0.97 * sim->window_requests;
 
-	if (sim->des.now_ms > OUT_TO_MS && fine && sim->recovered_ms < 0)
-		sim->recovered_ms = sim->des.now_ms - OUT_TO_MS;
-	sim->window_asked = 0;
-	sim->window_good = 0;
+	if (sim->des.now_ms > OUTAGE_END_MS && is_recovered &&
+	    sim->recovered_ms < 0)
+		sim->recovered_ms = sim->des.now_ms - OUTAGE_END_MS;
+	sim->window_requests = 0;
+	sim->window_in_time = 0;
 	serve_next(sim);
-	des_schedule(&sim->des, WINDOW_MS, (des_event_t){.kind = WINDOW});
+	des_schedule(
+	    &sim->des, WINDOW_MS, (des_event_t){.kind = EVENT_WINDOW_END});
 }
 
 static void
-run_one(const policy_t *policy, uint64_t seed, samples_t *amplification,
-    samples_t *recovery, samples_t *good)
+simulation_run(const policy_t *policy, uint64_t seed, samples_t *amplification,
+    samples_t *recovery, samples_t *in_time)
 {
 	static attempt_t attempts[1 << 20];
 	static sim_t sim;
@@ -166,32 +174,33 @@
 	sim.attempts = attempts;
 	sim.attempt_max = 1 << 20;
 	sim.recovered_ms = -1;
-	retry_budget_init(&sim.budget, policy->percent);
+	retry_budget_init(&sim.budget, policy->budget_percent);
 	des_init(&sim.des);
 	bench_rng_init(&sim.rng, seed);
-	des_schedule(&sim.des, 0, (des_event_t){.kind = ARRIVE});
-	des_schedule(&sim.des, WINDOW_MS, (des_event_t){.kind = WINDOW});
+	des_schedule(&sim.des, 0, (des_event_t){.kind = EVENT_ARRIVAL});
+	des_schedule(
+	    &sim.des, WINDOW_MS, (des_event_t){.kind = EVENT_WINDOW_END});
 	while (des_next(&sim.des, &event) && event.at_ms < RUN_MS) {
 		switch (event.kind) {
-		case ARRIVE:
-			arrive(&sim);
+		case EVENT_ARRIVAL:
+			on_arrival(&sim);
 			break;
-		case SERVE:
-			served(&sim, event.index);
+		case EVENT_SERVED:
+			on_served(&sim, event.index);
 			break;
-		case TIMEOUT:
-			timed_out(&sim, event.index);
+		case EVENT_TIMEOUT:
+			on_timeout(&sim, event.index);
 			break;
-		case WINDOW:
-			window_end(&sim);
+		case EVENT_WINDOW_END:
+			on_window_end(&sim);
 			break;
 		}
 	}
-	samples_add(amplification, sim.sent_out / sim.asked_out);
+	samples_add(amplification, sim.outage_attempts / sim.outage_requests);
 	samples_add(recovery,
-	    sim.recovered_ms < 0 ? (RUN_MS - OUT_TO_MS) / 1000
+	    sim.recovered_ms < 0 ? (RUN_MS - OUTAGE_END_MS) / 1000
 				 : sim.recovered_ms / 1000);
-	samples_add(good, 100 * sim.good / sim.asked);
+	samples_add(in_time, 100 * sim.in_time / sim.requests);
 	bench_rng_finish(&sim.rng);
 	des_finish(&sim.des);
 }
@@ -199,23 +208,24 @@
 void
 experiment_retry(void)
 {
-	printf("1,000 requests a second, a pool of 1,200, out from 20 s to 40 "
-	       "s, timeout 1 s, run of 180 s (140 s: never recovered).\n\n"
+	printf("1,000 requests a second, a pool of 1,200, unavailable from "
+	       "20 s to 40 s, timeout 1 s, run of 180 s (140 s: never "
+	       "recovered).\n\n"
 	       "| policy | attempts a request in the outage | recovery s | "
-	       "answered in time %% |\n| --- | --- | --- | --- |\n");
+	       "completed in time %% |\n| --- | --- | --- | --- |\n");
 	for (size_t p = 0; p < sizeof(policies) / sizeof(*policies); p++) {
-		samples_t amplification = {0}, recovery = {0}, good = {0};
+		samples_t amplification = {0}, recovery = {0}, in_time = {0};
 
 		for (uint64_t s = 1; s <= EXPERIMENT_SEEDS; s++)
-			run_one(
-			    &policies[p], s, &amplification, &recovery, &good);
+			simulation_run(&policies[p], s, &amplification,
+			    &recovery, &in_time);
 		printf("| %s", policies[p].name);
 		samples_print(&amplification, "%.2f");
 		samples_print(&recovery, "%.0f");
-		samples_print(&good, "%.1f");
+		samples_print(&in_time, "%.1f");
 		printf(" |\n");
 		samples_finish(&amplification);
 		samples_finish(&recovery);
-		samples_finish(&good);
+		samples_finish(&in_time);
 	}
 }
