--- a/bench/load_text.h
+++ b/bench/load_text.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Reading a streamed answer as a caller would.
+ * Extracts the text of a streamed response.
  */
 #ifndef BENCH_LOAD_TEXT_H
 #define BENCH_LOAD_TEXT_H
@@ -8,10 +8,11 @@
 #include <stdbool.h>
 
 /**
- * The text of a stream.
- * @param body is taken apart @param out room for as much
- * @param failure set when the stream holds an error
- * @return false without an end mark
+ * Concatenates the content of a stream's events.
+ * @param body is modified
+ * @param out must have room for as many bytes as @p body
+ * @param failure set if the stream contains an error event
+ * @return false if the stream has no end mark
  */
 bool stream_text_extract(char *body, char *out, const char **failure);
 
