--- a/bench/balance.c
+++ b/bench/balance.c
@@ -25,7 +25,7 @@
 #define PREFILL_HIT_MS 8.0
 #define NETWORK_MS 1.5
 #define SESSIONS 600
-#define CACHED_PREFIXES 24 /* by an engine */
+#define CACHED_PREFIXES 24 /* per engine */
 #define RETRY_MS 10.0
 #define GIVE_UP_MS 5000.0
 
@@ -48,7 +48,7 @@
 static const struct {
 	const char *name;
 	fault_t fault;
-	double load; /**< of all slots */
+	double load; /**< offered, relative to all slots */
 } cases[] = {
     {"no fault, 70 % load", FAULT_NONE, 0.7},
     {"one engine four times as slow", FAULT_SLOW, 0.7},
@@ -69,8 +69,8 @@
 	int running;
 	int queue[8192]; /**< ring buffer of request indices */
 	int head, tail;
-	int cache[CACHED_PREFIXES]; /**< ring buffer of session index + 1; 0:
-				       none */
+	/** Ring buffer of session index + 1 whose prefix is cached; 0: none. */
+	int cache[CACHED_PREFIXES];
 	int cache_inserts;
 	int load[LOAD_HISTORY]; /**< at the last reports, newest first */
 	double busy_ms;
--- a/bench/capacity.lua
+++ b/bench/capacity.lua
@@ -1,4 +1,5 @@
--- Slopes for docs/CAPACITY.md, with the default settings of a daemon:
+-- Growth of a daemon's resource use for docs/CAPACITY.md, with the default
+-- settings:
 --   runner BUILD bench/capacity.lua daemons 3 9 18 36
 --   runner BUILD bench/capacity.lua endpoints 10 50 100 200
 --   runner BUILD bench/capacity.lua organisations 10 100 1000
@@ -27,38 +28,39 @@
   return total
 end
 
--- Processor time, memory and traffic of one daemon that only does control.
-local function control(c, label)
-  local d = c.daemons[2] or c.daemons[1]
+-- Processor time, memory and traffic of one daemon that serves no requests.
+local function control_measure(cluster, label)
+  local daemon = cluster.daemons[2] or cluster.daemons[1]
   local function snapshot()
-    local cpu, resident = lib.usage(d)
-    return {cpu = cpu, resident = resident, http = http_bytes(d),
-      peer = c:counter(d, "peer_bytes_sent"),
-      sent = c:counter(d, "peer_sent"), store = c:counter(d, "store_calls")}
+    local cpu, resident = lib.usage(daemon)
+    return {cpu = cpu, resident = resident, http = http_bytes(daemon),
+      peer = cluster:counter(daemon, "peer_bytes_sent"),
+      sent = cluster:counter(daemon, "peer_sent"),
+      store = cluster:counter(daemon, "store_calls")}
   end
-  local a = snapshot()
+  local before = snapshot()
   run.sleep(WINDOW * 1000)
-  local b = snapshot()
+  local after = snapshot()
   lib.say("%s: cpu %.2f %% of a core, RSS %.1f MB, peers %.1f messages/s " ..
     "%.0f B/s sent, HTTP %.0f B/s both ways, store %.1f calls/s", label,
-    (b.cpu - a.cpu) / WINDOW / 10, b.resident / 1024,
-    (b.sent - a.sent) / WINDOW, (b.peer - a.peer) / WINDOW,
-    (b.http - a.http) / WINDOW, (b.store - a.store) / WINDOW)
+    (after.cpu - before.cpu) / WINDOW / 10, after.resident / 1024,
+    (after.sent - before.sent) / WINDOW, (after.peer - before.peer) / WINDOW,
+    (after.http - before.http) / WINDOW, (after.store - before.store) / WINDOW)
 end
 
--- From the confirmation until the last daemon holds it.
-local function spread(c)
+-- Time from the confirmation of a change until it is in force at every daemon.
+local function change_spread_measure(cluster)
   local times = {}
   for i = 1, 5 do
-    local plan = c:plan({{set = "place", name = "p" .. i,
+    local plan = cluster:plan({{set = "place", name = "p" .. i,
       value = {region = "r"}}})
     local started = run.now()
-    local answer = c:confirm(plan)
-    lib.equal(answer.status, 200, "confirm")
+    local response = cluster:confirm(plan)
+    lib.equal(response.status, 200, "confirm")
     lib.wait_until("the change in force everywhere", function()
-      local status = c:status()
+      local status = cluster:status()
       return status.in_force == status.members and
-        status.held >= answer.json.revision
+        status.held >= response.json.revision
     end, 60000)
     times[i] = run.now() - started
   end
@@ -67,17 +69,17 @@
     times[3], times[5])
 end
 
-local function by_daemons(count)
-  local c = lib.standard({places = places(count), settings = DEFAULTS})
-  control(c, count .. " daemons")
-  spread(c)
-  for _, d in pairs(c.daemons) do d:signal("KILL") end
+local function daemons_measure(count)
+  local cluster = lib.standard({places = places(count), settings = DEFAULTS})
+  control_measure(cluster, count .. " daemons")
+  change_spread_measure(cluster)
+  for _, daemon in pairs(cluster.daemons) do daemon:signal("KILL") end
 end
 
-local function by_endpoints(count)
-  local c = lib.standard({places = places(3), settings = DEFAULTS})
-  -- One engine answers at every address of its network.
-  local all = lib.spawn("standin-engine", {"--listen", "0.0.0.0:8100"}, {},
+local function endpoints_measure(count)
+  local cluster = lib.standard({places = places(3), settings = DEFAULTS})
+  -- One engine listens on every address of the network.
+  local engine = lib.spawn("standin-engine", {"--listen", "0.0.0.0:8100"}, {},
     "many.log")
   run.sleep(300)
   lib.http("POST", network .. "200:8100", "/orders",
@@ -87,30 +89,30 @@
     vms[i] = {address = network .. (1 + i) .. ":8100", kind = "engine",
       place = "vantaa-hall", state = "live"}
   end
-  lib.http("PUT", c.vmlist.address, "/vms", {body = {vms = vms}})
+  lib.http("PUT", cluster.vmlist.address, "/vms", {body = {vms = vms}})
   run.sleep(3000)
-  control(c, count .. " endpoints")
-  all:signal("KILL")
-  for _, d in pairs(c.daemons) do d:signal("KILL") end
+  control_measure(cluster, count .. " endpoints")
+  engine:signal("KILL")
+  for _, daemon in pairs(cluster.daemons) do daemon:signal("KILL") end
 end
 
-local function by_organisations(count)
-  local c = lib.standard({places = places(3), settings = DEFAULTS})
+local function organisations_measure(count)
+  local cluster = lib.standard({places = places(3), settings = DEFAULTS})
   local changes = {}
   for i = 1, count do
     changes[#changes + 1] = {set = "organisation", name = "o" .. i, value = {
       class = "high", places = {"vantaa-hall"}, allow = {"linen-lm@*"},
       keys = {lib.OPERATOR_HASH:sub(1, 56) .. string.format("%08d", i)}}}
     if #changes == 1000 or i == count then
-      c:change(changes)
+      cluster:change(changes)
       changes = {}
     end
   end
-  control(c, count .. " organisations")
-  spread(c)
-  for _, d in pairs(c.daemons) do d:signal("KILL") end
+  control_measure(cluster, count .. " organisations")
+  change_spread_measure(cluster)
+  for _, daemon in pairs(cluster.daemons) do daemon:signal("KILL") end
 end
 
-local by = {daemons = by_daemons, endpoints = by_endpoints,
-  organisations = by_organisations}
-for i = 2, #arguments do by[arguments[1]](tonumber(arguments[i])) end
+local measurements = {daemons = daemons_measure, endpoints = endpoints_measure,
+  organisations = organisations_measure}
+for i = 2, #arguments do measurements[arguments[1]](tonumber(arguments[i])) end
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -66,7 +66,7 @@
 
 /** A seeded GSL generator behind the library's rng_t. */
 typedef struct bench_rng {
-	rng_t rng; /**< must stay first */
+	rng_t rng; /**< must be first: it is cast to this type */
 	gsl_rng *gsl;
 } bench_rng_t;
 
--- a/bench/memory.lua
+++ b/bench/memory.lua
@@ -1,49 +1,49 @@
--- Memory of one daemon by what it holds: bills that wait, tickets it witnesses,
--- streams under way.
+-- Memory of one daemon for each of what it holds: unflushed bills, used tickets
+-- that it witnesses, streams in flight.
 package.path = script_dir .. "/../test/scenario/?.lua;" .. package.path
 local lib = require("lib")
-local c = lib.standard({settings = {["bills-max"] = 100000,
+local cluster = lib.standard({settings = {["bills-max"] = 100000,
   ["exchanges-max"] = 5000, ["cutoff-ms"] = 60000, ["waiting-max"] = 5000},
   engines = {{place = "vantaa-hall", versions = {"linen-lm@1"},
     faults = {slots = 5000, token_ms = 1}}}})
-local d = c.daemons[1]
+local daemon = cluster.daemons[1]
 
 local function resident()
-  local _, kib = lib.usage(d)
+  local _, kib = lib.usage(daemon)
   return kib
 end
 local function load(options)
-  return lib.finish_load(lib.load(d.address, options))
+  return lib.finish_load(lib.load(daemon.address, options))
 end
 
 load({key = "fachschule-key", rate = 300, seconds = 2, tickets = 1, seed = 9,
   service = "buchungsdienst/book"})
 run.sleep(1500)
 local before = resident()
-local booked = load({key = "fachschule-key", rate = 400, seconds = 12,
+local ticketed = load({key = "fachschule-key", rate = 400, seconds = 12,
   tickets = 1, seed = 3, service = "buchungsdienst/book"})
-lib.say("tickets: %d used, %d KiB more: %.0f bytes each", booked.whole,
-  resident() - before, (resident() - before) * 1024 / booked.whole)
+lib.say("tickets: %d used, %d KiB more: %.0f bytes each", ticketed.whole,
+  resident() - before, (resident() - before) * 1024 / ticketed.whole)
 
-lib.fault(c.store.address, {down = true})
+lib.fault(cluster.store.address, {down = true})
 before = resident()
 local bills = load({key = "pyykki-dock-key", rate = 400, seconds = 12,
   tokens = 2, seed = 2})
-lib.say("bills: %d waiting, %d KiB more: %.0f bytes each at their owner",
+lib.say("bills: %d unflushed, %d KiB more: %.0f bytes each at their owner",
   bills.whole, resident() - before, (resident() - before) * 1024 / bills.whole)
-lib.fault(c.store.address, {down = false})
+lib.fault(cluster.store.address, {down = false})
 lib.wait_until("the bills are flushed", function()
-  return tonumber(lib.http("GET", d.address, "/metrics").body:match(
+  return tonumber(lib.http("GET", daemon.address, "/metrics").body:match(
     "moortack_bills_unflushed (%d+)")) == 0
 end, 60000)
 
 before = resident()
-lib.fault(c.engines[1].address, {token_ms = 100})
-local streams = lib.load(d.address, {key = "pyykki-dock-key", rate = 200,
+lib.fault(cluster.engines[1].address, {token_ms = 100})
+local streams = lib.load(daemon.address, {key = "pyykki-dock-key", rate = 200,
   seconds = 10, tokens = 150, seed = 4})
 run.sleep(9500)
-local busy = tonumber(lib.http("GET", d.address, "/metrics").body:match(
+local in_flight = tonumber(lib.http("GET", daemon.address, "/metrics").body:match(
   "moortack_exchanges (%d+)"))
-lib.say("streams: %d under way, %d KiB more: %.0f bytes each", busy,
-  resident() - before, (resident() - before) * 1024 / busy)
+lib.say("streams: %d in flight, %d KiB more: %.0f bytes each", in_flight,
+  resident() - before, (resident() - before) * 1024 / in_flight)
 lib.finish_load(streams)
--- a/soak/soak.lua
+++ b/soak/soak.lua
@@ -1,7 +1,9 @@
--- Random faults under traffic, then quiet, then the books: what may run once ran
--- at most once, "not run" was true, streams that ended are whole, and everything
--- is served again. The seed decides the faults, whom they hit, their order and how
--- long each lasts, but not what the traffic is doing meanwhile.
+-- Random faults under traffic, then a time without faults, then checks on all
+-- completed calls: requests that may run once ran at most once, those refused as
+-- not run did not run, streams that ended with status 200 are complete, and every
+-- path is served again. The seed decides the faults, which daemons and replicas
+-- they affect, their order and their duration, but not what the traffic does
+-- meanwhile.
 --
 --   runner BUILD soak/soak.lua, with SOAK_SEED and SOAK_SECONDS
 package.path = script_dir .. "/../test/platform/?.lua;" .. package.path
@@ -13,125 +15,126 @@
 local seconds = tonumber(os.getenv("SOAK_SECONDS") or "30")
 math.randomseed(seed)
 
-local DAEMONS, REPLICAS, AT_ONCE = 4, 4, 6
-local FAULT_MS = {200, 900} -- from one fault to the next
-local UNDER_WAY = 2 -- faults that may be, when the next one comes
-local w = words.world(REPLICAS, 0)
-for i = 1, REPLICAS do w:link(i) end
-for i = 1, DAEMONS do w:store_link(i) end
-for i = 1, DAEMONS do w:daemon(i) end
-for i = 1, DAEMONS do words.wait_ready(w.daemons[i]) end
-local running = {} -- calls under way
-local books = {} -- ended ones
-local stopped = {} -- daemons that stand still, or are gone for now
-local off_since = {} -- daemons that are off, and since when
-local disturbed = {} -- when each daemon was last disturbed
+local DAEMONS, REPLICAS, CALLS_MAX = 4, 4, 6
+local FAULT_INTERVAL_MS = {200, 900} -- bounds of the time between faults
+local ACTIVE_FAULTS_MAX = 2 -- when the next one starts
+local world = words.world(REPLICAS, 0)
+for i = 1, REPLICAS do world:link(i) end
+for i = 1, DAEMONS do world:store_link(i) end
+for i = 1, DAEMONS do world:daemon(i) end
+for i = 1, DAEMONS do words.wait_ready(world.daemons[i]) end
+local calls = {} -- in flight
+local completed = {} -- calls that completed
+local stopped = {} -- daemons that are frozen, down or terminating
+local down_since = {} -- by daemon that was killed: since when
+local disturbed = {} -- by daemon: when a fault last affected it
 local store_disturbed = run.now()
 for i = 1, DAEMONS do disturbed[i] = run.now() end
 
-local function any(list)
+local function pick(list)
   return list[math.random(#list)]
 end
 
--- Faults, each with its end. ------------------------------------------------
+-- Faults. Each returns a function that ends it, if it has to be ended. --------
 
-local leaving = {} -- replicas that are
-local lost -- the daemon that is off for long
-local step -- lets traffic go on for a moment
-local kept = {} -- by daemon: socket, when a request was sent, text of the answer
+local leaving = {} -- by replica: whether it is draining
+local long_down -- the daemon that is down for longer than LISTED_MS
+local step -- runs the traffic for a few milliseconds
+local connections = {} -- by daemon: socket, when a request was sent, text received
 
-local function kept_drop(i)
-  if kept[i] then run.hang_up(kept[i].socket) end
-  kept[i] = nil
+local function connection_close(i)
+  if connections[i] then run.hang_up(connections[i].socket) end
+  connections[i] = nil
 end
 
 local function replica_fault(i, faults)
-  w:faults(i, faults)
-  return function() w:faults(i, {}) end
+  world:faults(i, faults)
+  return function() world:faults(i, {}) end
 end
 
-local function store_fault(faults, back)
-  lib.fault(w.store.address, faults)
+local function store_fault(faults, restore)
+  lib.fault(world.store.address, faults)
   store_disturbed = run.now()
   return function()
     store_disturbed = run.now()
-    lib.fault(w.store.address, back)
+    lib.fault(world.store.address, restore)
   end
 end
 
 -- The link between one daemon and the store.
-local function link_fault(i, faults, back)
-  w:store_fault(i, faults)
+local function link_fault(i, faults, restore)
+  world:store_fault(i, faults)
   disturbed[i] = run.now()
-  return back and function()
+  return restore and function()
     disturbed[i] = run.now()
-    w:store_fault(i, back)
+    world:store_fault(i, restore)
   end
 end
 
-local function daemon_off(i)
+local function daemon_kill(i)
   stopped[i] = true
-  off_since[i] = run.now()
-  kept_drop(i)
-  w.daemons[i]:kill()
+  down_since[i] = run.now()
+  connection_close(i)
+  world.daemons[i]:kill()
 end
 
-local function daemon_on(i)
+local function daemon_start(i)
   stopped[i] = nil
-  off_since[i] = nil
+  down_since[i] = nil
   disturbed[i] = run.now()
-  kept_drop(i)
-  w:daemon(i)
+  connection_close(i)
+  world:daemon(i)
 end
 
--- Replicas write to the store: an outage ends before one does.
+-- Replicas write to the store, so an outage is ended before they do.
 local outage = false
 
 local function outage_end()
-  if outage then lib.fault(w.store.address, {down = false}) end
+  if outage then lib.fault(world.store.address, {down = false}) end
   if outage then store_disturbed = run.now() end
   outage = false
 end
 
-local kinds = {
+local fault_kinds = {
   kill = function(fault)
     local i = fault.daemon
     if stopped[i] then return end
-    daemon_off(i)
-    return function() daemon_on(i) end
+    daemon_kill(i)
+    return function() daemon_start(i) end
   end,
-  -- Off for longer than others may name it, while other faults go on.
+  -- Down for longer than other daemons may list it, while other faults occur.
   lose = function(fault)
     local i = fault.daemon
-    if stopped[i] or lost then return end
-    lost = i
-    daemon_off(i)
+    if stopped[i] or long_down then return end
+    long_down = i
+    daemon_kill(i)
   end,
-  -- A process that does not run its program yet can't take the signal.
+  -- SIGHUP ends a process that has not executed its program yet, so the daemon must
+  -- be listening.
   reload = function(fault)
     local i = fault.daemon
-    if not stopped[i] and words.listens(w.daemons[i]) then
-      w.daemons[i]:signal("HUP")
+    if not stopped[i] and words.listens(world.daemons[i]) then
+      world.daemons[i]:signal("HUP")
     end
   end,
   terminate = function(fault)
     local i = fault.daemon
     if stopped[i] then return end
-    local old = w.daemons[i]
-    old:signal("TERM")
+    local terminated = world.daemons[i]
+    terminated:signal("TERM")
     stopped[i] = true
     return function()
-      while not run.reap(old.pid) do step() end
-      daemon_on(i)
+      while not run.reap(terminated.pid) do step() end
+      daemon_start(i)
     end
   end,
   freeze = function(fault)
     local i = fault.daemon
     if stopped[i] then return end
     stopped[i] = true
-    w.daemons[i]:stop()
+    world.daemons[i]:stop()
     return function()
-      w.daemons[i]:continue()
+      world.daemons[i]:continue()
       disturbed[i] = run.now()
       stopped[i] = nil
     end
@@ -139,7 +142,7 @@
   store_down = function()
     outage = true
     store_disturbed = run.now()
-    lib.fault(w.store.address, {down = true})
+    lib.fault(world.store.address, {down = true})
     return outage_end
   end,
   store_slow = function()
@@ -148,17 +151,17 @@
   store_forgets = function()
     return store_fault({forget = true}, {forget = false})
   end,
-  -- It comes back from a copy that is as old as the fault lasts, and the replicas
-  -- write again.
+  -- The store is restored from a copy that was made when the fault started, and the
+  -- replicas write their rows again.
   store_restored = function()
     outage_end()
-    lib.fault(w.store.address, {save = true})
+    lib.fault(world.store.address, {save = true})
     return function()
       outage_end()
       store_disturbed = run.now()
-      lib.fault(w.store.address, {restore = true})
+      lib.fault(world.store.address, {restore = true})
       for i = 1, REPLICAS do
-        w:replica(i, "v1", leaving[i] and "draining" or nil)
+        world:replica(i, "v1", leaving[i] and "draining" or nil)
       end
     end
   end,
@@ -182,146 +185,149 @@
   end,
   shed = function(fault) return replica_fault(fault.replica, {shed = true}) end,
   fail = function(fault) return replica_fault(fault.replica, {fail = true}) end,
-  silent = function(fault) w:silence(fault.replica) end,
+  silent = function(fault) world:silence(fault.replica) end,
   stray = function(fault) return replica_fault(fault.replica, {stray = true}) end,
   leave = function(fault)
     local i = fault.replica
     outage_end()
     leaving[i] = true
-    w:replica(i, "v1", "draining")
+    world:replica(i, "v1", "draining")
     return function()
       outage_end()
       leaving[i] = nil
-      w:replica(i, "v1")
+      world:replica(i, "v1")
     end
   end,
 }
-local names = {}
-for name in pairs(kinds) do names[#names + 1] = name end
-table.sort(names)
+local fault_names = {}
+for name in pairs(fault_kinds) do fault_names[#fault_names + 1] = name end
+table.sort(fault_names)
 
--- One fault of the plan; so many of those under way end after it.
-local function fault_drawn()
+-- Draws one fault of the plan; `ending` active faults end after it.
+local function fault_draw()
   local ending = 0
   while math.random() < 0.5 do ending = ending + 1 end
-  return {name = any(names), daemon = math.random(DAEMONS),
+  return {name = pick(fault_names), daemon = math.random(DAEMONS),
     replica = math.random(REPLICAS), events = math.random(15),
-    pause_ms = math.random(FAULT_MS[1], FAULT_MS[2]), ending = ending}
+    pause_ms = math.random(FAULT_INTERVAL_MS[1], FAULT_INTERVAL_MS[2]),
+    ending = ending}
 end
 
 -- Traffic. --------------------------------------------------------------------
 
-local function call_begin()
+local function call_start()
   local i = math.random(DAEMONS)
   if stopped[i] then return end
-  local path = any({"/book/1", "/scan/1", "/stream/a"})
-  local call = words.begin(w.daemons[i], path)
+  local path = pick({"/book/1", "/scan/1", "/stream/a"})
+  local call = words.begin(world.daemons[i], path)
   call.path = path
-  running[#running + 1] = call
+  calls[#calls + 1] = call
 end
 
-local function calls_look()
-  for i = #running, 1, -1 do
-    local call = running[i]
-    local answer = call:look()
-    if answer.done then
-      books[#books + 1] = {id = call.id, path = call.path,
-        status = answer.status, body = answer.body}
+local function calls_poll()
+  for i = #calls, 1, -1 do
+    local call = calls[i]
+    local response = call:look()
+    if response.done then
+      completed[#completed + 1] = {id = call.id, path = call.path,
+        status = response.status, body = response.body}
       call:leave()
-      table.remove(running, i)
+      table.remove(calls, i)
     end
   end
 end
 
--- Callers use a connection until it is closed, also while its daemon leaves, and
--- whatever it has read on it is answered.
-local KEPT_PAUSE_MS, READ_MS, ANSWER_MS = 100, 300, 10000
-local kept_number = 0
+-- Callers reuse a connection until it is closed, also while its daemon shuts down.
+-- A daemon that has read a request from it must respond.
+local IDLE_MS, CLOSE_MS, RESPONSE_MS = 100, 300, 10000
+local request_number = 0
 
-local function kept_send(one)
-  kept_number = kept_number + 1
-  one.text = ""
-  one.sent = run.now()
-  run.write(one.socket, words.bare_request("/open/1", "kept" .. kept_number))
+local function connection_send(connection)
+  request_number = request_number + 1
+  connection.text = ""
+  connection.sent = run.now()
+  run.write(connection.socket,
+    words.bare_request("/open/1", "kept" .. request_number))
 end
 
-local function kept_read(i, one)
-  one.text = one.text .. run.read(one.socket)
-  local length = one.text:match("\r\nContent%-Length: (%d+)")
-  local body = one.text:match("\r\n\r\n(.*)")
+local function connection_receive(i, connection)
+  connection.text = connection.text .. run.read(connection.socket)
+  local length = connection.text:match("\r\nContent%-Length: (%d+)")
+  local body = connection.text:match("\r\n\r\n(.*)")
   if body and #body >= tonumber(length or 0) then
-    one.sent = nil
-    one.next = run.now() + KEPT_PAUSE_MS
-    if one.text:match("\r\nConnection: close") then kept_drop(i) end
+    connection.sent = nil
+    connection.next = run.now() + IDLE_MS
+    if connection.text:match("\r\nConnection: close") then connection_close(i) end
     return
   end
-  local waited = run.now() - one.sent
-  if run.ended(one.socket) then
-    lib.check(waited < READ_MS, "daemon %d closed on a request after %d ms",
-      i, waited)
-    kept_drop(i)
+  local waited = run.now() - connection.sent
+  if run.ended(connection.socket) then
+    lib.check(waited < CLOSE_MS,
+      "daemon %d closed the connection %d ms after a request", i, waited)
+    connection_close(i)
   else
-    lib.check(stopped[i] or waited < ANSWER_MS,
-      "daemon %d has not answered for %d ms", i, waited)
+    lib.check(stopped[i] or waited < RESPONSE_MS,
+      "daemon %d has not responded for %d ms", i, waited)
   end
 end
 
-local function kept_look()
+local function connections_poll()
   for i = 1, DAEMONS do
-    local one = kept[i]
-    if not one and not stopped[i] then
-      local good, socket = pcall(run.connect, w.daemons[i].callers)
-      if good then kept[i] = {socket = socket, next = run.now()} end
-    elseif one and one.sent then
-      kept_read(i, one)
-    elseif one and run.now() >= one.next then
-      kept_send(one)
+    local connection = connections[i]
+    if not connection and not stopped[i] then
+      local connected, socket = pcall(run.connect, world.daemons[i].callers)
+      if connected then connections[i] = {socket = socket, next = run.now()} end
+    elseif connection and connection.sent then
+      connection_receive(i, connection)
+    elseif connection and run.now() >= connection.next then
+      connection_send(connection)
     end
   end
 end
 
--- As the users have it: whoever is itself undisturbed, over a store that is, names
--- nobody that has been off for longer.
-local STABLE_MS, NAMED_MS = 3000, 6000
-local ASK_MS = 200
-local asked_at = 0
+-- The users' requirement: a daemon that no fault has affected for STABLE_MS, with a
+-- store likewise, does not list a daemon that has been down for LISTED_MS.
+local STABLE_MS, LISTED_MS = 3000, 6000
+local QUERY_INTERVAL_MS = 200
+local queried_at = 0
 
-local function off_named(daemon)
+local function listed_down_daemon(daemon)
   for _, address in ipairs(words.addresses(daemon)) do
-    for j, since in pairs(off_since) do
-      if w.daemons[j].callers == address and run.now() - since > NAMED_MS then
+    for j, since in pairs(down_since) do
+      if world.daemons[j].callers == address and run.now() - since > LISTED_MS then
         return j
       end
     end
   end
 end
 
-local function directory_look()
+local function directory_check()
   local now = run.now()
-  if now - asked_at < ASK_MS or outage or now - store_disturbed < STABLE_MS then
+  if now - queried_at < QUERY_INTERVAL_MS or outage or
+    now - store_disturbed < STABLE_MS then
     return
   end
-  asked_at = now
+  queried_at = now
   local i = math.random(DAEMONS)
   if stopped[i] or now - disturbed[i] < STABLE_MS then return end
-  local j = off_named(w.daemons[i])
-  lib.check(not j, "daemon %d names %d, which is off", i, j or 0)
+  local j = listed_down_daemon(world.daemons[i])
+  lib.check(not j, "daemon %d lists daemon %d, which is down", i, j or 0)
 end
 
--- Nobody ends but by what was done to it.
-local function ended_look()
+-- A daemon must not exit unless a fault ends it.
+local function exits_check()
   for i = 1, DAEMONS do
-    local status = not stopped[i] and run.reap(w.daemons[i].pid)
-    lib.check(not status, "daemon %d ended by itself: %s", i, status)
+    local status = not stopped[i] and run.reap(world.daemons[i].pid)
+    lib.check(not status, "daemon %d exited without a fault: %s", i, status)
   end
 end
 
 function step()
-  ended_look()
-  if #running < AT_ONCE then call_begin() end
-  calls_look()
-  directory_look()
-  kept_look()
+  exits_check()
+  if #calls < CALLS_MAX then call_start() end
+  calls_poll()
+  directory_check()
+  connections_poll()
   run.sleep(5)
 end
 
@@ -332,60 +338,61 @@
 
 -- The run. ----------------------------------------------------------------------
 
--- All is drawn before the traffic, which draws as often as time allows.
+-- The plan is drawn before the traffic starts, because the number of random numbers
+-- that the traffic draws depends on timing.
 local plan = {}
-for i = 1, seconds * 1000 // FAULT_MS[1] do plan[i] = fault_drawn() end
+for i = 1, seconds * 1000 // FAULT_INTERVAL_MS[1] do plan[i] = fault_draw() end
 local finish = run.now() + seconds * 1000
-local ends, counts = {}, {}
+local active_faults, counts = {}, {}
 for _, fault in ipairs(plan) do
   if run.now() >= finish then break end
-  local back = kinds[fault.name](fault)
+  local restore = fault_kinds[fault.name](fault)
   counts[fault.name] = (counts[fault.name] or 0) + 1
-  if back then ends[#ends + 1] = back end
+  if restore then active_faults[#active_faults + 1] = restore end
   traffic(fault.pause_ms)
-  for _ = 1, math.max(fault.ending, #ends - UNDER_WAY) do
-    if #ends > 0 then table.remove(ends, 1)() end
+  for _ = 1, math.max(fault.ending, #active_faults - ACTIVE_FAULTS_MAX) do
+    if #active_faults > 0 then table.remove(active_faults, 1)() end
   end
-  if lost and run.now() - off_since[lost] > NAMED_MS + STABLE_MS then
-    daemon_on(lost)
-    lost = nil
+  if long_down and run.now() - down_since[long_down] > LISTED_MS + STABLE_MS then
+    daemon_start(long_down)
+    long_down = nil
   end
 end
-if lost then daemon_on(lost) end
-for _, back in ipairs(ends) do back() end
-for i = 1, DAEMONS do words.wait_ready(w.daemons[i]) end
--- From here on all count as undisturbed.
+if long_down then daemon_start(long_down) end
+for _, restore in ipairs(active_faults) do restore() end
+for i = 1, DAEMONS do words.wait_ready(world.daemons[i]) end
+-- From now on the directory checks apply to every daemon.
 traffic(STABLE_MS)
-lib.wait_until("the last answers", function()
-  calls_look()
-  return #running == 0
+lib.wait_until("the last responses", function()
+  calls_poll()
+  return #calls == 0
 end, 30000)
 
--- The books. ------------------------------------------------------------------
+-- Checks on the completed calls. ---------------------------------------------
 
-local runs = w:runs_by_id()
+local runs = world:runs_by_id()
 local served = 0
-for _, one in ipairs(books) do
-  local ran = runs[one.id] or 0
-  if one.path == "/book/1" then
-    lib.check(ran <= 1, "%s ran %d times", one.id, ran)
+for _, call in ipairs(completed) do
+  local ran = runs[call.id] or 0
+  if call.path == "/book/1" then
+    lib.check(ran <= 1, "%s ran %d times", call.id, ran)
   end
-  if one.status == 503 then
-    lib.check(ran == 0, "%s was refused as not run and ran %d times", one.id,
+  if call.status == 503 then
+    lib.check(ran == 0, "%s was refused as not run but ran %d times", call.id,
       ran)
   end
-  if one.status == 200 and one.path == "/stream/a" then
-    lib.check(words.whole(one.body, 20), "%s is not whole: %s", one.id,
-      one.body)
+  if call.status == 200 and call.path == "/stream/a" then
+    lib.check(words.whole(call.body, 20), "%s is not complete: %s", call.id,
+      call.body)
   end
-  served = served + (one.status == 200 and 1 or 0)
+  served = served + (call.status == 200 and 1 or 0)
 end
 for i = 1, DAEMONS do
   for _, path in ipairs({"/book/2", "/scan/2", "/stream/b"}) do
-    lib.equal(words.call(w.daemons[i], path).status, 200,
-      path .. " at daemon " .. i .. " after all")
+    lib.equal(words.call(world.daemons[i], path).status, 200,
+      path .. " at daemon " .. i .. " after the faults")
   end
 end
-lib.say("seed %d: %d of %d served; faults %s", seed, served, #books,
+lib.say("seed %d: %d of %d served; faults %s", seed, served, #completed,
   run.encode(counts))
 lib.say("ok")
