--- a/bench/exposure.c
+++ b/bench/exposure.c
@@ -74,7 +74,8 @@
 	    (stop_known[organisation] > 0 && stop_known[organisation] <= now);
 }
 
-/* Schedules a stop, for one organisation or for all, at every daemon. */
+/* Schedules a stop, for one organisation or for all, at the daemon that decided
+ * on it and at its peers. */
 static void
 stop_propagate(
     cluster_t *cluster, int from, int scope, guard_kind_t kind, double now)
--- a/bench/retry.c
+++ b/bench/retry.c
@@ -122,8 +122,7 @@
 		sim->in_time++;
 		sim->window_in_time++;
 	}
-	/* Dropping an expired attempt costs a comparison instead of a service.
-	 */
+	/* An expired attempt costs a comparison instead of a service. */
 	while (sim->policy->drops_expired && sim->head != sim->tail &&
 	    sim->des.now_ms -
 		    sim->attempts[sim->queue[sim->head % QUEUE_MAX]].sent_ms >
