--- a/bench/admission.h
+++ b/bench/admission.h
@@ -8,26 +8,30 @@
 #include "experiment.h"
 #include "moortack/limit/admission.h"
 
-/** What a refusal costs of a service, as counted by bench/refusal.sh. */
-#define ADMISSION_R 0.15
+/** Processor time of a refusal relative to serving a request, as measured by
+ * bench/refusal.lua. */
+#define ADMISSION_REFUSAL_COST 0.15
 
 typedef struct admission_case {
-	double times;	   /**< load, of the capacity */
-	double r;	   /**< cost of a refusal, of a service's capacity */
-	double entry;	   /**< cost of taking a request in, likewise */
-	int64_t cutoff_ms; /**< of the most important class */
-	bool classes;	   /**< false: one queue, nobody refused by class */
+	double load_factor;  /**< offered load, relative to the capacity */
+	double refusal_cost; /**< cost of a refusal, relative to a service */
+	double accept_cost;  /**< cost of accepting a request, likewise */
+	int64_t cutoff_ms;   /**< of the most important class */
+	bool uses_classes;   /**< false: one queue, no refusals by class */
 } admission_case_t;
 
+/** Counts and latencies from the time in which the load is raised. */
 typedef struct admission_result {
 	double offered[CLASS_COUNT];
-	double good[CLASS_COUNT]; /**< within their deadline */
+	double in_time[CLASS_COUNT]; /**< completed within their deadline */
 	double refused[CLASS_COUNT];
+	/** From the end of the raised load until the longest wait is normal
+	 * again; the rest of the run if it never is. */
 	double recovery_ms;
-	samples_t took[CLASS_COUNT];
+	samples_t latencies_ms[CLASS_COUNT]; /**< of those completed in time */
 } admission_result_t;
 
-/** @param out its samples are the caller's to finish */
+/** Runs one simulation. @param out the caller finishes its samples */
 void
 admission_run(const admission_case_t *, uint64_t seed, admission_result_t *out);
 
