--- a/include/moortack/replication/row_store.h
+++ b/include/moortack/replication/row_store.h
@@ -30,7 +30,7 @@
 } row_t;
 
 /** Result of a call with its rows; valid inside the callback only. */
-typedef struct row_reply {
+typedef struct row_store_response {
 	row_result_t result;
 	const row_t *rows; /**< on ROW_CONFLICT the current ones */
 	size_t rows_len;
@@ -38,9 +38,9 @@
 	int64_t now_ms;	  /**< the store's monotonic clock */
 	const char *next; /**< token for the next page of a full read, as the
 			     store defines it; NULL: the read is complete */
-} row_reply_t;
+} row_store_response_t;
 
-typedef void (*row_done_t)(void *arg, const row_reply_t *);
+typedef void (*row_done_t)(void *arg, const row_store_response_t *);
 
 /** One row of a transaction. */
 typedef struct row_change {
--- a/include/moortack/replication/row_watch.h
+++ b/include/moortack/replication/row_watch.h
@@ -31,7 +31,7 @@
 	void (*full_read_begin)(void *arg);
 	/** With what was passed until now, the rows are up to date as of the
 	 * request. */
-	void (*synced)(void *arg, bool full_read, const row_reply_t *);
+	void (*synced)(void *arg, bool full_read, const row_store_response_t *);
 	/** The store is available again, or no longer. */
 	void (*reachable)(void *arg, bool available);
 } row_watch_ops_t;
--- a/moortack/exchange/attempt.c
+++ b/moortack/exchange/attempt.c
@@ -359,10 +359,10 @@
 }
 
 static void
-cancel_completed(void *arg, const http_response_t *reply)
+cancel_completed(void *arg, const http_response_t *response)
 {
 	(void)arg;
-	(void)reply;
+	(void)response;
 }
 
 /* Cancel the stream at the engine, which frees its slot: nobody receives it any
--- a/moortack/exchange/deferred.c
+++ b/moortack/exchange/deferred.c
@@ -83,12 +83,12 @@
 }
 
 static void
-accept_rows_read(void *arg, store_result_t result, const json_t *reply)
+accept_rows_read(void *arg, store_result_t result, const json_t *response)
 {
 	accept_call_t *call = arg;
 
 	if (result == STORE_OK &&
-	    json_object_size(json_object_get(reply, "values")) > 0)
+	    json_object_size(json_object_get(response, "values")) > 0)
 		accept_finish(call, true);
 	else if (++call->attempts < ACCEPT_ATTEMPTS_MAX)
 		accept_write(call);
@@ -97,12 +97,12 @@
 }
 
 static void
-accept_written(void *arg, store_result_t result, const json_t *reply)
+accept_written(void *arg, store_result_t result, const json_t *response)
 {
 	accept_call_t *call = arg;
 	char queue_key[ROW_KEY_SIZE], result_key[ROW_KEY_SIZE];
 
-	(void)reply;
+	(void)response;
 	if (result == STORE_OK) {
 		accept_finish(call, true);
 		return;
@@ -196,11 +196,13 @@
 }
 
 static void
-collect_rows_read(void *arg, store_result_t result, const json_t *reply)
+collect_rows_read(void *arg, store_result_t result, const json_t *response)
 {
 	collect_call_t *call = arg;
-	const char *result_text = store_response_value(reply, call->result_key);
-	const char *queued_text = store_response_value(reply, call->queue_key);
+	const char *result_text =
+	    store_response_value(response, call->result_key);
+	const char *queued_text =
+	    store_response_value(response, call->queue_key);
 	json_t *row = result_text != NULL ? json_loads(result_text, 0, NULL)
 	    : queued_text != NULL	  ? json_loads(queued_text, 0, NULL)
 					  : NULL;
--- a/moortack/exchange/deferred_run.c
+++ b/moortack/exchange/deferred_run.c
@@ -55,14 +55,14 @@
 }
 
 static void
-job_committed(void *arg, store_result_t result, const json_t *reply)
+job_committed(void *arg, store_result_t result, const json_t *response)
 {
 	static const struct timeval delay = {0, COMMIT_RETRY_MS * 1000};
 	deferred_job_t *job = arg;
 	front_t *front = job->front;
 	struct timespec now = clock_boottime(front->process.clock);
 
-	(void)reply;
+	(void)response;
 	if (result == STORE_OK || result == STORE_CONFLICT) {
 		/* A conflict: the lease expired and another daemon claimed the
 		 * job, or this write took effect and its response was lost. */
@@ -225,12 +225,12 @@
 }
 
 static void
-job_claimed(void *arg, store_result_t result, const json_t *reply)
+job_claimed(void *arg, store_result_t result, const json_t *response)
 {
 	deferred_job_t *job = arg;
 	err_t err;
 
-	(void)reply;
+	(void)response;
 	/* If the claim took effect and only the response was lost, its lease
 	 * expires. */
 	if (result != STORE_OK) {
@@ -290,10 +290,10 @@
 }
 
 static void
-scan_completed(void *arg, store_result_t result, const json_t *reply)
+scan_completed(void *arg, store_result_t result, const json_t *response)
 {
 	front_t *front = arg;
-	const json_t *rows = json_object_get(reply, "rows");
+	const json_t *rows = json_object_get(response, "rows");
 	size_t count = json_array_size(rows);
 	/* Daemons start at random rows, so that they seldom claim the same job.
 	 */
--- a/moortack/exchange/learning.c
+++ b/moortack/exchange/learning.c
@@ -46,10 +46,10 @@
 }
 
 static void
-rating_requested(void *arg, const http_response_t *reply)
+rating_requested(void *arg, const http_response_t *response)
 {
 	(void)arg;
-	(void)reply;
+	(void)response;
 }
 
 /* Requests a rating for a share of the responses; the ratings arrive much
--- a/moortack/relay/quarantine_rows.c
+++ b/moortack/relay/quarantine_rows.c
@@ -42,10 +42,10 @@
 /* The rows are read back in any case; until then, the version from the response
  * is the one that the next write expects. */
 static void
-on_written(void *arg, const row_reply_t *reply)
+on_written(void *arg, const row_store_response_t *response)
 {
 	relay_quarantine_t *self = arg;
-	bool done = reply->result == ROW_OK;
+	bool done = response->result == ROW_OK;
 
 	self->write_pending = false;
 	self->relay->members->read_back_pending |= done;
@@ -56,12 +56,12 @@
 	     suspect = suspect->hh.next) {
 		if (done && suspect->pending_crashes > 0) {
 			suspect->stored_crashes = suspect->pending_crashes;
-			suspect->stored_version = reply->version;
+			suspect->stored_version = response->version;
 		}
 		suspect->pending_crashes = 0;
 	}
 	event_log_write(self->relay->log, "quarantine_write", "result=%d",
-	    (int)reply->result);
+	    (int)response->result);
 }
 
 static void
--- a/moortack/relay/rollouts.c
+++ b/moortack/relay/rollouts.c
@@ -349,7 +349,7 @@
 }
 
 static void
-on_state_written(void *arg, const row_reply_t *reply)
+on_state_written(void *arg, const row_store_response_t *response)
 {
 	rollout_t *rollout = arg;
 	rollouts_t *self = rollout->owner;
@@ -364,7 +364,7 @@
 	event_log_write(self->log, "rollout_write",
 	    "service=%s order=%" PRIu64 " state=%s result=%d",
 	    rollout->order.service, rollout->order.number,
-	    rollout_state_names[rollout->write_state], (int)reply->result);
+	    rollout_state_names[rollout->write_state], (int)response->result);
 }
 
 /* Write the state for the daemons and for the operator in one transaction. */
--- a/moortack/replication/fleet_key.c
+++ b/moortack/replication/fleet_key.c
@@ -12,11 +12,11 @@
 #define KEY_WRITE_JITTER_MS 300
 
 static void
-key_written(void *arg, const row_reply_t *reply)
+key_written(void *arg, const row_store_response_t *response)
 {
 	row_sync_t *self = arg;
 
-	(void)reply;
+	(void)response;
 	/* Whichever daemon wrote it first, the key is in the table now. */
 	self->key_write_pending = false;
 	self->key_write_after =
--- a/moortack/replication/member_row_requests.c
+++ b/moortack/replication/member_row_requests.c
@@ -226,12 +226,12 @@
 }
 
 static void
-write_done(void *arg, const row_reply_t *reply)
+write_done(void *arg, const row_store_response_t *response)
 {
 	membership_t *self = arg;
 
 	self->write_pending = false;
-	if (reply->result == ROW_OK)
+	if (response->result == ROW_OK)
 		self->retry_ms = 0;
 	else
 		self->retry_ms =
--- a/moortack/replication/member_signs.c
+++ b/moortack/replication/member_signs.c
@@ -229,11 +229,11 @@
 }
 
 static void
-on_cleanup_done(void *arg, const row_reply_t *reply)
+on_cleanup_done(void *arg, const row_store_response_t *response)
 {
 	membership_t *self = arg;
 
-	(void)reply;
+	(void)response;
 	/* Whatever the result, reading the rows again shows which are left. */
 	self->cleanup_pending = false;
 	self->read_back_pending = true;
--- a/moortack/replication/row_source.c
+++ b/moortack/replication/row_source.c
@@ -204,7 +204,7 @@
 }
 
 static void
-on_synced(void *arg, bool full_read, const row_reply_t *reply)
+on_synced(void *arg, bool full_read, const row_store_response_t *response)
 {
 	table_watch_t *watch = arg;
 	row_sync_t *self = watch->sync;
@@ -219,7 +219,7 @@
 	if (self->parent_stale && self->server.flush != NULL)
 		feed_server_respond_all(&self->server);
 	row_follow_update_status(self);
-	self->ops->store_clock(self->arg, reply->now_ms);
+	self->ops->store_clock(self->arg, response->now_ms);
 	self->ops->synced(self->arg, watch->table, full_read);
 	if (watch->table == ROW_TABLE_SYSTEM && !row_sync_synced(self))
 		row_sync_tick(self);
--- a/moortack/replication/row_watch.c
+++ b/moortack/replication/row_watch.c
@@ -66,47 +66,48 @@
 }
 
 static void
-rows_pass(row_watch_t *watch, const row_reply_t *reply)
+rows_pass(row_watch_t *watch, const row_store_response_t *response)
 {
-	for (size_t i = 0; i < reply->rows_len; i++)
-		watch->ops->row(watch->arg, &reply->rows[i]);
+	for (size_t i = 0; i < response->rows_len; i++)
+		watch->ops->row(watch->arg, &response->rows[i]);
 }
 
 static void
-watch_synced(row_watch_t *watch, bool full_read, const row_reply_t *reply)
+watch_synced(
+    row_watch_t *watch, bool full_read, const row_store_response_t *response)
 {
 	if (!watch->synced_once ||
 	    timespec_ms_between(watch->synced_at, watch->requested_at) > 0)
 		watch->synced_at = watch->requested_at;
 	watch->synced_once = true;
-	watch->ops->synced(watch->arg, full_read, reply);
+	watch->ops->synced(watch->arg, full_read, response);
 }
 
 /* Whether another daemon sent later rows while the read was in progress: rows
  * that the read does not return may exist. */
 static bool
-read_is_outdated(const row_watch_t *watch, const row_reply_t *reply)
+read_is_outdated(const row_watch_t *watch, const row_store_response_t *response)
 {
 	uint64_t version =
-	    watch->page == NULL ? reply->version : watch->read_version;
+	    watch->page == NULL ? response->version : watch->read_version;
 
 	return version < watch->version;
 }
 
 static void
-read_done(void *arg, const row_reply_t *reply)
+read_done(void *arg, const row_store_response_t *response)
 {
 	row_watch_t *watch = arg;
 
 	watch->call_pending = false;
 	if (watch->stopped)
 		return;
-	if (reply->result != ROW_OK) {
+	if (response->result != ROW_OK) {
 		watch_failed(watch);
 		return;
 	}
 	watch_succeeded(watch);
-	if (read_is_outdated(watch, reply)) {
+	if (read_is_outdated(watch, response)) {
 		watch->in_full_read = false;
 		watch_schedule(watch, watch->timing.pause_ms);
 		return;
@@ -115,45 +116,46 @@
 		/* If the store was restored from an older copy, its current
 		 * rows are passed on, but do not replace newer ones: whoever
 		 * holds the rows compares the versions. */
-		watch->read_version = reply->version;
+		watch->read_version = response->version;
 		watch->ops->full_read_begin(watch->arg);
 	}
-	rows_pass(watch, reply);
+	rows_pass(watch, response);
 	free(watch->page);
-	watch->page = reply->next != NULL ? strdup(reply->next) : NULL;
+	watch->page = response->next != NULL ? strdup(response->next) : NULL;
 	if (watch->page != NULL) {
 		watch_request(watch);
 		return;
 	}
 	watch->in_full_read = false;
 	watch->version = watch->read_version;
-	watch_synced(watch, true, reply);
+	watch_synced(watch, true, response);
 	watch_schedule(watch, watch->timing.pause_ms);
 }
 
 static void
-poll_done(void *arg, const row_reply_t *reply)
+poll_done(void *arg, const row_store_response_t *response)
 {
 	row_watch_t *watch = arg;
 
 	watch->call_pending = false;
 	if (watch->stopped)
 		return;
-	if (reply->result == ROW_COMPACTED ||
-	    (reply->result == ROW_OK && reply->version < watch->version)) {
+	if (response->result == ROW_COMPACTED ||
+	    (response->result == ROW_OK &&
+		response->version < watch->version)) {
 		watch->version = 0;
 		watch_schedule(watch, 0);
 		return;
 	}
-	if (reply->result != ROW_OK) {
+	if (response->result != ROW_OK) {
 		watch_failed(watch);
 		return;
 	}
 	watch_succeeded(watch);
-	rows_pass(watch, reply);
-	if (reply->version > watch->version)
-		watch->version = reply->version;
-	watch_synced(watch, false, reply);
+	rows_pass(watch, response);
+	if (response->version > watch->version)
+		watch->version = response->version;
+	watch_synced(watch, false, response);
 	watch_schedule(watch, watch->timing.pause_ms);
 }
 
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -45,25 +45,26 @@
 /* Stores the list's ETag, so that the list is sent again only once it has
  * changed. */
 static void
-list_etag_store(endpoint_poller_t *poller, const http_response_t *reply)
+list_etag_store(endpoint_poller_t *poller, const http_response_t *response)
 {
-	const char *etag = evhttp_find_header(reply->headers, "ETag");
+	const char *etag = evhttp_find_header(response->headers, "ETag");
 
 	snprintf(poller->list_etag, sizeof(poller->list_etag), "%s",
 	    etag != NULL ? etag : "");
 }
 
 static void
-list_received(void *arg, const http_response_t *reply)
+list_received(void *arg, const http_response_t *response)
 {
 	endpoint_poller_t *poller = arg;
-	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
+	json_t *body =
+	    response->status == 200 ? http_response_json(response) : NULL;
 	json_t *vms = json_object_get(body, "vms");
 
 	poller->list_pending = false;
 	/* A failed read is not an empty list: the known endpoints stay. */
 	if (json_is_array(vms)) {
-		list_etag_store(poller, reply);
+		list_etag_store(poller, response);
 		json_decref(poller->vms);
 		poller->vms = json_incref(vms);
 		poller->unread_vms = json_array_size(vms);
@@ -117,11 +118,12 @@
 }
 
 static void
-load_received(void *arg, const http_response_t *reply)
+load_received(void *arg, const http_response_t *response)
 {
 	load_read_t *read = arg;
 	load_report_t *report = calloc(1, sizeof(*report));
-	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
+	json_t *body =
+	    response->status == 200 ? http_response_json(response) : NULL;
 
 	read->poller->reads_in_flight--;
 	if (report != NULL) {
@@ -193,10 +195,11 @@
 }
 
 static void
-ratings_received(void *arg, const http_response_t *reply)
+ratings_received(void *arg, const http_response_t *response)
 {
 	endpoint_poller_t *poller = arg;
-	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
+	json_t *body =
+	    response->status == 200 ? http_response_json(response) : NULL;
 	json_t *ratings = json_object_get(body, "ratings");
 
 	poller->rating_pending = false;
--- a/test/fuzz/follow_fuzz.c
+++ b/test/fuzz/follow_fuzz.c
@@ -120,7 +120,8 @@
     bool full_read)
 {
 	row_watch_t *watch = watch_of(daemon);
-	row_reply_t reply = {.result = ROW_OK, .version = version, .now_ms = 1};
+	row_store_response_t response = {
+	    .result = ROW_OK, .version = version, .now_ms = 1};
 
 	watch->version = version;
 	if (timespec_ms_between(watch->synced_at, requested_at) > 0)
@@ -132,7 +133,7 @@
 			    &daemon->node.row_sync.watches[i].watch, 1,
 			    requested_at);
 	}
-	watch->ops->synced(watch->arg, full_read, &reply);
+	watch->ops->synced(watch->arg, full_read, &response);
 }
 
 static bool
--- a/test/fuzz/lives_fuzz.c
+++ b/test/fuzz/lives_fuzz.c
@@ -641,9 +641,9 @@
 writes_respond(daemon_t *daemon)
 {
 	for (size_t i = 0; i < daemon->done_len; i++) {
-		row_reply_t reply = {.result = daemon->results[i]};
+		row_store_response_t response = {.result = daemon->results[i]};
 
-		daemon->done[i](&daemon->members, &reply);
+		daemon->done[i](&daemon->members, &response);
 	}
 	daemon->done_len = 0;
 }
--- a/test/fuzz/rollouts_fuzz.c
+++ b/test/fuzz/rollouts_fuzz.c
@@ -258,12 +258,12 @@
 static void
 tick(daemon_t *daemon)
 {
-	row_reply_t reply = {.result = daemon->result};
+	row_store_response_t response = {.result = daemon->result};
 	row_done_t done = daemon->done;
 
 	daemon->done = NULL;
 	if (done != NULL)
-		done(daemon->done_arg, &reply);
+		done(daemon->done_arg, &response);
 	event_active(daemon->rollouts.timer, EV_TIMEOUT, 0);
 	event_base_loop(world.base, EVLOOP_NONBLOCK);
 }
--- a/test/platform/rows_fuzz.c
+++ b/test/platform/rows_fuzz.c
@@ -293,7 +293,7 @@
 response_apply(daemon_t *daemon, row_table_t table, bool complete)
 {
 	row_watch_t *watch = &daemon->node.row_sync.watches[table].watch;
-	row_reply_t reply = {
+	row_store_response_t response = {
 	    .result = ROW_OK, .version = world.version, .now_ms = 1};
 	char *text = json_dumps(daemon->response, JSON_COMPACT);
 	json_t *body = store_body_parse(text, strlen(text));
@@ -308,7 +308,7 @@
 	for (size_t i = 0; i < list.len; i++)
 		watch->ops->row(watch->arg, &list.rows[i]);
 	row_watch_advance(watch, world.version, world.clock.now);
-	watch->ops->synced(watch->arg, complete, &reply);
+	watch->ops->synced(watch->arg, complete, &response);
 	store_rows_free(&list);
 	json_decref(body);
 	json_decref(daemon->response);
--- a/test/platform/store_eras_test.c
+++ b/test/platform/store_eras_test.c
@@ -92,7 +92,7 @@
 }
 
 static void
-on_done(void *arg, const row_reply_t *response)
+on_done(void *arg, const row_store_response_t *response)
 {
 	(void)arg;
 	world.result = response->result;
--- a/test/unit/member_row_requests_test.c
+++ b/test/unit/member_row_requests_test.c
@@ -61,12 +61,12 @@
 static void
 write_respond(recording_store_t *store, row_result_t result)
 {
-	row_reply_t reply = {.result = result};
+	row_store_response_t response = {.result = result};
 	row_done_t done = store->done;
 
 	assert_non_null(done);
 	store->done = NULL;
-	done(store->arg, &reply);
+	done(store->arg, &response);
 }
 
 typedef struct world {
--- a/test/unit/paged_read_test.c
+++ b/test/unit/paged_read_test.c
@@ -90,7 +90,7 @@
 static void
 page_respond(paged_node_t *paged, const row_t *rows, size_t len, bool more)
 {
-	row_reply_t reply = {.result = ROW_OK,
+	row_store_response_t response = {.result = ROW_OK,
 	    .rows = rows,
 	    .rows_len = len,
 	    .version = VERSION_READ,
@@ -100,7 +100,7 @@
 
 	assert_non_null(done);
 	paged->done = NULL;
-	done(paged->arg, &reply);
+	done(paged->arg, &response);
 }
 
 /* Another daemon sends a full table with one endpoint, as of a version. */
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -36,7 +36,7 @@
 	row_done_t done;
 	void *arg;
 	row_t row;
-	row_reply_t reply;
+	row_store_response_t response;
 } pending_reply_t;
 
 static void
@@ -46,8 +46,8 @@
 
 	(void)fd;
 	(void)what;
-	pending->reply.rows = &pending->row;
-	pending->done(pending->arg, &pending->reply);
+	pending->response.rows = &pending->row;
+	pending->done(pending->arg, &pending->response);
 	free(pending);
 }
 
@@ -62,7 +62,7 @@
 	pending->arg = arg;
 	if (row != NULL)
 		pending->row = *row;
-	pending->reply = (row_reply_t){.result = result,
+	pending->response = (row_store_response_t){.result = result,
 	    .rows_len = row != NULL,
 	    .version = version,
 	    .now_ms = 1};
--- a/test/unit/row_watch_test.c
+++ b/test/unit/row_watch_test.c
@@ -82,10 +82,10 @@
 }
 
 static void
-on_synced(void *arg, bool full_read, const row_reply_t *reply)
+on_synced(void *arg, bool full_read, const row_store_response_t *response)
 {
 	(void)full_read;
-	(void)reply;
+	(void)response;
 	((calls_t *)arg)->synced++;
 }
 
@@ -119,7 +119,7 @@
 	    .value = "leaving",
 	    .value_len = 7,
 	    .version = VERSION_READ};
-	row_reply_t reply = {.result = ROW_OK,
+	row_store_response_t response = {.result = ROW_OK,
 	    .rows = &row,
 	    .rows_len = 1,
 	    .version = VERSION_READ};
@@ -132,7 +132,7 @@
 	loop_run(base);
 	assert_int_equal(store.reads, 1);
 	row_watch_advance(&watch, VERSION_RECEIVED, clock.now);
-	store.done(store.arg, &reply);
+	store.done(store.arg, &response);
 	assert_int_equal(calls.rows, 0);
 	assert_int_equal(calls.full_reads, 0);
 	assert_int_equal(watch.version, VERSION_RECEIVED);
