--- a/include/moortack/exchange/exchange.h
+++ b/include/moortack/exchange/exchange.h
@@ -47,7 +47,7 @@
 	char model[CONFIG_NAME_SIZE];
 	char version[CONFIG_NAME_SIZE];
 	bool is_engine;	 /**< the model is an engine; else a plain service */
-	bool streaming;	 /**< the caller asked for a stream of events */
+	bool streaming;	 /**< the caller requested a stream of events */
 	bool idempotent; /**< may be run more than once */
 	char path[EXCHANGE_PATH_SIZE]; /**< request path at the endpoint */
 	json_t *body;		       /**< request body from the caller */
--- a/include/moortack/limit/retry_budget.h
+++ b/include/moortack/limit/retry_budget.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * Limits retries to a share of the requests: each request adds a fraction of a
- * retry to the budget, and each retry takes one. So when a whole pool fails,
+ * retry to the budget, and each retry takes one. So when all of a pool fails,
  * the load on it grows by that share and no more.
  */
 #ifndef MOORTACK_LIMIT_RETRY_BUDGET_H
--- a/include/moortack/options.h
+++ b/include/moortack/options.h
@@ -33,7 +33,7 @@
 	int64_t load_reads;    /**< of them in a round */
 	int64_t list_ms;       /**< between reads of the VM list */
 	int64_t rating_ms;     /**< between reads of ratings */
-	int64_t rate_percent;  /**< of answers sent to be rated */
+	int64_t rate_percent;  /**< of responses sent to be rated */
 	int64_t slow_first_ms; /**< a later first token is bad */
 	int64_t flush_ms;
 	int64_t held_ms;
--- a/include/moortack/relay/choose.h
+++ b/include/moortack/relay/choose.h
@@ -33,7 +33,7 @@
 	double cross_zone_ms; /**< cost of sending the prompt to another zone */
 } endpoint_candidate_t;
 
-/** What the request asks of an endpoint. */
+/** What the request requires of an endpoint. */
 typedef struct choice_criteria {
 	bool has_prompt;      /**< false: choose by the share of slots in use */
 	uint64_t affinity;    /**< hash of the prompt's shared prefix */
--- a/include/moortack/relay/endpoint_set.h
+++ b/include/moortack/relay/endpoint_set.h
@@ -54,7 +54,7 @@
 /** A response that was truncated, which may be due to a crash of the endpoint
  * or to a fault in its version. */
 typedef struct suspected_failure {
-	canary_observation_t answer;
+	canary_observation_t observation;
 	struct timespec at;
 } suspected_failure_t;
 
--- a/include/moortack/relay/gossip_message.h
+++ b/include/moortack/relay/gossip_message.h
@@ -21,7 +21,7 @@
 
 typedef enum gossip_kind {
 	GOSSIP_PROMPT_SENT, /**< a prompt was sent to the endpoint */
-	GOSSIP_QUERY,	    /**< asks for the endpoint's queue wait and cached
+	GOSSIP_QUERY,	    /**< requests the endpoint's queue wait and cached
 			       prefixes */
 	GOSSIP_RESPONSE,
 	GOSSIP_CRASH, /**< the endpoint crashed while these requests ran */
--- a/include/moortack/relay/model_choice.h
+++ b/include/moortack/relay/model_choice.h
@@ -1,9 +1,9 @@
 /**
  * @file
  * Selection of the model where a route leaves it to the router. The smallest
- * model is asked first. If its response reports a low confidence, a larger
- * model is asked, provided that its response is likely to be better and in
- * time. Pure functions without state.
+ * model gets the request first. If its response reports a low confidence, a
+ * larger model gets it, provided that its response is likely to be better and
+ * in time. Pure functions without state.
  */
 #ifndef MOORTACK_RELAY_MODEL_CHOICE_H
 #define MOORTACK_RELAY_MODEL_CHOICE_H
--- a/include/moortack/relay/rollouts.h
+++ b/include/moortack/relay/rollouts.h
@@ -83,8 +83,8 @@
 	const clock_source_t *clock;
 	const rollout_status_encoder_t *status_encoder;
 	membership_t *members;
-	const row_watch_t *orders_watch; /**< tells the age of the orders */
-	row_watch_t *states_watch;	 /**< tells the age of the states */
+	const row_watch_t *orders_watch; /**< for the age of the orders */
+	row_watch_t *states_watch;	 /**< for the age of the states */
 	event_log_t *log;
 	rollout_t *by_service;
 	struct event *timer;
--- a/include/moortack/replication/member_life.h
+++ b/include/moortack/replication/member_life.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Failure detection: which other daemons are alive, as one daemon can tell.
+ * Failure detection: one daemon's view of which other daemons are alive.
  * Pure decisions, without network or clock.
  *
  * A sign of life counts from the moment at which its daemon gave it, however
--- a/include/moortack/replication/row_source.h
+++ b/include/moortack/replication/row_source.h
@@ -144,7 +144,8 @@
 /** Name of the daemon that reads the store for this one; NULL: not known. */
 const char *row_sync_reader(const row_sync_t *);
 
-/** Tells followers to follow another daemon, as this one is about to stop. */
+/** Notifies followers that they must follow another daemon, as this one is
+ * about to stop. */
 void row_sync_stop_serving(row_sync_t *);
 
 /** Stores a row or its deletion, to be sent to followers.
--- a/include/moortack/replication/row_store.h
+++ b/include/moortack/replication/row_store.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * Interface to a store of rows in tables, as a table of function pointers.
- * Each row has a version, from one counter for the whole store.
+ * Each row has a version, from a single counter of the store.
  */
 #ifndef MOORTACK_REPLICATION_ROW_STORE_H
 #define MOORTACK_REPLICATION_ROW_STORE_H
--- a/include/moortack/route/cascade.h
+++ b/include/moortack/route/cascade.h
@@ -49,7 +49,7 @@
 int cascade_single_model(const cascade_t *);
 
 /** Whether a response of this confidence is accepted; of the best model,
- * always. Else the next model is asked. */
+ * always. Else the next model gets the request. */
 bool cascade_accepts(const cascade_t *, int model, double confidence);
 
 /** The estimated probability that a response of this confidence is good. */
--- a/moortack/exchange/begin.c
+++ b/moortack/exchange/begin.c
@@ -158,7 +158,7 @@
 	return true;
 }
 
-/* A session that asked for model "auto" continues with the model it has. */
+/* A session that requested model "auto" continues with the model it has. */
 static bool
 auto_model_resolve(arrival_t *arrival, exchange_t *exchange, err_t *err)
 {
--- a/moortack/front/admin.c
+++ b/moortack/front/admin.c
@@ -188,7 +188,7 @@
     {"timeline", EVHTTP_REQ_GET, timeline_show},
 };
 
-/* A path that ends in '/' matches as a prefix, any other as a whole. */
+/* A path that ends in '/' matches as a prefix, any other must match exactly. */
 static bool
 path_matches(const admin_path_t *row, const char *path)
 {
--- a/moortack/relay/relay_guard.c
+++ b/moortack/relay/relay_guard.c
@@ -96,7 +96,7 @@
 		if (timespec_ms_between(failure->at, now) <
 		    DEFERRED_FAILURE_MAX_MS)
 			canary_analysis_observe(
-			    &rollout->canary, &failure->answer, now);
+			    &rollout->canary, &failure->observation, now);
 	}
 	endpoint->suspected_failures_len = 0;
 }
@@ -156,7 +156,7 @@
 		return;
 	endpoint->suspected_failures[endpoint->suspected_failures_len++] =
 	    (suspected_failure_t){
-		.answer = observation_make(req, CANARY_FAILED, 0),
+		.observation = observation_make(req, CANARY_FAILED, 0),
 		.at = clock_boottime(req->relay->clock)};
 }
 
--- a/moortack/relay/relay_rows.c
+++ b/moortack/relay/relay_rows.c
@@ -29,7 +29,7 @@
 relay_row_keep_known(relay_node_t *node, row_table_t table,
     const cached_row_t *known, const row_t *row)
 {
-	row_t kept = {.key = row->key,
+	row_t updated = {.key = row->key,
 	    .value_len = known->value_len,
 	    .version = row->version,
 	    .deleted = known->value == NULL};
@@ -40,8 +40,8 @@
 	if (known->value != NULL)
 		memcpy(value, known->value, known->value_len);
 	value[known->value_len] = '\0';
-	kept.value = kept.deleted ? NULL : value;
-	row_sync_put(&node->row_sync, table, &kept);
+	updated.value = updated.deleted ? NULL : value;
+	row_sync_put(&node->row_sync, table, &updated);
 	free(value);
 	node->rows_kept++;
 }
--- a/moortack/replication/membership.c
+++ b/moortack/replication/membership.c
@@ -194,18 +194,18 @@
 bool
 member_row_unchanged(const char *a, size_t a_len, const char *b, size_t b_len)
 {
-	json_t *one = json_loadb(a, a_len, 0, NULL);
-	json_t *two = json_loadb(b, b_len, 0, NULL);
+	json_t *values_a = json_loadb(a, a_len, 0, NULL);
+	json_t *values_b = json_loadb(b, b_len, 0, NULL);
 	bool same;
 
 	for (size_t i = 0;
 	     i < sizeof(heartbeat_fields) / sizeof(heartbeat_fields[0]); i++) {
-		json_object_del(one, heartbeat_fields[i]);
-		json_object_del(two, heartbeat_fields[i]);
+		json_object_del(values_a, heartbeat_fields[i]);
+		json_object_del(values_b, heartbeat_fields[i]);
 	}
-	same = one != NULL && json_equal(one, two);
-	json_decref(one);
-	json_decref(two);
+	same = values_a != NULL && json_equal(values_a, values_b);
+	json_decref(values_a);
+	json_decref(values_b);
 	return same;
 }
 
--- a/moortack/replication/row_cache.c
+++ b/moortack/replication/row_cache.c
@@ -153,13 +153,13 @@
 	    row->value, row->value_len, update->value, update->value_len);
 }
 
-/* Drops all prior values but the newest @p kept. */
+/* Drops all prior values but the newest @p count. */
 static void
-prior_values_truncate(cached_row_t *row, uint32_t kept)
+prior_values_truncate(cached_row_t *row, uint32_t count)
 {
 	row_prior_value_t **at = &row->prior_values;
 
-	while (*at != NULL && kept-- > 0)
+	while (*at != NULL && count-- > 0)
 		at = &(*at)->older;
 	prior_values_free(*at);
 	*at = NULL;
@@ -281,14 +281,14 @@
 static void
 prior_values_trim(cached_row_t *row, struct timespec now)
 {
-	uint32_t kept = 0;
+	uint32_t count = 0;
 
 	for (const row_prior_value_t *prior = row->prior_values;
 	     prior != NULL &&
 	     timespec_ms_between(prior->replaced_at, now) <= PRIOR_KEPT_MS;
 	     prior = prior->older)
-		kept++;
-	prior_values_truncate(row, kept);
+		count++;
+	prior_values_truncate(row, count);
 }
 
 void
--- a/moortack/replication/row_source_priv.h
+++ b/moortack/replication/row_source_priv.h
@@ -61,7 +61,7 @@
 /** Chooses the parent anew. */
 void row_parent_update(row_sync_t *);
 
-/** Tells followers at once when this daemon is of no use to them. */
+/** Notifies followers at once when this daemon can't serve as their parent. */
 void row_follow_update_status(row_sync_t *);
 
 /** Closes the sockets to other daemons. */
--- a/moortack/route/cascade.c
+++ b/moortack/route/cascade.c
@@ -7,8 +7,8 @@
 #define THRESHOLD_MAX 0.99
 #define COST_SMOOTHING 0.02
 #define NEIGHBOUR_WEIGHT 0.25 /* weight of a rating in the adjacent bins */
-/* A model is asked first if its cost is below this many times the best model's
- * cost times the share of its responses that are accepted. */
+/* A model gets the request first if its cost is below this many times the best
+ * model's cost times the share of its responses that are accepted. */
 #define COST_MARGIN 1.0
 
 static int
