--- a/test/fuzz/events_fuzz.c
+++ b/test/fuzz/events_fuzz.c
@@ -51,16 +51,16 @@
 int
 LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t len)
 {
-	static result_t whole, pieces;
+	static result_t unsplit, pieces;
 
 	if (len < 2 || len > EVENTS_MAX)
 		return 0;
-	scan_in_pieces(bytes + 1, len - 1, len, &whole);
+	scan_in_pieces(bytes + 1, len - 1, len, &unsplit);
 	scan_in_pieces(bytes + 1, len - 1, 1 + bytes[0] % 7, &pieces);
-	FUZZ_CHECK(whole.events == pieces.events);
-	FUZZ_CHECK(whole.len == pieces.len);
-	FUZZ_CHECK(whole.incomplete == pieces.incomplete);
-	FUZZ_CHECK(memcmp(whole.ids, pieces.ids,
-		       whole.events * sizeof(whole.ids[0])) == 0);
+	FUZZ_CHECK(unsplit.events == pieces.events);
+	FUZZ_CHECK(unsplit.len == pieces.len);
+	FUZZ_CHECK(unsplit.incomplete == pieces.incomplete);
+	FUZZ_CHECK(memcmp(unsplit.ids, pieces.ids,
+		       unsplit.events * sizeof(unsplit.ids[0])) == 0);
 	return 0;
 }
--- a/test/fuzz/lives_fuzz.c
+++ b/test/fuzz/lives_fuzz.c
@@ -8,7 +8,7 @@
  * The oracle knows which daemons are off. A daemon that is undisturbed itself,
  * over an undisturbed store, doesn't count one as available that has been off
  * for longer than the users' time limit. If one daemon went off and nothing
- * else happened, all that run count as available the whole time. Once there are
+ * else happened, all that run count as available throughout. Once there are
  * no disturbances, all daemons count each other as available.
  */
 #include <event2/event.h>
@@ -517,21 +517,21 @@
 static void
 store_step(daemon_t *daemon)
 {
-	bool answers = store_available(daemon);
+	bool available = store_available(daemon);
 	int64_t since = now_ms() - daemon->store_changed_ms;
 	int64_t pause = daemon->members.liveness.authoritative
 	    ? READ_INTERVAL_MS
 	    : READ_INTERVAL_UNDECIDED_MS;
 
-	if (since >= (answers ? STORE_RECOVERY_MS : STORE_DETECTION_MS) &&
-	    daemon->store_unavailable == answers) {
-		daemon->store_unavailable = !answers;
-		if (answers)
+	if (since >= (available ? STORE_RECOVERY_MS : STORE_DETECTION_MS) &&
+	    daemon->store_unavailable == available) {
+		daemon->store_unavailable = !available;
+		if (available)
 			membership_clear_backoffs(&daemon->members);
 	}
 	membership_set_frozen(
 	    &daemon->members, daemon->store_unavailable && !daemon->following);
-	if (!answers || daemon->store_unavailable)
+	if (!available || daemon->store_unavailable)
 		return;
 	if (!daemon->following &&
 	    (daemon->members.read_back_pending ||
--- a/test/unit/candidates_test.c
+++ b/test/unit/candidates_test.c
@@ -112,21 +112,22 @@
 static void
 all_daemons_have_the_same_candidates_for_a_prefix(void **state)
 {
-	daemon_t *one = daemon_new(false, ENDPOINTS);
-	daemon_t *two = daemon_new(true, ENDPOINTS);
+	daemon_t *forwards = daemon_new(false, ENDPOINTS);
+	daemon_t *backwards = daemon_new(true, ENDPOINTS);
 
 	(void)state;
 	for (uint64_t i = 1; i <= PROMPTS; i++) {
-		size_t len = candidates_count(one, prefix_hash(i));
+		size_t len = candidates_count(forwards, prefix_hash(i));
 
 		assert_int_equal(len, CANDIDATES_MAX);
-		assert_int_equal(candidates_count(two, prefix_hash(i)), len);
+		assert_int_equal(
+		    candidates_count(backwards, prefix_hash(i)), len);
 		for (size_t j = 0; j < len; j++)
-			assert_true(
-			    is_candidate(two, one->candidates.inputs[j].hash));
+			assert_true(is_candidate(
+			    backwards, forwards->candidates.inputs[j].hash));
 	}
-	daemon_free(one);
-	daemon_free(two);
+	daemon_free(forwards);
+	daemon_free(backwards);
 }
 
 static void
--- a/test/unit/feed_delta_test.c
+++ b/test/unit/feed_delta_test.c
@@ -241,24 +241,24 @@
 static void
 a_delta_needs_its_base(void **state)
 {
-	char *one = configuration(10), *two = configuration(11);
+	char *base = configuration(10), *updated = configuration(11);
 	feed_bytes_t delta, value;
 
 	(void)state;
-	assert_true(
-	    value_delta_make(one, strlen(one), two, strlen(two), &delta));
-	assert_true(
-	    value_delta_apply(one, strlen(one), delta.data, delta.len, &value));
-	assert_string_equal(value.data, two);
+	assert_true(value_delta_make(
+	    base, strlen(base), updated, strlen(updated), &delta));
+	assert_true(value_delta_apply(
+	    base, strlen(base), delta.data, delta.len, &value));
+	assert_string_equal(value.data, updated);
 	free(value.data);
-	one[strlen(one) / 3] ^= 1;
+	base[strlen(base) / 3] ^= 1;
+	assert_false(value_delta_apply(
+	    base, strlen(base), delta.data, delta.len, &value));
 	assert_false(
-	    value_delta_apply(one, strlen(one), delta.data, delta.len, &value));
-	assert_false(
-	    value_delta_apply(one, strlen(one), delta.data, 9, &value));
+	    value_delta_apply(base, strlen(base), delta.data, 9, &value));
 	free(delta.data);
-	free(one);
-	free(two);
+	free(base);
+	free(updated);
 }
 
 /* Without changes, a daemon keeps one value of each row. */
--- a/test/unit/member_life_test.c
+++ b/test/unit/member_life_test.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Failure detection: which daemons are alive, as one daemon can tell. Guards
+ * Failure detection: one daemon's view of which daemons are alive. Guards
  * against a daemon that lost power but was offered to callers for 13 s, since
  * its successor as the tree's root counted its silence only from its own
  * succession: it logged event=member named=0 heard_ms=-1 row_ms=12200, 12.2 s
--- a/test/unit/paged_read_test.c
+++ b/test/unit/paged_read_test.c
@@ -10,7 +10,7 @@
  * the rows of its first pages, and sent these deletions to all its followers.
  * The log showed hundreds of endpoint_gone lines (lapsed=0) in one
  * millisecond, two seconds after the start, follow rows=2302 beside rows=3305,
- * and no_endpoint for a service whose endpoints had never gone.
+ * and no_endpoint for a service whose endpoints had never been removed.
  */
 #include <setjmp.h>
 #include <stdarg.h>
--- a/test/unit/placing_load_test.c
+++ b/test/unit/placing_load_test.c
@@ -17,7 +17,7 @@
 #define HEAVY_PER_S 28
 #define HEAVIER_PER_S 40
 #define IN_TIME_MIN 0.98
-/* Of the next best policy's late answers, these many may be late. */
+/* Late responses, as a share of those of the next best policy, at most. */
 #define LATE_PART 0.5
 
 static double
@@ -46,31 +46,32 @@
 static void
 both_kinds_are_in_time_under_a_heavy_load(void **state)
 {
-	placing_result_t told;
+	placing_result_t reported;
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-		play(PLACING_TOLD, HEAVIER_PER_S, seed, &told);
-		assert_true(in_time(&told, PLACING_LONG) >= IN_TIME_MIN);
-		assert_true(in_time(&told, PLACING_SHORT) >= IN_TIME_MIN);
+		play(PLACING_TOLD, HEAVIER_PER_S, seed, &reported);
+		assert_true(in_time(&reported, PLACING_LONG) >= IN_TIME_MIN);
+		assert_true(in_time(&reported, PLACING_SHORT) >= IN_TIME_MIN);
 	}
 }
 
-/* It beats each baseline in the same run, and telling is what does it. */
+/* Fewer are late than with each baseline in the same run, and the reports to
+ * other daemons are the reason. */
 static void
 fewer_are_late_than_by_any_other_policy(void **state)
 {
-	placing_result_t told, other;
+	placing_result_t reported, other;
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-		play(PLACING_TOLD, HEAVY_PER_S, seed, &told);
+		play(PLACING_TOLD, HEAVY_PER_S, seed, &reported);
 		for (int policy = PLACING_ALONE; policy < PLACING_POLICIES;
 		     policy++) {
 			play((placing_policy_t)policy, HEAVY_PER_S, seed,
 			    &other);
 			for (int i = 0; i < PLACING_KINDS; i++)
-				assert_true(1 - in_time(&told, i) <=
+				assert_true(1 - in_time(&reported, i) <=
 				    LATE_PART * (1 - in_time(&other, i)));
 		}
 	}
@@ -80,35 +81,36 @@
 static void
 little_is_read_twice(void **state)
 {
-	placing_result_t told, hash;
+	placing_result_t reported, hash;
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-		play(PLACING_TOLD, HEAVY_PER_S, seed, &told);
+		play(PLACING_TOLD, HEAVY_PER_S, seed, &reported);
 		play(PLACING_HASH, HEAVY_PER_S, seed, &hash);
-		assert_true(told.tokens_read < 1.15 * hash.tokens_read);
+		assert_true(reported.tokens_read < 1.15 * hash.tokens_read);
 	}
 }
 
-/* Where nobody can be told of all, asking the owners of three endpoints does
- * as well; what a daemon knows by itself does not. */
+/* If the fleet is too large to notify each daemon of all prompts, querying the
+ * owners of three endpoints does as well; what a daemon knows by itself does
+ * not. */
 static void
 a_large_fleet_is_in_time_by_asking(void **state)
 {
-	placing_result_t asked, other;
+	placing_result_t queried, other;
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= LARGE_SEEDS; seed++) {
 		play_fleet(
-		    &placing_large, PLACING_ASKED, HEAVY_PER_S, seed, &asked);
+		    &placing_large, PLACING_ASKED, HEAVY_PER_S, seed, &queried);
 		for (int i = 0; i < PLACING_KINDS; i++)
-			assert_true(in_time(&asked, i) >= IN_TIME_MIN);
+			assert_true(in_time(&queried, i) >= IN_TIME_MIN);
 		for (int policy = PLACING_ALONE; policy <= PLACING_HASH;
 		     policy++) {
 			play_fleet(&placing_large, (placing_policy_t)policy,
 			    HEAVY_PER_S, seed, &other);
 			for (int i = 0; i < PLACING_KINDS; i++)
-				assert_true(1 - in_time(&asked, i) <=
+				assert_true(1 - in_time(&queried, i) <=
 				    LATE_PART * (1 - in_time(&other, i)));
 		}
 	}
--- a/test/unit/quarantine_test.c
+++ b/test/unit/quarantine_test.c
@@ -247,20 +247,20 @@
 a_lost_connection_alone_is_no_crash(void **state)
 {
 	static unresolved_attempts_t attempts;
-	unresolved_attempt_t one = attempt(HARMLESS, 1),
+	unresolved_attempt_t unresolved = attempt(HARMLESS, 1),
 			     other = attempt(HARMLESS, 2);
 
 	(void)state;
-	unresolved_attempts_add(&attempts, &one);
+	unresolved_attempts_add(&attempts, &unresolved);
 	/* The same request, in flight twice at one endpoint. */
-	unresolved_attempts_add(&attempts, &one);
+	unresolved_attempts_add(&attempts, &unresolved);
 	unresolved_attempts_add(&attempts, &other);
 	assert_int_equal(unresolved_attempts_count(&attempts, HARMLESS), 2);
 	/* The first endpoint still listens; the second one has crashed. */
 	unresolved_attempts_drop(&attempts, 1);
-	assert_false(unresolved_attempts_take(&attempts, 1, &one));
-	assert_true(unresolved_attempts_take(&attempts, 2, &one));
-	assert_int_equal(one.digest, HARMLESS);
+	assert_false(unresolved_attempts_take(&attempts, 1, &unresolved));
+	assert_true(unresolved_attempts_take(&attempts, 2, &unresolved));
+	assert_int_equal(unresolved.digest, HARMLESS);
 	assert_false(unresolved_attempts_has(&attempts, 2));
 	assert_int_equal(quarantine_crash_count(&table, HARMLESS), 0);
 }
@@ -269,18 +269,18 @@
 unresolved_attempts_are_bounded_and_expire(void **state)
 {
 	static unresolved_attempts_t attempts;
-	unresolved_attempt_t one;
+	unresolved_attempt_t unresolved;
 
 	(void)state;
 	for (uint32_t i = 0; i < UNRESOLVED_ATTEMPTS_MAX + 1; i++) {
-		one = attempt(i + 1, i);
-		unresolved_attempts_add(&attempts, &one);
+		unresolved = attempt(i + 1, i);
+		unresolved_attempts_add(&attempts, &unresolved);
 	}
 	assert_int_equal(attempts.len, UNRESOLVED_ATTEMPTS_MAX);
 	assert_false(unresolved_attempts_has(&attempts, 0));
 	test_clock.now = timespec_add_ms(test_clock.now, 5000);
-	one = attempt(HARMLESS, 9999);
-	unresolved_attempts_add(&attempts, &one);
+	unresolved = attempt(HARMLESS, 9999);
+	unresolved_attempts_add(&attempts, &unresolved);
 	unresolved_attempts_expire(
 	    &attempts, clock_boottime(&test_clock.source), 4000);
 	assert_int_equal(attempts.len, 1);
--- a/test/unit/rollouts_test.c
+++ b/test/unit/rollouts_test.c
@@ -29,10 +29,10 @@
 static void
 rollouts_clear(rollouts_t *rollouts)
 {
-	rollout_t *one = rollouts->by_service;
+	rollout_t *rollout = rollouts->by_service;
 
-	HASH_DEL(rollouts->by_service, one);
-	free(one);
+	HASH_DEL(rollouts->by_service, rollout);
+	free(rollout);
 }
 
 /** What a daemon receives. */
--- a/test/unit/slow_link_test.c
+++ b/test/unit/slow_link_test.c
@@ -82,22 +82,22 @@
 {
 	struct bufferevent *accepted =
 	    bufferevent_socket_new(fixture.base, fd, BEV_OPT_CLOSE_ON_FREE);
-	struct bufferevent *far =
+	struct bufferevent *upstream =
 	    bufferevent_socket_new(fixture.base, -1, BEV_OPT_CLOSE_ON_FREE);
 
 	(void)listener;
 	(void)from;
 	(void)len;
 	(void)arg;
-	bufferevent_setcb(accepted, forward, NULL, NULL, far);
-	bufferevent_setcb(far, forward, NULL, NULL, accepted);
-	bufferevent_add_to_rate_limit_group(far, fixture.link);
-	assert_int_equal(bufferevent_socket_connect(far,
+	bufferevent_setcb(accepted, forward, NULL, NULL, upstream);
+	bufferevent_setcb(upstream, forward, NULL, NULL, accepted);
+	bufferevent_add_to_rate_limit_group(upstream, fixture.link);
+	assert_int_equal(bufferevent_socket_connect(upstream,
 			     (struct sockaddr *)&fixture.server_address,
 			     sizeof(fixture.server_address)),
 	    0);
 	bufferevent_enable(accepted, EV_READ | EV_WRITE);
-	bufferevent_enable(far, EV_READ | EV_WRITE);
+	bufferevent_enable(upstream, EV_READ | EV_WRITE);
 }
 
 static struct evconnlistener *
@@ -219,10 +219,10 @@
 	return text;
 }
 
-/* Runs until @p far holds for all followers, and returns the milliseconds that
- * this took. */
+/* Runs until @p condition holds for all followers, and returns the milliseconds
+ * that this took. */
 static int64_t
-run_until(bool (*far)(const follower_t *))
+run_until(bool (*condition)(const follower_t *))
 {
 	struct timespec started_at = clock_boottime(&fixture.clock);
 	struct timeval interval = {0, 5 * US_PER_MS};
@@ -233,7 +233,7 @@
 		event_base_dispatch(fixture.base);
 		ready_count = 0;
 		for (int i = 0; i < FOLLOWERS; i++)
-			ready_count += far(&fixture.followers[i]);
+			ready_count += condition(&fixture.followers[i]);
 		ms = timespec_ms_between(
 		    started_at, clock_boottime(&fixture.clock));
 		assert_true(ms < LIMIT_S * 1000);
