--- a/include/moortack/front/front.h
+++ b/include/moortack/front/front.h
@@ -24,7 +24,7 @@
 	FRONT_BILLING_STATUS, /**< billing_status_t */
 	FRONT_VMS,	      /**< a list of VMs, json_t */
 	FRONT_LOAD,	      /**< load_report_t */
-	FRONT_ENDPOINT_LEFT,  /**< peer_question_t: an endpoint is leaving */
+	FRONT_ENDPOINT_LEFT,  /**< peer_query_t: an endpoint is leaving */
 	FRONT_GUARD_STOP,     /**< peer_query_t: a version was stopped */
 	FRONT_RATINGS,	      /**< a list of ratings, json_t */
 };
--- a/include/moortack/relay/gossip.h
+++ b/include/moortack/relay/gossip.h
@@ -44,9 +44,9 @@
 	struct sockaddr_in peers[GOSSIP_PEERS_MAX];
 	size_t peers_len;
 	bool uses_owners; /**< the fleet is too large to notify all daemons */
-	double unheard_share; /**< share of all daemons' prompts that this one
-				 isn't notified of, 0 to 1 */
-	double send_budget;   /**< bytes that may be sent now */
+	double unreported_share; /**< share of all daemons' prompts that this
+				 one isn't notified of, 0 to 1 */
+	double send_budget;	 /**< bytes that may be sent now */
 	struct timespec send_budget_at;
 	uint64_t datagrams_sent;
 	uint64_t bytes_sent;
--- a/include/moortack/relay/rollouts.h
+++ b/include/moortack/relay/rollouts.h
@@ -71,7 +71,7 @@
 	bool writing; /**< a write of the state is in flight */
 	struct timespec write_after; /**< no write before; 0: not set */
 	rollout_state_t write_state; /**< that the last write stores */
-	bool deadline_told;
+	bool deadline_reported;
 	canary_analysis_t canary;
 	double share; /**< of the requests, for the new version, as of the last
 			 rollout_prefers_new() */
--- a/moortack/relay/attempt_silence.c
+++ b/moortack/relay/attempt_silence.c
@@ -12,7 +12,7 @@
 #define MS_PER_SEC 1000
 #define US_PER_MS 1000
 
-/* A dead connection looks like a slow endpoint, except that a slow one reports
+/* A lost connection looks like a slow endpoint, except that a slow one reports
  * that it is full. So only attempts of requests that are safe to repeat are
  * given up, as long as another attempt is left. */
 static bool
--- a/moortack/relay/gossip.c
+++ b/moortack/relay/gossip.c
@@ -214,7 +214,7 @@
 			peers[i]->peer_address, &self->peers[self->peers_len]))
 			self->peers_len++;
 	}
-	self->unheard_share =
+	self->unreported_share =
 	    daemons > count + 1 ? 1 - ((double)count + 1) / daemons : 0;
 }
 
--- a/moortack/relay/model_choice.c
+++ b/moortack/relay/model_choice.c
@@ -6,7 +6,7 @@
  * cost of the largest model, which is its own price and the time that it takes
  * from other requests. Tried on the users' sites with eight runs each: costs of
  * 0.12 and 0.22 made larger models cost more than they gained on days of high
- * load, and gained nothing on calm days. */
+ * load, and gained nothing on days of low load. */
 #define LATE_VALUE 0.15
 #define LARGEST_COST 0.45
 /* A response that is good with this probability is accepted: the cost of a
--- a/moortack/relay/relay.c
+++ b/moortack/relay/relay.c
@@ -370,7 +370,7 @@
 }
 
 static void
-on_caller_gone(void *arg, http_inbound_t *caller)
+on_caller_disconnected(void *arg, http_inbound_t *caller)
 {
 	relay_t *relay = arg;
 	relay_request_t *req = http_inbound_user_data(caller);
@@ -405,7 +405,7 @@
 }
 
 static const http_inbound_ops_t inbound_ops = {
-    on_request, on_caller_gone, on_drained, on_bad_message};
+    on_request, on_caller_disconnected, on_drained, on_bad_message};
 
 static void
 inbound_limits_set(relay_t *relay)
--- a/moortack/relay/relay_candidates.c
+++ b/moortack/relay/relay_candidates.c
@@ -10,10 +10,10 @@
  * use during its trial. In the users' deployments a version that is bad under
  * load only fails from half of the slots on. If the new version gets as large a
  * share of the endpoints as of the requests, 4 to 8 of 16 to 64 slots are in
- * use on calm days, and such a version got 0.4 of all requests unnoticed. With
- * this share it is stopped in deployments with 16 and 24 slots (two seeds each;
- * with 0.6 one of four was not); with 48 and 64 slots their traffic does not
- * fill half of an endpoint. */
+ * use on days of low load, and such a version got 0.4 of all requests
+ * unnoticed. With this share it is stopped in deployments with 16 and 24 slots
+ * (two seeds each; with 0.6 one of four was not); with 48 and 64 slots their
+ * traffic does not fill half of an endpoint. */
 #define TRIAL_FILL 0.75
 
 /** Which versions a request may go to. */
--- a/moortack/relay/relay_node.c
+++ b/moortack/relay/relay_node.c
@@ -29,8 +29,9 @@
  * are outdated. */
 #define SYSTEM_PAUSE_MS 1500
 #define SYSTEM_MAX_AGE_MS 6000
-/* The pause while it is not known which daemons are alive: those that no other
- * daemon hears of otherwise show it only by writing their rows. */
+/* The pause while it is not known which daemons are alive: those of
+ * which no other daemon receives other signs of life show it only by writing
+ * their rows. */
 #define SYSTEM_PAUSE_LIVENESS_MS 500
 /* The pause until the fleet's key is known: without it no daemon can be
  * followed. */
@@ -40,10 +41,10 @@
  * time limit for stopping it. */
 #define SYSTEM_PAUSE_ROLLOUT_MS 1000
 #define REPORT_INTERVAL_MS 700
-/* A daemon that no other daemon hears of otherwise writes its own row as a
- * heartbeat this often. */
+/* A daemon of which no other daemon receives other signs of life writes its own
+ * row as a heartbeat this often. */
 #define ROW_HEARTBEAT_MS 2000
-/* A daemon that gets no requests from others takes all of them for silent after
+/* A daemon that gets no requests from others considers all of them silent after
  * this time: they may follow another daemon, which this one does not reach. */
 #define AUTHORITY_TIMEOUT_MS 12000
 /* Parts of the time for which callers may still be sent to a daemon that is
@@ -64,7 +65,8 @@
 #define SHUTDOWN_MAX_PART 0.96
 
 /* Sets the poll pause of the system's table, and writes the report on roll-outs
- * to the own row while no other daemon hears of this one otherwise. */
+ * to the own row while no other daemon receives other signs of life of this
+ * one. */
 static void
 report_send(relay_node_t *node)
 {
--- a/moortack/relay/relay_select.c
+++ b/moortack/relay/relay_select.c
@@ -161,7 +161,7 @@
 	uint64_t model_hash = XXH3_64bits(model, strlen(model));
 	choice_criteria_t criteria = {.has_prompt = req->arrival.parts_len > 0,
 	    .affinity = req->shared_prefix_hash ^ model_hash,
-	    .first_cached = req->relay->gossip->unheard_share,
+	    .first_cached = req->relay->gossip->unreported_share,
 	    .tie_breaker = req->relay->rng->next(req->relay->rng),
 	    .cross_zone_penalty = CROSS_ZONE_PENALTY};
 	const service_model_t *known_model = relay_model_find(req, model);
--- a/moortack/replication/row_parent.c
+++ b/moortack/replication/row_parent.c
@@ -84,7 +84,7 @@
 	parent_change(self, why);
 }
 
-/* In a cycle of followers nobody reads the store: this daemon does, until it
+/* In a cycle of followers no daemon reads the store: this daemon does, until it
  * finds another parent. */
 void
 row_parent_break_cycle(row_sync_t *self)
--- a/moortack/replication/row_source.c
+++ b/moortack/replication/row_source.c
@@ -173,7 +173,7 @@
 
 /* Deletes the rows that a full read did not return. */
 static void
-unread_rows_delete(row_sync_t *self, row_table_t table)
+unreturned_rows_delete(row_sync_t *self, row_table_t table)
 {
 	cached_row_t *row, *next;
 
@@ -210,7 +210,7 @@
 	row_sync_t *self = watch->sync;
 
 	if (full_read) {
-		unread_rows_delete(self, watch->table);
+		unreturned_rows_delete(self, watch->table);
 		self->cache.complete_since[watch->table] =
 		    watch->watch.read_version;
 		if (watch->table == ROW_TABLE_SYSTEM)
--- a/moortack/replication/row_watch.c
+++ b/moortack/replication/row_watch.c
@@ -114,8 +114,8 @@
 	}
 	if (watch->page == NULL) {
 		/* If the store was restored from an older copy, its current
-		 * rows are passed on, but do not replace newer ones: whoever
-		 * holds the rows compares the versions. */
+		 * rows are passed on, but do not replace newer ones: the
+		 * holder of the rows compares the versions. */
 		watch->read_version = response->version;
 		watch->ops->full_read_begin(watch->arg);
 	}
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -21,8 +21,8 @@
 	struct event *load_timer;
 	json_t *vms; /**< the latest list */
 	char list_etag[ETAG_SIZE];
-	size_t next_vm;	   /**< index of the VM whose load is read next */
-	size_t unread_vms; /**< VMs not yet read since the list changed */
+	size_t next_vm;	     /**< index of the VM whose load is read next */
+	size_t unpolled_vms; /**< VMs not yet polled since the list changed */
 	bool list_pending;
 	http_address_t rating_address;
 	struct event *rating_timer; /**< NULL: there is no rating service */
@@ -67,7 +67,7 @@
 		list_etag_store(poller, response);
 		json_decref(poller->vms);
 		poller->vms = json_incref(vms);
-		poller->unread_vms = json_array_size(vms);
+		poller->unpolled_vms = json_array_size(vms);
 		task_post(poller->sink.front, poller->sink.list_kind,
 		    json_incref(vms), json_release);
 	}
@@ -174,7 +174,7 @@
 {
 	endpoint_poller_t *poller = arg;
 	size_t count = json_array_size(poller->vms);
-	uint32_t left = poller->unread_vms > 0
+	uint32_t left = poller->unpolled_vms > 0
 	    ? NEW_LIST_READS
 	    : (uint32_t)poller->options->load_reads;
 
@@ -187,8 +187,8 @@
 		    json_array_get(poller->vms, poller->next_vm++ % count),
 		    "address"));
 
-		if (poller->unread_vms > 0)
-			poller->unread_vms--;
+		if (poller->unpolled_vms > 0)
+			poller->unpolled_vms--;
 		if (address != NULL)
 			load_read_start(poller, address);
 	}
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -37,12 +37,12 @@
 	void *arg;
 	row_t row;
 	row_store_response_t response;
-} pending_reply_t;
+} pending_response_t;
 
 static void
 pending_deliver(evutil_socket_t fd, short what, void *arg)
 {
-	pending_reply_t *pending = arg;
+	pending_response_t *pending = arg;
 
 	(void)fd;
 	(void)what;
@@ -56,7 +56,7 @@
     row_result_t result, row_done_t done, void *arg)
 {
 	static const struct timeval soon = {0, 1000};
-	pending_reply_t *pending = calloc(1, sizeof(*pending));
+	pending_response_t *pending = calloc(1, sizeof(*pending));
 
 	pending->done = done;
 	pending->arg = arg;
