--- a/moortack/replication/row_cache.c
+++ b/moortack/replication/row_cache.c
@@ -264,18 +264,18 @@
 
 void
 row_cache_clear_marks(
-    row_cache_t *cache, row_table_t table, row_origin_t reader)
+    row_cache_t *cache, row_table_t table, row_origin_t origin)
 {
 	for (cached_row_t *row = cache->rows; row != NULL; row = row->hh.next) {
 		if (row->table == table)
-			row->marks &= ~(unsigned)reader;
+			row->marks &= ~(unsigned)origin;
 	}
 }
 
 bool
-cached_row_is_marked(const cached_row_t *row, row_origin_t reader)
+cached_row_is_marked(const cached_row_t *row, row_origin_t origin)
 {
-	return (row->marks & reader) != 0;
+	return (row->marks & origin) != 0;
 }
 
 static void
