--- a/include/moortack/relay/rollouts.h
+++ b/include/moortack/relay/rollouts.h
@@ -71,7 +71,7 @@
 	bool writing; /**< a write of the state is in flight */
 	struct timespec write_after; /**< no write before; 0: not set */
 	rollout_state_t write_state; /**< that the last write stores */
-	bool deadline_told;
+	bool deadline_reported;
 	canary_analysis_t canary;
 	double share; /**< of the requests, for the new version, as of the last
 			 rollout_prefers_new() */
@@ -83,8 +83,8 @@
 	const clock_source_t *clock;
 	const rollout_status_encoder_t *status_encoder;
 	membership_t *members;
-	const row_watch_t *orders_watch; /**< tells the age of the orders */
-	row_watch_t *states_watch;	 /**< tells the age of the states */
+	const row_watch_t *orders_watch; /**< for the age of the orders */
+	row_watch_t *states_watch;	 /**< for the age of the states */
 	event_log_t *log;
 	rollout_t *by_service;
 	struct event *timer;
--- a/moortack/replication/row_source.c
+++ b/moortack/replication/row_source.c
@@ -173,7 +173,7 @@
 
 /* Deletes the rows that a full read did not return. */
 static void
-unread_rows_delete(row_sync_t *self, row_table_t table)
+unreturned_rows_delete(row_sync_t *self, row_table_t table)
 {
 	cached_row_t *row, *next;
 
@@ -204,13 +204,13 @@
 }
 
 static void
-on_synced(void *arg, bool full_read, const row_reply_t *reply)
+on_synced(void *arg, bool full_read, const row_store_response_t *response)
 {
 	table_watch_t *watch = arg;
 	row_sync_t *self = watch->sync;
 
 	if (full_read) {
-		unread_rows_delete(self, watch->table);
+		unreturned_rows_delete(self, watch->table);
 		self->cache.complete_since[watch->table] =
 		    watch->watch.read_version;
 		if (watch->table == ROW_TABLE_SYSTEM)
@@ -219,7 +219,7 @@
 	if (self->parent_stale && self->server.flush != NULL)
 		feed_server_respond_all(&self->server);
 	row_follow_update_status(self);
-	self->ops->store_clock(self->arg, reply->now_ms);
+	self->ops->store_clock(self->arg, response->now_ms);
 	self->ops->synced(self->arg, watch->table, full_read);
 	if (watch->table == ROW_TABLE_SYSTEM && !row_sync_synced(self))
 		row_sync_tick(self);
--- a/moortack/route/watch.c
+++ b/moortack/route/watch.c
@@ -21,8 +21,8 @@
 	struct event *load_timer;
 	json_t *vms; /**< the latest list */
 	char list_etag[ETAG_SIZE];
-	size_t next_vm;	   /**< index of the VM whose load is read next */
-	size_t unread_vms; /**< VMs not yet read since the list changed */
+	size_t next_vm;	     /**< index of the VM whose load is read next */
+	size_t unpolled_vms; /**< VMs not yet polled since the list changed */
 	bool list_pending;
 	http_address_t rating_address;
 	struct event *rating_timer; /**< NULL: there is no rating service */
@@ -45,28 +45,29 @@
 /* Stores the list's ETag, so that the list is sent again only once it has
  * changed. */
 static void
-list_etag_store(endpoint_poller_t *poller, const http_response_t *reply)
+list_etag_store(endpoint_poller_t *poller, const http_response_t *response)
 {
-	const char *etag = evhttp_find_header(reply->headers, "ETag");
+	const char *etag = evhttp_find_header(response->headers, "ETag");
 
 	snprintf(poller->list_etag, sizeof(poller->list_etag), "%s",
 	    etag != NULL ? etag : "");
 }
 
 static void
-list_received(void *arg, const http_response_t *reply)
+list_received(void *arg, const http_response_t *response)
 {
 	endpoint_poller_t *poller = arg;
-	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
+	json_t *body =
+	    response->status == 200 ? http_response_json(response) : NULL;
 	json_t *vms = json_object_get(body, "vms");
 
 	poller->list_pending = false;
 	/* A failed read is not an empty list: the known endpoints stay. */
 	if (json_is_array(vms)) {
-		list_etag_store(poller, reply);
+		list_etag_store(poller, response);
 		json_decref(poller->vms);
 		poller->vms = json_incref(vms);
-		poller->unread_vms = json_array_size(vms);
+		poller->unpolled_vms = json_array_size(vms);
 		task_post(poller->sink.front, poller->sink.list_kind,
 		    json_incref(vms), json_release);
 	}
@@ -117,11 +118,12 @@
 }
 
 static void
-load_received(void *arg, const http_response_t *reply)
+load_received(void *arg, const http_response_t *response)
 {
 	load_read_t *read = arg;
 	load_report_t *report = calloc(1, sizeof(*report));
-	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
+	json_t *body =
+	    response->status == 200 ? http_response_json(response) : NULL;
 
 	read->poller->reads_in_flight--;
 	if (report != NULL) {
@@ -172,7 +174,7 @@
 {
 	endpoint_poller_t *poller = arg;
 	size_t count = json_array_size(poller->vms);
-	uint32_t left = poller->unread_vms > 0
+	uint32_t left = poller->unpolled_vms > 0
 	    ? NEW_LIST_READS
 	    : (uint32_t)poller->options->load_reads;
 
@@ -185,18 +187,19 @@
 		    json_array_get(poller->vms, poller->next_vm++ % count),
 		    "address"));
 
-		if (poller->unread_vms > 0)
-			poller->unread_vms--;
+		if (poller->unpolled_vms > 0)
+			poller->unpolled_vms--;
 		if (address != NULL)
 			load_read_start(poller, address);
 	}
 }
 
 static void
-ratings_received(void *arg, const http_response_t *reply)
+ratings_received(void *arg, const http_response_t *response)
 {
 	endpoint_poller_t *poller = arg;
-	json_t *body = reply->status == 200 ? http_response_json(reply) : NULL;
+	json_t *body =
+	    response->status == 200 ? http_response_json(response) : NULL;
 	json_t *ratings = json_object_get(body, "ratings");
 
 	poller->rating_pending = false;
--- a/test/unit/relay_node_test.c
+++ b/test/unit/relay_node_test.c
@@ -36,18 +36,18 @@
 	row_done_t done;
 	void *arg;
 	row_t row;
-	row_reply_t reply;
-} pending_reply_t;
+	row_store_response_t response;
+} pending_response_t;
 
 static void
 pending_deliver(evutil_socket_t fd, short what, void *arg)
 {
-	pending_reply_t *pending = arg;
+	pending_response_t *pending = arg;
 
 	(void)fd;
 	(void)what;
-	pending->reply.rows = &pending->row;
-	pending->done(pending->arg, &pending->reply);
+	pending->response.rows = &pending->row;
+	pending->done(pending->arg, &pending->response);
 	free(pending);
 }
 
@@ -56,13 +56,13 @@
     row_result_t result, row_done_t done, void *arg)
 {
 	static const struct timeval soon = {0, 1000};
-	pending_reply_t *pending = calloc(1, sizeof(*pending));
+	pending_response_t *pending = calloc(1, sizeof(*pending));
 
 	pending->done = done;
 	pending->arg = arg;
 	if (row != NULL)
 		pending->row = *row;
-	pending->reply = (row_reply_t){.result = result,
+	pending->response = (row_store_response_t){.result = result,
 	    .rows_len = row != NULL,
 	    .version = version,
 	    .now_ms = 1};
