--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The README's commands. Each installs what is missing, then calls meson.
+# The commands of the README. Each installs missing packages, then calls meson.
 BUILD = build
 
 .PHONY: all calm-day soak setup demo check lint fuzz bench plots sanitize mutants format clean
@@ -22,7 +22,7 @@
 format:
 	@clang-format -i $$(git ls-files '*.c' '*.h' | grep -v '\.pb-c\.')
 
-# A calm day of the users' bench, where their kit stands beside the checkout.
+# A calm day of the users' benchmark; needs their kit next to the checkout.
 KIT = ../given/kit/more/system
 SITE = pyv-moortack
 calm-day: setup
@@ -30,7 +30,7 @@
 	@$(KIT)/bin/fleetbench run $(KIT)/sites/$(SITE).toml quiet-1 \
 		--why "a calm day, by make"
 
-# The fuzz targets for as long as SECONDS says, each.
+# Runs each fuzz target for SECONDS.
 SECONDS = 120
 fuzz: setup
 	@[ -f build-fuzz/build.ninja ] || CC=clang meson setup build-fuzz \
@@ -44,27 +44,28 @@
 		-artifact_prefix=build-fuzz/$$name- build-fuzz/corpus/$$name \
 		test/fuzz/corpus/$$name || exit 1; done
 
-# The experiments' tables (about four minutes), then the figures of the daemon.
+# Prints the tables of the experiments (about four minutes), then the measurements
+# of the daemon.
 bench: all
 	@$(BUILD)/bench/bench-experiment
 	@for name in overhead refusal overload memory; do echo "### $$name"; \
 		$(BUILD)/test/scenario/runner $(CURDIR)/$(BUILD) \
 		bench/$$name.lua || exit 1; done
 
-# Random faults under traffic over the platform's wire, for as long as SECONDS
-# says, with the seeds that SEEDS lists.
+# Random faults under traffic over the platform's protocol, for SECONDS with each
+# of the seeds in SEEDS.
 SEEDS = 1 2 3
 soak: all
 	@for seed in $(SEEDS); do SOAK_SEED=$$seed SOAK_SECONDS=$(SECONDS) \
 		$(BUILD)/test/scenario/runner $(CURDIR)/$(BUILD) \
 		soak/soak.lua || exit 1; done
 
-# The plots of docs/MEASUREMENTS.md.
+# Draws the plots of docs/MEASUREMENTS.md.
 plots: all
 	@tools/setup.sh packages-bench.txt
 	@bench/plots.sh $(BUILD)
 
-# Every test with the address and undefined-behaviour sanitizers.
+# Runs every test with the address and undefined-behaviour sanitizers.
 sanitize: setup
 	@[ -f build-sanitize/build.ninja ] || meson setup build-sanitize \
 		-Db_sanitize=address,undefined -Db_lundef=false >/dev/null
@@ -72,7 +73,7 @@
 	@UBSAN_OPTIONS=halt_on_error=1 meson test -C build-sanitize \
 		--num-processes 4 --timeout-multiplier 3
 
-# Each proof fails once its mechanism is taken out.
+# Checks that tests fail once the mechanism that they cover is removed.
 mutants: setup
 	@tools/mutants.sh
 
--- a/tools/boundary.sh
+++ b/tools/boundary.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Prints the platform's own names that stand outside its folders; exits 1 if
-# any do.
+# Prints uses of the platform's names outside the folders that may use them;
+# exits 1 if there are any.
 set -u
 cd "$(dirname "$0")/.."
 names='rows-(tx|get|feed|parts)|blob-(put|get|drop|list)|hold-(take|drop)'
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -17,7 +17,7 @@
 	[ -f KNOWN-RED.txt ] && grep "^$1:" KNOWN-RED.txt
 }
 
-# Count the results that meson wrote for one tree.
+# Count the test results that meson wrote into a build folder.
 results_count() {
 	for line in $(sed \
 		's/.*"name": "\([^"]*\)".*"result": "\([A-Z]*\)".*/\1=\2/' \
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The formatter and the linter, over everything but generated code.
+# Checks the format of all code that is not generated, and runs the linters on it.
 set -eu
 cd "$(dirname "$0")/.."
 files=$(git ls-files '*.c' '*.h' | grep -v '\.pb-c\.')
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Installs the Debian packages of a list that are missing: setup.sh [LIST]
+# Installs the Debian packages of LIST, by default packages.txt, that are missing:
+# setup.sh [LIST]
 set -eu
 cd "$(dirname "$0")"
 missing=
